--- a/scripts/production-fixtures.ts
+++ b/scripts/production-fixtures.ts
@@ -3,11 +3,13 @@
 import { pathToFileURL } from 'node:url';
 import type * as Messages from '../src/peers/messages.js';
 import type * as Records from '../src/state/records.js';
+import { RECORDED_FORMS_FILE, recordedForms } from '../test/support/recorded-forms.js';
 import { buildProduction, productionCommit } from './production-build.js';
 
 /**
  * Writes test/fixtures/production.json: records as the version in production makes them, and its hello, whose
- * fields are those of that version's `Link`.
+ * fields are those of that version's `Link`; and test/fixtures/recorded-forms.json, all forms that the present
+ * version sends, stores and prints.
  *
  *     npm run fixtures
  */
@@ -46,3 +48,7 @@
 mkdirSync('test/fixtures', { recursive: true });
 writeFileSync(TARGET, `${JSON.stringify(made, null, 2)}\n`);
 process.stdout.write(`${TARGET} written\n`);
+const forms = await recordedForms();
+writeFileSync(RECORDED_FORMS_FILE, `${JSON.stringify(forms, null, 1)}\n`);
+process.stdout.write(`${RECORDED_FORMS_FILE} written\n`);
+process.exit(0);
--- /dev/null
+++ b/test/support/recorded-forms.ts
@@ -0,0 +1,600 @@
+/**
+ * Every form that leaves this program or stays in the store, made by the code as it stands:
+ * messages, records, answers, settings errors, `/metrics`, help texts, and the decisions of the
+ * scheduler. `npm run fixtures` writes them to `test/fixtures/recorded-forms.json`, and
+ * `test/recorded-forms.test.ts` compares. A difference is a change of a wire format, of a stored
+ * format or of a decision, never of a name inside the program.
+ */
+import { spawnSync } from 'node:child_process';
+import { readFileSync } from 'node:fs';
+import { RequestQueue } from '../../src/admission/request-queue.js';
+import { Overload } from '../../src/admission/overload.js';
+import { parseSettings, SettingsError, type Settings } from '../../src/config/settings.js';
+import { Controller } from '../../src/controller/controller.js';
+import { Costs } from '../../src/costs.js';
+import { FeaturesError, featuresRecord, parseFeatures } from '../../src/features/features-file.js';
+import { encodeReply, type Reply } from '../../src/http/server.js';
+import { figures } from '../../src/leader/figures.js';
+import { loansTable } from '../../src/lending/command.js';
+import { decodeLoan, encodeLoan, LOAN_STATES, type Loan } from '../../src/lending/loan.js';
+import { loansView } from '../../src/lending/view.js';
+import { silentLog } from '../../src/log.js';
+import { DEFAULT_POLICY } from '../../src/operator/policy.js';
+import { encodeFrame, FrameReader } from '../../src/peers/frames.js';
+import {
+  FEATURES,
+  parseAnswer,
+  parseFromAnswerer,
+  parseFromAsker,
+  parseHello,
+  PROTOCOL_VERSION,
+  type Answer,
+  type Question,
+  type QuestionKind,
+} from '../../src/peers/messages.js';
+import { seedRandom } from '../../src/random.js';
+import * as records from '../../src/state/records.js';
+import { billTable, statusTable } from '../../src/warm-pools/command.js';
+import {
+  decodeSlot,
+  encodeSlot,
+  plannedSlot,
+  SLOT_STATES,
+  type Slot,
+} from '../../src/warm-pools/slot.js';
+import { poolsView } from '../../src/warm-pools/view.js';
+import * as cloud from '../../src/wire/cloud.js';
+import * as store from '../../src/wire/state.js';
+import * as users from '../../src/wire/users.js';
+import * as workers from '../../src/wire/workers.js';
+import { settings, settingsText, spec } from '../helpers.js';
+import { World } from '../meeting-helpers.js';
+import { Bench } from '../pass-helpers.js';
+import { poolText, warmPools } from '../pool-helpers.js';
+
+/** What is compared: names of forms, and what each was. */
+export type RecordedForms = Record<string, unknown>;
+
+/** The file that `npm run fixtures` writes. */
+export const RECORDED_FORMS_FILE = 'test/fixtures/recorded-forms.json';
+
+const MAIN = new URL('../../src/main.js', import.meta.url).pathname;
+
+/** The value of a call, or the name and message of what it throws. */
+function outcomeOf(call: () => unknown): unknown {
+  try {
+    return call();
+  } catch (error) {
+    return { throws: (error as Error).message };
+  }
+}
+
+const json = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+const fullSpec = spec({
+  id: 'wk-000412',
+  kind: 'gang',
+  tasks: 16,
+  types: ['g8'],
+  zone: 'z1',
+  oneZone: true,
+  scatter: true,
+  spot: true,
+  checkpointS: 30,
+  saveS: 4,
+  deadlineS: 900,
+  awaits: ['wk-000398', 'wk-000399'],
+});
+
+function storeMessages(): RecordedForms {
+  const changes = {
+    ledger: 9,
+    log: [
+      { put: 'a', data: { x: 1 }, mark: 8 },
+      { remove: 'b', mark: 9 },
+    ],
+  };
+  return {
+    commit: store.encodeCommit(
+      [{ key: 'ps/l', revision: 4 }],
+      [{ put: 'ps/n/n-0', value: { i: 'n-0' }, lease: 7 }, { put: 'a', value: 1 }, { remove: 'b' }],
+    ),
+    paths: [
+      store.COMMIT_PATH,
+      store.GRANTS_PATH,
+      store.grantPath(7),
+      store.extendPath(7),
+      store.keyPath('ps/l'),
+      store.listPath('ps/', ''),
+      store.listPath('ps/', 'ps/m/a b'),
+      store.changesPath('ps/', 12, 1500),
+    ],
+    life: store.encodeLife(3000),
+    revision: store.parseRevision({ ledger: 4 }),
+    failed: store.parseFailed({ failed: ['a'] }),
+    lease: store.parseLease({ loan: 7 }),
+    item: Object.values(store.parseItem({ path: 'a', data: 1, mark: 2 })),
+    page: json(Object.values(store.parsePage({ items: [], more: true, ledger: 3 }))),
+    changes: json(store.parseChanges(changes).changes.map((change) => Object.values(change))),
+    malformed: [null, {}, { ledger: -1 }, { ledger: 'x' }, { ledger: 1, log: [{ mark: 1 }] }].map(
+      (raw) => [
+        outcomeOf(() => store.parseRevision(raw)),
+        outcomeOf(() => store.parseItem(raw)),
+        outcomeOf(() => store.parsePage(raw)),
+        outcomeOf(() => Object.values(store.parseChanges(raw))),
+        outcomeOf(() => store.parseLease(raw)),
+      ],
+    ),
+  };
+}
+
+const WORKER_STATES = ['pulling', 'gathering', 'running', 'flushing', 'ended'];
+const WORKER_CAUSES = [
+  'done', 'halted', 'mates_gone', 'alone', 'error', 'full', 'in_use', 'no_such', 'of tomorrow',
+]; // prettier-ignore
+const WORKER_REPORT = {
+  bench: 'host-000231', addr: '10.1.0.232:9000', casting: 'g8', yard: 'a', loaner: true, shift: 1,
+  tally: 88, hallmark: 41, recall_s: 25.5,
+  pieces: [
+    ...WORKER_STATES.map((temper, i) => ({ piece: `wk-1/${i}`, pour: i, temper, cause: 'done' })),
+    ...WORKER_CAUSES.map((cause, i) => (
+      { piece: `wk-2/${i}`, pour: 1, temper: 'ended', cause, saved: i === 1 }
+    )),
+  ],
+}; // prettier-ignore
+
+function workerMessages(): RecordedForms {
+  const task = { job: 'wk-1', index: 4, attempt: 2 };
+  const commands: workers.Command[] = [
+    { op: 'forget', ...task },
+    { op: 'stop', ...task, graceS: 10 },
+    { op: 'start', ...task },
+  ];
+  const parsed = workers.parseReport(WORKER_REPORT);
+  const broken = [
+    {},
+    { ...WORKER_REPORT, bench: '' },
+    { ...WORKER_REPORT, tally: -1 },
+    { ...WORKER_REPORT, recall_s: 'x' },
+    { ...WORKER_REPORT, pieces: [{ piece: 'wk-1', pour: 1, temper: 'running' }] },
+    { ...WORKER_REPORT, pieces: [{ piece: 'wk-1/0', pour: 1, temper: 'odd' }] },
+  ];
+  return {
+    report: [
+      parsed.machine, parsed.addr, parsed.type, parsed.zone, parsed.spot, parsed.session,
+      parsed.seq, parsed.token, parsed.noticeS, parsed.tasks.map((t) => Object.values(t)),
+    ],
+    malformed: broken.map((raw) => outcomeOf(() => workers.parseReport(raw))),
+    garbage: outcomeOf(() => workers.decodeReport(Buffer.from('{'))),
+    orders: [workers.encodeOrders(41, []), workers.encodeOrders(41, commands)],
+    direct: workers.encodeDirect(41, 3, commands),
+    elsewhere: [workers.encodeElsewhere(null), workers.encodeElsewhere('n-1')],
+    bounds: [workers.ANSWER_WAIT_S, workers.CHANGE_GAP_S, workers.MOST_REPORTED_TASKS, workers.MAX_COMMANDS],
+  }; // prettier-ignore
+}
+
+const SUBMISSION = {
+  ref: 'wk-000412', guild: 'train', crew: 'vision', form: 'group', rank: 'high', pieces: 16,
+  cores: 8, gpus: 1, mem_gb: 64, mould: 'img-07', image_gb: 6.2, castings: ['g8'], yard: null,
+  one_zone: true, scatter: false, loaner: true, reckon_s: 240, stamp_s: 30, stamping_s: 4,
+  due_s: 900, awaits: ['wk-000398', 'wk-000398'],
+}; // prettier-ignore
+
+function userMessages(): RecordedForms {
+  const parse = (raw: unknown): unknown =>
+    outcomeOf(() => {
+      const parsed = users.parseSubmission(Buffer.from(JSON.stringify(raw)));
+      return records.encodeJob({ spec: parsed, atMs: 0 });
+    });
+  const without = Object.keys(SUBMISSION).map((key) => ({ ...SUBMISSION, [key]: undefined }));
+  const wrong = Object.keys(SUBMISSION).map((key) => ({ ...SUBMISSION, [key]: -1 }));
+  const kinds = ['batch', 'group', 'daemon'].map((form) => ({ ...SUBMISSION, form }));
+  const ranks = ['critical', 'high', 'standard', 'best_effort'].map((rank) => ({
+    ...SUBMISSION,
+    rank,
+  }));
+  const requests = [
+    ['POST', '/checkin'], ['GET', '/checkin'], ['GET', '/ready'], ['POST', '/submissions'],
+    ['PUT', '/submissions'], ['GET', '/submissions/wk-1?x'], ['POST', '/submissions/wk-1/withdraw'],
+    ['GET', '/submissions/wk-1/withdraw'], ['GET', '/metrics'], ['GET', '/subsystems/warm-pools'],
+    ['GET', '/x'],
+  ] as const; // prettier-ignore
+  return {
+    submissions: [...kinds, ...ranks, ...without, ...wrong].map(parse),
+    notAnObject: ['[', '[]', '1'].map((text) =>
+      outcomeOf(() => users.parseSubmission(Buffer.from(text))),
+    ),
+    accepted: users.encodeAccepted('wk-1', 'queued'),
+    status: users.encodeStatus('wk-1', 'running', 3, 4),
+    error: users.encodeError('why'),
+    routes: requests.map(([method, target]) => Object.values(users.route(method, target))),
+  };
+}
+
+function cloudMessages(): RecordedForms {
+  const type = { name: 'g8', cores: 96, gpus: 8, mem_gb: 768, hourly: 12, yards: ['a', 'b'] };
+  const bench = { ref: 'host-1', addr: '10.1.0.2:9', casting: 'g8', yard: 'a', loaner: true };
+  const rent = { name: 'r-17', type: 'g8', zone: 'a', spot: true, count: 12 };
+  return {
+    types: cloud
+      .parseTypes({ castings: [type, { ...type, local_gb: 2, pull_gb_per_s: 3, spot_price: 4, startup_s: 5 }] })
+      .map((each) => Object.values(each)),
+    list: cloud
+      .parseList({ benches: ['booting', 'running', 'failed'].map((temper) => ({ ...bench, temper, age_s: 3 })) })
+      .machines.map((each) => Object.values(each)),
+    rented: cloud.parseRented({ benches: ['host-1'] }),
+    malformed: [cloud.parseTypes, cloud.parseList, cloud.parseRented].map((parse) =>
+      outcomeOf(() => parse({ benches: 1 })),
+    ),
+    rent: cloud.encodeRent(rent),
+    return: cloud.encodeReturn(['host-1', 'host-2']),
+    paths: [cloud.TYPES_PATH, cloud.RENT_PATH, cloud.RETURN_PATH, cloud.listPath(''), cloud.listPath('a b')],
+    bounds: [cloud.MIN_CHARGE_S, cloud.RENT_MAX, cloud.RETURN_MAX],
+  }; // prettier-ignore
+}
+
+const QUESTIONS: Question[] = [
+  { q: 'report', body: Buffer.from('{"bench":"m"}'), hop: true },
+  { q: 'refused', token: 41, forMs: 1500, applied: 12 },
+  { q: 'elected', token: 41 },
+  { q: 'there' },
+  { q: 'user', to: 'poll', text: 'wk-1' },
+  { q: 'cancelling', job: 'wk-1' },
+  { q: 'cancelled', job: 'wk-1' },
+];
+const ANSWERS: Record<QuestionKind, Answer> = {
+  report: { status: 200, body: '{}', retryAfter: 1 },
+  refused: { refused: true, cancelled: ['wk-1'], freshAgeS: 0.5 },
+  elected: { remainsS: -0.5 },
+  there: { there: true },
+  user: { status: 503, body: '{}', retryAfter: 1 },
+  cancelling: { told: true },
+  cancelled: { noted: true },
+};
+
+function peerMessages(): RecordedForms {
+  const hello = { v: PROTOCOL_VERSION, from: 'n-0', features: FEATURES };
+  const fitness = { fitness: { latenessS: 0.5, served: true, relayS: 0.1 } };
+  const frames = [
+    hello,
+    fitness,
+    ...QUESTIONS.map((q, i) => ({ id: i + 1, q })),
+    ...Object.values(ANSWERS).map((a, i) => ({ id: i + 1, a })),
+  ].map(encodeFrame);
+  const reread = (frame: Buffer): unknown => new FrameReader().push(frame)[0];
+  const [, , ...rest] = frames;
+  const asked = rest.slice(0, QUESTIONS.length).map(reread);
+  return {
+    frames: frames.map((frame) => frame.toString('hex')),
+    hello: [parseHello(reread(frames[0]!)).from, ...parseHello(reread(frames[0]!)).features],
+    questions: json(asked.map((frame) => Object.values(parseFromAsker(frame)))),
+    answers: json(
+      Object.entries(ANSWERS).map(([kind, answer]) =>
+        Object.values(parseAnswer(kind as QuestionKind, answer) ?? {}),
+      ),
+    ),
+    fitness: json([parseFromAsker(fitness), parseFromAnswerer(fitness)].map(Object.values)),
+    malformed: [
+      outcomeOf(() => parseHello({ v: 1, from: 'n-0' })),
+      ...[null, {}, { id: 1 }, { id: 1, q: { q: 'odd' } }, { fitness: {} }].map((raw) =>
+        outcomeOf(() => Object.values(parseFromAsker(raw))),
+      ),
+      ...['elected', 'report', 'user'].map((kind) =>
+        parseAnswer(kind as QuestionKind, { status: 'x' }),
+      ),
+    ],
+  };
+}
+
+function storedRecords(): RecordedForms {
+  const machine: records.MachineRecord = {
+    owner: 'n-0', term: 41, token: 43, addr: '10.1.0.232:9000', type: 'g8', zone: 'a', spot: true,
+    returning: true, claims: Array.from({ length: 40 }, (_, index) => (
+      { job: `wk-${index % 3}`, index, attempt: 41 }
+    )),
+    images: Array.from({ length: 8 }, (_, i): [string, number] => [`img-${i}`, 6.2]),
+  }; // prettier-ignore
+  const submissions = records.encodeSubmissions({
+    jobs: [fullSpec, spec({ kind: 'service' })].map((each) => ({ spec: each, atMs: 1000 })),
+    cancels: ['wk-000398'],
+  });
+  const progress = [
+    records.encodeProgress({ bits: null, attainedS: 12.4 }),
+    records.encodeProgress({ bits: 'AQ==', attainedS: 3, doneMs: 1000.4, tasks: 7 }),
+  ];
+  const versions = [
+    records.encodeVersion({ features: ['pipelines'] }),
+    records.encodeVersion({ features: [], file: { hash: 'ab', subsystems: ['lending'] } }),
+  ];
+  const machines = [
+    records.encodeMachine(machine),
+    records.encodeMachine(machine, 512, 'dense'),
+    records.encodeMachine(machine, 512, 'plain'),
+  ];
+  const leader = records.encodeLeader({ node: 'n-0', incarnation: 'n-0-x/1' });
+  const acknowledgement = records.encodeAck({ token: 41, remainsS: -0.5 });
+  const types = records.encodeTypes(cloud.parseTypes({
+    castings: [{ name: 'g8', cores: 96, gpus: 8, mem_gb: 768, hourly: 12, yards: ['a'] }],
+  })); // prettier-ignore
+  return {
+    keys: [
+      records.ROOT, records.JOBS, records.DEPENDENT_JOBS, records.VERSIONS, records.PROGRESS,
+      records.PROGRESS_PARTS, records.MACHINES, records.NODES, records.ACKS, records.LEADER,
+      records.TYPES, records.SUBSYSTEMS, records.progressKey('wk-1', 2),
+      records.progressPartKey('wk-1', 3), records.nodeKey('n-0'), records.versionKey('n-0'),
+      records.ackKey('n-0'), records.subsystemPrefix('lending'), records.machineKey('host-1'),
+    ],
+    submissions,
+    submissionsAgain: records.encodeSubmissions(records.decodeSubmissions(json(submissions))),
+    progress,
+    progressAgain: progress.map((value) => records.encodeProgress(records.decodeProgress(value))),
+    versions,
+    versionsAgain: versions.map((value) => records.encodeVersion(records.decodeVersion(value))),
+    machines,
+    machinesAgain: machines.map((value) => records.encodeMachine(records.decodeMachine(value))),
+    leader: [leader, records.encodeLeader(records.decodeLeader(leader))],
+    acknowledgement: [acknowledgement, records.encodeAck(records.decodeAck(acknowledgement))],
+    types: [types, records.encodeTypes(records.decodeTypes(types))],
+    garbage: [null, {}, { t: 1 }, { d: 'wk-1:x' }].map((value) => [
+      outcomeOf(() => records.encodeMachine(records.decodeMachine(value))),
+      outcomeOf(() => records.encodeSubmissions(records.decodeSubmissions(value))),
+      outcomeOf(() => records.encodeProgress(records.decodeProgress(value))),
+    ]),
+  }; // prettier-ignore
+}
+
+const LOAN: Loan = {
+  lender: 'wk-1', tasks: [{ index: 2, attempt: 7, machine: 'm1' }], borrower: 'wk-2', machine: 'm1',
+  gpus: 4, state: 'lent', dueMs: 5000, grantedMs: 1000, changedMs: 2000, used: true, reason: 'room',
+}; // prettier-ignore
+
+function subsystemRecords(): RecordedForms {
+  const loans = LOAN_STATES.map((state, i): Loan => {
+    return {
+      ...LOAN,
+      state,
+      lender: `wk-${i}`,
+      dueMs: i % 2 === 0 ? 5000 + i : null,
+      changedMs: i,
+    };
+  });
+  const loanRecords = new Map(
+    loans.map((loan, i) => [`loan/${i}`, { value: encodeLoan(loan), revision: i }]),
+  );
+  const planned = plannedSlot({ pool: 'p', burstMs: 90_000, index: 1, team: 't', sendFromMs: 5 });
+  const slots = SLOT_STATES.map((state, index): Slot => ({
+    ...planned,
+    index,
+    state,
+    rent: { name: 'r-1', type: 'g8', zone: 'z1', count: 2, position: 1 },
+    machine: 'm1',
+    share: 0.5,
+    pricePerHour: 10,
+    held: { fromMs: 1000, toMs: index % 2 === 0 ? null : 9000, uncertainMs: 50 },
+    warmAtMs: 4000,
+    beside: ['wk-1/0#1'],
+    task: 'wk-1/0#2',
+    reason: 'why',
+  }));
+  const slotRecords = new Map(
+    slots.map((slot, i) => [`slot/p/90000/${i}`, { value: encodeSlot(slot), revision: i }]),
+  );
+  const day = { n: [3, 2, 1], s: 10.5, m: 1.25, u: 0.5, b: 90_000, c: 4 };
+  slotRecords.set('bill/p/1970-01-01/t', { value: day, revision: 9 });
+  const config = parseFeatures(poolText(), settings(), 0).warmPools!;
+  const pools = poolsView(slotRecords, config.pools, 1e9);
+  const loanView = loansView(loanRecords);
+  return {
+    loans: loans.map(encodeLoan),
+    loansAgain: loans.map((loan) => encodeLoan(decodeLoan(encodeLoan(loan))!)),
+    loansView: loanView,
+    loansTable: loansTable(loanView.loans),
+    slots: [planned, ...slots].map(encodeSlot),
+    slotsAgain: slots.map((slot) => encodeSlot(decodeSlot(encodeSlot(slot))!)),
+    poolsView: pools,
+    statusTable: statusTable(pools.pools),
+    billTable: billTable(pools.bill),
+    garbage: [decodeLoan({ l: 1 }), decodeSlot({ p: 1 })],
+  }; // prettier-ignore
+}
+
+function replies(): string[] {
+  const statuses = [200, 201, 400, 404, 405, 408, 413, 421, 422, 429, 500, 503, 599];
+  const all: Reply[] = statuses.map((status) => ({ status }));
+  all.push({ status: 200, body: '{"é":1}' }, { status: 503, retryAfter: 1, close: true });
+  return all.map(encodeReply);
+}
+
+function configurationErrors(): RecordedForms {
+  const replaced: [RegExp, string][] = [
+    [/^state = .*$/m, ''], [/^cloud = .*$/m, 'cloud = "x"'], [/^cloud = .*$/m, 'cloud = "x:70000"'],
+    [/lease_s = .*/, 'lease_s = -1.0'], [/write_rps = .*/, 'write_rps = "x"'],
+    [/write_rps = .*/, 'write_rps = inf'], [/zones = .*/, 'zones = []'],
+    [/host_name = .*/, 'host_name = "a b"'], [/count = .*/, 'count = 0.5'], [/\[endpoints\]/, '[[['],
+  ]; // prettier-ignore
+  const settingsError = (text: string): string => {
+    try {
+      parseSettings(text);
+      return 'valid';
+    } catch (error) {
+      if (error instanceof SettingsError) return error.message;
+      throw error;
+    }
+  };
+  const files = [
+    '[[[', '[warm_pool]', `${poolText()}colour = 1`, poolText({ slots: 0 }), poolText({ hold_s: 'x' }),
+    poolText({ name: 'a/b' }), '[warm_pools]\nloader = "x"', '[warm_pools]\nloader = "model-server"',
+    poolText({ team: 'x' }), `${poolText()}zones = ["x"]`, poolText({ slots: 4 }),
+    poolText() + poolText(), poolText({ cores: 0, gpus: 0 }), poolText({ schedule: 'x y' }),
+    poolText({ time_zone: 'Karachi' }), poolText({ schedule: '0 0 30 2 *' }),
+    poolText({ schedule: '0 * * * *', hold_s: 7200 }), '[lending]\nrecalls_at_once = 0',
+    '[lending]\nmax_open = 501', '[lending]\nleast_margin = 0.5', '[lending]\ncolour = 1',
+    poolText({ on_exhausted: 'stop' }), poolText(), '[lending]', '',
+  ]; // prettier-ignore
+  return {
+    settings: replaced.map(([from, to]) => settingsError(settingsText().replace(from, to))),
+    features: files.map((text) => {
+      try {
+        return featuresRecord(parseFeatures(text, settings(), 0));
+      } catch (error) {
+        if (error instanceof FeaturesError) return error.message;
+        throw error;
+      }
+    }),
+  };
+}
+
+/** Figures that are of this process, not of the code. */
+const MEASURED = new Set(['memory_mb', 'heap_mb']);
+
+function metrics(world: World): RecordedForms {
+  const platform: Settings = parseSettings(readFileSync('deploy/example.toml', 'utf8'));
+  const controller = new Controller(platform, DEFAULT_POLICY, silentLog(), {
+    clock: { now: () => 1 },
+  });
+  const own = controller.figures();
+  for (const name of MEASURED) own[name] = 'measured';
+  controller.stop();
+  const costs = new Costs(() => 0);
+  for (const kind of ['report', 'submission', 'pass', 'lag'] as const) costs.record(kind, 0.001);
+  const queue = new RequestQueue({
+    clock: { now: () => 0 },
+    leaseS: 2,
+    capacity: 5,
+    overload: new Overload(),
+    onError: () => undefined,
+  });
+  return {
+    controller: own,
+    leader: figures(world.term, world.parts.capacity),
+    whole: Object.keys(world.leader.figures()),
+    costs: costs.figures(),
+    requests: queue.figures(),
+  };
+}
+
+/** A day of work with a change of leader: all that was stored and started in it. */
+async function decisionsOfDay(world: World): Promise<RecordedForms> {
+  for (const id of ['m1', 'm2', 'm3', 'm4']) world.fleet.add(id, id === 'm3' ? 'z2' : 'z1');
+  await world.run(2);
+  world.job({ id: 'wk-1', kind: 'service', priority: 0, tasks: 3, gpus: 4, image: 'tutor-1' });
+  world.job({
+    id: 'wk-2',
+    tasks: 19,
+    gpus: 1,
+    priority: 3,
+    image: 'marker',
+    checkpointS: 30,
+    saveS: 3,
+  });
+  world.job({ id: 'wk-4', tasks: 3, gpus: 1, priority: 2, awaits: ['wk-5'] });
+  await world.run(4);
+  world.job({ id: 'wk-3', kind: 'gang', tasks: 2, gpus: 4, priority: 1, oneZone: true });
+  world.job({ id: 'wk-5', tasks: 2, gpus: 2, priority: 1, deadlineS: 20 });
+  await world.run(4);
+  for (const worker of world.fleet.workers.values()) {
+    for (const task of worker.running('wk-5')) worker.end(task, 'done');
+  }
+  world.fleet.workers.get('m4')!.mute = true;
+  await world.run(3);
+  world.cancel('wk-1');
+  world.takeOver();
+  await world.run(6);
+  const { store: state, fleet } = world;
+  const stored = state.keys().sort();
+  return {
+    stored: stored.map((key) => [key, state.revision(key), state.value(key)]),
+    starts: [...fleet.starts],
+    tasks: [...fleet.workers.values()].map((worker) => [worker.id, [...worker.tasks.keys()]]),
+    wanted: world.parts.capacity.wanted().map((each) => Object.values(each)),
+    broken: fleet.broken,
+  };
+}
+
+/** What is on each machine, and what is told to stop there, after every pass of a short history. */
+function decisionsOfPasses(): unknown[] {
+  const seen: unknown[] = [];
+  const bench = new Bench(100, 10);
+  const ids = ['a', 'b', 'c'];
+  const note = (): void => {
+    bench.pass();
+    const machines = ids.map((id) =>
+      [...(bench.term.machines.get(id)?.attempts.values() ?? [])].map(
+        ({ job, index, number, stop }) =>
+          `${job}/${index}#${number}${stop === null ? '' : ' stops'}`,
+      ),
+    );
+    seen.push([machines, bench.rents()]);
+  };
+  for (const id of ids) bench.report(id, []);
+  bench.job({ id: 'wk-1', tasks: 30, priority: 3, checkpointS: 30, saveS: 3, class: 'batch' });
+  note();
+  for (const id of ids) bench.settle(id, false);
+  bench.job({ id: 'wk-2', kind: 'gang', tasks: 2, gpus: 8, cores: 8, priority: 1, class: 'train' });
+  note();
+  bench.settle('a', true);
+  note();
+  bench.settle('b', true);
+  note();
+  bench.job({
+    id: 'wk-3',
+    kind: 'service',
+    tasks: 2,
+    gpus: 2,
+    priority: 0,
+    image: 'big',
+    imageGb: 30,
+  });
+  bench.job({ id: 'wk-6', tasks: 4, gpus: 1, estimateS: 1000, priority: 2, class: 'long' });
+  note();
+  for (const id of ids) bench.settle(id, true);
+  note();
+  note();
+  return seen;
+}
+
+function help(): RecordedForms {
+  const run = (...args: string[]): unknown => {
+    const { status, stdout, stderr } = spawnSync(process.execPath, [MAIN, ...args]);
+    return { status, stdout: String(stdout), stderr: String(stderr) };
+  };
+  return {
+    program: run('--help'),
+    version: run('--version'),
+    nothing: run(),
+    unknown: run('--odd'),
+    loans: run('loans', '--help'),
+    loansNothing: run('loans'),
+    loansAddress: run('loans', '--at', 'x'),
+    warmPools: run('warm-pools', '--help'),
+    warmPoolsNothing: run('warm-pools', 'odd'),
+    status: run('--status', 'x'),
+    missing: run('--config', '/none.toml'),
+    profile: run('--profile', 'x', '--config', 'deploy/example.toml'),
+    check: run('--config', 'deploy/example.toml', '--check'),
+    checkFeatures: run('--features', 'deploy/features.toml', '--config', 'deploy/example.toml', '--check'),
+  }; // prettier-ignore
+}
+
+export async function recordedForms(): Promise<RecordedForms> {
+  seedRandom(7);
+  const world = new World();
+  const withPools = new World(100, { subsystems: [warmPools(poolText())] });
+  const forms = {
+    stateService: storeMessages(),
+    workers: workerMessages(),
+    users: userMessages(),
+    cloud: cloudMessages(),
+    controllers: peerMessages(),
+    records: storedRecords(),
+    subsystems: subsystemRecords(),
+    replies: replies(),
+    configuration: configurationErrors(),
+    day: await decisionsOfDay(world),
+    dayWithPools: await decisionsOfDay(withPools),
+    passes: decisionsOfPasses(),
+    metrics: metrics(world),
+    metricsWithPools: withPools.leader.figures(),
+    help: help(),
+  };
+  return json(forms) as RecordedForms;
+}
