--- a/src/api/request-forwarder.ts
+++ b/src/api/request-forwarder.ts
@@ -2,7 +2,7 @@
 import type { PeerNet } from '../peers/net.js';
 import type { Reply } from '../http/server.js';
 import type { StateClient } from '../state/client.js';
-import type { Follower } from '../state/follow.js';
+import type { ReplicaSync } from '../state/replica-sync.js';
 import { mayAwait, SUBMIT_WAIT_S } from '../wire/users.js';
 import type { Users } from './users.js';
 
@@ -26,7 +26,7 @@
   constructor(
     private readonly users: Users,
     private readonly state: Pick<StateClient, 'health'>,
-    private readonly follower: Pick<Follower, 'ready' | 'sync'>,
+    private readonly follower: Pick<ReplicaSync, 'ready' | 'sync'>,
     private readonly peers: Pick<PeerNet, 'lately' | 'ask'>,
     private readonly workers: { lease_s: number },
     private readonly now: () => number,
--- a/src/api/users.ts
+++ b/src/api/users.ts
@@ -3,7 +3,7 @@
 import type { MachineType } from '../jobs/types.js';
 import type { Log } from '../log.js';
 import { neverRuns } from '../scheduler/quota.js';
-import type { Follower } from '../state/follow.js';
+import type { ReplicaSync } from '../state/replica-sync.js';
 import type { RequestWriter } from '../state/request-writer.js';
 import { outcome, type JobFacts } from '../state/job-facts.js';
 import type { Replica } from '../state/replica.js';
@@ -31,7 +31,7 @@
 
 export interface UsersOptions {
   settings: Settings;
-  follower: Pick<Follower, 'ready' | 'sync'>;
+  follower: Pick<ReplicaSync, 'ready' | 'sync'>;
   replica: Replica;
   requestWriter: RequestWriter;
   types: () => MachineType[] | null;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -11,7 +11,7 @@
 import type { FeaturesFileRecord } from '../state/records.js';
 import type { Subsystem } from '../subsystems/subsystem.js';
 import { StateClient } from '../state/client.js';
-import { Follower } from '../state/follow.js';
+import { ReplicaSync } from '../state/replica-sync.js';
 import { RequestWriter } from '../state/request-writer.js';
 import { Replica } from '../state/replica.js';
 import { LeaderAcknowledgements } from '../leadership/leader-acknowledgements.js';
@@ -65,7 +65,7 @@
 export class Controller {
   readonly state: StateClient;
   readonly replica: Replica;
-  readonly follower: Follower;
+  readonly follower: ReplicaSync;
   readonly election: Election;
   readonly peers: PeerNet;
   private readonly acknowledgements: LeaderAcknowledgements;
@@ -137,7 +137,7 @@
       onAck: (node, ack) => this.acknowledgements.noteStored(node, ack),
       onPresence: (node) => this.zoneLeases.changed(node),
     };
-    this.follower = new Follower(
+    this.follower = new ReplicaSync(
       this.state,
       this.replica,
       this.clock,
--- a/src/controller/machine-types.ts
+++ b/src/controller/machine-types.ts
@@ -4,7 +4,7 @@
 import type { Leader } from '../leader/leader.js';
 import type { Log } from '../log.js';
 import { random } from '../random.js';
-import type { Follower } from '../state/follow.js';
+import type { ReplicaSync } from '../state/replica-sync.js';
 import type { Replica } from '../state/replica.js';
 
 /** Seconds between two looks whether the store has been read. */
@@ -14,7 +14,7 @@
 
 export interface MachineTypesOptions {
   cloud: Pick<CloudClient, 'types'>;
-  follower: Pick<Follower, 'ready'>;
+  follower: Pick<ReplicaSync, 'ready'>;
   replica: Pick<Replica, 'types'>;
   leader: () => Leader | null;
   log: Log;
--- a/src/controller/versions.ts
+++ b/src/controller/versions.ts
@@ -5,7 +5,7 @@
 import { FEATURES, type Feature } from '../peers/messages.js';
 import type { PeerNet } from '../peers/net.js';
 import type { StateClient } from '../state/client.js';
-import type { Follower } from '../state/follow.js';
+import type { ReplicaSync } from '../state/replica-sync.js';
 import type { FeaturesFileRecord } from '../state/records.js';
 import * as records from '../state/records.js';
 import type { Replica } from '../state/replica.js';
@@ -24,7 +24,7 @@
   peers: () => Pick<PeerNet, 'heardFeatures'>;
   fitness: Pick<FitnessTable, 'silentS'>;
   state: Pick<StateClient, 'commit' | 'writes'>;
-  follower: Pick<Follower, 'ready' | 'sync'>;
+  follower: Pick<ReplicaSync, 'ready' | 'sync'>;
   clock: Clock;
   log: Log;
   /** This controller's features file; missing: it has none. */
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -2,7 +2,7 @@
 import { DRIFT, Pause, sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import { Refused, type StateClient } from '../state/client.js';
-import type { Follower } from '../state/follow.js';
+import type { ReplicaSync } from '../state/replica-sync.js';
 import type { Replica } from '../state/replica.js';
 import * as records from '../state/records.js';
 import type { PeerNet } from '../peers/net.js';
@@ -65,7 +65,7 @@
     nodes: number,
     workers: WorkerTimes,
     private readonly state: StateClient,
-    private readonly follower: Follower,
+    private readonly follower: ReplicaSync,
     private readonly replica: Replica,
     peers: () => PeerNet,
     private readonly clock: Clock,
--- a/src/leadership/outage.ts
+++ b/src/leadership/outage.ts
@@ -1,7 +1,7 @@
 import { DRIFT, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import { Refused, type StateClient } from '../state/client.js';
-import type { Follower } from '../state/follow.js';
+import type { ReplicaSync } from '../state/replica-sync.js';
 import type { Replica } from '../state/replica.js';
 import * as records from '../state/records.js';
 import { MAX_FRAME } from '../peers/frames.js';
@@ -46,7 +46,7 @@
   /** Seconds for which leases may be renewed after the last proof of knowing every cancellation. */
   allowanceS: number;
   state: StateClient;
-  follower: Follower;
+  follower: ReplicaSync;
   replica: Replica;
   peers: () => PeerNet;
   clock: Clock;
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -1,7 +1,7 @@
 import { DRIFT, sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import * as records from '../state/records.js';
-import type { Follower } from '../state/follow.js';
+import type { ReplicaSync } from '../state/replica-sync.js';
 import type { Replica } from '../state/replica.js';
 import { Refused, type StateClient } from '../state/client.js';
 import { ANSWER_WAIT_S } from '../wire/workers.js';
@@ -93,7 +93,7 @@
     private readonly incarnation: string,
     leaseS: number,
     private readonly client: StateClient,
-    private readonly follower: Follower,
+    private readonly follower: ReplicaSync,
     private readonly replica: Replica,
     private readonly peers: () => PeerNet,
     private readonly clock: Clock,
@@ -202,7 +202,7 @@
     private readonly byZone: Map<string, string>,
     leaseS: number,
     private readonly replica: Pick<Replica, 'present'>,
-    private readonly follower: Pick<Follower, 'ready' | 'freshAt'>,
+    private readonly follower: Pick<ReplicaSync, 'ready' | 'freshAt'>,
     private readonly client: Pick<StateClient, 'refusedAt'>,
     private readonly clock: Clock,
   ) {
--- a/src/state/follow.ts
+++ b/src/state/replica-sync.ts
@@ -6,7 +6,7 @@
 import * as records from './records.js';
 
 /** Keeps a replica up with the store, and answers "is it as new as now?". */
-export class Follower {
+export class ReplicaSync {
   ready = false;
   /** Steady time at which the last read was sent whose answer is in the replica. */
   freshAt = -Infinity;
--- a/src/state/request-writer.ts
+++ b/src/state/request-writer.ts
@@ -4,7 +4,7 @@
 import type { Outcome } from './job-facts.js';
 import type { Replica } from './replica.js';
 import { outcome } from './job-facts.js';
-import type { Follower } from './follow.js';
+import type { ReplicaSync } from './replica-sync.js';
 import { Refused, type CommitResult, type StateClient } from './client.js';
 import * as records from './records.js';
 
@@ -38,7 +38,7 @@
   constructor(
     private readonly incarnation: string,
     private readonly state: StateClient,
-    private readonly follower: Follower,
+    private readonly follower: ReplicaSync,
     private readonly replica: Replica,
     private readonly budget: Budget,
     private readonly clock: Clock,
--- a/test/confirmation.test.ts
+++ b/test/confirmation.test.ts
@@ -8,6 +8,7 @@
 import type { JobFacts } from '../src/state/job-facts.js';
 import type { Replica } from '../src/state/replica.js';
 import { settings } from './helpers.js';
+import { fake } from './support/fake.js';
 
 const JOB = 'wk-000001';
 const { lease_s, cancel_s } = settings().workers;
@@ -51,13 +52,13 @@
     const machines = new Map(
       zones.map((zone) => [zone, { record: { zone, claims: [{ job: JOB }] } }]),
     );
-    const replica = { machines, jobs: new Map(), lastToken: 1 } as unknown as Replica;
-    const peers = {
+    const replica = fake<Replica>({ machines, jobs: new Map(), lastToken: 1 });
+    const peers = fake<PeerNet>({
       names: ['b', 'c', 'd'],
       ask: (node: string) => Promise.resolve(noting.includes(node) ? { noted: true } : null),
-    } as unknown as PeerNet;
+    });
     const keepers: [string, string][] = [['z1', 'b'], ['z2', 'd']]; // prettier-ignore
-    const zoneLeases = { zone: () => kept } as unknown as ZoneLeaseWatch;
+    const zoneLeases = fake<ZoneLeaseWatch>({ zone: () => kept });
     const notices = new CancellationNotices(
       settings(), keepers, peers, replica, zoneLeases, clock,
     ); // prettier-ignore
--- a/test/hand-over.test.ts
+++ b/test/hand-over.test.ts
@@ -8,6 +8,7 @@
 import { ANSWER_WAIT_S } from '../src/wire/workers.js';
 import { wait } from './helpers.js';
 import { playAll } from './standins/cluster.js';
+import { fake } from './support/fake.js';
 
 const LEASE_S = 10;
 const REPORT_S = 1;
@@ -126,7 +127,7 @@
   const refresh = (): string[] => {
     now += TICK_S;
     node.fitness.note('b', idle);
-    node.fitness.refresh(peers as unknown as Parameters<FitnessTable['refresh']>[0]);
+    node.fitness.refresh(fake<Parameters<FitnessTable['refresh']>[0]>(peers));
     return asked.splice(0);
   };
   assert.deepEqual([refresh(), refresh(), refresh(), refresh()], [['a'], [], ['a'], []]);
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -28,6 +28,7 @@
 import type { LiveJobView, TermView } from '../src/subsystems/subsystem.js';
 import { g8, settings, spec } from './helpers.js';
 import { BORROWER, LENDER, LendingWorld, MACHINE_GPUS, OTHER } from './lending-helpers.js';
+import { fake } from './support/fake.js';
 
 const { lease_s: LEASE_S, report_s: REPORT_S } = settings().workers;
 
@@ -259,7 +260,7 @@
     [0.1, false],
   ] as const) {
     const { state } = settings();
-    const view = {
+    const view = fake<TermView>({
       settings: { ...settings(), state: { ...state, value_kb: valueKb } },
       ...{
         now: () => 0,
@@ -268,7 +269,7 @@
         nudgeStore: () => undefined,
       },
       ...{ types: () => new Map([['g8', g8]]), machine: () => ({ type: 'g8' }) },
-    } as unknown as TermView;
+    });
     const errors = new EstimateErrors(1);
     const wayBack = new WayBackTimes(view);
     const table = new LoanTable({
@@ -284,7 +285,7 @@
     const taken = grants.takesOver({
       machine: 'm1',
       borrower: { spec: spec({ id: 'wk-000002', kind: 'service' }) } as LiveJobView,
-      victims: [{ job: job as unknown as LiveJobView, attempt }],
+      victims: [{ job: fake<LiveJobView>(job), attempt }],
       ...{ saves: true, carryOut: () => true },
     });
     assert.equal(taken, granted);
@@ -299,11 +300,11 @@
     const attempts = on.map(replica);
     const live = new Map([[0, attempts.filter(({ job }) => job === 'wk-2')]]);
     const jobs: Record<string, unknown> = { 'wk-2': { phase: 'open', live, pendingCount } };
-    const view = {
+    const view = fake<TermView>({
       job: (id: string) => jobs[id],
       spec: (id: string) => spec({ id, kind: kinds[id] ?? 'array' }),
       machine: () => ({ state: 'ready', attempts: new Map(attempts.map((a) => [a.job, a])) }),
-    } as unknown as TermView;
+    });
     const loan = loanOf({ state: 'lent' });
     const there = replicasThere(loan, view).map(({ job }) => job);
     return [seenOf(loan, view, freeGpus).borrower, there.join(' ')];
--- a/test/load-lines.test.ts
+++ b/test/load-lines.test.ts
@@ -1,8 +1,10 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
+import { fake } from './support/fake.js';
 import { parseLoadLine, timeline } from '../scripts/load-lines.js';
 import { summary } from '../scripts/summary.js';
 import { LoadLog, type LoadLine, type LoadSources } from '../src/controller/load-log.js';
+import type { Log } from '../src/log.js';
 import { ReportCounts } from '../src/heartbeat/report-counts.js';
 
 /** What a controller logs that answers `answered` more reports before each of its lines. */
@@ -18,7 +20,7 @@
     passes: { count: 0, seconds: 0 },
   };
   const lines: LoadLine[] = [];
-  const log = new LoadLog(sources, { debug: (line: LoadLine) => lines.push(line) } as never);
+  const log = new LoadLog(sources, fake<Log>({ debug: (line: LoadLine) => lines.push(line) }));
   for (const reports of answered) {
     sources.reports.answered += reports;
     log.write();
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -5,9 +5,10 @@
 import type { Answer, Question } from '../src/peers/messages.js';
 import type { PeerNet } from '../src/peers/net.js';
 import { silentLog } from '../src/log.js';
-import type { Follower } from '../src/state/follow.js';
+import type { ReplicaSync } from '../src/state/replica-sync.js';
 import * as records from '../src/state/records.js';
 import { MemoryStore } from './meeting-helpers.js';
+import { fake, type Partially } from './support/fake.js';
 
 /** So short that the pauses between steps, which are real, take a moment only. */
 const LEASE = 0.5;
@@ -36,27 +37,28 @@
     fitterCanStand: () => boolean = () => false,
   ) {
     const replica = store.listed();
-    const follower = {
+    const follower: Partially<ReplicaSync> = {
       ready: true,
       freshAt: -Infinity,
-      sync: (): Promise<boolean> => {
-        follower.freshAt = this.now;
-        return Promise.resolve(store.feed(replica) !== null);
-      },
+      sync: (): Promise<boolean> => sync(),
+    };
+    const sync = (): Promise<boolean> => {
+      follower.freshAt = this.now;
+      return Promise.resolve(store.feed(replica) !== null);
     };
-    this.sync = follower.sync;
+    this.sync = sync;
     const names = ['x', 'y'];
-    const peers = {
+    const peers = fake<PeerNet>({
       names,
       ask: (to: string, _q: Question) => Promise.resolve(this.others()[names.indexOf(to)] ?? null),
-    } as unknown as PeerNet;
+    });
     this.election = new Election(
       this.name,
       `${this.name}-1`,
       3,
       WORKERS,
       store.client(),
-      follower as unknown as Follower,
+      fake<ReplicaSync>(follower),
       replica,
       () => peers,
       { now: () => this.now },
--- a/test/meeting-helpers.ts
+++ b/test/meeting-helpers.ts
@@ -21,12 +21,16 @@
 import { attemptKey } from '../src/workers/attempt.js';
 import type { Machine } from '../src/workers/machine.js';
 import { g8, settings, spec } from './helpers.js';
+import { fake } from './support/fake.js';
 
 /** What becomes of the next transactions. */
 export type Mode = 'serve' | 'refuse' | 'lose answers' | 'hold back';
 
 /** A state service by the protocol. Its methods are those of the client that the code under test uses. */
-export class MemoryStore {
+export class MemoryStore implements Pick<
+  StateClient,
+  'commit' | 'get' | 'changes' | 'grant' | 'extend' | 'setRole'
+> {
   mode: Mode = 'serve';
   ledger = 0;
   commits = 0;
@@ -40,7 +44,7 @@
   private leases = 0;
 
   client(): StateClient {
-    return this as unknown as StateClient;
+    return fake<StateClient>(this);
   }
 
   setRole(): void {
@@ -356,7 +360,7 @@
       },
       {
         state: this.store.client(),
-        cloud: this.extras.cloud ?? ({ list: () => Promise.resolve([]) } as unknown as CloudClient),
+        cloud: this.extras.cloud ?? fake<CloudClient>({ list: () => Promise.resolve([]) }),
         onLost: () => undefined,
         costs: new Costs(() => this.now),
         subsystems: this.extras.subsystems,
--- a/test/meeting-witness.test.ts
+++ b/test/meeting-witness.test.ts
@@ -6,10 +6,11 @@
 import type { PeerNet } from '../src/peers/net.js';
 import { silentLog } from '../src/log.js';
 import { Refused, Unanswered } from '../src/state/client.js';
-import type { Follower } from '../src/state/follow.js';
+import type { ReplicaSync } from '../src/state/replica-sync.js';
 import * as records from '../src/state/records.js';
 import { Replica } from '../src/state/replica.js';
 import { MemoryStore } from './meeting-helpers.js';
+import { fake } from './support/fake.js';
 
 const WORKERS = { lease_s: 10, cancel_s: 30 };
 const LONG_AGO = -1000;
@@ -28,9 +29,9 @@
     3,
     WORKERS,
     store.client(),
-    { ready, sync, freshAt: 0 } as unknown as Follower,
+    fake<ReplicaSync>({ ready, sync, freshAt: 0 }),
     replica,
-    () => ({ names: [] }) as unknown as PeerNet,
+    () => fake<PeerNet>({ names: [] }),
     { now: () => clock.now },
     silentLog(),
     {
--- a/test/model-server.test.ts
+++ b/test/model-server.test.ts
@@ -8,11 +8,12 @@
 import { ModelServerLoader } from '../src/warm-pools/model-server-loader.js';
 import { freePort, until, wait } from './helpers.js';
 import { ModelServer } from './standins/model-server.js';
+import { fake } from './support/fake.js';
 
 const LOAD_MS = 100;
 const POOL = { image: 'tutor', imageGb: 1 } as PoolDeclaration;
 const machine = (state = 'ready'): MachineView =>
-  ({ id: 'm1', addr: '127.0.0.1:1', state }) as unknown as MachineView;
+  fake<MachineView>({ id: 'm1', addr: '127.0.0.1:1', state });
 
 /** A model server, and loaders of several terms for it. */
 async function setUp(t: TestContext): Promise<{
--- a/test/pool-helpers.ts
+++ b/test/pool-helpers.ts
@@ -11,6 +11,7 @@
 import { poolsView, type BillRow } from '../src/warm-pools/view.js';
 import { WARM_POOLS, WarmPools } from '../src/warm-pools/warm-pools.js';
 import { g8, settings } from './helpers.js';
+import { fake } from './support/fake.js';
 import { World, type Worker } from './meeting-helpers.js';
 import * as records from '../src/state/records.js';
 
@@ -29,7 +30,7 @@
 }
 
 /** A cloud by the protocol: a request's name gives the same machines for ever. */
-export class MemoryCloud {
+export class MemoryCloud implements Pick<CloudClient, 'types' | 'list' | 'rent' | 'giveBack'> {
   mode: CloudMode = 'serve';
   /** Machines that it has yet to give. */
   left = Infinity;
@@ -41,7 +42,7 @@
   world!: PoolWorld;
 
   client(): CloudClient {
-    return this as unknown as CloudClient;
+    return fake<CloudClient>(this);
   }
 
   types(): Promise<MachineType[]> {
--- a/test/report-bytes.test.ts
+++ b/test/report-bytes.test.ts
@@ -12,6 +12,7 @@
 import { decodeReport, type Report } from '../src/wire/workers.js';
 import { settings } from './helpers.js';
 import { World } from './meeting-helpers.js';
+import { fake } from './support/fake.js';
 
 const bodyOf = (token: number, tally: number | string, machine = 'm'): string =>
   `{"bench":"${machine}","addr":"127.0.0.1:1","casting":"g8","yard":"z1","loaner":true,"shift":1,` +
@@ -35,26 +36,28 @@
   over: Record<string, unknown>,
   ask: Ask = () => Promise.resolve(null),
 ): Reports {
-  return new Reports({
-    settings: settings(),
-    election: { entitled: over.leader !== undefined, outage: { mayKeep: () => true } },
-    state: { health: 'served' },
-    replica: {
-      leader: { node: 'n-1', revision: 5 },
-      lastToken: 5,
-      jobs: new Map(),
-      machines: new Map(),
-    },
-    peers: { names: ['n-1'], ask },
-    zoneKeeper: null,
-    zoneLeases: { keeper: () => null, steady: () => true },
-    isLate: () => false,
-    leader: () => null,
-    knownCancelled: () => false,
-    clock: { now: () => 0 },
-    log: silentLog(),
-    ...over,
-  } as unknown as ConstructorParameters<typeof Reports>[0]);
+  return new Reports(
+    fake<ConstructorParameters<typeof Reports>[0]>({
+      settings: settings(),
+      election: { entitled: over.leader !== undefined, outage: { mayKeep: () => true } },
+      state: { health: 'served' },
+      replica: {
+        leader: { node: 'n-1', revision: 5 },
+        lastToken: 5,
+        jobs: new Map(),
+        machines: new Map(),
+      },
+      peers: { names: ['n-1'], ask },
+      zoneKeeper: null,
+      zoneLeases: { keeper: () => null, steady: () => true },
+      isLate: () => false,
+      leader: () => null,
+      knownCancelled: () => false,
+      clock: { now: () => 0 },
+      log: silentLog(),
+      ...over,
+    }),
+  );
 }
 
 /** What a leader knows of its machines. */
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -8,6 +8,7 @@
 import type { Replica } from '../src/state/replica.js';
 import { ANSWER_WAIT_S } from '../src/wire/workers.js';
 import { settings } from './helpers.js';
+import { fake } from './support/fake.js';
 
 const report = Buffer.from(
   JSON.stringify({
@@ -35,7 +36,7 @@
   for (const [name, health, leader, answers, status, asked, more = []] of cases) {
     const seen: string[] = [];
     let now = 0;
-    const parts = {
+    const parts = fake<ConstructorParameters<typeof Reports>[0]>({
       settings: { ...settings(), workers: { ...settings().workers, report_s: 2.5 } },
       election: { entitled: false, outage: { mayKeep: () => Promise.resolve(false) } },
       state: { health },
@@ -59,7 +60,7 @@
       knownCancelled: () => false,
       clock: { now: () => now },
       log: silentLog(),
-    } as unknown as ConstructorParameters<typeof Reports>[0];
+    });
     const reports = new Reports(parts);
     assert.equal((await reports.checkin(report)).status, status, name);
     // Only what the leader itself was asked tells how long it lets others wait.
@@ -76,7 +77,7 @@
   let now = 0;
   const jobs = new Map<string, unknown>();
   const make = (): CancellationNotices =>
-    new CancellationNotices(settings(), [], null!, { jobs } as unknown as Replica, null!, clock);
+    new CancellationNotices(settings(), [], null!, fake<Replica>({ jobs }), null!, clock);
   const c = make();
   const id = (i: number): string => `wk-${i}`;
   // A thousand were remembered once; a cut of a large fleet's zone sees more.
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -6,12 +6,13 @@
 import type { Users } from '../src/api/users.js';
 import type { Health, StateClient } from '../src/state/client.js';
 import { Refused, Unanswered } from '../src/state/client.js';
-import type { Follower } from '../src/state/follow.js';
+import type { ReplicaSync } from '../src/state/replica-sync.js';
 import { RequestWriter } from '../src/state/request-writer.js';
 import type { Replica } from '../src/state/replica.js';
 import { Budget, steadyClock } from '../src/clock.js';
 import { silentLog } from '../src/log.js';
 import { spec } from './helpers.js';
+import { fake } from './support/fake.js';
 
 type Peers = Record<string, ReplyAnswer | null>;
 
@@ -26,20 +27,20 @@
   const asked: string[] = [];
   const clock = { now: 0 };
   const state = { health };
-  const users = {
+  const users = fake<Users>({
     ready: () => true,
     knows: () => final,
     submit: () => Promise.resolve({ status: own }),
     poll: () => Promise.resolve({ status: own }),
     cancel: () => Promise.resolve({ status: own }),
-  } as unknown as Users;
-  const net = {
+  });
+  const net = fake<PeerNet>({
     lately: () => Object.keys(peers),
     ask: (node: string) => {
       asked.push(node);
       return Promise.resolve(peers[node] ?? null);
     },
-  } as unknown as PeerNet;
+  });
   const follower = { ready: true, sync: () => Promise.resolve(false) };
   const times = { lease_s: 10 };
   const now = (): number => clock.now;
@@ -126,15 +127,15 @@
   ];
   for (const [name, failure, tries] of cases) {
     let commits = 0;
-    const state = {
+    const state = fake<StateClient>({
       valueBytes: 8192,
       commit: () => {
         commits++;
         return Promise.reject(failure());
       },
-    } as unknown as StateClient;
-    const replica = { jobs: new Map() } as unknown as Replica;
-    const follower = { sync: () => Promise.resolve(false) } as unknown as Follower;
+    });
+    const replica = fake<Replica>({ jobs: new Map() });
+    const follower = fake<ReplicaSync>({ sync: () => Promise.resolve(false) });
     const budget = new Budget(100, steadyClock);
     const requestWriter = new RequestWriter(
       'n',
@@ -160,10 +161,10 @@
     ['larger values', 9, 32768, 3000, false],
   ];
   for (const [name, rate, valueBytes, jobs, full] of cases) {
-    const state = { valueBytes, commit: () => new Promise(() => undefined) };
+    const state = fake<StateClient>({ valueBytes, commit: () => new Promise(() => undefined) });
     const budget = new Budget(rate, { now: () => 0 });
     const requestWriter = new RequestWriter(
-      'n', state as unknown as StateClient, null!, null!, budget, steadyClock, silentLog(),
+      'n', state, null!, null!, budget, steadyClock, silentLog(),
     ); // prettier-ignore
     for (let i = 0; i < jobs; i++)
       void requestWriter.accept({ spec: spec({ id: `wk-${i}` }), atMs: 0 }, 60);
--- a/test/users-helpers.ts
+++ b/test/users-helpers.ts
@@ -2,11 +2,12 @@
 import type { Budget } from '../src/clock.js';
 import { Users, type UsersOptions } from '../src/api/users.js';
 import { silentLog } from '../src/log.js';
-import { Follower } from '../src/state/follow.js';
+import { ReplicaSync } from '../src/state/replica-sync.js';
 import type { Replica } from '../src/state/replica.js';
 import { RequestWriter } from '../src/state/request-writer.js';
 import { g8, settings } from './helpers.js';
 import type { MemoryStore } from './meeting-helpers.js';
+import { fake } from './support/fake.js';
 
 export const JOB = 'wk-000412';
 export const VALID = {
@@ -20,7 +21,7 @@
 
 export interface UsersSide {
   users: Users;
-  follower: Follower;
+  follower: ReplicaSync;
   replica: Replica;
 }
 
@@ -34,10 +35,10 @@
   const log = silentLog();
   const replica = store.listed();
   const client = store.client();
-  const follower = new Follower(client, replica, clock, log, () => 0, 0);
+  const follower = new ReplicaSync(client, replica, clock, log, () => 0, 0);
   follower.ready = true;
   const force = (): void => undefined;
-  const budget = { take: () => true, perSecond: 100, force } as unknown as Budget;
+  const budget = fake<Budget>({ take: () => true, perSecond: 100, force });
   const requestWriter = new RequestWriter(name, client, follower, replica, budget, clock, log);
   const users = new Users({
     settings: settings(),
--- a/test/warm-slots.test.ts
+++ b/test/warm-slots.test.ts
@@ -31,6 +31,7 @@
 import { comingCapacity } from '../src/cloud/plan.js';
 import type { MachineType } from '../src/jobs/types.js';
 import { g8 } from './helpers.js';
+import { fake } from './support/fake.js';
 
 const BURST_MS = Date.parse('2026-12-02T03:00:00Z');
 const planned = (index = 0): Slot =>
@@ -218,9 +219,7 @@
   }
   const small = { ...g8, name: 'g4', gpus: 4, cores: 4, price: 4 };
   const known = new Map([g8, small].map((type) => [type.name, type]));
-  const pool = { types: null, zones: null, shape } as unknown as Parameters<
-    typeof cheapestPlace
-  >[0];
+  const pool = fake<Parameters<typeof cheapestPlace>[0]>({ types: null, zones: null, shape });
   const place = (over: object, short: string[] = [], inZone: [string, number][] = []): string => {
     const isShort = (type: string, zone: string): boolean => short.includes(`${type} ${zone}`);
     const found = cheapestPlace({ ...pool, ...over }, known, isShort, new Map(inZone));
@@ -313,12 +312,14 @@
           });
           const atMs = BURST_MS + s * 1000;
           const ended = advanceSlot(loading, { kind: 'released', reason: '', atMs });
-          store.carryOut({
-            key: slotKey(ended),
-            revision: 0,
-            value: encodeSlot(ended),
-            also: [],
-          } as unknown as OwnedWrite);
+          store.carryOut(
+            fake<OwnedWrite>({
+              key: slotKey(ended),
+              revision: 0,
+              value: encodeSlot(ended),
+              also: [],
+            }),
+          );
           expected += s * PLACE.share;
         }
         const leader = (): { table: SlotTable; bill: Bill } => {
@@ -361,12 +362,14 @@
     { kind: 'released', reason: '', atMs: BURST_MS },
   );
   for (const slot of [open, ended]) {
-    store.carryOut({
-      key: slotKey(slot),
-      revision: 0,
-      value: encodeSlot(slot),
-      also: [],
-    } as unknown as OwnedWrite);
+    store.carryOut(
+      fake<OwnedWrite>({
+        key: slotKey(slot),
+        revision: 0,
+        value: encodeSlot(slot),
+        also: [],
+      }),
+    );
   }
   const table = new SlotTable();
   table.reconcile(store.all);
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -9,11 +9,15 @@
 } from '../src/leadership/zone-lease.js';
 import { silentLog } from '../src/log.js';
 import { KEEP_SHARE } from '../src/heartbeat/reports.js';
-import { Refused, Unanswered } from '../src/state/client.js';
+import { Refused, Unanswered, type StateClient } from '../src/state/client.js';
+import type { ReplicaSync } from '../src/state/replica-sync.js';
+import type { Replica } from '../src/state/replica.js';
+import type { PeerNet } from '../src/peers/net.js';
 import { nodeKey } from '../src/state/records.js';
 import { ANSWER_WAIT_S } from '../src/wire/workers.js';
 import { until, wait } from './helpers.js';
 import { Cluster } from './standins/cluster.js';
+import { fake } from './support/fake.js';
 
 test('a zone has a zone keeper when exactly one of several zones’ controllers is in it', () => {
   const n = (node: string, zone: string): { node: string; zone: string } => ({ node, zone });
@@ -76,7 +80,7 @@
   let silent = false;
   let unanswered = 0;
   let answeredSentAt = -Infinity;
-  const client = {
+  const client = fake<StateClient>({
     answeredAt: 0,
     writes: { force: () => undefined },
     grant: async () => 7,
@@ -95,19 +99,19 @@
       answeredSentAt = sentAt;
       return true;
     },
-  };
+  });
   const log = silentLog();
-  const follower = { ready: true, sync: async () => true };
-  const replica = { present: new Map() };
-  const peers = { names: ['b'], ask: async () => null };
+  const follower = fake<ReplicaSync>({ ready: true, sync: async () => true });
+  const replica = fake<Replica>({ present: new Map() });
+  const peers = fake<PeerNet>({ names: ['b'], ask: async () => null });
   const zoneKeeper = new ZoneLeaseKeeper(
     'a',
     'a-1',
     lease,
-    client as never,
-    follower as never,
-    replica as never,
-    () => peers as never,
+    client,
+    follower,
+    replica,
+    () => peers,
     steadyClock,
     log,
   );
@@ -130,7 +134,7 @@
 });
 
 test('a refusal is heard: nobody is cut off by an outage', async () => {
-  const client = {
+  const client = fake<StateClient>({
     writes: { force: () => undefined },
     grant: async () => 7,
     commit: async () => ({ ok: true, revision: 1 }),
@@ -140,17 +144,17 @@
     extend: async () => {
       throw new Refused(503);
     },
-  };
-  const follower = { ready: true, sync: async () => true };
-  const peers = { names: ['b'], ask: async () => null };
+  });
+  const follower = fake<ReplicaSync>({ ready: true, sync: async () => true });
+  const peers = fake<PeerNet>({ names: ['b'], ask: async () => null });
   const zoneKeeper = new ZoneLeaseKeeper(
     'a',
     'a-1',
     0.2,
-    client as never,
-    follower as never,
-    { present: new Map() } as never,
-    () => peers as never,
+    client,
+    follower,
+    fake<Replica>({ present: new Map() }),
+    () => peers,
     steadyClock,
     silentLog(),
   );
