--- a/scripts/fleet-load.ts
+++ b/scripts/fleet-load.ts
@@ -3,7 +3,7 @@
 import { Agent, request } from 'node:http';
 import { tmpdir } from 'node:os';
 import { join, resolve } from 'node:path';
-import * as records from '../src/state/records.js';
+import * as records from '../src/store/records.js';
 import { freePort, g8, settingsText, spec, until, wait, type Ports } from '../test/helpers.js';
 import { Cloud, MACHINE_GPUS } from '../test/standins/cloud.js';
 import { RuleChecker } from '../test/standins/rules.js';
@@ -213,13 +213,13 @@
       const value = JSON.parse(JSON.stringify(data)) as unknown;
       state.keys.set(key, { value, mark: ++state.ledger, loan: undefined });
     };
-    put(records.TYPES, records.encodeTypes([g8]));
+    put(records.MACHINE_TYPES, records.encodeMachineTypes([g8]));
     for (let i = 0; i < options.machines * JOBS_PER_MACHINE; i++) {
       const isOver = i < this.jobsOver;
       const kind = isOver ? 'array' : 'service';
       const jobs = [{ spec: spec({ id: jobId(i), kind, cores: 0.1 }), atMs: Date.now() - 300_000 }];
-      const cancels = isOver ? [jobId(i)] : [];
-      put(`${records.JOBS}x-${i}`, records.encodeSubmissions({ jobs, cancels }));
+      const cancelledIds = isOver ? [jobId(i)] : [];
+      put(`${records.JOBS}x-${i}`, records.encodeRequestBatch({ jobs, cancelledIds }));
     }
     const images = Array.from({ length: 12 }, (_, k): [string, number] => [`image-${k}`, 34.3]);
     for (let i = 0; i < options.machines; i++) {
--- a/scripts/production-fixtures.ts
+++ b/scripts/production-fixtures.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path';
 import { pathToFileURL } from 'node:url';
 import type * as Messages from '../src/peers/messages.js';
-import type * as Records from '../src/state/records.js';
+import type * as Records from '../src/store/records.js';
 import { RECORDED_FORMS_FILE, recordedForms } from '../test/support/recorded-forms.js';
 import { buildProduction, productionCommit } from './production-build.js';
 
@@ -34,14 +34,14 @@
 const made = {
   made_by: 'npm run fixtures',
   production: productionCommit(),
-  submissions: records.encodeSubmissions({
-    jobs: [{ spec: JOB as unknown as Records.Accepted['spec'], atMs: 1000 }],
-    cancels: ['wk-000398'],
+  submissions: records.encodeRequestBatch({
+    jobs: [{ spec: JOB as unknown as Records.AcceptedJob['spec'], atMs: 1000 }],
+    cancelledIds: ['wk-000398'],
   }),
   progress: records.encodeProgress({ bits: null, attainedS: 12.4 }),
   machine: records.encodeMachine(MACHINE as Records.MachineRecord),
   leader: records.encodeLeader({ node: 'n-0', incarnation: 'n-0-x/1' }),
-  acknowledgement: records.encodeAck({ token: 41, remainsS: -0.5 }),
+  acknowledgement: records.encodeAcknowledgement({ token: 41, remainsS: -0.5 }),
   hello: { v: messages.PROTOCOL_VERSION, from: 'n-0' },
 };
 
--- a/src/api/request-forwarder.ts
+++ b/src/api/request-forwarder.ts
@@ -1,8 +1,8 @@
 import type { QuestionOf, ReplyAnswer } from '../peers/messages.js';
 import type { PeerNet } from '../peers/net.js';
 import type { Reply } from '../http/server.js';
-import type { StateClient } from '../state/client.js';
-import type { ReplicaSync } from '../state/replica-sync.js';
+import type { KeyValueStoreClient } from '../store/client.js';
+import type { ReplicaSync } from '../store/replica-sync.js';
 import { mayAwait, SUBMIT_WAIT_S } from '../wire/users.js';
 import type { Users } from './users.js';
 
@@ -25,7 +25,7 @@
 
   constructor(
     private readonly users: Users,
-    private readonly state: Pick<StateClient, 'health'>,
+    private readonly state: Pick<KeyValueStoreClient, 'health'>,
     private readonly follower: Pick<ReplicaSync, 'ready' | 'sync'>,
     private readonly peers: Pick<PeerNet, 'lately' | 'ask'>,
     private readonly workers: { lease_s: number },
--- a/src/api/users.ts
+++ b/src/api/users.ts
@@ -3,10 +3,10 @@
 import type { MachineType } from '../jobs/types.js';
 import type { Log } from '../log.js';
 import { neverRuns } from '../scheduler/quota.js';
-import type { ReplicaSync } from '../state/replica-sync.js';
-import type { RequestWriter } from '../state/request-writer.js';
-import { outcome, type JobFacts } from '../state/job-facts.js';
-import type { Replica } from '../state/replica.js';
+import type { ReplicaSync } from '../store/replica-sync.js';
+import type { RequestWriter } from '../store/request-writer.js';
+import { outcome, type StoredJob } from '../store/stored-job.js';
+import type { Replica } from '../store/replica.js';
 import {
   BadMessage,
   encodeAccepted,
@@ -38,7 +38,7 @@
   /** Seconds after which a cancellation can be taken; 0: now. */
   mayCancel: (id: string) => Promise<number>;
   /** Whether users may be told of a stored cancellation. */
-  mayTellCancelled: (facts: JobFacts, id: string) => Promise<boolean>;
+  mayTellCancelled: (facts: StoredJob, id: string) => Promise<boolean>;
   /** Whether a controller is there that does not know jobs that need other jobs. */
   pipelinesUnknown: () => boolean;
   wallMs: () => number;
@@ -71,10 +71,10 @@
     return facts !== undefined && outcome(facts) !== 'open' && this.follower.ready;
   }
 
-  private shown(j: JobFacts): ShownState {
+  private shown(j: StoredJob): ShownState {
     const o = outcome(j);
     if (o !== 'open') return o;
-    return j.claims > 0 || j.doneTasks > 0 ? 'running' : 'queued';
+    return j.claimCount > 0 || j.doneTasks > 0 ? 'running' : 'queued';
   }
 
   async submit(body: Buffer): Promise<Reply> {
@@ -154,12 +154,12 @@
    * a majority of controllers knows of it: an outage may begin at this moment, and the leases of its
    * tasks must not be renewed all through it.
    */
-  private async tellable(facts: JobFacts, id: string): Promise<boolean> {
+  private async tellable(facts: StoredJob, id: string): Promise<boolean> {
     return outcome(facts) !== 'cancelled' || this.options.mayTellCancelled(facts, id);
   }
 
   /** The job as of now; undefined: nobody submitted it; null: unsure. A final state never changes. */
-  private async fresh(id: string): Promise<JobFacts | undefined | null> {
+  private async fresh(id: string): Promise<StoredJob | undefined | null> {
     const before = this.replica.jobs.get(id);
     if (before !== undefined && outcome(before) !== 'open' && this.follower.ready) return before;
     if (!(await this.follower.sync())) return null;
@@ -174,7 +174,7 @@
     if (!(await this.tellable(facts, id))) return UNSURE;
     const state = this.shown(facts);
     const done = state === 'done' ? facts.spec.tasks : facts.doneTasks;
-    const running = state === 'running' ? Math.min(facts.claims, facts.spec.tasks - done) : 0;
+    const running = state === 'running' ? Math.min(facts.claimCount, facts.spec.tasks - done) : 0;
     return { status: 200, body: encodeStatus(id, state, done, running) };
   }
 
--- a/src/cancellation/confirmation.ts
+++ b/src/cancellation/confirmation.ts
@@ -1,8 +1,8 @@
 import type { PeerNet } from '../peers/net.js';
 import { UNHEARD_CONFIRM_S } from '../leadership/renewal.js';
 import type { Clock } from '../clock.js';
-import { neverStarted, type JobFacts } from '../state/job-facts.js';
-import type { Replica } from '../state/replica.js';
+import { neverStarted, type StoredJob } from '../store/stored-job.js';
+import type { Replica } from '../store/replica.js';
 import { SUBMIT_WAIT_S } from '../wire/users.js';
 
 /**
@@ -45,7 +45,7 @@
   constructor(private readonly options: ConfirmationOptions) {}
 
   /** True: users may be told. False: not yet; the same question may be asked again later. */
-  async confirm(facts: JobFacts, id: string): Promise<boolean> {
+  async confirm(facts: StoredJob, id: string): Promise<boolean> {
     // Waiting for others to its end, or cancelled with one of them: there is no task to keep alive.
     if (neverStarted(facts) || this.nothingRuns(facts)) return true;
     const entry = this.entry(id);
@@ -63,9 +63,9 @@
    * No machine's record names a task of the job, and the present leader read its cancellation before
    * it began: none will be named again, and nobody has a task whose lease could be renewed.
    */
-  private nothingRuns(facts: JobFacts): boolean {
-    const { cancelledAt, claims } = facts;
-    return claims === 0 && cancelledAt !== null && cancelledAt < this.options.replica.lastToken;
+  private nothingRuns(facts: StoredJob): boolean {
+    const { cancelledAt, claimCount } = facts;
+    return claimCount === 0 && cancelledAt !== null && cancelledAt < this.options.replica.lastToken;
   }
 
   private entry(id: string): Pending {
--- a/src/cancellation/notices.ts
+++ b/src/cancellation/notices.ts
@@ -2,8 +2,8 @@
 import type { ZoneLeaseWatch } from '../leadership/zone-lease.js';
 import type { Clock } from '../clock.js';
 import type { Settings } from '../config/settings.js';
-import { outcome } from '../state/job-facts.js';
-import type { Replica } from '../state/replica.js';
+import { outcome } from '../store/stored-job.js';
+import type { Replica } from '../store/replica.js';
 import { TELL_WAIT_S } from './confirmation.js';
 
 /**
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -8,12 +8,12 @@
 import { HttpServer, type Reply } from '../http/server.js';
 import type { Log } from '../log.js';
 import type { Policy } from '../operator/policy.js';
-import type { FeaturesFileRecord } from '../state/records.js';
+import type { FeaturesFileRecord } from '../store/records.js';
 import type { Subsystem } from '../subsystems/subsystem.js';
-import { StateClient } from '../state/client.js';
-import { ReplicaSync } from '../state/replica-sync.js';
-import { RequestWriter } from '../state/request-writer.js';
-import { Replica } from '../state/replica.js';
+import { KeyValueStoreClient } from '../store/client.js';
+import { ReplicaSync } from '../store/replica-sync.js';
+import { RequestWriter } from '../store/request-writer.js';
+import { Replica } from '../store/replica.js';
 import { LeaderAcknowledgements } from '../leadership/leader-acknowledgements.js';
 import { Costs } from '../costs.js';
 import { RequestForwarder } from '../api/request-forwarder.js';
@@ -63,7 +63,7 @@
 
 /** One controller: everything of it that does input and output, put together. */
 export class Controller {
-  readonly state: StateClient;
+  readonly state: KeyValueStoreClient;
   readonly replica: Replica;
   readonly follower: ReplicaSync;
   readonly election: Election;
@@ -125,7 +125,7 @@
     });
     // Never the same twice: names of requests and of stored batches begin with it.
     this.incarnation = `${settings.node}-${uniqueName()}`;
-    this.state = new StateClient(settings, this.clock);
+    this.state = new KeyValueStoreClient(settings, this.clock);
     this.replica = new Replica(Math.floor(settings.progressValueKb * 1024));
     this.replica.listener = {
       onReady: (j) => this.leader?.onReady(j),
@@ -134,7 +134,7 @@
         this.election.nudge();
         void this.acknowledgements.acknowledgeLeader();
       },
-      onAck: (node, ack) => this.acknowledgements.noteStored(node, ack),
+      onAcknowledgement: (node, ack) => this.acknowledgements.noteStored(node, ack),
       onPresence: (node) => this.zoneLeases.changed(node),
     };
     this.follower = new ReplicaSync(
@@ -370,7 +370,9 @@
     if (++this.ticks % LOAD_TICKS === 0) this.loadLog?.write();
     if (this.ticks % COST_TICKS === 0) {
       this.log.debug(this.costs.figures(), 'costs');
-      this.replica.trim(this.wallMs() - this.settings.workers.lease_s * TRIM_LEASES * 1000);
+      this.replica.compactFinished(
+        this.wallMs() - this.settings.workers.lease_s * TRIM_LEASES * 1000,
+      );
     }
     this.leader?.tick();
     this.handOver.consider();
@@ -412,7 +414,7 @@
         entitled: () => this.election.entitled && this.election.token === token,
         keptUntil: () =>
           Math.max(
-            this.state.refusedAt + this.election.outage.substituteS,
+            this.state.rejectedAt + this.election.outage.substituteS,
             this.acknowledgements.keptUntil(token),
           ),
         zone: (zone) => this.zoneLeases.zone(zone),
@@ -477,7 +479,7 @@
       pipelines_known: this.versions.everyoneKnows('pipelines'),
       features_differ: this.versions.withOtherFeatures().join(' '),
       connections: this.server.connections,
-      garbage: this.replica.garbage,
+      garbage: this.replica.malformedRecords,
       cancellations_heard: this.cancellationNotices.size,
       memory_mb: Math.round(process.memoryUsage.rss() / 1e6),
       heap_mb: Math.round(process.memoryUsage().heapTotal / 1e6),
--- a/src/controller/machine-types.ts
+++ b/src/controller/machine-types.ts
@@ -4,8 +4,8 @@
 import type { Leader } from '../leader/leader.js';
 import type { Log } from '../log.js';
 import { random } from '../random.js';
-import type { ReplicaSync } from '../state/replica-sync.js';
-import type { Replica } from '../state/replica.js';
+import type { ReplicaSync } from '../store/replica-sync.js';
+import type { Replica } from '../store/replica.js';
 
 /** Seconds between two looks whether the store has been read. */
 const LOOK_S = 0.05;
@@ -15,7 +15,7 @@
 export interface MachineTypesOptions {
   cloud: Pick<CloudClient, 'types'>;
   follower: Pick<ReplicaSync, 'ready'>;
-  replica: Pick<Replica, 'types'>;
+  replica: Pick<Replica, 'machineTypes'>;
   leader: () => Leader | null;
   log: Log;
 }
@@ -33,7 +33,7 @@
     const { leader, replica } = this.options;
     const types = leader()?.term.types;
     if (types !== undefined && types.size > 0) return [...types.values()];
-    return replica.types ?? this.fetched;
+    return replica.machineTypes ?? this.fetched;
   }
 
   /** Asks the cloud until the types are known from anywhere. */
--- a/src/controller/pipeline-figures.ts
+++ b/src/controller/pipeline-figures.ts
@@ -1,5 +1,5 @@
-import { isWaiting, neverStarted, outcome } from '../state/job-facts.js';
-import type { Replica } from '../state/replica.js';
+import { isWaiting, neverStarted, outcome } from '../store/stored-job.js';
+import type { Replica } from '../store/replica.js';
 
 export interface PipelineFigures {
   /** Open jobs that wait for others. */
@@ -16,7 +16,8 @@
   for (const facts of jobs.values()) {
     if (isWaiting(facts)) figures.jobs_waiting++;
     else if (outcome(facts) === 'open') figures.jobs_ready++;
-    else if (facts.cancelledWithNeeded && neverStarted(facts)) figures.jobs_cancelled_with_needed++;
+    else if (facts.cancelledByDependency && neverStarted(facts))
+      figures.jobs_cancelled_with_needed++;
   }
   return figures;
 }
--- a/src/controller/versions.ts
+++ b/src/controller/versions.ts
@@ -4,11 +4,11 @@
 import type { Log } from '../log.js';
 import { FEATURES, type Feature } from '../peers/messages.js';
 import type { PeerNet } from '../peers/net.js';
-import type { StateClient } from '../state/client.js';
-import type { ReplicaSync } from '../state/replica-sync.js';
-import type { FeaturesFileRecord } from '../state/records.js';
-import * as records from '../state/records.js';
-import type { Replica } from '../state/replica.js';
+import type { KeyValueStoreClient } from '../store/client.js';
+import type { ReplicaSync } from '../store/replica-sync.js';
+import type { FeaturesFileRecord } from '../store/records.js';
+import * as records from '../store/records.js';
+import type { Replica } from '../store/replica.js';
 
 /** A controller that nothing was heard of for so many leases is not counted as present. */
 const PRESENT_LEASES = 3;
@@ -23,7 +23,7 @@
   replica: Pick<Replica, 'versions' | 'leader'>;
   peers: () => Pick<PeerNet, 'heardFeatures'>;
   fitness: Pick<FitnessTable, 'silentS'>;
-  state: Pick<StateClient, 'commit' | 'writes'>;
+  state: Pick<KeyValueStoreClient, 'compareAndSwap' | 'writes'>;
   follower: Pick<ReplicaSync, 'ready' | 'sync'>;
   clock: Clock;
   log: Log;
@@ -86,7 +86,11 @@
         if (follower.ready) {
           state.writes.force(1);
           const revision = replica.versions.get(node)?.revision ?? 0;
-          await state.commit([{ key, revision }], [{ put: key, value }], leaseS * PUBLISH_LEASES);
+          await state.compareAndSwap(
+            [{ key, revision }],
+            [{ put: key, value }],
+            leaseS * PUBLISH_LEASES,
+          );
           await follower.sync();
         }
       } catch (e) {
--- a/src/features/features-file.ts
+++ b/src/features/features-file.ts
@@ -5,7 +5,7 @@
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
 import type { Settings } from '../config/settings.js';
-import type { FeaturesFileRecord } from '../state/records.js';
+import type { FeaturesFileRecord } from '../store/records.js';
 import { lendingSchema, toLendingConfig, type LendingConfig } from '../lending/declaration.js';
 import { checkPools } from '../warm-pools/check.js';
 import { toConfig, warmPoolsSchema, type WarmPoolsConfig } from '../warm-pools/declaration.js';
--- a/src/heartbeat/redirects.ts
+++ b/src/heartbeat/redirects.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '../clock.js';
 import type { Settings } from '../config/settings.js';
 import type { ZoneLeaseWatch } from '../leadership/zone-lease.js';
-import type { StateClient } from '../state/client.js';
-import type { Replica } from '../state/replica.js';
+import type { KeyValueStoreClient } from '../store/client.js';
+import type { Replica } from '../store/replica.js';
 import type { Routing } from './received-report.js';
 
 /**
@@ -16,7 +16,7 @@
 export interface RedirectOptions {
   settings: Pick<Settings, 'node' | 'workers'>;
   replica: Pick<Replica, 'leader'>;
-  state: Pick<StateClient, 'health'>;
+  state: Pick<KeyValueStoreClient, 'health'>;
   zoneLeases: Pick<ZoneLeaseWatch, 'keeper' | 'steady'>;
   /** Whether another controller, as far as it has told lately, does not keep up. */
   isLate: (node: string) => boolean;
--- a/src/heartbeat/reports.ts
+++ b/src/heartbeat/reports.ts
@@ -6,9 +6,9 @@
 import type { Settings } from '../config/settings.js';
 import type { Reply } from '../http/server.js';
 import type { Log } from '../log.js';
-import type { StateClient } from '../state/client.js';
-import { outcome } from '../state/job-facts.js';
-import type { Replica } from '../state/replica.js';
+import type { KeyValueStoreClient } from '../store/client.js';
+import { outcome } from '../store/stored-job.js';
+import type { Replica } from '../store/replica.js';
 import { BadMessage } from '../wire/users.js';
 import {
   ANSWER_WAIT_S,
@@ -36,7 +36,7 @@
 interface Parts {
   settings: Settings;
   election: Election;
-  state: StateClient;
+  state: KeyValueStoreClient;
   replica: Replica;
   peers: PeerNet;
   /** Only where this controller is its zone's keeper. */
--- a/src/jobs/live.ts
+++ b/src/jobs/live.ts
@@ -1,7 +1,7 @@
 import type { Attempt } from '../workers/attempt.js';
 import { holds } from '../workers/attempt.js';
-import type { JobFacts } from '../state/job-facts.js';
-import { progressKey, progressPartKey, type ProgressRecord } from '../state/records.js';
+import type { StoredJob } from '../store/stored-job.js';
+import { progressKey, progressPartKey, type ProgressRecord } from '../store/records.js';
 import type { BitSet } from './bit-set.js';
 import { chunkCount } from './chunks.js';
 import { JobProgress, type ProgressLayout } from './progress.js';
@@ -53,7 +53,7 @@
   requestKind: string;
 
   constructor(
-    readonly facts: JobFacts,
+    readonly facts: StoredJob,
     layout: ProgressLayout,
     now: number,
     wallMs: number,
--- a/src/leader/claim-space.ts
+++ b/src/leader/claim-space.ts
@@ -2,7 +2,7 @@
 
 import type { LiveJob } from '../jobs/live.js';
 import type { FreeCapacity } from '../scheduler/place.js';
-import { bytesWithoutImages, type ClaimForm } from '../state/machine-record.js';
+import { bytesWithoutImages, type ClaimForm } from '../store/machine-record.js';
 import { MOST_REPORTED_TASKS } from '../wire/workers.js';
 import type { Machine } from '../workers/machine.js';
 import { machineRecord, machineRecordBytes } from './stored-machine.js';
--- a/src/leader/inheritance.ts
+++ b/src/leader/inheritance.ts
@@ -1,7 +1,7 @@
 /** What a new term takes over from the store. */
 
-import { isReady, type JobFacts } from '../state/job-facts.js';
-import type { Replica, StoredMachine } from '../state/replica.js';
+import { isReady, type StoredJob } from '../store/stored-job.js';
+import type { Replica, StoredMachine } from '../store/replica.js';
 import { makeAttempt } from '../workers/attempt.js';
 import { Machine } from '../workers/machine.js';
 import type { AttemptStops } from './attempt-stops.js';
@@ -11,7 +11,7 @@
  * Jobs that may start, in the order in which they became ready, as those that come later are: guarantees
  * go by it.
  */
-export function openJobs(replica: Replica): JobFacts[] {
+export function openJobs(replica: Replica): StoredJob[] {
   const open = [...replica.jobs.values()].filter((f) => isReady(f));
   return open.sort((a, b) => a.readyAt! - b.readyAt!);
 }
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -2,8 +2,8 @@
 import type { CloudClient } from '../cloud/client.js';
 import type { Reply } from '../http/server.js';
 import type { MachineType } from '../jobs/types.js';
-import type { StateClient } from '../state/client.js';
-import type { JobFacts } from '../state/job-facts.js';
+import type { KeyValueStoreClient } from '../store/client.js';
+import type { StoredJob } from '../store/stored-job.js';
 import { scanMachineHint } from '../wire/report-scan.js';
 import { decodeReport, encodeOrders, type Report } from '../wire/workers.js';
 import { ActiveSubsystems } from '../subsystems/active-subsystems.js';
@@ -24,7 +24,7 @@
 
 /** What a leader works with, beside what its term rests on. */
 export interface LeaderServices {
-  state: StateClient;
+  state: KeyValueStoreClient;
   cloud: CloudClient;
   /** The leader's key has changed: this term is over. */
   onLost: () => void;
@@ -92,7 +92,7 @@
       subsystems: this.subsystems,
     });
     this.subsystems.begin(subsystems, (subsystem) => this.view(subsystem.name));
-    if (deps.replica.types === null && this.term.types.size > 0) this.store.markTypes();
+    if (deps.replica.machineTypes === null && this.term.types.size > 0) this.store.markTypes();
   }
 
   private view(subsystem: string): TermView {
@@ -135,12 +135,12 @@
   }
 
   /** A job was accepted that needs no other one, or the last one that it needs is done. */
-  onReady(facts: JobFacts): void {
+  onReady(facts: StoredJob): void {
     this.arrivals.add(facts.spec, facts.readyMs);
     this.term.addJob(facts);
   }
 
-  onCancelled(facts: JobFacts): void {
+  onCancelled(facts: StoredJob): void {
     if (this.term.jobs.has(facts.spec.id)) this.arrivals.left(facts.spec);
     this.term.cancelled(facts);
   }
--- a/src/leader/machine-health.ts
+++ b/src/leader/machine-health.ts
@@ -1,5 +1,5 @@
-import { outcome } from '../state/job-facts.js';
-import type { Replica } from '../state/replica.js';
+import { outcome } from '../store/stored-job.js';
+import type { Replica } from '../store/replica.js';
 import type { Clock } from '../clock.js';
 import type { LiveJob } from '../jobs/live.js';
 import type { Log } from '../log.js';
--- a/src/leader/record-writes.ts
+++ b/src/leader/record-writes.ts
@@ -2,10 +2,10 @@
 
 import type { Clock } from '../clock.js';
 import type { LiveJob } from '../jobs/live.js';
-import * as records from '../state/records.js';
+import * as records from '../store/records.js';
 import type { NamedWrite } from '../subsystems/active-subsystems.js';
 import type { OwnedChange } from '../subsystems/subsystem.js';
-import type { Item, Op } from '../wire/state.js';
+import type { KeyValue, Operation } from '../wire/key-value-store.js';
 import type { Machine } from '../workers/machine.js';
 import { machineRecord, machineRecordBytes } from './stored-machine.js';
 import type { Term } from './term.js';
@@ -21,14 +21,14 @@
   /** It was not carried out, or that is not known. */
   failed(): void;
   /** What was read back after a commit whose outcome was open, or whose guard failed. */
-  reread(item: Item | null): void;
+  reread(item: KeyValue | null): void;
 }
 
 /** One record to be written, guarded by the revision that was known of it. */
 export interface Write extends Outcomes {
   key: string;
   guard: number;
-  op: Op;
+  op: Operation;
   /** Further changes of the same transaction, with their guards. */
   also: readonly GuardedOp[];
   /** What it takes in a request, about. */
@@ -39,7 +39,7 @@
 export interface GuardedOp {
   key: string;
   guard: number;
-  op: Op;
+  op: Operation;
 }
 
 const NOTHING = (): void => undefined;
@@ -51,7 +51,13 @@
   return key.length * 2 + FRAME_BYTES + valueBytes;
 }
 
-function makeWrite(key: string, guard: number, op: Op, outcomes: Outcomes, also = NONE): Write {
+function makeWrite(
+  key: string,
+  guard: number,
+  op: Operation,
+  outcomes: Outcomes,
+  also = NONE,
+): Write {
   const bytes = [{ key, guard, op }, ...also].reduce((sum, each) => sum + bytesOf(each), 0);
   return { key, guard, op, also, bytes, ...outcomes };
 }
@@ -154,7 +160,7 @@
     const prefix = records.subsystemPrefix(subsystem);
     const guarded = ({ key, revision, value }: OwnedChange): GuardedOp => {
       const whole = prefix + key;
-      const op: Op = value === null ? { remove: whole } : { put: whole, value };
+      const op: Operation = value === null ? { remove: whole } : { put: whole, value };
       return { key: whole, guard: revision, op };
     };
     const { key, guard, op } = guarded(write);
@@ -170,12 +176,12 @@
 
   /** The machine types, for controllers that do not lead. */
   types(): Write {
-    const value = records.encodeTypes([...this.term.types.values()]);
-    this.typesRevision ??= this.term.deps.replica.typesRevision;
+    const value = records.encodeMachineTypes([...this.term.types.values()]);
+    this.typesRevision ??= this.term.deps.replica.machineTypesRevision;
     return makeWrite(
-      records.TYPES,
+      records.MACHINE_TYPES,
       this.typesRevision,
-      { put: records.TYPES, value },
+      { put: records.MACHINE_TYPES, value },
       {
         begin: NOTHING,
         stored: () => (this.typesDirty = false),
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -7,7 +7,7 @@
 import { leavesSoon, Waits } from '../scheduler/objectives.js';
 import type { FreeCapacity, Weights } from '../scheduler/place.js';
 import type { Usages } from '../scheduler/quota.js';
-import { specOf } from '../state/job-facts.js';
+import { specOf } from '../store/stored-job.js';
 import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../subsystems/active-subsystems.js';
 import { CHANGE_GAP_S } from '../wire/workers.js';
 import type { Attempt } from '../workers/attempt.js';
--- a/src/leader/store.ts
+++ b/src/leader/store.ts
@@ -3,10 +3,10 @@
 import { random } from '../random.js';
 import { Pause, sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
-import { Refused, type StateClient } from '../state/client.js';
-import * as records from '../state/records.js';
+import { RequestRejectedError, type KeyValueStoreClient } from '../store/client.js';
+import * as records from '../store/records.js';
 import type { ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import type { Guard } from '../wire/state.js';
+import type { Precondition } from '../wire/key-value-store.js';
 import { DueWrites, LATER } from './due-writes.js';
 import { RecordWrites, type Write } from './record-writes.js';
 import type { Term } from './term.js';
@@ -26,7 +26,7 @@
 
 export interface TermStoreOptions {
   term: Term;
-  state: StateClient;
+  state: KeyValueStoreClient;
   clock: Clock;
   log: Log;
   /** The leader's key has changed: this term is over. */
@@ -57,7 +57,9 @@
    */
   markTypes(): void {
     const { term, log } = this.options;
-    const bytes = Buffer.byteLength(JSON.stringify(records.encodeTypes([...term.types.values()])));
+    const bytes = Buffer.byteLength(
+      JSON.stringify(records.encodeMachineTypes([...term.types.values()])),
+    );
     const mostBytes = term.deps.settings.state.value_kb * 1024;
     this.writes.typesDirty = bytes <= mostBytes;
     if (!this.writes.typesDirty) log.info({ bytes, mostBytes }, 'machine types are not stored');
@@ -87,7 +89,10 @@
       await sleep(writes.wait(1));
       return true;
     }
-    const most = Math.min(this.options.state.txnOps, Math.floor(writes.available));
+    const most = Math.min(
+      this.options.state.operationsPerTransaction,
+      Math.floor(writes.available),
+    );
     // What can wait leaves half of what may be written at once to what comes next.
     const mostLater = Math.min(most, Math.floor(writes.available - writes.capacity / 2));
     const batch: Write[] = [];
@@ -113,12 +118,12 @@
 
   private async commit(batch: Write[]): Promise<void> {
     const { term, state, log, onLost } = this.options;
-    const guards: Guard[] = [{ key: records.LEADER, revision: term.deps.token }];
+    const guards: Precondition[] = [{ key: records.LEADER, revision: term.deps.token }];
     for (const w of batch) {
       for (const { key, guard } of [w, ...w.also]) guards.push({ key, revision: guard });
     }
     try {
-      const r = await state.commit(
+      const r = await state.compareAndSwap(
         guards,
         batch.flatMap((w) => [w.op, ...w.also.map(({ op }) => op)]),
         COMMIT_TIMEOUT_S,
@@ -140,7 +145,7 @@
     } catch (e) {
       if (this.stopped) return;
       for (const w of batch) w.failed();
-      if (e instanceof Refused) {
+      if (e instanceof RequestRejectedError) {
         if (e.status === 400) await this.rejected(batch);
         await sleep(REFUSED_S + random() * REFUSED_S);
         return;
--- a/src/leader/stored-machine.ts
+++ b/src/leader/stored-machine.ts
@@ -1,7 +1,7 @@
 /** What is stored of a machine of a term. */
 
 import type { Settings } from '../config/settings.js';
-import type { MachineRecord } from '../state/machine-record.js';
+import type { MachineRecord } from '../store/machine-record.js';
 import type { Machine } from '../workers/machine.js';
 import type { TermState } from './term-state.js';
 
--- a/src/leader/subsystem-view.ts
+++ b/src/leader/subsystem-view.ts
@@ -5,7 +5,7 @@
 import type { Settings } from '../config/settings.js';
 import type { FreeCapacity } from '../scheduler/place.js';
 import { Outlooks } from '../pipelines/outlook.js';
-import { specOf } from '../state/job-facts.js';
+import { specOf } from '../store/stored-job.js';
 import type {
   AttemptView,
   LiveJobView,
--- a/src/leader/term-state.ts
+++ b/src/leader/term-state.ts
@@ -7,7 +7,7 @@
 import type { Log } from '../log.js';
 import type { Policy } from '../operator/policy.js';
 import { FetchTimes } from '../scheduler/fetches.js';
-import type { Replica } from '../state/replica.js';
+import type { Replica } from '../store/replica.js';
 import { Machine } from '../workers/machine.js';
 
 export interface TermDeps {
@@ -62,7 +62,7 @@
   constructor(readonly deps: TermDeps) {
     this.startedAt = deps.clock.now();
     this.latestRevision = deps.token;
-    this.setTypes(deps.replica.types ?? []);
+    this.setTypes(deps.replica.machineTypes ?? []);
   }
 
   /** Seconds of the steady clock. */
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -1,7 +1,7 @@
 /** A term of leadership, put together of its parts. */
 
 import { LiveJob } from '../jobs/live.js';
-import type { JobFacts } from '../state/job-facts.js';
+import type { StoredJob } from '../store/stored-job.js';
 import { advance, type Attempt } from '../workers/attempt.js';
 import type { Changes, Machine } from '../workers/machine.js';
 import { AttemptStops } from './attempt-stops.js';
@@ -39,7 +39,7 @@
 
   // Jobs
 
-  addJob(facts: JobFacts): LiveJob {
+  addJob(facts: StoredJob): LiveJob {
     let job = this.jobs.get(facts.spec.id);
     if (job === undefined) {
       const layout = progressLayout(this, facts.spec.tasks);
@@ -51,7 +51,7 @@
   }
 
   /** A cancellation is stored. */
-  cancelled(facts: JobFacts): void {
+  cancelled(facts: StoredJob): void {
     const job = this.jobs.get(facts.spec.id);
     if (job !== undefined) this.cancel(job);
   }
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -1,10 +1,10 @@
 import { random } from '../random.js';
 import { DRIFT, Pause, sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
-import { Refused, type StateClient } from '../state/client.js';
-import type { ReplicaSync } from '../state/replica-sync.js';
-import type { Replica } from '../state/replica.js';
-import * as records from '../state/records.js';
+import { RequestRejectedError, type KeyValueStoreClient } from '../store/client.js';
+import type { ReplicaSync } from '../store/replica-sync.js';
+import type { Replica } from '../store/replica.js';
+import * as records from '../store/records.js';
 import type { PeerNet } from '../peers/net.js';
 import { OutageQuorum, type OutageEvents } from './outage.js';
 import { renewalAllowanceS, type WorkerTimes } from './renewal.js';
@@ -64,7 +64,7 @@
     private readonly incarnation: string,
     nodes: number,
     workers: WorkerTimes,
-    private readonly state: StateClient,
+    private readonly state: KeyValueStoreClient,
     private readonly follower: ReplicaSync,
     private readonly replica: Replica,
     peers: () => PeerNet,
@@ -186,12 +186,12 @@
 
   private async stand(guard: number): Promise<boolean> {
     const grantSentAt = this.clock.now();
-    const lease = await this.state.grant(this.lifeS, 1);
+    const lease = await this.state.grantLease(this.lifeS, 1);
     // An earlier attempt's key may turn up late. It hangs on that one's lease, which nobody renews.
     const incarnation = `${this.incarnation}/${++this.attempts}`;
     let token = 0;
     try {
-      const r = await this.state.commit(
+      const r = await this.state.compareAndSwap(
         [{ key: records.LEADER, revision: guard }],
         [
           {
@@ -205,7 +205,7 @@
       if (!r.ok) return false;
       token = r.revision;
     } catch (e) {
-      if (e instanceof Refused) return false;
+      if (e instanceof RequestRejectedError) return false;
       // Not answered: read it back.
       const item = await this.state.get(records.LEADER, 1);
       if (item === null || records.decodeLeader(item.value).incarnation !== incarnation) {
@@ -242,7 +242,7 @@
     const left = this.validUntil - sentAt;
     let refused = false;
     try {
-      if (await this.state.extend(this.lease, Math.max(0.3, Math.min(1, left / 2)))) {
+      if (await this.state.keepLeaseAlive(this.lease, Math.max(0.3, Math.min(1, left / 2)))) {
         this.validUntil = Math.max(this.validUntil, this.until(sentAt));
         if (this.role === 'continuing') this.become('leading');
         this.refresh();
@@ -252,7 +252,7 @@
         return;
       }
     } catch (e) {
-      refused = e instanceof Refused && e.status === 503;
+      refused = e instanceof RequestRejectedError && e.status === 503;
       this.log.debug({ err: String(e), left }, 'lease not renewed');
     }
     const l = this.replica.leader;
--- a/src/leadership/leader-acknowledgements.ts
+++ b/src/leadership/leader-acknowledgements.ts
@@ -5,9 +5,9 @@
 import { sleep, type Clock } from '../clock.js';
 import type { Settings } from '../config/settings.js';
 import type { Log } from '../log.js';
-import type { StateClient } from '../state/client.js';
-import type { Replica } from '../state/replica.js';
-import * as records from '../state/records.js';
+import type { KeyValueStoreClient } from '../store/client.js';
+import type { Replica } from '../store/replica.js';
+import * as records from '../store/records.js';
 
 /** A leader asks those that have not acknowledged it so many times in a lease. */
 const ASKS = 20;
@@ -23,7 +23,7 @@
     private readonly settings: Settings,
     private readonly election: Election,
     private readonly peers: () => PeerNet,
-    private readonly state: StateClient,
+    private readonly state: KeyValueStoreClient,
     private readonly replica: Replica,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -38,7 +38,7 @@
   async collect(token: number): Promise<void> {
     const quorum = new QuorumAcknowledgement(token, this.settings.nodes, this.clock);
     this.quorum = quorum;
-    for (const [node, { ack }] of this.replica.acks) this.noteStored(node, ack);
+    for (const [node, { ack }] of this.replica.acknowledgements) this.noteStored(node, ack);
     const pause = this.settings.workers.lease_s / ASKS;
     while (!this.stopped && this.quorum === quorum && quorum.state === 'pending') {
       const missing = this.peers().names.filter((n) => !quorum.has(n));
@@ -55,7 +55,7 @@
   }
 
   /** Seen in the store. */
-  noteStored(node: string, ack: records.AckRecord): void {
+  noteStored(node: string, ack: records.AcknowledgementRecord): void {
     if (this.quorum?.token === ack.token) this.quorum.note(node, ack);
   }
 
@@ -74,14 +74,14 @@
     const token = leader.revision;
     await sleep(this.settings.workers.lease_s * STORE_LEASES);
     if (this.election.outage.acknowledged >= token) return;
-    const key = records.ackKey(this.settings.node);
+    const key = records.acknowledgementKey(this.settings.node);
     const remainsS = this.election.acknowledge(token);
-    const value = records.encodeAck({ token, remainsS });
+    const value = records.encodeAcknowledgement({ token, remainsS });
     while (!this.stopped && this.replica.leader?.revision === token) {
-      const revision = this.replica.acks.get(this.settings.node)?.revision ?? 0;
+      const revision = this.replica.acknowledgements.get(this.settings.node)?.revision ?? 0;
       try {
         this.state.writes.force(1);
-        const r = await this.state.commit(
+        const r = await this.state.compareAndSwap(
           [{ key, revision }],
           [{ put: key, value }],
           this.settings.workers.lease_s * STORE_LEASES,
@@ -92,7 +92,7 @@
       }
       // Carried out without an answer, or refused: what the store shows next tells which.
       await sleep(this.settings.workers.lease_s * STORE_LEASES);
-      if (this.replica.acks.get(this.settings.node)?.ack.token === token) return;
+      if (this.replica.acknowledgements.get(this.settings.node)?.ack.token === token) return;
     }
   }
 
--- a/src/leadership/outage.ts
+++ b/src/leadership/outage.ts
@@ -1,9 +1,9 @@
 import { DRIFT, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
-import { Refused, type StateClient } from '../state/client.js';
-import type { ReplicaSync } from '../state/replica-sync.js';
-import type { Replica } from '../state/replica.js';
-import * as records from '../state/records.js';
+import { RequestRejectedError, type KeyValueStoreClient } from '../store/client.js';
+import type { ReplicaSync } from '../store/replica-sync.js';
+import type { Replica } from '../store/replica.js';
+import * as records from '../store/records.js';
 import { MAX_FRAME } from '../peers/frames.js';
 import type { RefusedAnswer } from '../peers/messages.js';
 import type { PeerNet } from '../peers/net.js';
@@ -45,7 +45,7 @@
   lifeS: number;
   /** Seconds for which leases may be renewed after the last proof of knowing every cancellation. */
   allowanceS: number;
-  state: StateClient;
+  state: KeyValueStoreClient;
   follower: ReplicaSync;
   replica: Replica;
   peers: () => PeerNet;
@@ -103,7 +103,7 @@
       takeBack();
       return { refused: false };
     } catch (e) {
-      if (e instanceof Refused && e.status === 503) {
+      if (e instanceof RequestRejectedError && e.status === 503) {
         // An outage may keep the last cancellations from the leader: their tasks must go all the same.
         const cancelled = events.cancelledSince(applied);
         if (!follower.ready || !fitsIntoAnswer(cancelled)) return {};
@@ -152,9 +152,9 @@
       await this.options.state.get(records.LEADER, LOOK_S);
       return false;
     } catch (e) {
-      if (!(e instanceof Refused) || e.status !== 503) return false;
+      if (!(e instanceof RequestRejectedError) || e.status !== 503) return false;
     }
-    const since = this.options.state.refusedSince;
+    const since = this.options.state.rejectedSince;
     // The promises count from when they were given, which is after the question was sent.
     const askedAt = this.now;
     if (since === null || askedAt - since < this.options.lifeS * 0.4) return false;
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -1,9 +1,9 @@
 import { DRIFT, sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
-import * as records from '../state/records.js';
-import type { ReplicaSync } from '../state/replica-sync.js';
-import type { Replica } from '../state/replica.js';
-import { Refused, type StateClient } from '../state/client.js';
+import * as records from '../store/records.js';
+import type { ReplicaSync } from '../store/replica-sync.js';
+import type { Replica } from '../store/replica.js';
+import { RequestRejectedError, type KeyValueStoreClient } from '../store/client.js';
 import { ANSWER_WAIT_S } from '../wire/workers.js';
 import type { PeerNet } from '../peers/net.js';
 
@@ -92,7 +92,7 @@
     private readonly node: string,
     private readonly incarnation: string,
     leaseS: number,
-    private readonly client: StateClient,
+    private readonly client: KeyValueStoreClient,
     private readonly follower: ReplicaSync,
     private readonly replica: Replica,
     private readonly peers: () => PeerNet,
@@ -142,7 +142,7 @@
         }
       } catch (e) {
         // Refused is heard: an outage, or this controller alone. Nothing is cut off.
-        const heard = e instanceof Refused && e.status > 0;
+        const heard = e instanceof RequestRejectedError && e.status > 0;
         if (this.state === 'present' && !heard) this.become('doubting');
         if (!heard) await this.look();
       }
@@ -153,11 +153,11 @@
   private async register(): Promise<void> {
     if (!this.follower.ready) return;
     const sentAt = this.clock.now();
-    const lease = await this.client.grant(this.times.lifeS, this.times.lifeS);
-    const key = records.nodeKey(this.node);
+    const lease = await this.client.grantLease(this.times.lifeS, this.times.lifeS);
+    const key = records.controllerKey(this.node);
     this.client.writes.force(1);
-    const r = await this.client.commit(
-      [{ key, revision: this.replica.present.get(this.node) ?? 0 }],
+    const r = await this.client.compareAndSwap(
+      [{ key, revision: this.replica.controllers.get(this.node) ?? 0 }],
       [{ put: key, value: { i: this.incarnation }, lease }],
       this.times.lifeS,
     );
@@ -172,7 +172,7 @@
 
   private async renew(): Promise<void> {
     const sentAt = this.clock.now();
-    const there = await this.client.extend(this.lease, this.times.lifeS / 2);
+    const there = await this.client.keepLeaseAlive(this.lease, this.times.lifeS / 2);
     this.become('present');
     if (there) this.provenAt = sentAt;
     else this.become('away');
@@ -201,9 +201,9 @@
   constructor(
     private readonly byZone: Map<string, string>,
     leaseS: number,
-    private readonly replica: Pick<Replica, 'present'>,
+    private readonly replica: Pick<Replica, 'controllers'>,
     private readonly follower: Pick<ReplicaSync, 'ready' | 'freshAt'>,
-    private readonly client: Pick<StateClient, 'refusedAt'>,
+    private readonly client: Pick<KeyValueStoreClient, 'rejectedAt'>,
     private readonly clock: Clock,
   ) {
     this.times = zoneLeaseTimes(leaseS);
@@ -216,13 +216,15 @@
   /** Its key has been there for so long, as seen from here. */
   steady(node: string, forS: number): boolean {
     const seen = this.seenAt.get(node);
-    return this.replica.present.has(node) && seen !== undefined && this.clock.now() - seen >= forS;
+    return (
+      this.replica.controllers.has(node) && seen !== undefined && this.clock.now() - seen >= forS
+    );
   }
 
   /** A zone keeper's key was put anew or is gone. */
   changed(node: string): void {
     const now = this.clock.now();
-    if (this.replica.present.has(node)) this.seenAt.set(node, now);
+    if (this.replica.controllers.has(node)) this.seenAt.set(node, now);
     else this.goneAt.set(node, now);
   }
 
@@ -234,9 +236,9 @@
     const node = this.byZone.get(zone);
     if (node === undefined) return { keptUntil: -Infinity, provenAt: Infinity };
     const now = this.clock.now();
-    if (this.replica.present.has(node)) {
+    if (this.replica.controllers.has(node)) {
       // Leases stand still in an outage: what a read shows right after one proves nothing.
-      const sure = this.follower.freshAt - this.client.refusedAt > this.times.beginS;
+      const sure = this.follower.freshAt - this.client.rejectedAt > this.times.beginS;
       return {
         keptUntil: this.seenAt.get(node) ?? now,
         provenAt: sure ? this.follower.freshAt : -Infinity,
--- a/src/pipelines/dependency-graph.ts
+++ b/src/pipelines/dependency-graph.ts
@@ -1,11 +1,11 @@
-import { isWaiting, outcome, specOf, type JobFacts } from '../state/job-facts.js';
+import { isWaiting, outcome, specOf, type StoredJob } from '../store/stored-job.js';
 
 /** Told in the order of the store's changes, or once a listing is complete. */
 export interface DependencyEvents {
   /** All jobs that it needs are done: its tasks may start. */
-  onReady(job: JobFacts): void;
+  onReady(job: StoredJob): void;
   /** A job that it needs is cancelled, and so is it. */
-  onCancelled(job: JobFacts): void;
+  onCancelled(job: StoredJob): void;
 }
 
 /**
@@ -21,17 +21,17 @@
  */
 export class DependencyGraph {
   /** Jobs by one that they need and that is not known to be over. */
-  private readonly dependents = new Map<string, JobFacts[]>();
+  private readonly dependents = new Map<string, StoredJob[]>();
   /** Raised with every change: what was derived from the graph before may differ now. */
   version = 0;
 
   constructor(
-    private readonly jobs: ReadonlyMap<string, JobFacts>,
+    private readonly jobs: ReadonlyMap<string, StoredJob>,
     private readonly events: DependencyEvents,
   ) {}
 
   /** Open jobs that name this job and wait for it. */
-  dependentsOf(id: string): readonly JobFacts[] {
+  dependentsOf(id: string): readonly StoredJob[] {
     return (this.dependents.get(id) ?? []).filter(isWaiting);
   }
 
@@ -45,10 +45,10 @@
   }
 
   /** A job was accepted, in the order of changes. */
-  accepted(job: JobFacts): void {
+  accepted(job: StoredJob): void {
     this.version++;
     this.link(job);
-    if (job.missing === 0) this.makeReady(job);
+    if (job.unmetDependencies === 0) this.makeReady(job);
     for (const id of job.spec.awaits) {
       const needed = this.jobs.get(id);
       if (needed !== undefined && outcome(needed) === 'cancelled') inheritCancellation(job, needed);
@@ -60,18 +60,18 @@
   }
 
   /** A job is done, in the order of changes. */
-  done(job: JobFacts): void {
+  done(job: StoredJob): void {
     this.version++;
     for (const dependent of this.take(job)) {
-      dependent.missing--;
-      if (dependent.missing > 0 || outcome(dependent) !== 'open') continue;
+      dependent.unmetDependencies--;
+      if (dependent.unmetDependencies > 0 || outcome(dependent) !== 'open') continue;
       this.makeReady(dependent);
       this.events.onReady(dependent);
     }
   }
 
   /** A job is cancelled, in the order of changes: all that need it, directly or through others, are too. */
-  cancelled(job: JobFacts): void {
+  cancelled(job: StoredJob): void {
     this.version++;
     const over = [job];
     for (let next = over.pop(); next !== undefined; next = over.pop()) {
@@ -91,13 +91,13 @@
   rebuild(): void {
     this.version++;
     this.dependents.clear();
-    const unready: JobFacts[] = [];
+    const unready: StoredJob[] = [];
     for (const job of this.jobs.values()) {
       if (specOf(job) !== null && job.readyAt === null) unready.push(job);
     }
     for (const job of unready) this.link(job);
     this.spreadCancellations();
-    for (const job of unready) if (job.missing === 0) this.makeReady(job);
+    for (const job of unready) if (job.unmetDependencies === 0) this.makeReady(job);
     for (const job of unready) {
       if (outcome(job) === 'cancelled') this.events.onCancelled(job);
       else if (outcome(job) === 'open' && job.readyAt !== null) this.events.onReady(job);
@@ -105,12 +105,12 @@
   }
 
   /** Notes a job with each one that it needs and that is not done. */
-  private link(job: JobFacts): void {
-    job.missing = 0;
+  private link(job: StoredJob): void {
+    job.unmetDependencies = 0;
     for (const id of job.spec.awaits) {
       const needed = this.jobs.get(id);
       if (needed !== undefined && outcome(needed) === 'done') continue;
-      job.missing++;
+      job.unmetDependencies++;
       const waiting = this.dependents.get(id);
       if (waiting === undefined) this.dependents.set(id, [job]);
       else waiting.push(job);
@@ -119,7 +119,7 @@
 
   /** The oldest cancellation counts, by whatever way it comes. */
   private spreadCancellations(): void {
-    const changed: JobFacts[] = [];
+    const changed: StoredJob[] = [];
     for (const id of this.dependents.keys()) {
       const needed = this.jobs.get(id);
       if (needed !== undefined && outcome(needed) === 'cancelled') changed.push(needed);
@@ -131,14 +131,14 @@
     }
   }
 
-  private take(job: JobFacts): JobFacts[] {
+  private take(job: StoredJob): StoredJob[] {
     const waiting = this.dependents.get(job.spec.id) ?? [];
     this.dependents.delete(job.spec.id);
     return waiting;
   }
 
   /** All that it needs is done. Cancelled before that, it is never ready. */
-  private makeReady(job: JobFacts): void {
+  private makeReady(job: StoredJob): void {
     let revision = job.acceptedAt;
     let ms = job.atMs;
     for (const id of job.spec.awaits) {
@@ -153,10 +153,10 @@
 }
 
 /** Returns whether that made the cancellation of `job` older. */
-function inheritCancellation(job: JobFacts, needed: JobFacts): boolean {
+function inheritCancellation(job: StoredJob, needed: StoredJob): boolean {
   const revision = Math.max(needed.cancelledAt!, job.acceptedAt);
   if (job.cancelledAt !== null && job.cancelledAt <= revision) return false;
   job.cancelledAt = revision;
-  job.cancelledWithNeeded = true;
+  job.cancelledByDependency = true;
   return true;
 }
--- a/src/pipelines/outlook.ts
+++ b/src/pipelines/outlook.ts
@@ -1,6 +1,6 @@
 import type { JobSpec, Priority } from '../jobs/types.js';
 import type { Successor } from '../scheduler/rank.js';
-import type { JobFacts } from '../state/job-facts.js';
+import type { StoredJob } from '../store/stored-job.js';
 import type { DependencyGraph } from './dependency-graph.js';
 
 /** What comes after a job in its pipeline. */
@@ -28,7 +28,7 @@
 
   constructor(private readonly graph: DependencyGraph) {}
 
-  of(job: JobFacts): Outlook {
+  of(job: StoredJob): Outlook {
     if (this.graph.version !== this.version) {
       this.known.clear();
       this.version = this.graph.version;
@@ -37,7 +37,7 @@
   }
 
   /** Dependents first; with a stack of its own, since chains may have thousands of jobs. */
-  private derive(root: JobFacts): Outlook {
+  private derive(root: StoredJob): Outlook {
     const stack = [root];
     const begun = new Set<string>();
     for (let job = stack.at(-1); job !== undefined; job = stack.at(-1)) {
@@ -58,7 +58,7 @@
     return this.known.get(root.spec.id)!;
   }
 
-  private combine(job: JobFacts, dependents: readonly JobFacts[]): Outlook {
+  private combine(job: StoredJob, dependents: readonly StoredJob[]): Outlook {
     const { priority, deadlineS } = job.spec;
     const latestEndMs = deadlineS === null ? Infinity : job.atMs + deadlineS * 1000;
     const outlook: Outlook = { priority, successors: [], criticalS: 0, depth: 0, latestEndMs };
--- a/src/state/client.ts
+++ b/src/store/client.ts
@@ -1,20 +1,20 @@
 import { Budget, sleep, type Clock } from '../clock.js';
 import { HttpClient, NoResponse, type Response, type Traffic } from '../http/client.js';
 import type { Settings } from '../config/settings.js';
-import * as wire from '../wire/state.js';
+import * as wire from '../wire/key-value-store.js';
 
 /** Refused: the request was certainly not carried out. */
-export class Refused extends Error {
+export class RequestRejectedError extends Error {
   constructor(readonly status: number) {
     super(`state service answered ${status}`);
   }
 }
 /** No answer: the request may have been carried out, or may still be. */
-export class Unanswered extends Error {}
+export class OutcomeUnknownError extends Error {}
 
-export type CommitResult = { ok: true; revision: number } | { ok: false; failed: string[] };
+export type CompareAndSwapResult = { ok: true; revision: number } | { ok: false; failed: string[] };
 
-export type Health = 'unknown' | 'served' | 'refused' | 'silent';
+export type StoreHealth = 'unknown' | 'served' | 'refused' | 'silent';
 
 /**
  * Of a second's worth of all writes, what a follower may write at once: users submit the jobs of a pipeline
@@ -23,22 +23,22 @@
 const FOLLOWER_BURST = 0.3;
 
 /** The state service as this node sees it, within this node's share of the request limits. */
-export class StateClient {
+export class KeyValueStoreClient {
   private readonly http: HttpClient;
   private readonly watchHttp: HttpClient;
   readonly requests: Budget;
   readonly writes: Budget;
   /** What the last answer, or its lack, said. */
-  health: Health = 'unknown';
+  health: StoreHealth = 'unknown';
   /** When the last request that was served had been sent. */
   servedAt = -Infinity;
-  refusedAt = -Infinity;
+  rejectedAt = -Infinity;
   /** When the last answer of any kind came. */
   answeredAt = -Infinity;
   /** Refused with 503 ever since; null: served, or not heard from. */
-  refusedSince: number | null = null;
+  rejectedSince: number | null = null;
   readonly valueBytes: number;
-  readonly txnOps: number;
+  readonly operationsPerTransaction: number;
 
   constructor(
     private readonly settings: Settings,
@@ -49,7 +49,7 @@
     this.requests = new Budget(1, clock);
     this.writes = new Budget(1, clock);
     this.valueBytes = Math.floor(settings.state.value_kb * 1024);
-    this.txnOps = settings.state.txn_ops;
+    this.operationsPerTransaction = settings.state.txn_ops;
     this.setRole('follower');
   }
 
@@ -80,42 +80,43 @@
       r = await http.request(method, path, body, timeoutS);
     } catch (e) {
       if (this.clock.now() > this.servedAt) this.health = 'silent';
-      if (e instanceof NoResponse && !e.sent) throw new Refused(0);
-      throw new Unanswered(e instanceof Error ? e.message : String(e));
+      if (e instanceof NoResponse && !e.sent) throw new RequestRejectedError(0);
+      throw new OutcomeUnknownError(e instanceof Error ? e.message : String(e));
     }
     this.answeredAt = this.clock.now();
     if (r.status === 503) {
       this.health = 'refused';
-      this.refusedAt = this.clock.now();
-      this.refusedSince ??= this.refusedAt;
-      throw new Refused(503);
+      this.rejectedAt = this.clock.now();
+      this.rejectedSince ??= this.rejectedAt;
+      throw new RequestRejectedError(503);
     }
-    if (r.status === 429) throw new Refused(429);
+    if (r.status === 429) throw new RequestRejectedError(429);
     this.health = 'served';
-    this.refusedSince = null;
+    this.rejectedSince = null;
     this.servedAt = Math.max(this.servedAt, sentAt);
     return r;
   }
 
-  private json(r: Response): unknown {
+  private parseJson(r: Response): unknown {
     try {
       return JSON.parse(r.body.toString('utf8'));
     } catch {
-      throw new Unanswered('garbled answer');
+      throw new OutcomeUnknownError('garbled answer');
     }
   }
 
-  private parsed<T>(r: Response, parse: (raw: unknown) => T): T {
+  private parseBody<T>(r: Response, parse: (raw: unknown) => T): T {
     try {
-      return parse(this.json(r));
+      return parse(this.parseJson(r));
     } catch (e) {
-      if (e instanceof wire.Garbled) throw new Unanswered(`garbled answer: ${e.message}`);
+      if (e instanceof wire.MalformedMessageError)
+        throw new OutcomeUnknownError(`garbled answer: ${e.message}`);
       throw e;
     }
   }
 
   /** Waits for its turn within the budget; what is urgent goes at once and is made up for later. */
-  private async turn(urgent: boolean): Promise<void> {
+  private async waitForBudget(urgent: boolean): Promise<void> {
     if (urgent) {
       this.requests.force(1);
       return;
@@ -124,42 +125,42 @@
   }
 
   /** The caller has taken the writes from `writes`. */
-  async commit(
-    guards: wire.Guard[],
-    ops: wire.Op[],
+  async compareAndSwap(
+    guards: wire.Precondition[],
+    ops: wire.Operation[],
     timeoutS: number,
     urgent = true,
-  ): Promise<CommitResult> {
-    await this.turn(urgent);
+  ): Promise<CompareAndSwapResult> {
+    await this.waitForBudget(urgent);
     const r = await this.call(
       this.http,
       'POST',
-      wire.COMMIT_PATH,
-      wire.encodeCommit(guards, ops),
+      wire.TRANSACTION_PATH,
+      wire.encodeTransaction(guards, ops),
       timeoutS,
     );
-    if (r.status === 200) return { ok: true, revision: this.parsed(r, wire.parseRevision) };
-    if (r.status === 409) return { ok: false, failed: this.parsed(r, wire.parseFailed) };
-    throw new Refused(r.status);
+    if (r.status === 200) return { ok: true, revision: this.parseBody(r, wire.parseRevision) };
+    if (r.status === 409) return { ok: false, failed: this.parseBody(r, wire.parseFailedKeys) };
+    throw new RequestRejectedError(r.status);
   }
 
-  async get(key: string, timeoutS: number): Promise<wire.Item | null> {
-    await this.turn(true);
+  async get(key: string, timeoutS: number): Promise<wire.KeyValue | null> {
+    await this.waitForBudget(true);
     const r = await this.call(this.http, 'GET', wire.keyPath(key), undefined, timeoutS);
-    if (r.status === 200) return this.parsed(r, wire.parseItem);
+    if (r.status === 200) return this.parseBody(r, wire.parseItem);
     if (r.status === 404) return null;
-    throw new Refused(r.status);
+    throw new RequestRejectedError(r.status);
   }
 
   /** All keys below a prefix. `revision` is that of the first page: follow the changes from there. */
-  async list(prefix: string, each: (item: wire.Item) => void): Promise<number> {
+  async list(prefix: string, each: (item: wire.KeyValue) => void): Promise<number> {
     let after = '';
     let revision = -1;
     for (;;) {
-      await this.turn(false);
+      await this.waitForBudget(false);
       const r = await this.call(this.http, 'GET', wire.listPath(prefix, after), undefined, 5);
-      if (r.status !== 200) throw new Refused(r.status);
-      const page = this.parsed(r, wire.parsePage);
+      if (r.status !== 200) throw new RequestRejectedError(r.status);
+      const page = this.parseBody(r, wire.parsePage);
       if (revision < 0) revision = page.revision;
       for (const item of page.items) each(item);
       if (!page.more || page.items.length === 0) return revision;
@@ -174,35 +175,35 @@
     waitS: number,
     timeoutS: number,
   ): Promise<{ revision: number; changes: wire.Change[] } | null> {
-    await this.turn(waitS === 0);
+    await this.waitForBudget(waitS === 0);
     const path = wire.changesPath(prefix, after, Math.round(waitS * 1000));
     const http = waitS > 0 ? this.watchHttp : this.http;
     const r = await this.call(http, 'GET', path, undefined, timeoutS);
     if (r.status === 410) return null;
-    if (r.status !== 200) throw new Refused(r.status);
-    return this.parsed(r, wire.parseChanges);
+    if (r.status !== 200) throw new RequestRejectedError(r.status);
+    return this.parseBody(r, wire.parseChanges);
   }
 
-  async grant(lifeS: number, timeoutS: number): Promise<number> {
-    await this.turn(true);
-    const body = wire.encodeLife(Math.round(lifeS * 1000));
-    const r = await this.call(this.http, 'POST', wire.GRANTS_PATH, body, timeoutS);
-    if (r.status !== 200 && r.status !== 201) throw new Refused(r.status);
-    return this.parsed(r, wire.parseLease);
+  async grantLease(lifeS: number, timeoutS: number): Promise<number> {
+    await this.waitForBudget(true);
+    const body = wire.encodeLeaseTtl(Math.round(lifeS * 1000));
+    const r = await this.call(this.http, 'POST', wire.LEASES_PATH, body, timeoutS);
+    if (r.status !== 200 && r.status !== 201) throw new RequestRejectedError(r.status);
+    return this.parseBody(r, wire.parseLeaseId);
   }
 
   /** False: the lease has come to an end. */
-  async extend(id: number, timeoutS: number): Promise<boolean> {
-    await this.turn(true);
-    const r = await this.call(this.http, 'POST', wire.extendPath(id), '', timeoutS);
+  async keepLeaseAlive(id: number, timeoutS: number): Promise<boolean> {
+    await this.waitForBudget(true);
+    const r = await this.call(this.http, 'POST', wire.leaseKeepAlivePath(id), '', timeoutS);
     if (r.status === 404) return false;
-    if (r.status !== 200) throw new Refused(r.status);
+    if (r.status !== 200) throw new RequestRejectedError(r.status);
     return true;
   }
 
   async endLease(id: number, timeoutS: number): Promise<void> {
-    await this.turn(true);
-    await this.call(this.http, 'DELETE', wire.grantPath(id), undefined, timeoutS);
+    await this.waitForBudget(true);
+    await this.call(this.http, 'DELETE', wire.leasePath(id), undefined, timeoutS);
   }
 
   /** What went to the state service and came from it since the start. */
--- a/src/state/lean-jobs.ts
+++ b/src/store/job-compaction.ts
@@ -1,7 +1,7 @@
 import { NO_JOBS, type JobKind, type JobSpec } from '../jobs/types.js';
-import type { JobFacts } from './job-facts.js';
+import type { StoredJob } from './stored-job.js';
 
-const NOTHING: JobSpec = {
+const EMPTY_SPEC: JobSpec = {
   id: '', class: '', team: '', kind: 'array', priority: 3, tasks: 0, cores: 0, gpus: 0, memGb: 0,
   image: '', imageGb: 0, types: null, zone: null, oneZone: false, scatter: false, spot: false,
   estimateS: 0, checkpointS: 0, saveS: 0, deadlineS: null, awaits: NO_JOBS,
@@ -11,27 +11,27 @@
  * What is left of jobs that were over long ago: their outcome, and of what they asked for only what
  * an answer may still rest on. Alike ones share the rest.
  */
-export class LeanJobs {
+export class JobCompactor {
   private readonly specs = new Map<string, JobSpec>();
 
-  make(facts: JobFacts): JobFacts {
-    const { atMs, acceptedAt, cancelledAt, cancelledWithNeeded, doneAt, doneMs } = facts;
+  compact(facts: StoredJob): StoredJob {
+    const { atMs, acceptedAt, cancelledAt, cancelledByDependency, doneAt, doneMs } = facts;
     const { readyAt, readyMs, doneTasks } = facts;
     return {
       spec: this.spec(facts.spec),
       atMs,
       acceptedAt,
       cancelledAt,
-      cancelledWithNeeded,
+      cancelledByDependency,
       doneAt,
       doneMs,
       readyAt,
       readyMs,
-      missing: 0,
+      unmetDependencies: 0,
       doneTasks,
       attainedS: 0,
       progress: null,
-      claims: 0,
+      claimCount: 0,
     };
   }
 
@@ -39,7 +39,7 @@
   private spec({ kind, tasks }: { kind: JobKind; tasks: number }): JobSpec {
     const key = `${kind} ${tasks}`;
     let spec = this.specs.get(key);
-    if (spec === undefined) this.specs.set(key, (spec = { ...NOTHING, kind, tasks }));
+    if (spec === undefined) this.specs.set(key, (spec = { ...EMPTY_SPEC, kind, tasks }));
     return spec;
   }
 }
--- a/src/state/machine-record.ts
+++ b/src/store/machine-record.ts
@@ -87,7 +87,7 @@
   z: m.zone,
   f: (m.spot ? 1 : 0) | (m.returning ? 2 : 0),
   ...(form === 'dense'
-    ? { d: denseClaims(m.claims) }
+    ? { d: encodeDenseClaims(m.claims) }
     : { t: m.claims.map((c) => [c.job, c.index, c.attempt]) }),
   i: m.images,
 });
@@ -110,7 +110,7 @@
 }
 
 function decodeClaims({ t, d }: Record<string, unknown>): Claim[] {
-  if (typeof d === 'string') return readDense(d);
+  if (typeof d === 'string') return decodeDenseClaims(d);
   return (t as [string, number, number][]).map(([job, index, attempt]) => ({
     job,
     index,
@@ -119,7 +119,7 @@
 }
 
 /** `job:attempt:tasks` for each attempt of a job, with a space between; tasks as `0-3,7`. */
-function denseClaims(claims: Claim[]): string {
+function encodeDenseClaims(claims: Claim[]): string {
   const groups = new Map<string, number[]>();
   for (const { job, index, attempt } of claims) {
     const name = `${job}:${attempt.toString(RADIX)}`;
@@ -127,10 +127,10 @@
     if (indexes === undefined) groups.set(name, [index]);
     else indexes.push(index);
   }
-  return [...groups].map(([name, indexes]) => `${name}:${ranges(indexes)}`).join(' ');
+  return [...groups].map(([name, indexes]) => `${name}:${formatRanges(indexes)}`).join(' ');
 }
 
-function ranges(indexes: number[]): string {
+function formatRanges(indexes: number[]): string {
   const parts: string[] = [];
   const sorted = indexes.toSorted((a, b) => a - b);
   for (let i = 0; i < sorted.length;) {
@@ -142,15 +142,15 @@
   return parts.join(',');
 }
 
-function readDense(text: string): Claim[] {
+function decodeDenseClaims(text: string): Claim[] {
   const claims: Claim[] = [];
   for (const group of text.split(' ')) {
     if (group === '') continue;
     const [job = '', attempt = '', tasks = ''] = group.split(':');
     for (const part of tasks.split(',')) {
       const [first = '', last = first] = part.split('-');
-      for (let index = whole(first, 10); index <= whole(last, 10); index++) {
-        claims.push({ job, index, attempt: whole(attempt, RADIX) });
+      for (let index = parseInteger(first, 10); index <= parseInteger(last, 10); index++) {
+        claims.push({ job, index, attempt: parseInteger(attempt, RADIX) });
       }
     }
   }
@@ -158,7 +158,7 @@
 }
 
 /** Throws where it is no whole number: the record is garbage then. */
-function whole(text: string, radix: number): number {
+function parseInteger(text: string, radix: number): number {
   const n = Number.parseInt(text, radix);
   if (!Number.isSafeInteger(n)) throw new Error('no number');
   return n;
--- a/src/state/records.ts
+++ b/src/store/records.ts
@@ -27,18 +27,18 @@
 export const PROGRESS = 'ps/p/';
 export const PROGRESS_PARTS = 'ps/q/';
 export const MACHINES = 'ps/m/';
-export const NODES = 'ps/n/';
-export const ACKS = 'ps/a/';
+export const CONTROLLERS = 'ps/n/';
+export const ACKNOWLEDGEMENTS = 'ps/a/';
 export const LEADER = 'ps/l';
-export const TYPES = 'ps/t';
+export const MACHINE_TYPES = 'ps/t';
 export const SUBSYSTEMS = 'ps/x/';
 
 export const progressKey = (job: string, chunk: number): string => `${PROGRESS}${job}/${chunk}`;
 export const progressPartKey = (job: string, first: number): string =>
   `${PROGRESS_PARTS}${job}/${first}`;
-export const nodeKey = (node: string): string => `${NODES}${node}`;
+export const controllerKey = (node: string): string => `${CONTROLLERS}${node}`;
 export const versionKey = (node: string): string => `${VERSIONS}${node}`;
-export const ackKey = (node: string): string => `${ACKS}${node}`;
+export const acknowledgementKey = (node: string): string => `${ACKNOWLEDGEMENTS}${node}`;
 /** Where the records of a subsystem are. */
 export const subsystemPrefix = (subsystem: string): string => `${SUBSYSTEMS}${subsystem}/`;
 export const machineKey = (id: string): string => `${MACHINES}${id}`;
@@ -46,23 +46,23 @@
 export { decodeMachine, encodeMachine, type Claim, type MachineRecord } from './machine-record.js';
 
 /** An accepted job and the time of day of its acceptance in ms. */
-export interface Accepted {
+export interface AcceptedJob {
   spec: JobSpec;
   atMs: number;
 }
 
-export interface SubmissionsRecord {
-  jobs: Accepted[];
-  cancels: string[];
+export interface RequestBatchRecord {
+  jobs: AcceptedJob[];
+  cancelledIds: string[];
 }
 
 const KINDS = ['array', 'gang', 'service'] as const;
 
-export function encodeSubmissions(r: SubmissionsRecord): unknown {
-  return { s: r.jobs.map(encodeJob), c: r.cancels };
+export function encodeRequestBatch(r: RequestBatchRecord): unknown {
+  return { s: r.jobs.map(encodeJob), c: r.cancelledIds };
 }
 
-export function encodeJob({ spec: s, atMs }: Accepted): unknown[] {
+export function encodeJob({ spec: s, atMs }: AcceptedJob): unknown[] {
   const flags = (s.oneZone ? 1 : 0) | (s.scatter ? 2 : 0) | (s.spot ? 4 : 0);
   return [
     s.id, s.class, s.team, KINDS.indexOf(s.kind), s.priority, s.tasks, s.cores, s.gpus, s.memGb,
@@ -73,12 +73,12 @@
   ]; // prettier-ignore
 }
 
-export function decodeSubmissions(value: unknown): SubmissionsRecord {
+export function decodeRequestBatch(value: unknown): RequestBatchRecord {
   const o = value as { s: unknown[][]; c: string[] };
-  return { jobs: o.s.map(decodeJob), cancels: o.c };
+  return { jobs: o.s.map(decodeJob), cancelledIds: o.c };
 }
 
-export function decodeJob(a: unknown[]): Accepted {
+export function decodeJob(a: unknown[]): AcceptedJob {
   const flags = a[13] as number;
   return {
     spec: {
@@ -167,16 +167,19 @@
   return { node: o.n, incarnation: o.i };
 }
 
-export interface AckRecord {
+export interface AcknowledgementRecord {
   token: number;
   remainsS: number;
 }
 
-export const encodeAck = (a: AckRecord): unknown => ({ t: a.token, r: a.remainsS });
-export function decodeAck(value: unknown): AckRecord {
+export const encodeAcknowledgement = (a: AcknowledgementRecord): unknown => ({
+  t: a.token,
+  r: a.remainsS,
+});
+export function decodeAcknowledgement(value: unknown): AcknowledgementRecord {
   const o = value as { t: number; r: number };
   return { token: o.t, remainsS: o.r };
 }
 
-export const encodeTypes = (t: MachineType[]): unknown => t;
-export const decodeTypes = (value: unknown): MachineType[] => value as MachineType[];
+export const encodeMachineTypes = (t: MachineType[]): unknown => t;
+export const decodeMachineTypes = (value: unknown): MachineType[] => value as MachineType[];
--- a/src/state/replica-sync.ts
+++ b/src/store/replica-sync.ts
@@ -1,7 +1,7 @@
 import { random } from '../random.js';
 import { sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
-import { StateClient } from './client.js';
+import { KeyValueStoreClient } from './client.js';
 import { Replica } from './replica.js';
 import * as records from './records.js';
 
@@ -11,13 +11,13 @@
   /** Steady time at which the last read was sent whose answer is in the replica. */
   freshAt = -Infinity;
   private stopped = false;
-  private syncing: Promise<boolean> | null = null;
-  private syncSent = false;
-  private again: Promise<boolean> | null = null;
-  private lastSyncAt = -Infinity;
+  private currentRead: Promise<boolean> | null = null;
+  private currentReadSent = false;
+  private nextRead: Promise<boolean> | null = null;
+  private lastReadAt = -Infinity;
 
   constructor(
-    private readonly state: StateClient,
+    private readonly store: KeyValueStoreClient,
     readonly replica: Replica,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -33,7 +33,7 @@
         if (!this.ready) await this.load();
         const from = this.replica.applied;
         const sentAt = this.clock.now();
-        const r = await this.state.changes(records.ROOT, from, 10, 30);
+        const r = await this.store.changes(records.ROOT, from, 10, 30);
         if (r === null) {
           this.ready = false;
           continue;
@@ -52,17 +52,17 @@
   private async load(): Promise<void> {
     const began = this.clock.now();
     const keys = new Set<string>();
-    const first = await this.state.list(records.ROOT, (item) => {
+    const first = await this.store.list(records.ROOT, (item) => {
       keys.add(item.key);
-      this.replica.item(item);
+      this.replica.applyListed(item);
     });
-    this.replica.retain(keys, first);
+    this.replica.removeMissing(keys, first);
     this.replica.applied = Math.max(this.replica.applied, first);
     // Pages differ in age: only with the changes since the first one do they make one picture.
-    const r = await this.state.changes(records.ROOT, first, 0, 5);
+    const r = await this.store.changes(records.ROOT, first, 0, 5);
     if (r === null) throw new Error('listing too slow');
     this.replica.advance(r.revision, r.changes);
-    this.replica.listed();
+    this.replica.listingComplete();
     this.freshAt = Math.max(this.freshAt, began);
     this.ready = true;
     const { applied: revision, jobs, machines } = this.replica;
@@ -75,31 +75,31 @@
    * reads: one that begins after the call is needed, one already under way may be too old.
    */
   sync(): Promise<boolean> {
-    if (this.syncing === null) {
-      this.syncSent = false;
-      this.syncing = this.readNow().finally(() => (this.syncing = null));
-      return this.syncing;
+    if (this.currentRead === null) {
+      this.currentReadSent = false;
+      this.currentRead = this.readNow().finally(() => (this.currentRead = null));
+      return this.currentRead;
     }
-    if (!this.syncSent) return this.syncing;
-    this.again ??= this.syncing
+    if (!this.currentReadSent) return this.currentRead;
+    this.nextRead ??= this.currentRead
       .then(() => undefined)
       .then(() => {
-        this.again = null;
+        this.nextRead = null;
         return this.sync();
       });
-    return this.again;
+    return this.nextRead;
   }
 
   private async readNow(): Promise<boolean> {
-    const wait = this.lastSyncAt + this.syncGapS - this.clock.now();
+    const wait = this.lastReadAt + this.syncGapS - this.clock.now();
     if (wait > 0) await sleep(wait);
     // The read is sent after this point; whoever joins later waits for the next one.
-    this.syncSent = true;
+    this.currentReadSent = true;
     const sentAt = this.clock.now();
-    this.lastSyncAt = sentAt;
+    this.lastReadAt = sentAt;
     if (!this.ready) return false;
     try {
-      const r = await this.state.changes(records.ROOT, this.replica.applied, 0, 1.5);
+      const r = await this.store.changes(records.ROOT, this.replica.applied, 0, 1.5);
       if (r === null) {
         this.ready = false;
         return false;
--- a/src/state/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -1,20 +1,24 @@
 import { random } from '../random.js';
 import { sleep, type Budget, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
-import type { Outcome } from './job-facts.js';
+import type { JobOutcome } from './stored-job.js';
 import type { Replica } from './replica.js';
-import { outcome } from './job-facts.js';
+import { outcome } from './stored-job.js';
 import type { ReplicaSync } from './replica-sync.js';
-import { Refused, type CommitResult, type StateClient } from './client.js';
+import {
+  RequestRejectedError,
+  type CompareAndSwapResult,
+  type KeyValueStoreClient,
+} from './client.js';
 import * as records from './records.js';
 
-type Entry = (
-  | { kind: 'job'; accepted: records.Accepted; size: number }
+type PendingRequest = (
+  | { kind: 'job'; accepted: records.AcceptedJob; size: number }
   | { kind: 'cancel'; id: string; size: number }
-) & { deadline: number; resolve: (o: Outcome | null) => void };
+) & { deadline: number; resolve: (o: JobOutcome | null) => void };
 
 /** Requests in a row without an answer after which a batch is given up. */
-const FAILURES = 2;
+const MAX_FAILURES = 2;
 
 /** What a record takes beside its jobs and cancellations, in bytes. */
 const RECORD_BYTES = 64;
@@ -22,7 +26,7 @@
 const VALUE_SHARE = 0.9;
 
 /** Bytes that a job takes in a record. */
-const sizeOf = (accepted: records.Accepted): number =>
+const acceptedJobBytes = (accepted: records.AcceptedJob): number =>
   Buffer.byteLength(JSON.stringify(records.encodeJob(accepted))) + 1;
 
 /**
@@ -31,13 +35,13 @@
  * write.
  */
 export class RequestWriter {
-  private queue: Entry[] = [];
+  private queue: PendingRequest[] = [];
   private running = false;
   private counter = 0;
 
   constructor(
     private readonly incarnation: string,
-    private readonly state: StateClient,
+    private readonly store: KeyValueStoreClient,
     private readonly follower: ReplicaSync,
     private readonly replica: Replica,
     private readonly budget: Budget,
@@ -46,48 +50,48 @@
   ) {}
 
   /** Whether the state service takes a record with this job, alone if need be. */
-  fits(accepted: records.Accepted): boolean {
-    return RECORD_BYTES + sizeOf(accepted) <= this.state.valueBytes * VALUE_SHARE;
+  fits(accepted: records.AcceptedJob): boolean {
+    return RECORD_BYTES + acceptedJobBytes(accepted) <= this.store.valueBytes * VALUE_SHARE;
   }
 
   /** Whether more waits than can be stored within this time: what comes now would wait in vain. */
   full(timeoutS: number): boolean {
     const bytes = this.queue.reduce((n, e) => n + e.size, 0);
-    return bytes > this.budget.perSecond * timeoutS * this.state.valueBytes;
+    return bytes > this.budget.perSecond * timeoutS * this.store.valueBytes;
   }
 
   /** Resolves with the job's outcome once it is stored and read back; null: unsure. */
-  accept(accepted: records.Accepted, timeoutS: number): Promise<Outcome | null> {
-    const size = sizeOf(accepted);
+  accept(accepted: records.AcceptedJob, timeoutS: number): Promise<JobOutcome | null> {
+    const size = acceptedJobBytes(accepted);
     return this.enqueue({ kind: 'job', accepted, size }, timeoutS);
   }
 
-  cancel(id: string, timeoutS: number): Promise<Outcome | null> {
+  cancel(id: string, timeoutS: number): Promise<JobOutcome | null> {
     return this.enqueue({ kind: 'cancel', id, size: id.length + 3 }, timeoutS);
   }
 
   private enqueue(
     e:
-      | { kind: 'job'; accepted: records.Accepted; size: number }
+      | { kind: 'job'; accepted: records.AcceptedJob; size: number }
       | { kind: 'cancel'; id: string; size: number },
     timeoutS: number,
-  ): Promise<Outcome | null> {
+  ): Promise<JobOutcome | null> {
     return new Promise((resolve) => {
       this.queue.push({ ...e, deadline: this.clock.now() + timeoutS, resolve });
       if (!this.running) void this.drain();
     });
   }
 
-  private nextBatch(): Entry[] {
+  private nextBatch(): PendingRequest[] {
     const now = this.clock.now();
     const late = this.queue.filter((e) => e.deadline <= now);
     for (const e of late) e.resolve(null);
     this.queue = this.queue.filter((e) => e.deadline > now);
-    const batch: Entry[] = [];
+    const batch: PendingRequest[] = [];
     let bytes = RECORD_BYTES;
     while (this.queue.length > 0) {
       const e = this.queue[0]!;
-      if (batch.length > 0 && bytes + e.size > this.state.valueBytes * VALUE_SHARE) break;
+      if (batch.length > 0 && bytes + e.size > this.store.valueBytes * VALUE_SHARE) break;
       bytes += e.size;
       batch.push(this.queue.shift()!);
     }
@@ -98,19 +102,19 @@
    * The records of a batch, to be put in one transaction. Jobs that need others go where versions that
    * would start them at once do not look.
    */
-  private puts(batch: Entry[]): { put: string; value: unknown }[] {
+  private puts(batch: PendingRequest[]): { put: string; value: unknown }[] {
     const jobs = batch.flatMap((e) => (e.kind === 'job' ? [e.accepted] : []));
-    const cancels = batch.flatMap((e) => (e.kind === 'cancel' ? [e.id] : []));
+    const cancelledIds = batch.flatMap((e) => (e.kind === 'cancel' ? [e.id] : []));
     const dependent = jobs.filter((job) => job.spec.awaits.length > 0);
     const others = jobs.filter((job) => job.spec.awaits.length === 0);
     const name = `${this.incarnation}-${this.counter++}`;
     const puts: { put: string; value: unknown }[] = [];
-    if (others.length + cancels.length > 0) {
-      const value = records.encodeSubmissions({ jobs: others, cancels });
+    if (others.length + cancelledIds.length > 0) {
+      const value = records.encodeRequestBatch({ jobs: others, cancelledIds });
       puts.push({ put: records.JOBS + name, value });
     }
     if (dependent.length > 0) {
-      const value = records.encodeSubmissions({ jobs: dependent, cancels: [] });
+      const value = records.encodeRequestBatch({ jobs: dependent, cancelledIds: [] });
       puts.push({ put: records.DEPENDENT_JOBS + name, value });
     }
     return puts;
@@ -122,14 +126,14 @@
       while (this.queue.length > 0) {
         while (!this.budget.take(1)) await sleep(this.budget.wait(1));
         const batch = this.nextBatch();
-        if (batch.length > 0) await this.store(batch);
+        if (batch.length > 0) await this.storeBatch(batch);
       }
     } finally {
       this.running = false;
     }
   }
 
-  private async store(batch: Entry[]): Promise<void> {
+  private async storeBatch(batch: PendingRequest[]): Promise<void> {
     const puts = this.puts(batch);
     const guards = puts.map(({ put }) => ({ key: put, revision: 0 }));
     // One write is taken already; with dependent jobs beside others it is two.
@@ -140,24 +144,24 @@
     // A submission that can't be taken is answered at once: a refused service, or two requests
     // without an answer, end the wait. Another controller may be served, and the user may come back.
     let failures = 0;
-    while (!stored && failures < FAILURES && this.clock.now() < deadline) {
+    while (!stored && failures < MAX_FAILURES && this.clock.now() < deadline) {
       if (!first) while (!this.budget.take(1)) await sleep(this.budget.wait(1));
       first = false;
       try {
-        const r: CommitResult = await this.state.commit(guards, puts, 1.5);
+        const r: CompareAndSwapResult = await this.store.compareAndSwap(guards, puts, 1.5);
         // A failed condition: an attempt that was not answered has been carried out after all.
         stored = true;
         if (!r.ok) this.log.debug({ keys: r.failed }, 'stored by an earlier attempt');
       } catch (e) {
-        if (e instanceof Refused && (e.status === 400 || e.status === 503)) break;
-        if (!(e instanceof Refused && e.status === 429)) failures++;
+        if (e instanceof RequestRejectedError && (e.status === 400 || e.status === 503)) break;
+        if (!(e instanceof RequestRejectedError && e.status === 429)) failures++;
         await sleep(0.1 + random() * 0.1);
       }
     }
     // Nobody is told anything before this node's picture holds what was stored.
     let synced = false;
     failures = 0;
-    while (stored && !synced && failures++ < FAILURES && this.clock.now() < deadline) {
+    while (stored && !synced && failures++ < MAX_FAILURES && this.clock.now() < deadline) {
       synced = await this.follower.sync();
       if (!synced) await sleep(0.05);
     }
--- a/src/state/job-facts.ts
+++ b/src/store/stored-job.ts
@@ -1,6 +1,6 @@
 import type { BitSet } from '../jobs/bit-set.js';
 import type { JobSpec } from '../jobs/types.js';
-import type { Accepted } from './records.js';
+import type { AcceptedJob } from './records.js';
 
 /** Which tasks a stored record names as done. */
 export interface StoredProgress {
@@ -12,13 +12,13 @@
 }
 
 /** What the store says of one job. A pure function of the changes up to a revision. */
-export interface JobFacts extends Accepted {
+export interface StoredJob extends AcceptedJob {
   /** Revision at which it was accepted. */
   acceptedAt: number;
   /** Revision of the first cancellation: its own, or that of a job that it needs. */
   cancelledAt: number | null;
   /** It was cancelled with a job that it needs, before its own user cancelled it. */
-  cancelledWithNeeded: boolean;
+  cancelledByDependency: boolean;
   /** Revision at which its last task was stored as done. */
   doneAt: number | null;
   /** Time of day in ms at which its last task was found done, as the leader had it; 0: not known. */
@@ -31,35 +31,35 @@
   /** Time of day in ms of the same moment; of its acceptance where it needs no other job. */
   readyMs: number;
   /** How many entries of `spec.awaits` are not known to be done. */
-  missing: number;
+  unmetDependencies: number;
   doneTasks: number;
   attainedS: number;
   /** Its records of done tasks, by key. Dropped once the job is over. */
   progress: Map<string, StoredProgress> | null;
   /** Attempts that machine records name at present. */
-  claims: number;
+  claimCount: number;
 }
 
 /** Null: it is over, and what it asked for has left memory. */
-export const specOf = (j: JobFacts): JobSpec | null => (j.spec.id === '' ? null : j.spec);
+export const specOf = (j: StoredJob): JobSpec | null => (j.spec.id === '' ? null : j.spec);
 
-export type Outcome = 'open' | 'done' | 'cancelled';
+export type JobOutcome = 'open' | 'done' | 'cancelled';
 
 /** The older one of "done" and "cancelled" counts, on every node and for ever. */
-export function outcome(j: JobFacts): Outcome {
+export function outcome(j: StoredJob): JobOutcome {
   if (j.cancelledAt !== null && (j.doneAt === null || j.cancelledAt < j.doneAt)) return 'cancelled';
   return j.doneAt !== null ? 'done' : 'open';
 }
 
 /** Not over, and in need of no other job any more: its tasks may start. */
-export const isReady = (j: JobFacts): boolean => j.readyAt !== null && outcome(j) === 'open';
+export const isReady = (j: StoredJob): boolean => j.readyAt !== null && outcome(j) === 'open';
 
 /** Accepted, not over, and still in need of other jobs: nothing of it may start. */
-export const isWaiting = (j: JobFacts): boolean => j.readyAt === null && outcome(j) === 'open';
+export const isWaiting = (j: StoredJob): boolean => j.readyAt === null && outcome(j) === 'open';
 
 /**
  * Whether no task of a cancelled job was ever started, nor can be: it was cancelled before it became
  * ready, and a leader starts tasks of a job only once its copy of the store shows it as ready.
  */
-export const neverStarted = (j: JobFacts): boolean =>
+export const neverStarted = (j: StoredJob): boolean =>
   j.readyAt === null && outcome(j) === 'cancelled';
--- a/src/state/stored-progress.ts
+++ b/src/store/stored-progress.ts
@@ -1,18 +1,18 @@
 /** Reading records of done tasks. */
 
 import { BitSet } from '../jobs/bit-set.js';
-import type { StoredProgress } from './job-facts.js';
+import type { StoredProgress } from './stored-job.js';
 import * as records from './records.js';
 
 /** What the key of a record of done tasks says; `number`: of the chunk, or of the first task of a part. */
-export function progressName(key: string): { id: string; number: number; isPart: boolean } {
+export function parseProgressKey(key: string): { id: string; number: number; isPart: boolean } {
   const isPart = key.startsWith(records.PROGRESS_PARTS);
   const rest = key.slice((isPart ? records.PROGRESS_PARTS : records.PROGRESS).length);
   const slash = rest.indexOf('/');
   return { id: rest.slice(0, slash), number: Number(rest.slice(slash + 1)), isPart };
 }
 
-export function bitsOf(text: string | null, size: number): BitSet {
+export function decodeBits(text: string | null, size: number): BitSet {
   if (text !== null) return BitSet.decode(size, text);
   const bits = new BitSet(size);
   bits.fill();
--- a/src/state/subsystem-records.ts
+++ b/src/store/subsystem-records.ts
@@ -19,7 +19,7 @@
   }
 
   put(key: string, value: unknown, revision: number): void {
-    const { subsystem, rest } = split(key);
+    const { subsystem, rest } = splitKey(key);
     let own = this.bySubsystem.get(subsystem);
     if (own === undefined) {
       own = new Map();
@@ -30,7 +30,7 @@
   }
 
   removed(key: string, revision: number): void {
-    const { subsystem, rest } = split(key);
+    const { subsystem, rest } = splitKey(key);
     const own = this.bySubsystem.get(subsystem);
     const old = own?.get(rest);
     if (own !== undefined && old !== undefined && old.revision < revision) own.delete(rest);
@@ -44,7 +44,7 @@
   }
 }
 
-function split(key: string): { subsystem: string; rest: string } {
+function splitKey(key: string): { subsystem: string; rest: string } {
   const name = key.slice(records.SUBSYSTEMS.length);
   const slash = name.indexOf('/');
   return { subsystem: name.slice(0, slash), rest: name.slice(slash + 1) };
--- a/test/cluster-pipelines.test.ts
+++ b/test/cluster-pipelines.test.ts
@@ -1,7 +1,7 @@
 /** Pipelines in a whole cluster, with troubles between their jobs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import * as records from '../src/state/records.js';
+import * as records from '../src/store/records.js';
 import { until, wait } from './helpers.js';
 import { Cluster, playAll, type Row } from './standins/cluster.js';
 
--- a/test/cluster-records.test.ts
+++ b/test/cluster-records.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MACHINES } from '../src/state/records.js';
+import { MACHINES } from '../src/store/records.js';
 import { until, wait } from './helpers.js';
 import { MACHINE_GPUS } from './standins/cloud.js';
 import { playAll, type Cluster, type Row } from './standins/cluster.js';
--- a/test/cluster-users.test.ts
+++ b/test/cluster-users.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOBS, LEADER, PROGRESS } from '../src/state/records.js';
+import { JOBS, LEADER, PROGRESS } from '../src/store/records.js';
 import { until, wait } from './helpers.js';
 import { playAll, type Cluster, type Row } from './standins/cluster.js';
 import type { StateService } from './standins/state.js';
--- a/test/confirmation.test.ts
+++ b/test/confirmation.test.ts
@@ -5,8 +5,8 @@
 import type { ZoneLeaseWatch } from '../src/leadership/zone-lease.js';
 import { CancellationNotices } from '../src/cancellation/notices.js';
 import { CancellationConfirmation } from '../src/cancellation/confirmation.js';
-import type { JobFacts } from '../src/state/job-facts.js';
-import type { Replica } from '../src/state/replica.js';
+import type { StoredJob } from '../src/store/stored-job.js';
+import type { Replica } from '../src/store/replica.js';
 import { settings } from './helpers.js';
 import { fake } from './support/fake.js';
 
@@ -66,7 +66,7 @@
       nodes: 4, peers, replica, clock, rememberS: 100,
       waitUnlessNoted: (job, noted) => notices.waitUnlessNoted(job, noted),
     }); // prettier-ignore
-    const facts = { claims: 1, cancelledAt: 5 } as JobFacts;
+    const facts = { claimCount: 1, cancelledAt: 5 } as StoredJob;
     const first = await confirmation.confirm(facts, JOB);
     now = after;
     const last = after === 0 ? first : await confirmation.confirm(facts, JOB);
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -11,8 +11,8 @@
 import { FEATURES } from '../src/peers/messages.js';
 import { ActiveSubsystems } from '../src/subsystems/active-subsystems.js';
 import type { Subsystem } from '../src/subsystems/subsystem.js';
-import * as records from '../src/state/records.js';
-import { Replica } from '../src/state/replica.js';
+import * as records from '../src/store/records.js';
+import { Replica } from '../src/store/replica.js';
 import { settings, settingsText, spec } from './helpers.js';
 import { World } from './meeting-helpers.js';
 import { poolText, warmPools } from './pool-helpers.js';
@@ -224,7 +224,7 @@
   const streamed = new Replica(8192);
   streamed.advance(3, [{ kind: 'put', ...item }]);
   const listed = new Replica(8192);
-  listed.item(item);
+  listed.applyListed(item);
   for (const replica of [streamed, listed]) {
     assert.deepEqual(
       [...replica.subsystems.of('later')],
@@ -235,9 +235,9 @@
     assert.equal(replica.subsystems.of('later').size, 1, 'a removal that is older');
   }
   streamed.advance(5, [{ kind: 'removed', key, revision: 5 }]);
-  listed.retain(new Set(), 5);
+  listed.removeMissing(new Set(), 5);
   for (const replica of [streamed, listed]) {
     assert.equal(replica.subsystems.of('later').size, 0);
-    assert.equal(replica.garbage, 0);
+    assert.equal(replica.malformedRecords, 0);
   }
 });
--- a/test/large.test.ts
+++ b/test/large.test.ts
@@ -4,7 +4,7 @@
 import { silentLog } from '../src/log.js';
 import { DEFAULT_POLICY } from '../src/operator/policy.js';
 import { Controller } from '../src/controller/controller.js';
-import * as records from '../src/state/records.js';
+import * as records from '../src/store/records.js';
 import { freePort, g8, settingsText, spec, until, wait } from './helpers.js';
 import { Cloud, MACHINE_GPUS } from './standins/cloud.js';
 import { RuleChecker } from './standins/rules.js';
@@ -31,7 +31,7 @@
     const value = JSON.parse(JSON.stringify(data)) as unknown;
     state.keys.set(key, { value, mark: ++state.ledger, loan: undefined });
   };
-  put(records.TYPES, records.encodeTypes([g8]));
+  put(records.MACHINE_TYPES, records.encodeMachineTypes([g8]));
   const id = (i: number): string => `wk-${String(i).padStart(6, '0')}`;
   const host = (i: number): string => `host-${String(i).padStart(6, '0')}`;
   for (let i = 0; i < JOBS; i += 20) {
@@ -39,8 +39,8 @@
       spec: spec({ id: id(i + k), kind: 'service' }),
       atMs: Date.now(),
     }));
-    const cancels = i < OPEN ? [] : jobs.map((j) => j.spec.id);
-    put(`${records.JOBS}x-${i}`, records.encodeSubmissions({ jobs, cancels }));
+    const cancelledIds = i < OPEN ? [] : jobs.map((j) => j.spec.id);
+    put(`${records.JOBS}x-${i}`, records.encodeRequestBatch({ jobs, cancelledIds }));
   }
   const images = Array.from({ length: 32 }, (_, k): [string, number] => [`image-${k}`, 34.3]);
   const claims = (i: number): records.Claim[] =>
--- a/test/lending-failures.test.ts
+++ b/test/lending-failures.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import * as records from '../src/state/records.js';
+import * as records from '../src/store/records.js';
 import { BORROWER, LENDER, LendingWorld, OTHER, POINTS, type Point } from './lending-helpers.js';
 
 interface Trouble {
--- a/test/lending-helpers.ts
+++ b/test/lending-helpers.ts
@@ -9,7 +9,7 @@
 import { holdsGpus, isOpen, LOAN_PREFIX, decodeLoan, type Loan } from '../src/lending/loan.js';
 import type { Leader } from '../src/leader/leader.js';
 import type { Subsystem } from '../src/subsystems/subsystem.js';
-import * as records from '../src/state/records.js';
+import * as records from '../src/store/records.js';
 import type { TaskReport } from '../src/wire/workers.js';
 import { settings } from './helpers.js';
 import { Fleet, Worker, World } from './meeting-helpers.js';
@@ -361,7 +361,9 @@
    */
   async wake(old: Leader, seconds: number): Promise<void> {
     const parts = old as unknown as LeaderParts;
-    Object.assign(old.term.deps, { entitled: () => true, writing: () => true });
+    const { deps } = old.term;
+    deps.entitled = () => true;
+    deps.writing = () => true;
     for (let left = seconds; left > 0; left -= REPORT_S) {
       parts.pass();
       for (let i = 0; i < 5; i++) await parts.store.flush();
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -22,7 +22,7 @@
 import { judge, latestReturnS, type LenderWork } from '../src/lending/safety.js';
 import { loansView } from '../src/lending/view.js';
 import { loansTable } from '../src/lending/command.js';
-import { Refused } from '../src/state/client.js';
+import { RequestRejectedError } from '../src/store/client.js';
 import { WayBackTimes } from '../src/lending/way-back.js';
 import { makeAttempt } from '../src/workers/attempt.js';
 import type { LiveJobView, TermView } from '../src/subsystems/subsystem.js';
@@ -357,10 +357,10 @@
     name: 'a loan that cannot be stored promises nothing, and serving gets its place all the same',
     async play(w) {
       await filled(w);
-      const put = w.store.commit.bind(w.store);
-      w.store.commit = (guards, ops) => {
+      const put = w.store.compareAndSwap.bind(w.store);
+      w.store.compareAndSwap = (guards, ops) => {
         const isLoan = ops.some((op) => 'put' in op && op.put.includes('/lending/'));
-        return isLoan ? Promise.reject(new Refused(400)) : put(guards, ops);
+        return isLoan ? Promise.reject(new RequestRejectedError(400)) : put(guards, ops);
       };
       w.service({ id: BORROWER });
       await w.runUntil('it is served', serves(w), REPORT_S * 20);
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -5,8 +5,8 @@
 import type { Answer, Question } from '../src/peers/messages.js';
 import type { PeerNet } from '../src/peers/net.js';
 import { silentLog } from '../src/log.js';
-import type { ReplicaSync } from '../src/state/replica-sync.js';
-import * as records from '../src/state/records.js';
+import type { ReplicaSync } from '../src/store/replica-sync.js';
+import * as records from '../src/store/records.js';
 import { MemoryStore } from './meeting-helpers.js';
 import { fake, type Partially } from './support/fake.js';
 
@@ -116,7 +116,7 @@
     const c = new Controller(store, 'a', () => answers);
     await c.stand();
     store.mode = 'refuse';
-    store.extend = () => store.get('').then(() => true);
+    store.keepLeaseAlive = () => store.get('').then(() => true);
     c.now += LIFE * 0.7;
     await c.steps.leadStep();
     c.now += LIFE * 0.35;
@@ -168,7 +168,7 @@
     const token = store.put(records.LEADER, records.encodeLeader({ node: 'b', incarnation: 'b' }));
     const c = new Controller(store, 'a', () => answers);
     store.mode = 'refuse';
-    Object.assign(store, { refusedSince: c.now - LIFE * forLives });
+    store.rejectedSince = c.now - LIFE * forLives;
     if (acknowledged) c.election.acknowledge(token + 1);
     assert.equal(await c.election.outage.mayKeep(), keeps, name);
     if (!keeps) continue;
@@ -220,7 +220,7 @@
       const other = lives >= electedAt && lives < goneAt;
       if (other !== store.revision(records.LEADER) > 0 && leader === undefined) {
         if (other) put(store, 'b');
-        else await store.commit([], [{ remove: records.LEADER }]);
+        else await store.compareAndSwap([], [{ remove: records.LEADER }]);
         await c.sync();
       }
       const stepped = c.steps.followStep();
--- a/test/meeting-helpers.ts
+++ b/test/meeting-helpers.ts
@@ -13,10 +13,15 @@
 import type { Scheduler } from '../src/leader/scheduler.js';
 import type { CapacityManager } from '../src/leader/capacity.js';
 import type { Subsystem } from '../src/subsystems/subsystem.js';
-import { Refused, Unanswered, type CommitResult, type StateClient } from '../src/state/client.js';
-import * as records from '../src/state/records.js';
-import { Replica } from '../src/state/replica.js';
-import type { Change, Guard, Item, Op } from '../src/wire/state.js';
+import {
+  RequestRejectedError,
+  OutcomeUnknownError,
+  type CompareAndSwapResult,
+  type KeyValueStoreClient,
+} from '../src/store/client.js';
+import * as records from '../src/store/records.js';
+import { Replica } from '../src/store/replica.js';
+import type { Change, Precondition, KeyValue, Operation } from '../src/wire/key-value-store.js';
 import type { Command, Report, TaskReport } from '../src/wire/workers.js';
 import { attemptKey } from '../src/workers/attempt.js';
 import type { Machine } from '../src/workers/machine.js';
@@ -28,30 +33,30 @@
 
 /** A state service by the protocol. Its methods are those of the client that the code under test uses. */
 export class MemoryStore implements Pick<
-  StateClient,
-  'commit' | 'get' | 'changes' | 'grant' | 'extend' | 'setRole'
+  KeyValueStoreClient,
+  'compareAndSwap' | 'get' | 'changes' | 'grantLease' | 'keepLeaseAlive' | 'setRole'
 > {
   mode: Mode = 'serve';
   ledger = 0;
   commits = 0;
   readonly valueBytes = 8192;
-  readonly txnOps = 20;
-  readonly refusedSince: number | null = null;
+  readonly operationsPerTransaction = 20;
+  rejectedSince: number | null = null;
   readonly writes = { available: 1e6, capacity: 1e6, force: () => undefined, wait: () => 0 };
-  private readonly items = new Map<string, Item>();
+  private readonly items = new Map<string, KeyValue>();
   private readonly log: Change[] = [];
   private readonly held: (() => void)[] = [];
   private leases = 0;
 
-  client(): StateClient {
-    return fake<StateClient>(this);
+  client(): KeyValueStoreClient {
+    return fake<KeyValueStoreClient>(this);
   }
 
   setRole(): void {
     // No limits to share out.
   }
 
-  private apply(guards: Guard[], ops: Op[]): CommitResult {
+  private apply(guards: Precondition[], ops: Operation[]): CompareAndSwapResult {
     const failed = guards.filter((g) => (this.items.get(g.key)?.revision ?? 0) !== g.revision);
     if (failed.length > 0) return { ok: false, failed: failed.map((g) => g.key) };
     if (ops.length > 0) this.ledger++;
@@ -69,15 +74,15 @@
     return { ok: true, revision: this.ledger };
   }
 
-  commit(guards: Guard[], ops: Op[]): Promise<CommitResult> {
+  compareAndSwap(guards: Precondition[], ops: Operation[]): Promise<CompareAndSwapResult> {
     this.commits++;
-    if (this.mode === 'refuse') return Promise.reject(new Refused(503));
+    if (this.mode === 'refuse') return Promise.reject(new RequestRejectedError(503));
     if (this.mode === 'hold back') {
       this.held.push(() => this.apply(guards, ops));
-      return Promise.reject(new Unanswered('held back'));
+      return Promise.reject(new OutcomeUnknownError('held back'));
     }
     const result = this.apply(guards, ops);
-    if (this.mode === 'lose answers') return Promise.reject(new Unanswered('answer lost'));
+    if (this.mode === 'lose answers') return Promise.reject(new OutcomeUnknownError('answer lost'));
     return Promise.resolve(result);
   }
 
@@ -86,22 +91,22 @@
     for (const late of this.held.splice(0)) late();
   }
 
-  get(key: string): Promise<Item | null> {
-    if (this.mode === 'refuse') return Promise.reject(new Refused(503));
+  get(key: string): Promise<KeyValue | null> {
+    if (this.mode === 'refuse') return Promise.reject(new RequestRejectedError(503));
     return Promise.resolve(this.items.get(key) ?? null);
   }
 
   changes(_prefix: string, after: number): Promise<{ revision: number; changes: Change[] }> {
-    if (this.mode === 'refuse') return Promise.reject(new Refused(503));
+    if (this.mode === 'refuse') return Promise.reject(new RequestRejectedError(503));
     const changes = this.log.filter((c) => c.revision > after);
     return Promise.resolve({ revision: this.ledger, changes });
   }
 
-  grant(): Promise<number> {
+  grantLease(): Promise<number> {
     return Promise.resolve(++this.leases);
   }
 
-  extend(): Promise<boolean> {
+  keepLeaseAlive(): Promise<boolean> {
     return Promise.resolve(true);
   }
 
@@ -124,12 +129,15 @@
 
   /** Keys begin with the controller that writes them: what comes later may be listed first. */
   accept(over: Partial<JobSpec>, atMs = 0, writer = 'b'): number {
-    const value = records.encodeSubmissions({ jobs: [{ spec: spec(over), atMs }], cancels: [] });
+    const value = records.encodeRequestBatch({
+      jobs: [{ spec: spec(over), atMs }],
+      cancelledIds: [],
+    });
     return this.put(`${records.JOBS}${writer}-${this.ledger}`, value);
   }
 
   cancel(id: string, writer = 'b'): number {
-    const value = records.encodeSubmissions({ jobs: [], cancels: [id] });
+    const value = records.encodeRequestBatch({ jobs: [], cancelledIds: [id] });
     return this.put(`${records.JOBS}${writer}-${this.ledger}`, value);
   }
 
@@ -144,10 +152,10 @@
     const replica = new Replica(this.valueBytes);
     replica.listener = listener;
     const keys = [...this.items.keys()].sort();
-    for (const key of keys) replica.item(this.items.get(key)!);
-    replica.retain(new Set(keys), this.ledger);
+    for (const key of keys) replica.applyListed(this.items.get(key)!);
+    replica.removeMissing(new Set(keys), this.ledger);
     replica.applied = this.ledger;
-    replica.listed();
+    replica.listingComplete();
     return replica;
   }
 }
@@ -313,7 +321,7 @@
   ) {
     this.fleet = extras.fleet ?? new Fleet(this.settings.workers.lease_s);
     this.settings.teams.set('t', { name: 't', cores: 0, coresMax: 0, gpus: 0, gpusMax });
-    this.store.put(records.TYPES, [g8]);
+    this.store.put(records.MACHINE_TYPES, [g8]);
     this.takeOver();
   }
 
--- a/test/meeting-limits.test.ts
+++ b/test/meeting-limits.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { JobSpec } from '../src/jobs/types.js';
 import { neverRuns } from '../src/scheduler/quota.js';
-import * as records from '../src/state/records.js';
+import * as records from '../src/store/records.js';
 import { g8, settings, spec } from './helpers.js';
 import { World } from './meeting-helpers.js';
 
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobKind } from '../src/jobs/types.js';
-import { outcome } from '../src/state/job-facts.js';
+import { outcome } from '../src/store/stored-job.js';
 import type { Report, TaskReport } from '../src/wire/workers.js';
 import type { Machine } from '../src/workers/machine.js';
 import { World, type Worker } from './meeting-helpers.js';
--- a/test/meeting-records.test.ts
+++ b/test/meeting-records.test.ts
@@ -1,8 +1,8 @@
 /** Records that are written, listed and removed while transactions and reports come late. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { outcome } from '../src/state/job-facts.js';
-import * as records from '../src/state/records.js';
+import { outcome } from '../src/store/stored-job.js';
+import * as records from '../src/store/records.js';
 import { MemoryStore, World } from './meeting-helpers.js';
 
 const JOB = 'wk-000001';
--- a/test/meeting-users.test.ts
+++ b/test/meeting-users.test.ts
@@ -1,8 +1,8 @@
 /** Meetings of users' requests with one another and with a state service that answers late or not. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import * as records from '../src/state/records.js';
-import { outcome } from '../src/state/job-facts.js';
+import * as records from '../src/store/records.js';
+import { outcome } from '../src/store/stored-job.js';
 import { MemoryStore } from './meeting-helpers.js';
 import { body, JOB, told, VALID, usersSide, type UsersSide } from './users-helpers.js';
 
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { World } from './meeting-helpers.js';
-import * as records from '../src/state/records.js';
+import * as records from '../src/store/records.js';
 
 const JOB = 'wk-000001';
 const OTHER = 'wk-000002';
--- a/test/meeting-witness.test.ts
+++ b/test/meeting-witness.test.ts
@@ -5,10 +5,10 @@
 import { encodeFrame, MAX_FRAME } from '../src/peers/frames.js';
 import type { PeerNet } from '../src/peers/net.js';
 import { silentLog } from '../src/log.js';
-import { Refused, Unanswered } from '../src/state/client.js';
-import type { ReplicaSync } from '../src/state/replica-sync.js';
-import * as records from '../src/state/records.js';
-import { Replica } from '../src/state/replica.js';
+import { RequestRejectedError, OutcomeUnknownError } from '../src/store/client.js';
+import type { ReplicaSync } from '../src/store/replica-sync.js';
+import * as records from '../src/store/records.js';
+import { Replica } from '../src/store/replica.js';
 import { MemoryStore } from './meeting-helpers.js';
 import { fake } from './support/fake.js';
 
@@ -60,9 +60,9 @@
   store.get = () => new Promise((_, reject) => looks.push(reject));
   const unsure = election.outage.answer(1, 1000, 0);
   const refused = election.outage.answer(1, 2000, 0);
-  looks[0]!(new Unanswered('no answer'));
+  looks[0]!(new OutcomeUnknownError('no answer'));
   assert.equal((await unsure).refused, undefined);
-  looks[1]!(new Refused(503));
+  looks[1]!(new RequestRejectedError(503));
   assert.equal((await refused).refused, true);
   assert.ok(election.acknowledge(5) >= 2, 'promised for two seconds');
 });
--- a/test/pass-helpers.ts
+++ b/test/pass-helpers.ts
@@ -6,8 +6,8 @@
 import { NO_SUBSYSTEMS } from '../src/subsystems/active-subsystems.js';
 import { Term } from '../src/leader/term.js';
 import { CapacityManager } from '../src/leader/capacity.js';
-import * as records from '../src/state/records.js';
-import { Replica } from '../src/state/replica.js';
+import * as records from '../src/store/records.js';
+import { Replica } from '../src/store/replica.js';
 import type { Machine } from '../src/workers/machine.js';
 import type { TaskReport } from '../src/wire/workers.js';
 import { g8, settings, spec } from './helpers.js';
@@ -26,7 +26,7 @@
   keptUntil = -Infinity;
 
   constructor(gpusMax = 100, withinS = 0, subsystems = NO_SUBSYSTEMS) {
-    this.replica.types = [g8];
+    this.replica.machineTypes = [g8];
     const s = settings();
     s.teams.set('t', { name: 't', cores: 0, coresMax: 0, gpus: 0, gpusMax });
     if (withinS > 0) s.objectives.push({ kind: 'wait', class: 'c', within_s: withinS });
@@ -80,11 +80,11 @@
 
   job(over: Partial<JobSpec>): void {
     const s = spec(over);
-    const value = records.encodeSubmissions({
+    const value = records.encodeRequestBatch({
       jobs: [{ spec: s, atMs: this.now * 1000 }],
-      cancels: [],
+      cancelledIds: [],
     });
-    this.replica.item({
+    this.replica.applyListed({
       key: `${records.JOBS}x-${this.revision}`,
       value,
       revision: this.revision++,
--- a/test/pipeline-users.test.ts
+++ b/test/pipeline-users.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CancellationConfirmation } from '../src/cancellation/confirmation.js';
-import * as records from '../src/state/records.js';
-import { outcome } from '../src/state/job-facts.js';
+import * as records from '../src/store/records.js';
+import { outcome } from '../src/store/stored-job.js';
 import { MemoryStore } from './meeting-helpers.js';
 import { body, JOB, told, usersSide } from './users-helpers.js';
 
@@ -52,7 +52,11 @@
     const facts = replica.jobs.get(JOB);
     if (!want.startsWith('201')) assert.equal(made.ledger, before, `${name}: nothing is stored`);
     else
-      assert.equal(facts?.readyAt === null, want === '201 cancelled' || facts?.missing === 1, name);
+      assert.equal(
+        facts?.readyAt === null,
+        want === '201 cancelled' || facts?.unmetDependencies === 1,
+        name,
+      );
     // The same at any other controller, and what was accepted is never refused later.
     const other = usersSide(made, 'b').users;
     const again = want.startsWith('201') ? want.replace('201', '200') : want;
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -3,10 +3,10 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { Outlooks } from '../src/pipelines/outlook.js';
-import { outcome, type JobFacts } from '../src/state/job-facts.js';
-import * as records from '../src/state/records.js';
-import { Replica } from '../src/state/replica.js';
-import type { Change } from '../src/wire/state.js';
+import { outcome, type StoredJob } from '../src/store/stored-job.js';
+import * as records from '../src/store/records.js';
+import { Replica } from '../src/store/replica.js';
+import type { Change } from '../src/wire/key-value-store.js';
 import { spec } from './helpers.js';
 
 type Put = Extract<Change, { kind: 'put' }>;
@@ -75,7 +75,7 @@
       const prefix = awaits.length > 0 ? records.DEPENDENT_JOBS : records.JOBS;
       // Names of writers come in no order: a listing may show the later of two acceptances first.
       const key = `${prefix}${(now * 7) % 10}-${now}`;
-      put(key, records.encodeSubmissions({ jobs: [accepted], cancels: [] }));
+      put(key, records.encodeRequestBatch({ jobs: [accepted], cancelledIds: [] }));
     } else if (known === undefined) continue;
     else if (step.what === 'cancel') {
       known.cancelledAt = Math.min(known.cancelledAt, now);
@@ -129,16 +129,19 @@
   const made = replica();
   const latest = new Map<string, Put>();
   for (const change of changes.slice(0, listedUpTo)) latest.set(change.key, change);
-  for (const key of order([...latest.keys()], salt)) made.replica.item(latest.get(key)!);
+  for (const key of order([...latest.keys()], salt)) made.replica.applyListed(latest.get(key)!);
   made.replica.applied = listedUpTo;
-  made.replica.listed();
+  made.replica.listingComplete();
   for (const change of changes.slice(listedUpTo)) made.replica.advance(change.revision, [change]);
   return made;
 }
 
-function shown(facts: JobFacts): object {
-  const { acceptedAt, cancelledAt, cancelledWithNeeded, readyAt, readyMs } = facts;
-  const cancelled = outcome(facts) === 'cancelled' ? { cancelledAt, cancelledWithNeeded } : {};
+function shown(facts: StoredJob): object {
+  const { acceptedAt, cancelledAt, cancelledByDependency, readyAt, readyMs } = facts;
+  const cancelled =
+    outcome(facts) === 'cancelled'
+      ? { cancelledAt, cancelledWithNeeded: cancelledByDependency }
+      : {};
   return { outcome: outcome(facts), acceptedAt, readyAt, readyMs, ...cancelled };
 }
 
@@ -186,7 +189,9 @@
 const accept = (job: object, revision: number, prefix = records.DEPENDENT_JOBS): Put => ({
   kind: 'put',
   key: `${prefix}a-${revision}`,
-  value: through(records.encodeSubmissions({ jobs: [{ spec: spec(job), atMs: 0 }], cancels: [] })),
+  value: through(
+    records.encodeRequestBatch({ jobs: [{ spec: spec(job), atMs: 0 }], cancelledIds: [] }),
+  ),
   revision,
 });
 const cancel = (id: string, revision: number): Put => ({
@@ -263,7 +268,7 @@
     cancel('wk-2', 5),
     cancel('wk-3', 6),
   ]);
-  copy.trim(1);
+  copy.compactFinished(1);
   copy.advance(8, [accept({ id: 'wk-4', awaits: ['wk-1'] }, 7), accept({ id: 'wk-5', awaits: ['wk-1', 'wk-2'] }, 8)]); // prettier-ignore
   assert.equal(ready.at(-1), 'wk-4');
   assert.equal(outcome(copy.jobs.get('wk-5')!), 'cancelled');
--- a/test/pool-helpers.ts
+++ b/test/pool-helpers.ts
@@ -13,7 +13,7 @@
 import { g8, settings } from './helpers.js';
 import { fake } from './support/fake.js';
 import { World, type Worker } from './meeting-helpers.js';
-import * as records from '../src/state/records.js';
+import * as records from '../src/store/records.js';
 
 /** Seconds of the tests' clock at which the declared burst begins: 13:47:00 on 12 January 1970, UTC. */
 export const BURST_AT = 20;
--- a/test/progress-parts.test.ts
+++ b/test/progress-parts.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BitSet } from '../src/jobs/bit-set.js';
-import { outcome } from '../src/state/job-facts.js';
-import * as records from '../src/state/records.js';
+import { outcome } from '../src/store/stored-job.js';
+import * as records from '../src/store/records.js';
 import { World } from './meeting-helpers.js';
 
 const JOB = 'wk-000001';
--- a/test/quorum.test.ts
+++ b/test/quorum.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import { QuorumAcknowledgement } from '../src/leadership/quorum.js';
-import { ACKS } from '../src/state/records.js';
+import { ACKNOWLEDGEMENTS } from '../src/store/records.js';
 import { until, wait } from './helpers.js';
 import { Cluster } from './standins/cluster.js';
 
@@ -75,7 +75,8 @@
   await until('acknowledged in the store', () => {
     const token = cluster.controllers[cluster.leader()]?.election.token ?? 0;
     return [...cluster.state.keys].some(
-      ([key, entry]) => key.startsWith(ACKS) && (entry.value as { t: number }).t === token,
+      ([key, entry]) =>
+        key.startsWith(ACKNOWLEDGEMENTS) && (entry.value as { t: number }).t === token,
     );
   });
 });
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { BitSet } from '../src/jobs/bit-set.js';
 import { LiveJob } from '../src/jobs/live.js';
-import * as records from '../src/state/records.js';
-import { outcome, specOf } from '../src/state/job-facts.js';
-import { Replica } from '../src/state/replica.js';
+import * as records from '../src/store/records.js';
+import { outcome, specOf } from '../src/store/stored-job.js';
+import { Replica } from '../src/store/replica.js';
 import { makeAttempt } from '../src/workers/attempt.js';
 import { spec } from './helpers.js';
 
@@ -14,13 +14,13 @@
 const job = (revision: number) =>
   put(
     `${records.JOBS}a-${revision}`,
-    records.encodeSubmissions({ jobs: [accepted()], cancels: [] }),
+    records.encodeRequestBatch({ jobs: [accepted()], cancelledIds: [] }),
     revision,
   );
 const cancel = (revision: number) =>
   put(
     `${records.JOBS}c-${revision}`,
-    records.encodeSubmissions({ jobs: [], cancels: ['wk-000001'] }),
+    records.encodeRequestBatch({ jobs: [], cancelledIds: ['wk-000001'] }),
     revision,
   );
 const done = (revision: number, bits: string | null = null) =>
@@ -45,7 +45,7 @@
     const orders = [changes, [...changes].reverse(), listed];
     for (const order of orders) {
       const r = new Replica(8192);
-      for (const c of order) r.item(c);
+      for (const c of order) r.applyListed(c);
       assert.equal(outcome(r.jobs.get('wk-000001')!), want, name);
     }
   }
@@ -55,7 +55,7 @@
   const r = new Replica(8192);
   r.advance(9, [job(7), job(8), put(`${records.JOBS}x`, { s: 5 }, 9)]);
   assert.equal(r.jobs.size, 1);
-  assert.equal(r.garbage, 1);
+  assert.equal(r.malformedRecords, 1);
   r.advance(9, [cancel(3)]);
   assert.equal(outcome(r.jobs.get('wk-000001')!), 'open');
   assert.equal(r.applied, 9);
@@ -81,10 +81,10 @@
 
 test('the largest array fits into the values of the state service', () => {
   const r = new Replica(8192);
-  r.item(
+  r.applyListed(
     put(
       `${records.JOBS}a`,
-      records.encodeSubmissions({ jobs: [accepted({ tasks: 100_000 })], cancels: [] }),
+      records.encodeRequestBatch({ jobs: [accepted({ tasks: 100_000 })], cancelledIds: [] }),
       1,
     ),
   );
@@ -102,7 +102,7 @@
 
 test('the life of a task: wanted, claimed, lost, wanted again, done, stored', () => {
   const r = new Replica(8192);
-  r.item(job(1));
+  r.applyListed(job(1));
   const live = new LiveJob(
     r.jobs.get('wk-000001')!,
     { kind: 'chunks', tasksEach: r.chunkTasks },
@@ -152,7 +152,7 @@
   for (const [name, changes, before, out, trimmed] of cases) {
     const r = new Replica(8192);
     r.advance(9, changes);
-    r.trim(before);
+    r.compactFinished(before);
     const facts = r.jobs.get('wk-000001')!;
     assert.equal(specOf(facts) === null, trimmed, name);
     assert.equal(facts.spec.tasks, 2, name);
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -5,7 +5,7 @@
 import { CancellationNotices } from '../src/cancellation/notices.js';
 import { RelayWait } from '../src/heartbeat/relay-wait.js';
 import { Reports } from '../src/heartbeat/reports.js';
-import type { Replica } from '../src/state/replica.js';
+import type { Replica } from '../src/store/replica.js';
 import { ANSWER_WAIT_S } from '../src/wire/workers.js';
 import { settings } from './helpers.js';
 import { fake } from './support/fake.js';
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -4,11 +4,11 @@
 import type { PeerNet } from '../src/peers/net.js';
 import { RequestForwarder } from '../src/api/request-forwarder.js';
 import type { Users } from '../src/api/users.js';
-import type { Health, StateClient } from '../src/state/client.js';
-import { Refused, Unanswered } from '../src/state/client.js';
-import type { ReplicaSync } from '../src/state/replica-sync.js';
-import { RequestWriter } from '../src/state/request-writer.js';
-import type { Replica } from '../src/state/replica.js';
+import type { StoreHealth, KeyValueStoreClient } from '../src/store/client.js';
+import { RequestRejectedError, OutcomeUnknownError } from '../src/store/client.js';
+import type { ReplicaSync } from '../src/store/replica-sync.js';
+import { RequestWriter } from '../src/store/request-writer.js';
+import type { Replica } from '../src/store/replica.js';
 import { Budget, steadyClock } from '../src/clock.js';
 import { silentLog } from '../src/log.js';
 import { spec } from './helpers.js';
@@ -18,7 +18,7 @@
 
 /** A forwarder over stand-ins: `own` is what this controller can answer by itself. */
 function forwarder(
-  health: Health,
+  health: StoreHealth,
   own: number,
   peers: Peers,
   final = false,
@@ -50,7 +50,7 @@
 
 test("users' requests reach a controller that is served, if there is one", async () => {
   // A controller that alone was refused once answered 503 to all its users for as long as that took.
-  const cases: [string, Health, number, Peers, boolean, number, string[]][] = [
+  const cases: [string, StoreHealth, number, Peers, boolean, number, string[]][] = [
     ['served here', 'served', 201, { a: { status: 500 } }, false, 201, []],
     ['shed here: not passed on', 'served', 503, { a: { status: 201 } }, false, 503, []],
     ['refused here, served there', 'refused', 503, { a: { status: 201 } }, false, 201, ['a']],
@@ -105,7 +105,14 @@
 });
 
 test('what is passed on goes no further, and is taken only where it can be answered', async () => {
-  const cases: [string, Health, number, QuestionOf<'user'>['to'], string, number | undefined][] = [
+  const cases: [
+    string,
+    StoreHealth,
+    number,
+    QuestionOf<'user'>['to'],
+    string,
+    number | undefined,
+  ][] = [
     ['served', 'served', 201, 'submit', '{}', 201],
     ['a poll', 'served', 200, 'poll', 'wk-1', 200],
     ['refused too', 'refused', 503, 'submit', '{}', undefined],
@@ -120,16 +127,16 @@
 
 test('a submission that cannot be stored is given up at once, not held back', async () => {
   const cases: [string, () => Error, number][] = [
-    ['outage', () => new Refused(503), 1],
-    ['malformed', () => new Refused(400), 1],
-    ['no connection', () => new Refused(0), 2],
-    ['no answer', () => new Unanswered('timeout'), 2],
+    ['outage', () => new RequestRejectedError(503), 1],
+    ['malformed', () => new RequestRejectedError(400), 1],
+    ['no connection', () => new RequestRejectedError(0), 2],
+    ['no answer', () => new OutcomeUnknownError('timeout'), 2],
   ];
   for (const [name, failure, tries] of cases) {
     let commits = 0;
-    const state = fake<StateClient>({
+    const state = fake<KeyValueStoreClient>({
       valueBytes: 8192,
-      commit: () => {
+      compareAndSwap: () => {
         commits++;
         return Promise.reject(failure());
       },
@@ -161,7 +168,10 @@
     ['larger values', 9, 32768, 3000, false],
   ];
   for (const [name, rate, valueBytes, jobs, full] of cases) {
-    const state = fake<StateClient>({ valueBytes, commit: () => new Promise(() => undefined) });
+    const state = fake<KeyValueStoreClient>({
+      valueBytes,
+      compareAndSwap: () => new Promise(() => undefined),
+    });
     const budget = new Budget(rate, { now: () => 0 });
     const requestWriter = new RequestWriter(
       'n', state, null!, null!, budget, steadyClock, silentLog(),
--- a/test/state-shares.test.ts
+++ b/test/state-shares.test.ts
@@ -1,14 +1,14 @@
 /** What a controller may write of the state service. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { StateClient } from '../src/state/client.js';
+import { KeyValueStoreClient } from '../src/store/client.js';
 import { settings } from './helpers.js';
 
 test('a follower may store the jobs of a pipeline at once, and then its share of all writes', () => {
   const clock = { at: 0, now: () => clock.at };
   const s = settings();
   const limits = { ...s.state, write_rps: 20 };
-  const client = new StateClient({ ...s, nodes: 5, state: limits }, clock);
+  const client = new KeyValueStoreClient({ ...s, nodes: 5, state: limits }, clock);
   clock.at = 10;
   const taken = (): number => {
     let n = 0;
--- a/test/subsystems.test.ts
+++ b/test/subsystems.test.ts
@@ -68,7 +68,8 @@
     report(b, 'm1');
     b.job({ id: 'wk-1', gpus: 8, cores: 8, zone: 'z1' });
     const { demand, rooms } = b.scheduler.pass();
-    Object.assign(b.capacity, { demand, rooms });
+    b.capacity.demand = demand;
+    b.capacity.rooms = rooms;
     const wanted = b.capacity.wanted().filter(({ zone }) => zone === 'z1');
     assert.equal(wanted.length, count);
   }
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -33,7 +33,7 @@
   type QuestionKind,
 } from '../../src/peers/messages.js';
 import { seedRandom } from '../../src/random.js';
-import * as records from '../../src/state/records.js';
+import * as records from '../../src/store/records.js';
 import { billTable, statusTable } from '../../src/warm-pools/command.js';
 import {
   decodeSlot,
@@ -44,7 +44,7 @@
 } from '../../src/warm-pools/slot.js';
 import { poolsView } from '../../src/warm-pools/view.js';
 import * as cloud from '../../src/wire/cloud.js';
-import * as store from '../../src/wire/state.js';
+import * as store from '../../src/wire/key-value-store.js';
 import * as users from '../../src/wire/users.js';
 import * as workers from '../../src/wire/workers.js';
 import { settings, settingsText, spec } from '../helpers.js';
@@ -94,24 +94,24 @@
     ],
   };
   return {
-    commit: store.encodeCommit(
+    commit: store.encodeTransaction(
       [{ key: 'ps/l', revision: 4 }],
       [{ put: 'ps/n/n-0', value: { i: 'n-0' }, lease: 7 }, { put: 'a', value: 1 }, { remove: 'b' }],
     ),
     paths: [
-      store.COMMIT_PATH,
-      store.GRANTS_PATH,
-      store.grantPath(7),
-      store.extendPath(7),
+      store.TRANSACTION_PATH,
+      store.LEASES_PATH,
+      store.leasePath(7),
+      store.leaseKeepAlivePath(7),
       store.keyPath('ps/l'),
       store.listPath('ps/', ''),
       store.listPath('ps/', 'ps/m/a b'),
       store.changesPath('ps/', 12, 1500),
     ],
-    life: store.encodeLife(3000),
+    life: store.encodeLeaseTtl(3000),
     revision: store.parseRevision({ ledger: 4 }),
-    failed: store.parseFailed({ failed: ['a'] }),
-    lease: store.parseLease({ loan: 7 }),
+    failed: store.parseFailedKeys({ failed: ['a'] }),
+    lease: store.parseLeaseId({ loan: 7 }),
     item: Object.values(store.parseItem({ path: 'a', data: 1, mark: 2 })),
     page: json(Object.values(store.parsePage({ items: [], more: true, ledger: 3 }))),
     changes: json(store.parseChanges(changes).changes.map((change) => Object.values(change))),
@@ -121,7 +121,7 @@
         outcomeOf(() => store.parseItem(raw)),
         outcomeOf(() => store.parsePage(raw)),
         outcomeOf(() => Object.values(store.parseChanges(raw))),
-        outcomeOf(() => store.parseLease(raw)),
+        outcomeOf(() => store.parseLeaseId(raw)),
       ],
     ),
   };
@@ -293,9 +293,9 @@
     )),
     images: Array.from({ length: 8 }, (_, i): [string, number] => [`img-${i}`, 6.2]),
   }; // prettier-ignore
-  const submissions = records.encodeSubmissions({
+  const submissions = records.encodeRequestBatch({
     jobs: [fullSpec, spec({ kind: 'service' })].map((each) => ({ spec: each, atMs: 1000 })),
-    cancels: ['wk-000398'],
+    cancelledIds: ['wk-000398'],
   });
   const progress = [
     records.encodeProgress({ bits: null, attainedS: 12.4 }),
@@ -311,20 +311,20 @@
     records.encodeMachine(machine, 512, 'plain'),
   ];
   const leader = records.encodeLeader({ node: 'n-0', incarnation: 'n-0-x/1' });
-  const acknowledgement = records.encodeAck({ token: 41, remainsS: -0.5 });
-  const types = records.encodeTypes(cloud.parseTypes({
+  const acknowledgement = records.encodeAcknowledgement({ token: 41, remainsS: -0.5 });
+  const types = records.encodeMachineTypes(cloud.parseTypes({
     castings: [{ name: 'g8', cores: 96, gpus: 8, mem_gb: 768, hourly: 12, yards: ['a'] }],
   })); // prettier-ignore
   return {
     keys: [
       records.ROOT, records.JOBS, records.DEPENDENT_JOBS, records.VERSIONS, records.PROGRESS,
-      records.PROGRESS_PARTS, records.MACHINES, records.NODES, records.ACKS, records.LEADER,
-      records.TYPES, records.SUBSYSTEMS, records.progressKey('wk-1', 2),
-      records.progressPartKey('wk-1', 3), records.nodeKey('n-0'), records.versionKey('n-0'),
-      records.ackKey('n-0'), records.subsystemPrefix('lending'), records.machineKey('host-1'),
+      records.PROGRESS_PARTS, records.MACHINES, records.CONTROLLERS, records.ACKNOWLEDGEMENTS, records.LEADER,
+      records.MACHINE_TYPES, records.SUBSYSTEMS, records.progressKey('wk-1', 2),
+      records.progressPartKey('wk-1', 3), records.controllerKey('n-0'), records.versionKey('n-0'),
+      records.acknowledgementKey('n-0'), records.subsystemPrefix('lending'), records.machineKey('host-1'),
     ],
     submissions,
-    submissionsAgain: records.encodeSubmissions(records.decodeSubmissions(json(submissions))),
+    submissionsAgain: records.encodeRequestBatch(records.decodeRequestBatch(json(submissions))),
     progress,
     progressAgain: progress.map((value) => records.encodeProgress(records.decodeProgress(value))),
     versions,
@@ -332,11 +332,11 @@
     machines,
     machinesAgain: machines.map((value) => records.encodeMachine(records.decodeMachine(value))),
     leader: [leader, records.encodeLeader(records.decodeLeader(leader))],
-    acknowledgement: [acknowledgement, records.encodeAck(records.decodeAck(acknowledgement))],
-    types: [types, records.encodeTypes(records.decodeTypes(types))],
+    acknowledgement: [acknowledgement, records.encodeAcknowledgement(records.decodeAcknowledgement(acknowledgement))],
+    types: [types, records.encodeMachineTypes(records.decodeMachineTypes(types))],
     garbage: [null, {}, { t: 1 }, { d: 'wk-1:x' }].map((value) => [
       outcomeOf(() => records.encodeMachine(records.decodeMachine(value))),
-      outcomeOf(() => records.encodeSubmissions(records.decodeSubmissions(value))),
+      outcomeOf(() => records.encodeRequestBatch(records.decodeRequestBatch(value))),
       outcomeOf(() => records.encodeProgress(records.decodeProgress(value))),
     ]),
   }; // prettier-ignore
--- a/test/unplaced-requests.test.ts
+++ b/test/unplaced-requests.test.ts
@@ -4,16 +4,16 @@
 import { LiveJob } from '../src/jobs/live.js';
 import type { JobSpec } from '../src/jobs/types.js';
 import { UnplacedRequests } from '../src/leader/unplaced-requests.js';
-import { Replica } from '../src/state/replica.js';
-import * as records from '../src/state/records.js';
+import { Replica } from '../src/store/replica.js';
+import * as records from '../src/store/records.js';
 import { Bench } from './pass-helpers.js';
 import { spec } from './helpers.js';
 
 function job(over: Partial<JobSpec>, marks: Partial<LiveJob> = {}): LiveJob {
   const replica = new Replica(8192);
   const wanted = spec({ id: 'wk-1', kind: 'array', cores: 4, gpus: 1, memGb: 8, ...over });
-  const value = records.encodeSubmissions({ jobs: [{ spec: wanted, atMs: 0 }], cancels: [] });
-  replica.item({ key: `${records.JOBS}x-1`, value, revision: 1 });
+  const value = records.encodeRequestBatch({ jobs: [{ spec: wanted, atMs: 0 }], cancelledIds: [] });
+  replica.applyListed({ key: `${records.JOBS}x-1`, value, revision: 1 });
   return Object.assign(
     new LiveJob(replica.jobs.get('wk-1')!, { kind: 'chunks', tasksEach: 100 }, 0, 0),
     marks,
--- a/test/users-helpers.ts
+++ b/test/users-helpers.ts
@@ -2,9 +2,9 @@
 import type { Budget } from '../src/clock.js';
 import { Users, type UsersOptions } from '../src/api/users.js';
 import { silentLog } from '../src/log.js';
-import { ReplicaSync } from '../src/state/replica-sync.js';
-import type { Replica } from '../src/state/replica.js';
-import { RequestWriter } from '../src/state/request-writer.js';
+import { ReplicaSync } from '../src/store/replica-sync.js';
+import type { Replica } from '../src/store/replica.js';
+import { RequestWriter } from '../src/store/request-writer.js';
 import { g8, settings } from './helpers.js';
 import type { MemoryStore } from './meeting-helpers.js';
 import { fake } from './support/fake.js';
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -6,9 +6,9 @@
 import { Versions } from '../src/controller/versions.js';
 import { silentLog } from '../src/log.js';
 import { FEATURES, parseHello, PROTOCOL_VERSION } from '../src/peers/messages.js';
-import * as records from '../src/state/records.js';
-import { bytesWithoutImages } from '../src/state/machine-record.js';
-import { Replica } from '../src/state/replica.js';
+import * as records from '../src/store/records.js';
+import { bytesWithoutImages } from '../src/store/machine-record.js';
+import { Replica } from '../src/store/replica.js';
 
 /** As the version in production writes them: see its `made_by`. */
 const production = JSON.parse(readFileSync('test/fixtures/production.json', 'utf8')) as Record<
@@ -20,16 +20,16 @@
 
 test('what the version in production writes is read, and written to the letter as it reads it', () => {
   const cases: [string, unknown, (value: unknown) => unknown][] = [
-    ['submissions', production.submissions, (v) => records.encodeSubmissions(records.decodeSubmissions(v))],
+    ['submissions', production.submissions, (v) => records.encodeRequestBatch(records.decodeRequestBatch(v))],
     ['progress', production.progress, (v) => records.encodeProgress(records.decodeProgress(v))],
     ['machine', production.machine, (v) => records.encodeMachine(records.decodeMachine(v))],
     ['machine, dense allowed', production.machine, (v) => records.encodeMachine(records.decodeMachine(v), 2048, 'dense')],
     ['leader', production.leader, (v) => records.encodeLeader(records.decodeLeader(v))],
-    ['acknowledgement', production.acknowledgement, (v) => records.encodeAck(records.decodeAck(v))],
+    ['acknowledgement', production.acknowledgement, (v) => records.encodeAcknowledgement(records.decodeAcknowledgement(v))],
   ]; // prettier-ignore
   for (const [name, value, rewrite] of cases)
     assert.deepEqual(through(rewrite(value)), value, name);
-  const [job] = records.decodeSubmissions(production.submissions).jobs;
+  const [job] = records.decodeRequestBatch(production.submissions).jobs;
   assert.deepEqual([job!.spec.id, job!.spec.awaits], ['wk-000412', []]);
 });
 
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -9,11 +9,15 @@
 } from '../src/leadership/zone-lease.js';
 import { silentLog } from '../src/log.js';
 import { KEEP_SHARE } from '../src/heartbeat/reports.js';
-import { Refused, Unanswered, type StateClient } from '../src/state/client.js';
-import type { ReplicaSync } from '../src/state/replica-sync.js';
-import type { Replica } from '../src/state/replica.js';
+import {
+  RequestRejectedError,
+  OutcomeUnknownError,
+  type KeyValueStoreClient,
+} from '../src/store/client.js';
+import type { ReplicaSync } from '../src/store/replica-sync.js';
+import type { Replica } from '../src/store/replica.js';
 import type { PeerNet } from '../src/peers/net.js';
-import { nodeKey } from '../src/state/records.js';
+import { controllerKey } from '../src/store/records.js';
 import { ANSWER_WAIT_S } from '../src/wire/workers.js';
 import { until, wait } from './helpers.js';
 import { Cluster } from './standins/cluster.js';
@@ -44,14 +48,14 @@
   const lease = 10;
   const { beginS, keepS } = zoneLeaseTimes(lease);
   const at = { now: 100 };
-  const setup = (present: boolean, freshAt: number, refusedAt: number): ZoneLeaseWatch => {
-    const replica = { present: new Map(present ? [['a', 5]] : []) };
+  const setup = (present: boolean, freshAt: number, rejectedAt: number): ZoneLeaseWatch => {
+    const replica = { controllers: new Map(present ? [['a', 5]] : []) };
     const w = new ZoneLeaseWatch(
       new Map([['x', 'a']]),
       lease,
       replica,
       { ready: true, freshAt },
-      { refusedAt },
+      { rejectedAt },
       { now: () => at.now },
     );
     at.now = 90;
@@ -80,21 +84,21 @@
   let silent = false;
   let unanswered = 0;
   let answeredSentAt = -Infinity;
-  const client = fake<StateClient>({
+  const client = fake<KeyValueStoreClient>({
     answeredAt: 0,
     writes: { force: () => undefined },
-    grant: async () => 7,
-    commit: async () => ({ ok: true, revision: 1 }),
+    grantLease: async () => 7,
+    compareAndSwap: async () => ({ ok: true, revision: 1 }),
     get: async () => {
-      if (silent) throw new Unanswered('silent');
+      if (silent) throw new OutcomeUnknownError('silent');
       return null;
     },
-    extend: async () => {
+    keepLeaseAlive: async () => {
       const sentAt = steadyClock.now();
       await wait(1);
       if (silent) {
         unanswered++;
-        throw new Unanswered('silent');
+        throw new OutcomeUnknownError('silent');
       }
       answeredSentAt = sentAt;
       return true;
@@ -102,7 +106,7 @@
   });
   const log = silentLog();
   const follower = fake<ReplicaSync>({ ready: true, sync: async () => true });
-  const replica = fake<Replica>({ present: new Map() });
+  const replica = fake<Replica>({ controllers: new Map() });
   const peers = fake<PeerNet>({ names: ['b'], ask: async () => null });
   const zoneKeeper = new ZoneLeaseKeeper(
     'a',
@@ -134,15 +138,15 @@
 });
 
 test('a refusal is heard: nobody is cut off by an outage', async () => {
-  const client = fake<StateClient>({
+  const client = fake<KeyValueStoreClient>({
     writes: { force: () => undefined },
-    grant: async () => 7,
-    commit: async () => ({ ok: true, revision: 1 }),
+    grantLease: async () => 7,
+    compareAndSwap: async () => ({ ok: true, revision: 1 }),
     get: async () => {
-      throw new Refused(503);
+      throw new RequestRejectedError(503);
     },
-    extend: async () => {
-      throw new Refused(503);
+    keepLeaseAlive: async () => {
+      throw new RequestRejectedError(503);
     },
   });
   const follower = fake<ReplicaSync>({ ready: true, sync: async () => true });
@@ -153,7 +157,7 @@
     0.2,
     client,
     follower,
-    fake<Replica>({ present: new Map() }),
+    fake<Replica>({ controllers: new Map() }),
     () => peers,
     steadyClock,
     silentLog(),
@@ -184,7 +188,7 @@
   }
   for (const ref of Object.keys(jobs)) await cluster.runs(ref, 1);
   // A zone keeper keeps only what it was there for.
-  await until('its zoneKeeper is there', () => cluster.state.keys.has(nodeKey('n-1')));
+  await until('its zoneKeeper is there', () => cluster.state.keys.has(controllerKey('n-1')));
 
   const cut = (is: boolean): void => {
     cluster.cutLinks(is, 1);
