--- a/src/admission/fitness.ts
+++ b/src/admission/controller-health.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../clock.js';
-import type { FitnessExchange } from '../peers/fitness-exchange.js';
-import type { Fitness } from '../peers/messages.js';
-import type { PeerNet } from '../peers/net.js';
+import type { HealthExchange } from '../peers/health-exchange.js';
+import type { ControllerHealth } from '../peers/messages.js';
+import type { PeerNetwork } from '../peers/peer-network.js';
 import { ANSWER_WAIT_S } from '../wire/workers.js';
 import { LATE_S } from './overload.js';
 
@@ -12,19 +12,19 @@
 /** A figure that is older than so many report intervals says nothing of the present. */
 const FRESH_REPORTS = 3;
 /** Another controller is fitter when it is late by less than this share of this one's lateness. */
-const FITTER_SHARE = 0.5;
+const HEALTHIER_SHARE = 0.5;
 
-export interface FitnessTableOptions {
+export interface HealthTableOptions {
   clock: Clock;
   /** The workers' report interval, in seconds. */
   reportS: number;
   /** This controller's figure now. */
-  own: () => Fitness;
+  own: () => ControllerHealth;
 }
 
 /** What a controller knows of another one. Times are in seconds of this controller's clock. */
-interface Heard {
-  fitness: Fitness | null;
+interface LastHeard {
+  health: ControllerHealth | null;
   heardAt: number;
   askedAt: number;
 }
@@ -35,12 +35,12 @@
  * a question would reach it a turn of its late event loop later. What is decided by these figures is
  * only who had better lead, never whether anybody may.
  */
-export class FitnessTable implements FitnessExchange {
-  private readonly others = new Map<string, Heard>();
+export class HealthTable implements HealthExchange {
+  private readonly others = new Map<string, LastHeard>();
 
-  constructor(private readonly options: FitnessTableOptions) {}
+  constructor(private readonly options: HealthTableOptions) {}
 
-  sender(): () => Fitness | null {
+  nextToSend(): () => ControllerHealth | null {
     const { clock, reportS, own } = this.options;
     let sentAt = -Infinity;
     return () => {
@@ -51,9 +51,9 @@
     };
   }
 
-  note(node: string, fitness: Fitness): void {
+  note(node: string, health: ControllerHealth): void {
     const entry = this.entry(node);
-    entry.fitness = fitness;
+    entry.health = health;
     entry.heardAt = this.options.clock.now();
   }
 
@@ -61,7 +61,7 @@
    * Asks those that have told no figure for a report interval; called regularly. The question carries
    * this controller's figure, so that of a pair of controllers one asks.
    */
-  refresh(peers: Pick<PeerNet, 'names' | 'ask'>): void {
+  refresh(peers: Pick<PeerNetwork, 'names' | 'ask'>): void {
     const { clock, reportS } = this.options;
     const now = clock.now();
     for (const node of peers.names) {
@@ -77,32 +77,32 @@
    * The controller that is best off by a fresh figure, where the state service serves it and it is less than
    * half as late as `latenessS`, this one's lateness. Null: none is known.
    */
-  fitter(latenessS = this.options.own().latenessS): string | null {
+  healthier(latenessS = this.options.own().latenessS): string | null {
     let best: string | null = null;
-    let bestS = latenessS * FITTER_SHARE;
+    let bestS = latenessS * HEALTHIER_SHARE;
     for (const node of this.others.keys()) {
-      const fitness = this.fresh(node);
-      if (fitness === null || !fitness.served || fitness.latenessS >= bestS) continue;
+      const health = this.current(node);
+      if (health === null || !health.served || health.latenessS >= bestS) continue;
       best = node;
-      bestS = fitness.latenessS;
+      bestS = health.latenessS;
     }
     return best;
   }
 
   /** Whether another controller is too late, by a fresh figure. */
   isLate(node: string): boolean {
-    const fitness = this.fresh(node);
-    return fitness !== null && fitness.latenessS > LATE_S;
+    const health = this.current(node);
+    return health !== null && health.latenessS > LATE_S;
   }
 
   /**
    * Seconds that reports passed on to this controller wait for its answers, by fresh figures of the others:
    * the least of them, since one that is slow itself waits longer. 0: none has told.
    */
-  relayWaitS(): number {
+  forwardingDelayS(): number {
     let least = Infinity;
     for (const node of this.others.keys()) {
-      const relayS = this.fresh(node)?.relayS;
+      const relayS = this.current(node)?.relayS;
       if (relayS !== undefined) least = Math.min(least, relayS);
     }
     return least === Infinity ? 0 : least;
@@ -114,17 +114,17 @@
     return this.options.clock.now() - (others.get(node)?.heardAt ?? -Infinity);
   }
 
-  private fresh(node: string): Fitness | null {
+  private current(node: string): ControllerHealth | null {
     const { clock, reportS } = this.options;
     const entry = this.others.get(node);
     if (entry === undefined || clock.now() - entry.heardAt >= reportS * FRESH_REPORTS) return null;
-    return entry.fitness;
+    return entry.health;
   }
 
-  private entry(node: string): Heard {
+  private entry(node: string): LastHeard {
     let entry = this.others.get(node);
     if (entry === undefined) {
-      entry = { fitness: null, heardAt: -Infinity, askedAt: -Infinity };
+      entry = { health: null, heardAt: -Infinity, askedAt: -Infinity };
       this.others.set(node, entry);
     }
     return entry;
--- a/src/admission/hand-over.ts
+++ b/src/admission/leadership-transfer.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../clock.js';
 import type { Log } from '../log.js';
-import type { FitnessTable } from './fitness.js';
-import { HAND_OVER_AFTER_S, RELAY_LATE_S, type Overload } from './overload.js';
+import type { HealthTable } from './controller-health.js';
+import { TRANSFER_AFTER_S, FORWARDING_LATE_S, type Overload } from './overload.js';
 
 /** A controller hands over no more than once in so many workers' leases. */
 const GAP_LEASES = 2;
@@ -12,9 +12,9 @@
  */
 const SETTLE_LEASES = 2;
 
-export interface HandOverOptions {
+export interface LeadershipTransferOptions {
   overload: Overload;
-  fitness: Pick<FitnessTable, 'fitter' | 'relayWaitS'>;
+  health: Pick<HealthTable, 'healthier' | 'forwardingDelayS'>;
   clock: Clock;
   log: Log;
   /** The workers' lease, in seconds. */
@@ -23,7 +23,7 @@
   /** When it was elected, in seconds of the clock; asked only while it leads. */
   electedAt: () => number;
   /** Gives up leadership, so that another controller is elected at once. */
-  resign: () => Promise<void>;
+  stepDown: () => Promise<void>;
 }
 
 /**
@@ -35,37 +35,37 @@
  * It decides at once, on the figures that the others have told. When it asked them first, the answers
  * were read a turn of the late event loop later, and in one of three runs its lease had ended by then.
  */
-export class HandOver {
+export class LeadershipTransfer {
   private resignedAt = -Infinity;
   /** Since when reports passed on to this controller have waited for too long; null: they have not. */
-  private relaysLateSince: number | null = null;
+  private forwardingLateSince: number | null = null;
 
-  constructor(private readonly options: HandOverOptions) {}
+  constructor(private readonly options: LeadershipTransferOptions) {}
 
   /** Called regularly. */
   consider(): void {
-    const { leads, electedAt, overload, fitness, clock, leaseS, log, resign } = this.options;
+    const { leads, electedAt, overload, health, clock, leaseS, log, stepDown } = this.options;
     const now = clock.now();
-    const relayWaitS = fitness.relayWaitS();
+    const relayWaitS = health.forwardingDelayS();
     if (!leads()) return;
-    if (!this.relaysTooLate(relayWaitS, now) && !overload.tooLateToLead(now)) return;
+    if (!this.isForwardingTooLate(relayWaitS, now) && !overload.tooLateToLead(now)) return;
     if (now - this.resignedAt < leaseS * GAP_LEASES) return;
     if (now - electedAt() < leaseS * SETTLE_LEASES) return;
     const latenessS = Math.max(overload.latenessS, relayWaitS);
-    const fitter = fitness.fitter(latenessS);
+    const fitter = health.healthier(latenessS);
     if (fitter === null) return;
     this.resignedAt = now;
     log.info({ latenessS, relayWaitS, fitter }, 'too late to lead: hands over');
-    void resign();
+    void stepDown();
   }
 
   /** Whether other controllers have waited too long for too long. */
-  private relaysTooLate(relayWaitS: number, now: number): boolean {
-    if (relayWaitS <= RELAY_LATE_S) {
-      this.relaysLateSince = null;
+  private isForwardingTooLate(relayWaitS: number, now: number): boolean {
+    if (relayWaitS <= FORWARDING_LATE_S) {
+      this.forwardingLateSince = null;
       return false;
     }
-    this.relaysLateSince ??= now;
-    return now - this.relaysLateSince >= HAND_OVER_AFTER_S;
+    this.forwardingLateSince ??= now;
+    return now - this.forwardingLateSince >= TRANSFER_AFTER_S;
   }
 }
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -40,19 +40,19 @@
  * the reports that they pass on. With twice and four times this share machines lost their leases while
  * their leader was not yet late enough.
  */
-const HAND_OVER_SHARE = 0.0625;
+const TRANSFER_SHARE = 0.0625;
 /** What the latest firing of the timer counts in the mean lateness. */
 const LAG_WEIGHT = 0.5;
-const HAND_OVER_AFTER_SHARE = 0.25;
+const TRANSFER_AFTER_SHARE = 0.25;
 /** Seconds of lateness above which a controller is too late for a leader. */
-export const LATE_S = ANSWER_WAIT_S * HAND_OVER_SHARE;
+export const LATE_S = ANSWER_WAIT_S * TRANSFER_SHARE;
 /** How long a controller is too late before it hands over, in seconds. */
-export const HAND_OVER_AFTER_S = ANSWER_WAIT_S * HAND_OVER_AFTER_SHARE;
+export const TRANSFER_AFTER_S = ANSWER_WAIT_S * TRANSFER_AFTER_SHARE;
 /**
  * Seconds that reports passed on to a leader may wait for their answers: half of what other controllers wait
  * for one (`ASK_SHARE` of the reports).
  */
-export const RELAY_LATE_S = ANSWER_WAIT_S * 0.125;
+export const FORWARDING_LATE_S = ANSWER_WAIT_S * 0.125;
 
 /** How far this controller is behind, and what it does less of because of that. */
 export class Overload {
@@ -87,7 +87,7 @@
   /** Whether this controller has been too late for long enough that another one had better lead. */
   tooLateToLead(nowS: number): boolean {
     const { tooLateSince } = this;
-    return tooLateSince !== null && nowS - tooLateSince >= HAND_OVER_AFTER_S;
+    return tooLateSince !== null && nowS - tooLateSince >= TRANSFER_AFTER_S;
   }
 
   /**
--- a/src/api/request-forwarder.ts
+++ b/src/api/request-forwarder.ts
@@ -1,5 +1,5 @@
 import type { QuestionOf, ReplyAnswer } from '../peers/messages.js';
-import type { PeerNet } from '../peers/net.js';
+import type { PeerNetwork } from '../peers/peer-network.js';
 import type { Reply } from '../http/server.js';
 import type { KeyValueStoreClient } from '../store/client.js';
 import type { ReplicaSync } from '../store/replica-sync.js';
@@ -25,9 +25,9 @@
 
   constructor(
     private readonly users: Users,
-    private readonly state: Pick<KeyValueStoreClient, 'health'>,
-    private readonly follower: Pick<ReplicaSync, 'ready' | 'sync'>,
-    private readonly peers: Pick<PeerNet, 'lately' | 'ask'>,
+    private readonly store: Pick<KeyValueStoreClient, 'health'>,
+    private readonly replicaSync: Pick<ReplicaSync, 'ready' | 'sync'>,
+    private readonly peers: Pick<PeerNetwork, 'byLatestAnswer' | 'ask'>,
     private readonly workers: { lease_s: number },
     private readonly now: () => number,
     private readonly knowsPipelines: (node: string) => boolean = () => true,
@@ -35,7 +35,7 @@
 
   /** The state service serves this controller, and it has read the store. */
   get served(): boolean {
-    return this.state.health === 'served' && this.follower.ready;
+    return this.store.health === 'served' && this.replicaSync.ready;
   }
 
   /** Whether users should be sent here. */
@@ -52,7 +52,7 @@
       if (r.status !== 503 || this.served) return r;
     }
     // Looks whether the state service is back, besides.
-    else void this.follower.sync();
+    else void this.replicaSync.sync();
     return (await this.relay(request)) ?? (await this.local(request));
   }
 
@@ -73,7 +73,7 @@
     let reached = false;
     // A version that does not know them would take a job that needs others for one that does not.
     const awaits = request.to === 'submit' && mayAwait(request.body);
-    for (const node of this.peers.lately()) {
+    for (const node of this.peers.byLatestAnswer()) {
       if (awaits && !this.knowsPipelines(node)) continue;
       const a = await this.peers.ask(node, question, RELAY_S);
       reached ||= a !== null;
--- a/src/api/users.ts
+++ b/src/api/users.ts
@@ -31,14 +31,14 @@
 
 export interface UsersOptions {
   settings: Settings;
-  follower: Pick<ReplicaSync, 'ready' | 'sync'>;
+  replicaSync: Pick<ReplicaSync, 'ready' | 'sync'>;
   replica: Replica;
   requestWriter: RequestWriter;
   types: () => MachineType[] | null;
   /** Seconds after which a cancellation can be taken; 0: now. */
   mayCancel: (id: string) => Promise<number>;
   /** Whether users may be told of a stored cancellation. */
-  mayTellCancelled: (facts: StoredJob, id: string) => Promise<boolean>;
+  mayTellCancelled: (storedJob: StoredJob, id: string) => Promise<boolean>;
   /** Whether a controller is there that does not know jobs that need other jobs. */
   pipelinesUnknown: () => boolean;
   wallMs: () => number;
@@ -48,33 +48,33 @@
 /** The users' interface. Nothing is told that is not stored, and nothing older than was told. */
 export class Users {
   private readonly settings: Settings;
-  private readonly follower: UsersOptions['follower'];
+  private readonly replicaSync: UsersOptions['replicaSync'];
   private readonly replica: Replica;
   private readonly requestWriter: RequestWriter;
   private readonly types: () => MachineType[] | null;
 
   constructor(private readonly options: UsersOptions) {
     this.settings = options.settings;
-    this.follower = options.follower;
+    this.replicaSync = options.replicaSync;
     this.replica = options.replica;
     this.requestWriter = options.requestWriter;
     this.types = options.types;
   }
 
   ready(): boolean {
-    return this.follower.ready && this.types() !== null;
+    return this.replicaSync.ready && this.types() !== null;
   }
 
   /** Whether the answer rests on nothing but what never changes any more. */
   knows(request: { to: string; id?: string }): boolean {
-    const facts = request.id === undefined ? undefined : this.replica.jobs.get(request.id);
-    return facts !== undefined && outcome(facts) !== 'open' && this.follower.ready;
+    const storedJob = request.id === undefined ? undefined : this.replica.jobs.get(request.id);
+    return storedJob !== undefined && outcome(storedJob) !== 'open' && this.replicaSync.ready;
   }
 
-  private shown(j: StoredJob): ShownState {
-    const o = outcome(j);
+  private shown(storedJob: StoredJob): ShownState {
+    const o = outcome(storedJob);
     if (o !== 'open') return o;
-    return j.claimCount > 0 || j.doneTasks > 0 ? 'running' : 'queued';
+    return storedJob.claimCount > 0 || storedJob.doneTasks > 0 ? 'running' : 'queued';
   }
 
   async submit(body: Buffer): Promise<Reply> {
@@ -89,7 +89,8 @@
     const known = this.replica.jobs.get(spec.id);
     if (known !== undefined) return this.current(spec.id);
     const types = this.types();
-    if (!this.follower.ready || types === null || this.requestWriter.full(SUBMIT_S)) return UNSURE;
+    if (!this.replicaSync.ready || types === null || this.requestWriter.full(SUBMIT_S))
+      return UNSURE;
     const never = neverRuns(spec, this.settings.teams, types);
     if (never !== null) return this.refuse(spec.id, invalid(never), never);
     const accepted = { spec, atMs: Math.round(this.options.wallMs()) };
@@ -102,9 +103,10 @@
       if (obstacle !== null) return this.refuse(spec.id, invalid(obstacle.reason), obstacle.reason);
     }
     const o = await this.requestWriter.accept(accepted, SUBMIT_S);
-    const facts = this.replica.jobs.get(spec.id);
-    if (o === null || facts === undefined || !(await this.tellable(facts, spec.id))) return UNSURE;
-    return { status: 201, body: encodeAccepted(spec.id, this.shown(facts)) };
+    const storedJob = this.replica.jobs.get(spec.id);
+    if (o === null || storedJob === undefined || !(await this.tellable(storedJob, spec.id)))
+      return UNSURE;
+    return { status: 201, body: encodeAccepted(spec.id, this.shown(storedJob)) };
   }
 
   /**
@@ -114,7 +116,7 @@
   private async cannotAwait(spec: JobSpec): Promise<{ reason: string } | 'unsure' | null> {
     if (spec.awaits.includes(spec.id)) return { reason: 'awaits itself' };
     const known = (id: string): boolean => this.replica.jobs.has(id);
-    if (!spec.awaits.every(known) && !(await this.follower.sync())) return 'unsure';
+    if (!spec.awaits.every(known) && !(await this.replicaSync.sync())) return 'unsure';
     for (const id of spec.awaits) {
       const needed = this.replica.jobs.get(id);
       if (needed === undefined) return { reason: `awaits ${id}, which was never accepted` };
@@ -135,7 +137,7 @@
   /** An accepted job is never refused later, whatever its repetition looks like. */
   private async refuse(id: string | null, reply: Reply, why: string): Promise<Reply> {
     if (id !== null) {
-      if (!(await this.follower.sync())) return UNSURE;
+      if (!(await this.replicaSync.sync())) return UNSURE;
       if (this.replica.jobs.has(id)) return this.current(id);
     }
     this.options.log.debug({ id, why }, 'submission refused');
@@ -143,10 +145,10 @@
   }
 
   private async current(id: string): Promise<Reply> {
-    const facts = await this.fresh(id);
-    if (facts === null || facts === undefined) return UNSURE;
-    if (!(await this.tellable(facts, id))) return UNSURE;
-    return { status: 200, body: encodeAccepted(id, this.shown(facts)) };
+    const storedJob = await this.fresh(id);
+    if (storedJob === null || storedJob === undefined) return UNSURE;
+    if (!(await this.tellable(storedJob, id))) return UNSURE;
+    return { status: 200, body: encodeAccepted(id, this.shown(storedJob)) };
   }
 
   /**
@@ -154,43 +156,44 @@
    * a majority of controllers knows of it: an outage may begin at this moment, and the leases of its
    * tasks must not be renewed all through it.
    */
-  private async tellable(facts: StoredJob, id: string): Promise<boolean> {
-    return outcome(facts) !== 'cancelled' || this.options.mayTellCancelled(facts, id);
+  private async tellable(storedJob: StoredJob, id: string): Promise<boolean> {
+    return outcome(storedJob) !== 'cancelled' || this.options.mayTellCancelled(storedJob, id);
   }
 
   /** The job as of now; undefined: nobody submitted it; null: unsure. A final state never changes. */
   private async fresh(id: string): Promise<StoredJob | undefined | null> {
     const before = this.replica.jobs.get(id);
-    if (before !== undefined && outcome(before) !== 'open' && this.follower.ready) return before;
-    if (!(await this.follower.sync())) return null;
+    if (before !== undefined && outcome(before) !== 'open' && this.replicaSync.ready) return before;
+    if (!(await this.replicaSync.sync())) return null;
     return this.replica.jobs.get(id);
   }
 
   async poll(id: string): Promise<Reply> {
     if (!validId(id)) return { status: 404, body: encodeError('no such job') };
-    const facts = await this.fresh(id);
-    if (facts === null) return UNSURE;
-    if (facts === undefined) return { status: 404, body: encodeError('no such job') };
-    if (!(await this.tellable(facts, id))) return UNSURE;
-    const state = this.shown(facts);
-    const done = state === 'done' ? facts.spec.tasks : facts.doneTasks;
-    const running = state === 'running' ? Math.min(facts.claimCount, facts.spec.tasks - done) : 0;
+    const storedJob = await this.fresh(id);
+    if (storedJob === null) return UNSURE;
+    if (storedJob === undefined) return { status: 404, body: encodeError('no such job') };
+    if (!(await this.tellable(storedJob, id))) return UNSURE;
+    const state = this.shown(storedJob);
+    const done = state === 'done' ? storedJob.spec.tasks : storedJob.doneTasks;
+    const running =
+      state === 'running' ? Math.min(storedJob.claimCount, storedJob.spec.tasks - done) : 0;
     return { status: 200, body: encodeStatus(id, state, done, running) };
   }
 
   async cancel(id: string): Promise<Reply> {
     if (!validId(id)) return { status: 404, body: encodeError('no such job') };
-    const facts = await this.fresh(id);
-    if (facts === null) return UNSURE;
-    if (facts === undefined) return { status: 404, body: encodeError('no such job') };
-    let o: string | null = outcome(facts);
+    const storedJob = await this.fresh(id);
+    if (storedJob === null) return UNSURE;
+    if (storedJob === undefined) return { status: 404, body: encodeError('no such job') };
+    let o: string | null = outcome(storedJob);
     if (o === 'open') {
       const wait = await this.options.mayCancel(id);
       if (wait > 0) return { status: 503, retryAfter: wait };
       o = await this.requestWriter.cancel(id, SUBMIT_S);
     }
     if (o !== 'done' && o !== 'cancelled') return UNSURE;
-    if (!(await this.tellable(facts, id))) return UNSURE;
+    if (!(await this.tellable(storedJob, id))) return UNSURE;
     return { status: 200, body: encodeAccepted(id, o) };
   }
 }
--- a/src/cancellation/confirmation.ts
+++ b/src/cancellation/confirmation.ts
@@ -1,5 +1,5 @@
-import type { PeerNet } from '../peers/net.js';
-import { UNHEARD_CONFIRM_S } from '../leadership/renewal.js';
+import type { PeerNetwork } from '../peers/peer-network.js';
+import { UNHEARD_CONFIRM_S } from '../leadership/renewal-allowance.js';
 import type { Clock } from '../clock.js';
 import { neverStarted, type StoredJob } from '../store/stored-job.js';
 import type { Replica } from '../store/replica.js';
@@ -14,7 +14,7 @@
 export interface ConfirmationOptions {
   /** Number of controllers, this one included. */
   nodes: number;
-  peers: Pick<PeerNet, 'names' | 'ask'>;
+  peers: Pick<PeerNetwork, 'names' | 'ask'>;
   replica: Pick<Replica, 'lastToken'>;
   clock: Clock;
   /**
@@ -45,9 +45,9 @@
   constructor(private readonly options: ConfirmationOptions) {}
 
   /** True: users may be told. False: not yet; the same question may be asked again later. */
-  async confirm(facts: StoredJob, id: string): Promise<boolean> {
+  async confirm(storedJob: StoredJob, id: string): Promise<boolean> {
     // Waiting for others to its end, or cancelled with one of them: there is no task to keep alive.
-    if (neverStarted(facts) || this.nothingRuns(facts)) return true;
+    if (neverStarted(storedJob) || this.nothingRuns(storedJob)) return true;
     const entry = this.entry(id);
     if (entry.confirmed) return true;
     if (this.options.clock.now() - entry.since >= UNHEARD_CONFIRM_S) {
@@ -63,8 +63,8 @@
    * No machine's record names a task of the job, and the present leader read its cancellation before
    * it began: none will be named again, and nobody has a task whose lease could be renewed.
    */
-  private nothingRuns(facts: StoredJob): boolean {
-    const { cancelledAt, claimCount } = facts;
+  private nothingRuns(storedJob: StoredJob): boolean {
+    const { cancelledAt, claimCount } = storedJob;
     return claimCount === 0 && cancelledAt !== null && cancelledAt < this.options.replica.lastToken;
   }
 
--- a/src/cancellation/notices.ts
+++ b/src/cancellation/notices.ts
@@ -1,4 +1,4 @@
-import type { PeerNet } from '../peers/net.js';
+import type { PeerNetwork } from '../peers/peer-network.js';
 import type { ZoneLeaseWatch } from '../leadership/zone-lease.js';
 import type { Clock } from '../clock.js';
 import type { Settings } from '../config/settings.js';
@@ -56,15 +56,15 @@
   constructor(
     private readonly settings: Settings,
     private readonly byZone: [string, string][],
-    private readonly peers: PeerNet,
+    private readonly peers: PeerNetwork,
     private readonly replica: Replica,
     private readonly zoneLeases: ZoneLeaseWatch,
     private readonly clock: Clock,
   ) {
     const forS = settings.workers.lease_s * REMEMBER_LEASES;
     const over = (id: string): boolean => {
-      const facts = replica.jobs.get(id);
-      return facts !== undefined && outcome(facts) !== 'open';
+      const storedJob = replica.jobs.get(id);
+      return storedJob !== undefined && outcome(storedJob) !== 'open';
     };
     this.stored = new RecentIds(clock, forS, over);
     this.announced = new RecentIds(clock, forS, over);
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,8 +1,8 @@
 import { uniqueName } from '../random.js';
 import { CloudClient } from '../cloud/client.js';
 import { Election } from '../leadership/election.js';
-import { PeerNet } from '../peers/net.js';
-import { ZoneLeaseKeeper, ZoneLeaseWatch, zoneLeaseKeepers } from '../leadership/zone-lease.js';
+import { PeerNetwork } from '../peers/peer-network.js';
+import { ZoneLeaseHolder, ZoneLeaseWatch, zoneLeaseHolders } from '../leadership/zone-lease.js';
 import { steadyClock, type Clock } from '../clock.js';
 import type { Settings } from '../config/settings.js';
 import { HttpServer, type Reply } from '../http/server.js';
@@ -20,14 +20,14 @@
 import { CancellationNotices } from '../cancellation/notices.js';
 import { CancellationConfirmation } from '../cancellation/confirmation.js';
 import { Leader } from '../leader/leader.js';
-import { FitnessTable } from '../admission/fitness.js';
-import { HandOver } from '../admission/hand-over.js';
+import { HealthTable } from '../admission/controller-health.js';
+import { LeadershipTransfer } from '../admission/leadership-transfer.js';
 import { Overload } from '../admission/overload.js';
-import { Reports } from '../heartbeat/reports.js';
+import { HeartbeatHandler } from '../heartbeat/heartbeat-handler.js';
 import { RequestQueue } from '../admission/request-queue.js';
 import { Users } from '../api/users.js';
 import { BUSY, HttpRequests } from './http-requests.js';
-import { LoadLog } from './load-log.js';
+import { LoadLog, type LoadSources } from './load-log.js';
 import { MachineTypes } from './machine-types.js';
 import { pipelineFigures } from './pipeline-figures.js';
 import { PeerAnswers } from './peer-answers.js';
@@ -63,18 +63,18 @@
 
 /** One controller: everything of it that does input and output, put together. */
 export class Controller {
-  readonly state: KeyValueStoreClient;
+  readonly store: KeyValueStoreClient;
   readonly replica: Replica;
-  readonly follower: ReplicaSync;
+  readonly replicaSync: ReplicaSync;
   readonly election: Election;
-  readonly peers: PeerNet;
+  readonly peers: PeerNetwork;
   private readonly acknowledgements: LeaderAcknowledgements;
   private readonly forwarder: RequestForwarder;
   /** Only where this controller is its zone's keeper. */
-  private readonly zoneKeeper: ZoneLeaseKeeper | null;
+  private readonly zoneLeaseHolder: ZoneLeaseHolder | null;
   private readonly zoneLeases: ZoneLeaseWatch;
   private readonly cancellationNotices: CancellationNotices;
-  private readonly reports: Reports;
+  private readonly heartbeats: HeartbeatHandler;
   private readonly peerAnswers: PeerAnswers;
   readonly server: HttpServer;
   leader: Leader | null = null;
@@ -87,8 +87,8 @@
   private readonly costs: Costs;
   private readonly overload = new Overload();
   private readonly requests: RequestQueue;
-  private readonly fitness: FitnessTable;
-  private readonly handOver: HandOver;
+  private readonly health: HealthTable;
+  private readonly leadershipTransfer: LeadershipTransfer;
   private readonly versions: Versions;
   private tickedAt: number | null = null;
   private ticks = 0;
@@ -114,31 +114,31 @@
       overload: this.overload,
       onError: (e) => log.error({ err: String(e) }, 'serving requests failed'),
     });
-    this.fitness = new FitnessTable({
+    this.health = new HealthTable({
       clock: this.clock,
       reportS: settings.workers.report_s,
       own: () => ({
         latenessS: this.overload.latenessS,
         served: this.forwarder.served,
-        relayS: this.reports.relayWait.meanS,
+        relayS: this.heartbeats.forwardingDelay.meanS,
       }),
     });
     // Never the same twice: names of requests and of stored batches begin with it.
     this.incarnation = `${settings.node}-${uniqueName()}`;
-    this.state = new KeyValueStoreClient(settings, this.clock);
+    this.store = new KeyValueStoreClient(settings, this.clock);
     this.replica = new Replica(Math.floor(settings.progressValueKb * 1024));
     this.replica.listener = {
-      onReady: (j) => this.leader?.onReady(j),
-      onCancelled: (j) => this.leader?.onCancelled(j),
+      onReady: (storedJob) => this.leader?.onReady(storedJob),
+      onCancelled: (storedJob) => this.leader?.onCancelled(storedJob),
       onLeader: () => {
-        this.election.nudge();
+        this.election.wake();
         void this.acknowledgements.acknowledgeLeader();
       },
       onAcknowledgement: (node, ack) => this.acknowledgements.noteStored(node, ack),
-      onPresence: (node) => this.zoneLeases.changed(node),
+      onPresence: (node) => this.zoneLeases.keyChanged(node),
     };
-    this.follower = new ReplicaSync(
-      this.state,
+    this.replicaSync = new ReplicaSync(
+      this.store,
       this.replica,
       this.clock,
       log,
@@ -148,7 +148,7 @@
     this.cloud = new CloudClient(settings, this.clock);
     this.machineTypes = new MachineTypes({
       cloud: this.cloud,
-      follower: this.follower,
+      replicaSync: this.replicaSync,
       replica: this.replica,
       leader: () => this.leader,
       log,
@@ -158,8 +158,8 @@
       this.incarnation,
       settings.nodes,
       settings.workers,
-      this.state,
-      this.follower,
+      this.store,
+      this.replicaSync,
       this.replica,
       () => this.peers,
       this.clock,
@@ -170,24 +170,24 @@
         onKnownCancelled: (ids) => this.knownCancelled(ids),
         cancelledSince: (revision) => this.cancellationNotices.storedSince(revision),
       },
-      () => this.overload.late && this.fitness.fitter() !== null,
+      () => this.overload.late && this.health.healthier() !== null,
     );
     this.acknowledgements = new LeaderAcknowledgements(
       settings,
       this.election,
       () => this.peers,
-      this.state,
+      this.store,
       this.replica,
       this.clock,
       log,
     );
-    this.peers = new PeerNet(
+    this.peers = new PeerNetwork(
       settings.node,
       settings.peers,
       (_from, question) => this.peerAnswers.answer(question),
       log,
       settings.limits.sockets,
-      this.fitness,
+      this.health,
       settings.workers.report_s * GATHER_REPORTS,
     );
     this.versions = new Versions({
@@ -196,41 +196,41 @@
       leaseS: settings.workers.lease_s,
       replica: this.replica,
       peers: () => this.peers,
-      fitness: this.fitness,
-      state: this.state,
-      follower: this.follower,
+      health: this.health,
+      store: this.store,
+      replicaSync: this.replicaSync,
       clock: this.clock,
       log,
       ...(options.features === undefined ? {} : { file: options.features.file }),
     });
-    this.handOver = new HandOver({
+    this.leadershipTransfer = new LeadershipTransfer({
       overload: this.overload,
-      fitness: this.fitness,
+      health: this.health,
       clock: this.clock,
       log,
       leaseS: settings.workers.lease_s,
-      leads: () => this.election.writing,
+      leads: () => this.election.canWrite,
       electedAt: () => this.leader?.term.startedAt ?? this.clock.now(),
-      resign: () => this.election.resign(),
+      stepDown: () => this.election.stepDown(),
     });
-    const byZone = zoneLeaseKeepers([settings, ...settings.peers]);
+    const byZone = zoneLeaseHolders([settings, ...settings.peers]);
     this.zoneLeases = new ZoneLeaseWatch(
       byZone,
       settings.workers.lease_s,
       this.replica,
-      this.follower,
-      this.state,
+      this.replicaSync,
+      this.store,
       this.clock,
     );
-    this.zoneKeeper =
+    this.zoneLeaseHolder =
       byZone.get(settings.zone) !== settings.node
         ? null
-        : new ZoneLeaseKeeper(
+        : new ZoneLeaseHolder(
             settings.node,
             this.incarnation,
             settings.workers.lease_s,
-            this.state,
-            this.follower,
+            this.store,
+            this.replicaSync,
             this.replica,
             () => this.peers,
             this.clock,
@@ -244,26 +244,26 @@
       this.zoneLeases,
       this.clock,
     );
-    this.reports = new Reports({
+    this.heartbeats = new HeartbeatHandler({
       settings,
       election: this.election,
-      state: this.state,
+      store: this.store,
       replica: this.replica,
       peers: this.peers,
-      zoneKeeper: this.zoneKeeper,
+      zoneLeaseHolder: this.zoneLeaseHolder,
       zoneLeases: this.zoneLeases,
-      isLate: (node) => this.fitness.isLate(node),
+      isLate: (node) => this.health.isLate(node),
       leader: () => this.leader,
-      knownCancelled: (job) => this.cancellationNotices.knows(job),
+      isKnownCancelled: (job) => this.cancellationNotices.knows(job),
       clock: this.clock,
       log,
     });
     const requestWriter = new RequestWriter(
       this.incarnation,
-      this.state,
-      this.follower,
+      this.store,
+      this.replicaSync,
       this.replica,
-      this.state.writes,
+      this.store.writes,
       this.clock,
       log,
     );
@@ -277,20 +277,20 @@
     });
     const users = new Users({
       settings,
-      follower: this.follower,
+      replicaSync: this.replicaSync,
       replica: this.replica,
       requestWriter,
       types: () => this.machineTypes.known,
       mayCancel: (job) => this.cancellationNotices.wait(job),
-      mayTellCancelled: (facts, job) => confirmation.confirm(facts, job),
+      mayTellCancelled: (storedJob, job) => confirmation.confirm(storedJob, job),
       pipelinesUnknown: () => this.versions.isOldPresent('pipelines'),
       wallMs: this.wallMs,
       log,
     });
     this.forwarder = new RequestForwarder(
       users,
-      this.state,
-      this.follower,
+      this.store,
+      this.replicaSync,
       this.peers,
       settings.workers,
       () => this.clock.now(),
@@ -299,7 +299,7 @@
     this.peerAnswers = new PeerAnswers({
       requests: this.requests,
       costs: this.costs,
-      reports: this.reports,
+      reports: this.heartbeats,
       forwarder: this.forwarder,
       election: this.election,
       acknowledgements: this.acknowledgements,
@@ -310,7 +310,7 @@
       clock: this.clock,
       costs: this.costs,
       requests: this.requests,
-      reports: this.reports,
+      reports: this.heartbeats,
       forwarder: this.forwarder,
       leads: () => this.leader !== null,
       figures: () => this.figures(),
@@ -326,14 +326,14 @@
   }
 
   private makeLoadLog(): LoadLog {
-    const sources = {
+    const sources: LoadSources = {
       clock: this.clock,
       role: () => this.election.role,
       overload: this.overload,
       requests: this.requests,
-      reports: this.reports.counts,
+      reports: this.heartbeats.counts,
       machinesLost: () => this.lostInEarlierTerms + (this.leader?.term.machinesLost ?? 0),
-      stateTraffic: () => this.state.traffic,
+      stateTraffic: () => this.store.traffic,
       passes: this.costs.passes,
     };
     return new LoadLog(sources, this.log);
@@ -348,9 +348,9 @@
       this.stop();
       throw error;
     }
-    void this.follower.run();
+    void this.replicaSync.run();
     void this.election.run();
-    void this.zoneKeeper?.run();
+    void this.zoneLeaseHolder?.run();
     void this.versions.publish();
     void this.machineTypes.fetch();
     this.tickTimer = setInterval(() => this.onTick(), this.settings.workers.report_s * 500);
@@ -375,8 +375,8 @@
       );
     }
     this.leader?.tick();
-    this.handOver.consider();
-    this.fitness.refresh(this.peers);
+    this.leadershipTransfer.consider();
+    this.health.refresh(this.peers);
   }
 
   stop(): void {
@@ -384,15 +384,15 @@
     this.loadLog?.stop();
     this.election.stop();
     this.acknowledgements.stop();
-    this.zoneKeeper?.stop();
+    this.zoneLeaseHolder?.stop();
     this.versions.stop();
     this.machineTypes.stop();
-    this.follower.stop();
+    this.replicaSync.stop();
     this.leader?.stop();
     this.leader = null;
     this.server.close();
     this.peers.close();
-    this.state.close();
+    this.store.close();
     this.cloud.close();
   }
 
@@ -411,20 +411,21 @@
         token,
         incarnation: this.incarnation,
         denseRecords: () => this.versions.everyoneKnows('pipelines'),
-        entitled: () => this.election.entitled && this.election.token === token,
+        entitled: () => this.election.isEntitled && this.election.token === token,
         keptUntil: () =>
           Math.max(
-            this.state.rejectedAt + this.election.outage.substituteS,
-            this.acknowledgements.keptUntil(token),
+            this.store.rejectedAt + this.election.outage.substituteS,
+            this.acknowledgements.othersRenewUntil(token),
           ),
         zone: (zone) => this.zoneLeases.zone(zone),
-        prove: () => void this.follower.sync().then((ok) => ok && this.leader?.term.requestPass()),
-        writing: () => this.election.writing && this.election.token === token,
+        prove: () =>
+          void this.replicaSync.sync().then((ok) => ok && this.leader?.term.requestPass()),
+        writing: () => this.election.canWrite && this.election.token === token,
       },
       {
-        state: this.state,
+        store: this.store,
         cloud: this.cloud,
-        onLost: () => this.election.nudge(),
+        onLost: () => this.election.wake(),
         costs: this.costs,
         overload: this.overload,
         subsystems: this.subsystems,
@@ -453,7 +454,7 @@
   private subsystemView(name: string): Reply {
     const subsystem = this.subsystems.find((s) => s.name === name);
     if (subsystem === undefined) return { status: 404, body: '{}' };
-    if (!this.follower.ready) return BUSY;
+    if (!this.replicaSync.ready) return BUSY;
     const own = this.replica.subsystems.of(name);
     const view = subsystem.view(own, this.settings, this.wallMs());
     // In many lines: no line of an answer may be longer than 64 KiB.
--- a/src/controller/http-requests.ts
+++ b/src/controller/http-requests.ts
@@ -4,7 +4,7 @@
 import type { RequestQueue } from '../admission/request-queue.js';
 import type { Clock } from '../clock.js';
 import type { Costs } from '../costs.js';
-import type { Reports } from '../heartbeat/reports.js';
+import type { HeartbeatHandler } from '../heartbeat/heartbeat-handler.js';
 import type { Message } from '../http/parser.js';
 import type { Reply } from '../http/server.js';
 import { route } from '../wire/users.js';
@@ -16,7 +16,7 @@
   clock: Clock;
   costs: Costs;
   requests: RequestQueue;
-  reports: Reports;
+  reports: HeartbeatHandler;
   forwarder: RequestForwarder;
   /** Whether this controller leads: then reports are taken in, not passed on. */
   leads: () => boolean;
@@ -56,7 +56,7 @@
     const { clock, costs, leads, reports, requests } = this.options;
     const arrivedAt = clock.now();
     const work = (): Reply | Promise<Reply> =>
-      costs.time('report', () => reports.checkin(body, arrivedAt));
+      costs.time('report', () => reports.handle(body, arrivedAt));
     const patienceS = leads() ? REPORT_PATIENCE_S : RELAY_PATIENCE_S;
     return requests.run('report', work, BUSY, patienceS);
   }
--- a/src/controller/load-log.ts
+++ b/src/controller/load-log.ts
@@ -3,7 +3,7 @@
 import type { RequestQueue } from '../admission/request-queue.js';
 import type { Clock } from '../clock.js';
 import type { WorkTotal } from '../costs.js';
-import type { ReportCounts } from '../heartbeat/report-counts.js';
+import type { HeartbeatCounts } from '../heartbeat/heartbeat-counts.js';
 import type { Traffic } from '../http/client.js';
 import type { Log } from '../log.js';
 
@@ -19,7 +19,7 @@
   role: () => string;
   overload: Pick<Overload, 'delayS' | 'latenessS'>;
   requests: Pick<RequestQueue, 'size' | 'refused'>;
-  reports: ReportCounts;
+  reports: HeartbeatCounts;
   /** Machines whose leases this controller as leader counted as lost, since its start. */
   machinesLost: () => number;
   /** Messages to and from the state service. */
@@ -118,9 +118,9 @@
       interval_ms: clock.now() * 1000,
       reports_answered: reports.answered,
       reports_answered_for_peers: reports.answeredForPeers,
-      reports_kept: reports.kept,
-      reports_passed_on: reports.passedOn,
-      reports_passed_on_failed: reports.passedOnFailed,
+      reports_kept: reports.renewedForLeader,
+      reports_passed_on: reports.forwarded,
+      reports_passed_on_failed: reports.forwardingFailed,
       reports_dropped: refused.report,
       submissions_refused: refused.submission,
       polls_refused: refused.poll,
--- a/src/controller/machine-types.ts
+++ b/src/controller/machine-types.ts
@@ -14,7 +14,7 @@
 
 export interface MachineTypesOptions {
   cloud: Pick<CloudClient, 'types'>;
-  follower: Pick<ReplicaSync, 'ready'>;
+  replicaSync: Pick<ReplicaSync, 'ready'>;
   replica: Pick<Replica, 'machineTypes'>;
   leader: () => Leader | null;
   log: Log;
@@ -38,9 +38,9 @@
 
   /** Asks the cloud until the types are known from anywhere. */
   async fetch(): Promise<void> {
-    const { cloud, follower, leader, log } = this.options;
+    const { cloud, replicaSync, leader, log } = this.options;
     while (!this.stopped && this.known === null) {
-      if (!follower.ready) {
+      if (!replicaSync.ready) {
         await sleep(LOOK_S);
         continue;
       }
--- a/src/controller/peer-answers.ts
+++ b/src/controller/peer-answers.ts
@@ -2,7 +2,7 @@
 import type { RequestForwarder } from '../api/request-forwarder.js';
 import type { RequestQueue } from '../admission/request-queue.js';
 import type { Costs } from '../costs.js';
-import type { Reports } from '../heartbeat/reports.js';
+import type { HeartbeatHandler } from '../heartbeat/heartbeat-handler.js';
 import type { Election } from '../leadership/election.js';
 import type { LeaderAcknowledgements } from '../leadership/leader-acknowledgements.js';
 import type { Answer, Question, QuestionOf, ReplyAnswer } from '../peers/messages.js';
@@ -11,7 +11,7 @@
 export interface PeerAnswersOptions {
   requests: RequestQueue;
   costs: Costs;
-  reports: Reports;
+  reports: HeartbeatHandler;
   forwarder: RequestForwarder;
   election: Election;
   acknowledgements: LeaderAcknowledgements;
@@ -49,7 +49,7 @@
   private report({ body, hop }: QuestionOf<'report'>): ReplyAnswer | Promise<ReplyAnswer> {
     const { costs, reports, requests } = this.options;
     const work = (): ReplyAnswer | Promise<ReplyAnswer> => {
-      const reply = costs.time('report', () => reports.passedOn(body, hop));
+      const reply = costs.time('report', () => reports.handleForwarded(body, hop));
       if (reply instanceof Promise) return reply.then((r) => ({ ...(r ?? { status: 504 }) }));
       return { ...reply };
     };
--- a/src/controller/pipeline-figures.ts
+++ b/src/controller/pipeline-figures.ts
@@ -13,10 +13,10 @@
 /** Counts over all jobs that the store holds: asked for now and then, by operators. */
 export function pipelineFigures({ jobs }: Pick<Replica, 'jobs'>): PipelineFigures {
   const figures = { jobs_waiting: 0, jobs_ready: 0, jobs_cancelled_with_needed: 0 };
-  for (const facts of jobs.values()) {
-    if (isWaiting(facts)) figures.jobs_waiting++;
-    else if (outcome(facts) === 'open') figures.jobs_ready++;
-    else if (facts.cancelledByDependency && neverStarted(facts))
+  for (const storedJob of jobs.values()) {
+    if (isWaiting(storedJob)) figures.jobs_waiting++;
+    else if (outcome(storedJob) === 'open') figures.jobs_ready++;
+    else if (storedJob.cancelledByDependency && neverStarted(storedJob))
       figures.jobs_cancelled_with_needed++;
   }
   return figures;
--- a/src/controller/request-classes.ts
+++ b/src/controller/request-classes.ts
@@ -1,4 +1,4 @@
-import { ASK_SHARE, KEEP_SHARE } from '../heartbeat/reports.js';
+import { LEADER_WAIT_SHARE, RENEWAL_WAIT_SHARE } from '../heartbeat/heartbeat-handler.js';
 import { ANSWER_WAIT_S } from '../wire/workers.js';
 
 /** The class of each kind of users' requests in the request queue. */
@@ -13,6 +13,6 @@
  * has given up. To pass a report on takes a while too, and so does the way back of the answer to one
  * that was passed on.
  */
-export const REPORT_PATIENCE_S = ANSWER_WAIT_S * KEEP_SHARE;
-export const RELAY_PATIENCE_S = ANSWER_WAIT_S * (KEEP_SHARE - ASK_SHARE);
-export const PASSED_ON_PATIENCE_S = ANSWER_WAIT_S * ASK_SHARE * 0.75;
+export const REPORT_PATIENCE_S = ANSWER_WAIT_S * RENEWAL_WAIT_SHARE;
+export const RELAY_PATIENCE_S = ANSWER_WAIT_S * (RENEWAL_WAIT_SHARE - LEADER_WAIT_SHARE);
+export const PASSED_ON_PATIENCE_S = ANSWER_WAIT_S * LEADER_WAIT_SHARE * 0.75;
--- a/src/controller/versions.ts
+++ b/src/controller/versions.ts
@@ -1,9 +1,9 @@
-import type { FitnessTable } from '../admission/fitness.js';
+import type { HealthTable } from '../admission/controller-health.js';
 import type { Clock } from '../clock.js';
 import { sleep } from '../clock.js';
 import type { Log } from '../log.js';
 import { FEATURES, type Feature } from '../peers/messages.js';
-import type { PeerNet } from '../peers/net.js';
+import type { PeerNetwork } from '../peers/peer-network.js';
 import type { KeyValueStoreClient } from '../store/client.js';
 import type { ReplicaSync } from '../store/replica-sync.js';
 import type { FeaturesFileRecord } from '../store/records.js';
@@ -21,10 +21,10 @@
   others: readonly string[];
   leaseS: number;
   replica: Pick<Replica, 'versions' | 'leader'>;
-  peers: () => Pick<PeerNet, 'heardFeatures'>;
-  fitness: Pick<FitnessTable, 'silentS'>;
-  state: Pick<KeyValueStoreClient, 'compareAndSwap' | 'writes'>;
-  follower: Pick<ReplicaSync, 'ready' | 'sync'>;
+  peers: () => Pick<PeerNetwork, 'announcedFeatures'>;
+  health: Pick<HealthTable, 'silentS'>;
+  store: Pick<KeyValueStoreClient, 'compareAndSwap' | 'writes'>;
+  replicaSync: Pick<ReplicaSync, 'ready' | 'sync'>;
   clock: Clock;
   log: Log;
   /** This controller's features file; missing: it has none. */
@@ -49,7 +49,7 @@
   knows(node: string, feature: Feature): boolean {
     const { replica, peers } = this.options;
     if (node === this.options.node) return FEATURES.includes(feature);
-    const heard = peers().heardFeatures(node);
+    const heard = peers().announcedFeatures(node);
     if (heard !== null) return heard.has(feature);
     return replica.versions.get(node)?.record.features.includes(feature) ?? false;
   }
@@ -64,17 +64,17 @@
    * is no proof, and none is needed: what such a version would misread it is never shown.
    */
   isOldPresent(feature: Feature): boolean {
-    const { others, leaseS, replica, fitness } = this.options;
+    const { others, leaseS, replica, health } = this.options;
     const leader = replica.leader?.node;
     return others.some((node) => {
       if (this.knows(node, feature)) return false;
-      return node === leader || fitness.silentS(node) < leaseS * PRESENT_LEASES;
+      return node === leader || health.silentS(node) < leaseS * PRESENT_LEASES;
     });
   }
 
   /** Stores what this controller's version can do, until that is done. */
   async publish(): Promise<void> {
-    const { node, leaseS, replica, state, follower, log } = this.options;
+    const { node, leaseS, replica, store, replicaSync, log } = this.options;
     const { file } = this.options;
     const key = records.versionKey(node);
     const value = records.encodeVersion({
@@ -83,15 +83,15 @@
     });
     while (!this.stopped && !this.isPublished()) {
       try {
-        if (follower.ready) {
-          state.writes.force(1);
+        if (replicaSync.ready) {
+          store.writes.force(1);
           const revision = replica.versions.get(node)?.revision ?? 0;
-          await state.compareAndSwap(
+          await store.compareAndSwap(
             [{ key, revision }],
             [{ put: key, value }],
             leaseS * PUBLISH_LEASES,
           );
-          await follower.sync();
+          await replicaSync.sync();
         }
       } catch (e) {
         log.debug({ err: String(e) }, 'version not stored');
--- a/src/heartbeat/relay-wait.ts
+++ b/src/heartbeat/forwarding-delay.ts
@@ -10,7 +10,7 @@
  * included. A leader that falls behind may not see it itself: while its timers are hardly late, others
  * give up waiting for it.
  */
-export class RelayWait {
+export class ForwardingDelay {
   private mean = 0;
   private notedAt = -Infinity;
 
--- a/src/heartbeat/report-counts.ts
+++ b/src/heartbeat/heartbeat-counts.ts
@@ -1,20 +1,20 @@
 import type { Reply } from '../http/server.js';
 
 /** What became of workers' reports on this controller, counted since its start. */
-export class ReportCounts {
+export class HeartbeatCounts {
   /** Answered with 200 as leader: straight from workers. */
   answered = 0;
   /** Answered with 200 as leader: passed on by another controller. */
   answeredForPeers = 0;
   /** Answered in a leader's place. */
-  kept = 0;
+  renewedForLeader = 0;
   /** Passed on to another controller that answered them. */
-  passedOn = 0;
+  forwarded = 0;
   /** No other controller answered them; those that were answered in a leader's place then among them. */
-  passedOnFailed = 0;
+  forwardingFailed = 0;
 
   /** Counts the leader's answer to a report, if it is one, and returns it. */
-  leaderReply(reply: Reply, from: 'worker' | 'peer'): Reply {
+  countReply(reply: Reply, from: 'worker' | 'peer'): Reply {
     if (reply.status !== 200) return reply;
     if (from === 'worker') this.answered++;
     else this.answeredForPeers++;
--- a/src/heartbeat/received-report.ts
+++ b/src/heartbeat/received-heartbeat.ts
@@ -1,5 +1,5 @@
-import { scanReport } from '../wire/report-scan.js';
-import { decodeReport, type Report } from '../wire/workers.js';
+import { scanHeartbeat } from '../wire/heartbeat-scan.js';
+import { decodeHeartbeat, type Heartbeat } from '../wire/workers.js';
 
 /** What decides where a report goes. */
 export interface Routing {
@@ -11,21 +11,21 @@
  * A report as it came from a worker, parsed only when that is needed. Whoever answers it without the leader's
  * word must have parsed it first, so that malformed bytes get 400 by every way.
  */
-export class ReceivedReport {
-  private parsed: Report | null = null;
+export class ReceivedHeartbeat {
+  private parsed: Heartbeat | null = null;
   private scanned: Routing | null = null;
 
   constructor(readonly body: Buffer) {}
 
   /** Throws BadMessage if a full parse was needed and failed. That it does not throw proves nothing. */
   get routing(): Routing {
-    this.scanned ??= scanReport(this.body) ?? this.parse();
+    this.scanned ??= scanHeartbeat(this.body) ?? this.parse();
     return this.scanned;
   }
 
   /** The whole report. Throws BadMessage if it is malformed. */
-  parse(): Report {
-    this.parsed ??= decodeReport(this.body);
+  parse(): Heartbeat {
+    this.parsed ??= decodeHeartbeat(this.body);
     return this.parsed;
   }
 }
--- a/src/heartbeat/redirects.ts
+++ b/src/heartbeat/redirects.ts
@@ -3,7 +3,7 @@
 import type { ZoneLeaseWatch } from '../leadership/zone-lease.js';
 import type { KeyValueStoreClient } from '../store/client.js';
 import type { Replica } from '../store/replica.js';
-import type { Routing } from './received-report.js';
+import type { Routing } from './received-heartbeat.js';
 
 /**
  * A controller sends a worker elsewhere no more than once in so many leases. With three, workers that had left their
@@ -16,8 +16,8 @@
 export interface RedirectOptions {
   settings: Pick<Settings, 'node' | 'workers'>;
   replica: Pick<Replica, 'leader'>;
-  state: Pick<KeyValueStoreClient, 'health'>;
-  zoneLeases: Pick<ZoneLeaseWatch, 'keeper' | 'steady'>;
+  store: Pick<KeyValueStoreClient, 'health'>;
+  zoneLeases: Pick<ZoneLeaseWatch, 'holderOf' | 'isSteady'>;
   /** Whether another controller, as far as it has told lately, does not keep up. */
   isLate: (node: string) => boolean;
   clock: Clock;
@@ -37,7 +37,7 @@
   constructor(private readonly options: RedirectOptions) {}
 
   /** Where the worker should go; null: it stays. */
-  targetOf({ machine, zone }: Routing): string | null {
+  redirectTarget({ machine, zone }: Routing): string | null {
     const home = this.homeOf(zone);
     return home === null || this.wasSentLately(machine) ? null : home;
   }
@@ -49,11 +49,11 @@
    * hands over where another one is fitter; kept from it, workers were away when their zone was cut off.
    */
   private homeOf(zone: string): string | null {
-    const { settings, replica, state, zoneLeases, isLate } = this.options;
-    const home = zoneLeases.keeper(zone);
+    const { settings, replica, store, zoneLeases, isLate } = this.options;
+    const home = zoneLeases.holderOf(zone);
     if (home === null || home === settings.node) return null;
-    if (replica.leader === null || state.health !== 'served') return null;
-    if (!zoneLeases.steady(home, settings.workers.report_s * HOME_REPORTS)) return null;
+    if (replica.leader === null || store.health !== 'served') return null;
+    if (!zoneLeases.isSteady(home, settings.workers.report_s * HOME_REPORTS)) return null;
     return isLate(home) && home !== replica.leader.node ? null : home;
   }
 
@@ -67,7 +67,7 @@
   }
 
   /** The worker of a machine is told to go elsewhere. */
-  note(machine: string): void {
+  recordSent(machine: string): void {
     const now = this.options.clock.now();
     this.sentAt.delete(machine);
     this.sentAt.set(machine, now);
--- a/src/jobs/live.ts
+++ b/src/jobs/live.ts
@@ -1,5 +1,5 @@
 import type { Attempt } from '../workers/attempt.js';
-import { holds } from '../workers/attempt.js';
+import { occupiesCapacity } from '../workers/attempt.js';
 import type { StoredJob } from '../store/stored-job.js';
 import { progressKey, progressPartKey, type ProgressRecord } from '../store/records.js';
 import type { BitSet } from './bit-set.js';
@@ -53,19 +53,19 @@
   requestKind: string;
 
   constructor(
-    readonly facts: StoredJob,
+    readonly storedJob: StoredJob,
     layout: ProgressLayout,
     now: number,
     wallMs: number,
   ) {
-    this.spec = facts.spec;
-    this.requestKind = requestKindOf(facts.spec);
-    this.readyAt = facts.readyAt ?? facts.acceptedAt;
-    this.readySince = now - Math.max(0, wallMs - facts.readyMs) / 1000;
-    this.attainedS = facts.attainedS;
+    this.spec = storedJob.spec;
+    this.requestKind = requestKindOf(storedJob.spec);
+    this.readyAt = storedJob.readyAt ?? storedJob.acceptedAt;
+    this.readySince = now - Math.max(0, wallMs - storedJob.readyMs) / 1000;
+    this.attainedS = storedJob.attainedS;
     this.progress = new JobProgress(this.spec.tasks, layout);
     this.done = this.progress.done;
-    for (const [key, { first, bits, revision }] of facts.progress ?? []) {
+    for (const [key, { first, bits, revision }] of storedJob.progress ?? []) {
       this.progress.read(key, first, bits, revision);
     }
     if (this.done.count > 0) this.succeeded = true;
@@ -74,7 +74,7 @@
   /** Treats the job as one of this priority. */
   setPriority(priority: Priority): void {
     if (priority === this.spec.priority) return;
-    this.spec = { ...this.facts.spec, priority };
+    this.spec = { ...this.storedJob.spec, priority };
     this.requestKind = requestKindOf(this.spec);
   }
 
@@ -166,14 +166,14 @@
   /** The key of that record. */
   progressKey(unit: number): string {
     const { layout } = this.progress;
-    const { id } = this.facts.spec;
+    const { id } = this.storedJob.spec;
     if (layout.kind === 'chunks') return progressKey(id, unit);
     return progressPartKey(id, this.progress.range(unit).first);
   }
 
   /** Attempts that hold room. */
   *holding(): IterableIterator<Attempt> {
-    for (const list of this.live.values()) for (const a of list) if (holds(a)) yield a;
+    for (const list of this.live.values()) for (const a of list) if (occupiesCapacity(a)) yield a;
   }
 
   get holdingCount(): number {
--- a/src/leader/attempt-stops.ts
+++ b/src/leader/attempt-stops.ts
@@ -1,7 +1,7 @@
 /** Ending attempts: withdrawn while their start was never sent, told to stop otherwise. */
 
 import type { LiveJob } from '../jobs/live.js';
-import { holds, mayBeThere, type Attempt } from '../workers/attempt.js';
+import { occupiesCapacity, mayBeOnMachine, type Attempt } from '../workers/attempt.js';
 import type { Machine } from '../workers/machine.js';
 import type { TermState } from './term-state.js';
 
@@ -14,23 +14,23 @@
 
   /** Wants an attempt gone within so many seconds. One that was never sent is withdrawn at once. */
   stop(a: Attempt, graceS: number): void {
-    if (!holds(a)) return;
+    if (!occupiesCapacity(a)) return;
     const m = this.state.machines.get(a.machine);
     if (a.state === 'claimed' && m !== undefined) {
       this.withdraw(m, a);
       return;
     }
-    if (a.stop === null || graceS < a.stop.graceS) {
-      a.stop = { at: this.state.now, graceS, sentAt: null };
-      m?.touch();
-      if (mayBeThere(a)) this.state.urgent.add(a.machine);
+    if (a.stopRequest === null || graceS < a.stopRequest.graceS) {
+      a.stopRequest = { at: this.state.now, graceS, sentAt: null };
+      m?.markChanged();
+      if (mayBeOnMachine(a)) this.state.urgent.add(a.machine);
     }
     this.state.requestPass();
   }
 
   /** A claim whose start was never sent, or provably not carried out. */
   withdraw(m: Machine, a: Attempt): void {
-    m.withdraw(a, this.state.now);
+    m.withdrawClaim(a, this.state.now);
     this.state.dirtyMachines.add(m.id);
     this.state.jobs.get(a.job)?.release(a);
     this.state.requestPass();
@@ -39,8 +39,8 @@
   /** An attempt that serves nothing: stopped at once if it shows up, forgotten when it has ended. */
   dismiss(a: Attempt): void {
     if (a.state === 'ended') a.settled = true;
-    else a.stop ??= { at: this.state.now, graceS: 0, sentAt: null };
-    this.state.machines.get(a.machine)?.touch();
+    else a.stopRequest ??= { at: this.state.now, graceS: 0, sentAt: null };
+    this.state.machines.get(a.machine)?.markChanged();
     this.state.urgent.add(a.machine);
   }
 
--- a/src/leader/capacity.ts
+++ b/src/leader/capacity.ts
@@ -127,7 +127,7 @@
       const m = term.machines.get(id);
       if (m === undefined) continue;
       term.lose(m);
-      m.become('returned');
+      m.changeState('returned');
       forget(m);
     }
   }
--- a/src/leader/claim-space.ts
+++ b/src/leader/claim-space.ts
@@ -3,7 +3,7 @@
 import type { LiveJob } from '../jobs/live.js';
 import type { FreeCapacity } from '../scheduler/place.js';
 import { bytesWithoutImages, type ClaimForm } from '../store/machine-record.js';
-import { MOST_REPORTED_TASKS } from '../wire/workers.js';
+import { MAX_REPORTED_TASKS } from '../wire/workers.js';
 import type { Machine } from '../workers/machine.js';
 import { machineRecord, machineRecordBytes } from './stored-machine.js';
 import type { Term } from './term.js';
@@ -58,20 +58,20 @@
     const held = m.attempts.size;
     const more = job.gang ? tasksThatFit(job, room) : 1;
     if (held === 0 || this.surelyHolds(held + more)) return true;
-    if (held + more > MOST_REPORTED_TASKS) return false;
+    if (held + more > MAX_REPORTED_TASKS) return false;
     const eachMore = this.form === 'dense' ? DENSE_TASK_BYTES : CLAIM_BYTES;
     return this.bytes(m) + CLAIM_BYTES + (more - 1) * eachMore <= this.mostBytes;
   }
 
   private surelyHolds(claims: number): boolean {
-    return claims <= MOST_REPORTED_TASKS && FRAME_BYTES + claims * CLAIM_BYTES <= this.mostBytes;
+    return claims <= MAX_REPORTED_TASKS && FRAME_BYTES + claims * CLAIM_BYTES <= this.mostBytes;
   }
 
   private bytes(m: Machine): number {
     const known = this.measured.get(m.id);
-    if (known?.version === m.version) return known.bytes;
+    if (known?.version === m.changeCount) return known.bytes;
     const bytes = bytesWithoutImages(machineRecord(this.term, m), this.form);
-    this.measured.set(m.id, { version: m.version, bytes });
+    this.measured.set(m.id, { version: m.changeCount, bytes });
     return bytes;
   }
 }
--- a/src/leader/consolidation.ts
+++ b/src/leader/consolidation.ts
@@ -48,8 +48,8 @@
   private useAgain(now: number, wanted: boolean): void {
     const patience = this.term.deps.settings.workers.lease_s * EMPTIED_LEASES;
     for (const m of this.term.machines.values()) {
-      if (m.vacatedAt === null || m.state !== 'ready') continue;
-      if (wanted || now - m.vacatedAt > patience) m.vacatedAt = null;
+      if (m.drainingSince === null || m.state !== 'ready') continue;
+      if (wanted || now - m.drainingSince > patience) m.drainingSince = null;
     }
   }
 
--- a/src/leader/direct.ts
+++ b/src/leader/direct.ts
@@ -1,6 +1,6 @@
 import { endpoint } from '../config/endpoint.js';
 import { HttpClient, NoResponse } from '../http/client.js';
-import { encodeDirect, parseReport } from '../wire/workers.js';
+import { encodeDirectCommands, parseHeartbeat } from '../wire/workers.js';
 import type { Machine } from '../workers/machine.js';
 import type { Term } from './term.js';
 
@@ -65,27 +65,27 @@
     const { deps } = term;
     const d = this.channel(m);
     if (d === null || d.busy) return;
-    const commands = m.commands(term.now, (a) => term.mayStart(a), false);
+    const commands = m.dueCommands(term.now, (a) => term.mayStart(a), false);
     term.urgent.delete(m.id);
-    if (commands.every((c) => c.op === 'forget')) return;
-    const { session, token } = m;
-    m.mark(commands, 'direct', term.now);
+    if (commands.every((c) => c.kind === 'forget')) return;
+    const { agentEpoch, token } = m;
+    m.markSent(commands, 'direct', term.now);
     d.busy = true;
     const timeout = deps.settings.workers.report_s * ANSWER_REPORTS;
     try {
-      const body = encodeDirect(token, session, commands);
+      const body = encodeDirectCommands(token, agentEpoch, commands);
       const r = await d.client.request('POST', '/do', body, timeout);
       if (this.stopped) return;
       const how = r.status === 200 ? 'done' : 'refused';
-      m.directDone(commands, how, session, term.now, token);
+      m.directCommandsEnded(commands, how, agentEpoch, term.now, token);
       if (r.status === 200 || r.status === 409) {
-        const report = parseReport(JSON.parse(r.body.toString('utf8')));
-        if (report.machine === m.id) term.digest(m, m.apply(report, false, term.now));
+        const report = parseHeartbeat(JSON.parse(r.body.toString('utf8')));
+        if (report.machine === m.id) term.digest(m, m.applyHeartbeat(report, false, term.now));
       }
     } catch (e) {
       if (this.stopped) return;
       const never = e instanceof NoResponse && !e.sent;
-      m.directDone(commands, never ? 'refused' : 'unknown', session, term.now, token);
+      m.directCommandsEnded(commands, never ? 'refused' : 'unknown', agentEpoch, term.now, token);
       deps.log.debug({ machine: m.id, err: String(e) }, 'direct commands not answered');
     } finally {
       d.busy = false;
--- a/src/leader/due-writes.ts
+++ b/src/leader/due-writes.ts
@@ -73,7 +73,7 @@
     const make = (): Write => this.writes.machine(m);
     if (claiming !== null) due.push({ urgency: claiming, make });
     else if (m.state === 'returning' || m.nextToken > m.token) due.push({ urgency: SOON, make });
-    else if (m.revision === 0 && m.attempts.size === 0) this.term.dirtyMachines.delete(m.id);
+    else if (m.recordRevision === 0 && m.attempts.size === 0) this.term.dirtyMachines.delete(m.id);
     // Claims too many are safe; they are dropped with the next write, or when there is time.
     else due.push({ urgency: LATER, make });
   }
--- a/src/leader/eviction-slots.ts
+++ b/src/leader/eviction-slots.ts
@@ -5,7 +5,7 @@
 import { putBack, type FreeCapacity } from '../scheduler/place.js';
 import type { Victim } from '../scheduler/preempt.js';
 import type { ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import { holds, type Attempt } from '../workers/attempt.js';
+import { occupiesCapacity, type Attempt } from '../workers/attempt.js';
 import type { Term } from './term.js';
 
 /** A task that may be stopped, as far as its state goes. */
@@ -43,7 +43,7 @@
     least: -1,
   };
   for (const attempt of term.machines.get(room.id)!.attempts.values()) {
-    if (!holds(attempt)) continue;
+    if (!occupiesCapacity(attempt)) continue;
     const job = term.jobs.get(attempt.job);
     if (job === undefined) continue;
     const goneS = secondsUntilGone(job, attempt, now, subsystems);
@@ -67,8 +67,8 @@
   now: number,
   subsystems: ActiveSubsystems,
 ): number | null {
-  const { stop } = attempt;
-  if (stop !== null) return stop.at + stop.graceS - now;
+  const { stopRequest } = attempt;
+  if (stopRequest !== null) return stopRequest.at + stopRequest.graceS - now;
   return subsystems.isLeaving(attempt) ? job.spec.saveS : null;
 }
 
--- a/src/leader/evictions.ts
+++ b/src/leader/evictions.ts
@@ -5,8 +5,8 @@
 import { cheapestEviction, type Occupied } from '../scheduler/preempt.js';
 import type { Usages } from '../scheduler/quota.js';
 import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import { CHANGE_GAP_S } from '../wire/workers.js';
-import { holds } from '../workers/attempt.js';
+import { MIN_HEARTBEAT_GAP_S } from '../wire/workers.js';
+import { occupiesCapacity } from '../workers/attempt.js';
 import { evictionSlot, type EvictionSlot, type HeldVictim } from './eviction-slots.js';
 import type { Term } from './term.js';
 
@@ -25,7 +25,7 @@
 /** What the greatest harm that subsystems see counts for: less than a late start. */
 const HARM_S = LATE_S * 0.5;
 /** What commands and starts take: they are sent straight, and shown by a report of the change. */
-export const COMMAND_S = CHANGE_GAP_S * 0.6;
+export const COMMAND_S = MIN_HEARTBEAT_GAP_S * 0.6;
 
 /** Making room within one pass, by the protocol's rules on preemption. */
 export class Evictions {
@@ -156,7 +156,7 @@
     if (borrower.phase !== 'open' || borrower.pendingCount === 0) return false;
     for (const { job, attempt } of victims) {
       // Stopping one task of a gang stops all that it runs by now: not for a task that is gone.
-      if (!holds(attempt) || attempt.stop !== null) continue;
+      if (!occupiesCapacity(attempt) || attempt.stopRequest !== null) continue;
       if (saves) this.term.stopTask(job, attempt);
       else this.term.stopTaskNow(job, attempt);
     }
--- a/src/leader/fencing.ts
+++ b/src/leader/fencing.ts
@@ -9,7 +9,7 @@
  */
 export function fenceUnanswered(state: TermState): void {
   for (const m of state.machines.values()) {
-    if (m.state !== 'ready' || !m.blockedByUnanswered()) continue;
+    if (m.state !== 'ready' || !m.isBlockedByUnansweredStart()) continue;
     if (state.latestRevision > m.token) m.nextToken = state.latestRevision;
     state.dirtyMachines.add(m.id);
   }
--- a/src/leader/figures.ts
+++ b/src/leader/figures.ts
@@ -1,6 +1,6 @@
 /** Figures of a term, for the status and the log. */
 
-import { holds } from '../workers/attempt.js';
+import { occupiesCapacity } from '../workers/attempt.js';
 import type { CapacityManager } from './capacity.js';
 import type { Term } from './term.js';
 
@@ -10,7 +10,7 @@
   const add = (name: string): void => void (counts[name] = (counts[name] ?? 0) + 1);
   for (const m of term.machines.values()) {
     add(`machines_${m.state}`);
-    for (const a of m.attempts.values()) if (holds(a)) add(`attempts_${a.state}`);
+    for (const a of m.attempts.values()) if (occupiesCapacity(a)) add(`attempts_${a.state}`);
   }
   counts.machines_coming = capacity.fleet.coming.size;
   counts.jobs_open = term.jobs.size;
--- a/src/leader/free-capacity.ts
+++ b/src/leader/free-capacity.ts
@@ -3,7 +3,7 @@
 import type { JobSpec, MachineType, Size } from '../jobs/types.js';
 import { freeShare, putBack, type HotImage, type FreeCapacity } from '../scheduler/place.js';
 import { Usages } from '../scheduler/quota.js';
-import { holds } from '../workers/attempt.js';
+import { occupiesCapacity } from '../workers/attempt.js';
 import type { Machine } from '../workers/machine.js';
 import type { Term } from './term.js';
 
@@ -117,7 +117,7 @@
     const type = this.term.types.get(m.type);
     if (type === undefined) return null;
     const known = this.entries.get(m.id);
-    if (known !== undefined && known.version === m.version && known.type === type) return known;
+    if (known !== undefined && known.version === m.changeCount && known.type === type) return known;
     const made = this.make(m, type);
     if (made === null) this.entries.delete(m.id);
     else this.entries.set(m.id, made);
@@ -144,7 +144,7 @@
     let inUse = false;
     const soft: Size = { cores: 0, gpus: 0, memGb: 0 };
     for (const a of m.attempts.values()) {
-      if (!holds(a)) continue;
+      if (!occupiesCapacity(a)) continue;
       const spec = this.specOf(a.job);
       if (spec === null) return null;
       held.push(spec);
@@ -152,8 +152,8 @@
       gpus -= spec.gpus;
       memGb -= spec.memGb;
       inUse ||= spec.priority < 3;
-      if (a.stop === null && this.leaves(spec)) putBack(spec, soft);
-      if (a.state === 'running' && a.stop === null) facts.running.add(spec.image);
+      if (a.stopRequest === null && this.leaves(spec)) putBack(spec, soft);
+      if (a.state === 'running' && a.stopRequest === null) facts.running.add(spec.image);
       if (a.startedAt !== null) facts.cached.add(spec.image);
       else if (!facts.cached.has(spec.image)) facts.fetching.set(spec.image, spec.imageGb);
     }
@@ -161,7 +161,7 @@
     const free = freeShare(room);
     putBack(room, soft);
     room.softShare = freeShare({ ...soft, whole: type }) - free;
-    return { version: m.version, type, room, held, inUse };
+    return { version: m.changeCount, type, room, held, inUse };
   }
 
   /** Copies for those machines that may be used now: a pass takes from them. */
@@ -170,7 +170,7 @@
     for (const m of this.term.machines.values()) {
       if (!usable(m)) continue;
       const e = this.entry(m);
-      if (e !== null) out.push(e.room.copy(m.shuns));
+      if (e !== null) out.push(e.room.copy(m.cordonCount));
     }
     if (this.entries.size > this.term.machines.size * 2) {
       for (const id of [...this.entries.keys()]) {
@@ -190,7 +190,7 @@
         continue;
       }
       for (const a of m.attempts.values()) {
-        const spec = holds(a) ? this.specOf(a.job) : null;
+        const spec = occupiesCapacity(a) ? this.specOf(a.job) : null;
         if (spec !== null) u.add(spec, 1);
       }
     }
--- a/src/leader/inheritance.ts
+++ b/src/leader/inheritance.ts
@@ -30,7 +30,7 @@
   const { startedAt: now } = state;
   for (const c of stored.record.claims) {
     const a = makeAttempt(c.job, c.index, c.attempt, id, 'inherited', now);
-    m.claim(a);
+    m.addClaim(a);
     const job = state.jobs.get(c.job);
     if (job !== undefined && !job.done.has(c.index)) job.adopt(a);
     else stops.dismiss(a);
@@ -45,13 +45,13 @@
   m.type = record.type;
   m.zone = record.zone;
   m.spot = record.spot;
-  m.revision = revision;
+  m.recordRevision = revision;
   m.recordTerm = record.term;
   for (const [image, gb] of record.images) {
     m.images.set(image, { gb, at: now });
     m.fetchedGb += gb;
   }
   // The record says so already: without this no round would ever name it to the cloud again.
-  if (record.returning && m.become('returning')) m.returnStored = true;
+  if (record.returning && m.changeState('returning')) m.returnRecorded = true;
   return m;
 }
--- a/src/leader/job-placement.ts
+++ b/src/leader/job-placement.ts
@@ -162,8 +162,8 @@
     this.logPlaced(job, index, m, room);
     const a = makeAttempt(spec.id, index, number, m.id, 'claiming', term.now);
     const fetchS = room.imageWaitS(spec.image, spec.imageGb);
-    if (fetchS === room.fetchS(spec.imageGb)) a.fetchS = fetchS;
-    m.claim(a);
+    if (fetchS === room.fetchS(spec.imageGb)) a.predictedFetchS = fetchS;
+    m.addClaim(a);
     this.eligibility.noteClaimed(m);
     job.claimed(a);
     term.dirtyMachines.add(m.id);
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -4,8 +4,8 @@
 import type { MachineType } from '../jobs/types.js';
 import type { KeyValueStoreClient } from '../store/client.js';
 import type { StoredJob } from '../store/stored-job.js';
-import { scanMachineHint } from '../wire/report-scan.js';
-import { decodeReport, encodeOrders, type Report } from '../wire/workers.js';
+import { scanMachineId } from '../wire/heartbeat-scan.js';
+import { decodeHeartbeat, encodeHeartbeatReply, type Heartbeat } from '../wire/workers.js';
 import { ActiveSubsystems } from '../subsystems/active-subsystems.js';
 import type { Subsystem, TermView } from '../subsystems/subsystem.js';
 import type { Machine } from '../workers/machine.js';
@@ -24,7 +24,7 @@
 
 /** What a leader works with, beside what its term rests on. */
 export interface LeaderServices {
-  state: KeyValueStoreClient;
+  store: KeyValueStoreClient;
   cloud: CloudClient;
   /** The leader's key has changed: this term is over. */
   onLost: () => void;
@@ -53,7 +53,7 @@
 
   constructor(
     private readonly deps: TermDeps,
-    { state, cloud, onLost, costs, overload = new Overload(), subsystems = [] }: LeaderServices,
+    { store, cloud, onLost, costs, overload = new Overload(), subsystems = [] }: LeaderServices,
   ) {
     this.costs = costs;
     this.term = new Term(deps);
@@ -62,8 +62,8 @@
     this.arrivals = new Arrivals(deps.wallMs, deps.settings.workers.report_s, () => [
       ...this.term.types.values(),
     ]);
-    for (const j of deps.replica.jobs.values()) {
-      if (j.readyAt !== null) this.arrivals.add(j.spec, j.readyMs);
+    for (const storedJob of deps.replica.jobs.values()) {
+      if (storedJob.readyAt !== null) this.arrivals.add(storedJob.spec, storedJob.readyMs);
     }
     this.subsystems = new ActiveSubsystems(deps.log);
     this.capacity = new CapacityManager({
@@ -85,7 +85,7 @@
     this.direct = new DirectCommands(this.term, () => this.schedule());
     this.store = new TermStore({
       term: this.term,
-      state,
+      store: store,
       clock: deps.clock,
       log: deps.log,
       onLost,
@@ -135,14 +135,14 @@
   }
 
   /** A job was accepted that needs no other one, or the last one that it needs is done. */
-  onReady(facts: StoredJob): void {
-    this.arrivals.add(facts.spec, facts.readyMs);
-    this.term.addJob(facts);
+  onReady(storedJob: StoredJob): void {
+    this.arrivals.add(storedJob.spec, storedJob.readyMs);
+    this.term.addJob(storedJob);
   }
 
-  onCancelled(facts: StoredJob): void {
-    if (this.term.jobs.has(facts.spec.id)) this.arrivals.left(facts.spec);
-    this.term.cancelled(facts);
+  onCancelled(storedJob: StoredJob): void {
+    if (this.term.jobs.has(storedJob.spec.id)) this.arrivals.left(storedJob.spec);
+    this.term.cancelled(storedJob);
   }
 
   /** Stored, as another controller knows, but kept from this one by an outage. */
@@ -153,17 +153,17 @@
   // Reports
 
   /** The report in a body, parsed unless it repeats the machine's last one. Throws BadMessage. */
-  read(body: Buffer): Report {
-    const machine = scanMachineHint(body);
+  decodeHeartbeat(body: Buffer): Heartbeat {
+    const machine = scanMachineId(body);
     const known = machine === null ? undefined : this.term.machines.get(machine);
-    return known?.lastReport.repeat(body) ?? decodeReport(body);
+    return known?.lastHeartbeat.decodeRepetition(body) ?? decodeHeartbeat(body);
   }
 
   /**
    * A worker's check-in, straight from it or passed on by another controller. `body`: what it was read from,
    * if the machine's next report is to be compared with it.
    */
-  checkin(report: Report, body?: Buffer): Reply {
+  answerHeartbeat(report: Heartbeat, body?: Buffer): Reply {
     const { term, deps } = this;
     if (!deps.entitled()) return { status: 503, retryAfter: 1 };
     // Of a later leader: it would drop an answer from here, and its lease would run out meanwhile.
@@ -172,26 +172,26 @@
     if (term.returned.has(report.machine)) return { status: 503, retryAfter: 1 };
     const now = term.now;
     const m = this.machineOf(report);
-    const repeated = m.hasSeen(report);
-    if (body !== undefined && !repeated && !m.lastReport.gave(report)) {
-      m.lastReport.keep(report, body);
+    const repeated = m.isRepeated(report);
+    if (body !== undefined && !repeated && !m.lastHeartbeat.wasDecodedFrom(report)) {
+      m.lastHeartbeat.keep(report, body);
     }
     // Fenced once by this term, forgotten, and back.
     if (report.token > m.token) m.raiseToken(term.latestRevision);
-    const changes = m.apply(report, true, now);
+    const changes = m.applyHeartbeat(report, true, now);
     if (!changes.stale) term.digest(m, changes);
     const fresh =
       !changes.stale &&
       (m.state === 'ready' || m.state === 'returning') &&
       report.token === m.token;
-    const commands = fresh ? m.commands(now, (a) => term.mayStart(a), true) : [];
-    m.mark(commands, 'checkin', now);
+    const commands = fresh ? m.dueCommands(now, (a) => term.mayStart(a), true) : [];
+    m.markSent(commands, 'checkin', now);
     if (fresh) term.urgent.delete(m.id);
-    if (!repeated) m.renewed(now);
-    return { status: 200, body: encodeOrders(m.token, commands) };
+    if (!repeated) m.leaseRenewed(now);
+    return { status: 200, body: encodeHeartbeatReply(m.token, commands) };
   }
 
-  private machineOf(report: Report): Machine {
+  private machineOf(report: Heartbeat): Machine {
     const known = this.term.machines.has(report.machine);
     const m = this.term.machine(report.machine);
     if (!known) {
@@ -245,7 +245,7 @@
       capacity.rooms = r.rooms;
       capacity.usages = r.usages;
     }
-    for (const m of term.machines.values()) if (m.holdsAny()) m.idleSince = began;
+    for (const m of term.machines.values()) if (m.hasActiveAttempts()) m.idleSince = began;
     if (term.dirtyMachines.size > 0 || this.anyDirty()) this.store.nudge();
     this.direct.push();
     if (capacity.demand.length > 0) capacity.fleet.nudge();
--- a/src/leader/lease-expiry.ts
+++ b/src/leader/lease-expiry.ts
@@ -18,13 +18,13 @@
     let unproven = false;
     for (const m of machines.values()) {
       // While the state service is down others may renew leases in this controller's place.
-      if (kept > m.knownAt) m.renewed(kept);
-      if (now <= m.leaseEnd || m.state === 'silent' || m.state === 'returned') continue;
+      if (kept > m.knownAt) m.leaseRenewed(kept);
+      if (now <= m.leaseExpiresAt || m.state === 'silent' || m.state === 'returned') continue;
       // Its zone may be cut off as a whole and go on working inside itself.
       const zone = deps.zone(m.zone);
-      m.renewed(zone.keptUntil);
-      if (now <= m.leaseEnd) continue;
-      if (zone.provenAt < m.leaseEnd) unproven = true;
+      m.leaseRenewed(zone.keptUntil);
+      if (now <= m.leaseExpiresAt) continue;
+      if (zone.provenAt < m.leaseExpiresAt) unproven = true;
       else this.expired(m);
     }
     if (unproven) deps.prove();
@@ -38,12 +38,12 @@
     this.state.deps.log.info({ machine: m.id, attempts: m.attempts.size }, 'machine lost');
     this.state.machinesLost++;
     this.lose(m);
-    m.become('silent');
+    m.changeState('silent');
   }
 
   /** All that was on a machine is provably gone. */
   lose(m: Machine): void {
-    const over = m.lost(this.state.now);
+    const over = m.endAllAttempts(this.state.now);
     for (const a of over) this.digest.over(m, a);
     this.state.dirtyMachines.add(m.id);
     this.state.requestPass();
--- a/src/leader/machine-eligibility.ts
+++ b/src/leader/machine-eligibility.ts
@@ -21,13 +21,13 @@
   const { report_s } = term.deps.settings.workers;
   return (
     m.state === 'ready' &&
-    m.takenAt === null &&
-    !m.faulty &&
-    m.vacatedAt === null &&
+    m.reclaimedAt === null &&
+    !m.quarantined &&
+    m.drainingSince === null &&
     // Not by answers to direct commands: a worker that reaches no controller gives those too, while
     // its lease runs out.
-    now - m.checkinAt < report_s * HEARD_REPORTS &&
-    now >= m.shunnedUntil
+    now - m.heartbeatAt < report_s * HEARD_REPORTS &&
+    now >= m.cordonedUntil
   );
 }
 
--- a/src/leader/machine-health.ts
+++ b/src/leader/machine-health.ts
@@ -37,11 +37,11 @@
   /** Places nothing new on a machine for a while: longer each time, until a task does well there. */
   shun(m: Machine, firstS: number): void {
     const most = this.options.workers.lease_s * SHUN_LEASES;
-    m.shunnedUntil = Math.max(
-      m.shunnedUntil,
-      this.options.clock.now() + Math.min(most, firstS * 2 ** m.shuns),
+    m.cordonedUntil = Math.max(
+      m.cordonedUntil,
+      this.options.clock.now() + Math.min(most, firstS * 2 ** m.cordonCount),
     );
-    m.shuns = Math.min(m.shuns + 1, SHUNS_MOST);
+    m.cordonCount = Math.min(m.cordonCount + 1, SHUNS_MOST);
   }
 
   /** A task ended without being done. */
@@ -55,7 +55,7 @@
         const jobSuspect = !job.succeeded && job.failedOn.size >= SUSPECT_JOB_MACHINES;
         job.postpone(a.index, now, report_s / 2, lease_s * (jobSuspect ? POSTPONE_LEASES : 1));
         if (!jobSuspect) {
-          m.errors.set(`${a.job}/${a.index}`, now);
+          m.taskFailures.set(`${a.job}/${a.index}`, now);
           this.shun(m, report_s * 2);
         }
         this.judge(m);
@@ -83,15 +83,15 @@
     const recent = this.options.clock.now() - this.options.workers.lease_s * ERROR_LEASES;
     const doubted = new Set<string>();
     let against = 0;
-    for (const [task, at] of m.errors) {
+    for (const [task, at] of m.taskFailures) {
       const id = task.slice(0, task.lastIndexOf('/'));
-      if (at < recent) m.errors.delete(task);
+      if (at < recent) m.taskFailures.delete(task);
       else if (this.hasSucceeded(id)) against++;
       // Several tasks of a job with a mistake fail together where it is tried first: that counts once.
       else if (this.options.jobs.get(id)?.failedOn.size === 1) doubted.add(id);
     }
-    if (against + doubted.size >= FAULTY_JOBS && !m.faulty) {
-      m.faulty = true;
+    if (against + doubted.size >= FAULTY_JOBS && !m.quarantined) {
+      m.quarantined = true;
       this.options.log.info({ machine: m.id }, 'faulty machine put aside');
     }
   }
@@ -100,7 +100,7 @@
   private hasSucceeded(id: string): boolean {
     const job = this.options.jobs.get(id);
     if (job !== undefined) return job.succeeded;
-    const facts = this.options.replica.jobs.get(id);
-    return facts !== undefined && outcome(facts) === 'done';
+    const storedJob = this.options.replica.jobs.get(id);
+    return storedJob !== undefined && outcome(storedJob) === 'done';
   }
 }
--- a/src/leader/moves.ts
+++ b/src/leader/moves.ts
@@ -3,7 +3,7 @@
 import { bestFit, take, zoneAllowed, type FreeCapacity, type Weights } from '../scheduler/place.js';
 import type { Usages } from '../scheduler/quota.js';
 import { chooseVacated, type Candidate } from '../scheduler/vacate.js';
-import { splitTask } from '../wire/workers.js';
+import { parseTaskName } from '../wire/workers.js';
 import type { LiveJob } from '../jobs/live.js';
 import type { Attempt } from '../workers/attempt.js';
 import type { Machine } from '../workers/machine.js';
@@ -51,7 +51,7 @@
     const byId = new Map(rooms.map((r) => [r.id, r]));
     let placed = 0;
     for (const [key, b] of [...this.bookings]) {
-      const { job: id, index } = splitTask(key);
+      const { job: id, index } = parseTaskName(key);
       const job = this.term.jobs.get(id);
       const room = byId.get(b.to);
       if (job === undefined || job.phase !== 'open' || now > b.until) {
@@ -69,7 +69,7 @@
     }
     // Not there yet: the place is held for it.
     for (const [key, b] of this.bookings) {
-      const spec = this.term.jobs.get(splitTask(key).job)?.spec;
+      const spec = this.term.jobs.get(parseTaskName(key).job)?.spec;
       const room = byId.get(b.to);
       if (spec !== undefined && room !== undefined) take(spec, room);
     }
@@ -86,16 +86,16 @@
     for (const room of rooms) {
       const m = this.term.machines.get(room.id);
       if (m === undefined || room.spot || !usable(m)) continue;
-      const held = m.held();
+      const held = m.activeAttempts();
       const jobs = held.map((a) => this.term.jobs.get(a.job));
       const steady = held.every(
         (a, i) =>
           jobs[i]?.spec.kind === 'service' &&
-          a.stop === null &&
+          a.stopRequest === null &&
           a.startedAt !== null &&
           now - a.startedAt > lease_s * STEADY_LEASES,
       );
-      if (!steady || now - m.heardAt > report_s * 1.5) continue;
+      if (!steady || now - m.lastSeenAt > report_s * 1.5) continue;
       candidates.push({
         room,
         replicas: jobs.map((j) => ({ spec: j!.spec, zones: this.zonesOf(j!) })),
@@ -114,8 +114,8 @@
     const chosen = chooseVacated(this.candidates(rooms, usable, now), rooms, mayMove, weights);
     if (chosen === null) return null;
     const m = this.term.machines.get(chosen.candidate.room.id)!;
-    m.vacatedAt = now;
-    m.held().forEach((attempt, i) => this.move(attempt, chosen.to[i]!));
+    m.drainingSince = now;
+    m.activeAttempts().forEach((attempt, i) => this.move(attempt, chosen.to[i]!));
     this.term.deps.log.info({ machine: m.id, replicas: chosen.to.length }, 'emptied');
     return m;
   }
@@ -124,9 +124,10 @@
    */
   moveReplica(attempt: Attempt, { rooms, may, mayFetch, weights }: MoveSearch): boolean {
     const job = this.term.jobs.get(attempt.job);
-    if (job === undefined || job.spec.kind !== 'service' || attempt.stop !== null) return false;
+    if (job === undefined || job.spec.kind !== 'service' || attempt.stopRequest !== null)
+      return false;
     const { spec } = job;
-    const others = [...job.holding()].filter((a) => a !== attempt && a.stop === null);
+    const others = [...job.holding()].filter((a) => a !== attempt && a.stopRequest === null);
     // The others answer meanwhile.
     if (!others.some((a) => a.state === 'running')) return false;
     if (!this.moveBound(MOVES_LEAST)([{ spec }])) return false;
--- a/src/leader/pass-pacing.ts
+++ b/src/leader/pass-pacing.ts
@@ -1,8 +1,8 @@
 import type { Overload } from '../admission/overload.js';
-import { CHANGE_GAP_S } from '../wire/workers.js';
+import { MIN_HEARTBEAT_GAP_S } from '../wire/workers.js';
 
 /** Events come in clusters: passes are at least so far apart, in seconds. */
-export const PASS_GAP_S = CHANGE_GAP_S / 10;
+export const PASS_GAP_S = MIN_HEARTBEAT_GAP_S / 10;
 /**
  * The longest pause between two passes, in leases. By the share of time alone that passes may take on a late
  * leader, the next one came eighteen seconds after one of a second, the first after all controllers had ended.
--- a/src/leader/queue.ts
+++ b/src/leader/queue.ts
@@ -39,7 +39,7 @@
 
   private asReady(j: LiveJob): Ready {
     if (!this.hasSuccessors(j)) return alone(j);
-    return before(j, this.outlooks.of(j.facts));
+    return before(j, this.outlooks.of(j.storedJob));
   }
 
   private hasSuccessors(j: LiveJob): boolean {
@@ -52,13 +52,13 @@
    * docs/results.md.
    */
   private inheritPriority(j: LiveJob): void {
-    const { facts } = j;
+    const { storedJob } = j;
     if (!this.hasSuccessors(j)) {
-      j.setPriority(facts.spec.priority);
+      j.setPriority(storedJob.spec.priority);
       return;
     }
-    const outlook = this.outlooks.of(facts);
-    j.setPriority(this.isUrgent(j, outlook) ? outlook.priority : facts.spec.priority);
+    const outlook = this.outlooks.of(storedJob);
+    j.setPriority(this.isUrgent(j, outlook) ? outlook.priority : storedJob.spec.priority);
   }
 
   /** Whether it may end too late if it waits for a machine to boot first. Without a deadline: always. */
@@ -77,7 +77,7 @@
     const open: LiveJob[] = [];
     for (const j of this.term.jobs.values()) {
       if (j.phase !== 'open') continue;
-      if (!noPipelines || j.spec !== j.facts.spec) this.inheritPriority(j);
+      if (!noPipelines || j.spec !== j.storedJob.spec) this.inheritPriority(j);
       open.push(j);
     }
     const finite = open.filter((j) => j.spec.kind !== 'service');
--- a/src/leader/record-writes.ts
+++ b/src/leader/record-writes.ts
@@ -85,19 +85,19 @@
     const value = records.encodeMachine(record, machineRecordBytes(term.deps.settings), form);
     return makeWrite(
       key,
-      m.revision,
+      m.recordRevision,
       { put: key, value },
       {
         begin: () => term.dirtyMachines.delete(m.id),
         stored: (revision) => {
-          m.revision = revision;
+          m.recordRevision = revision;
           m.recordTerm = term.deps.token;
           m.raiseToken(token);
-          if (returning) m.returnStored = true;
+          if (returning) m.returnRecorded = true;
           for (const a of claims) term.stored(a);
         },
         failed: () => term.dirtyMachines.add(m.id),
-        reread: (item) => (m.revision = item?.revision ?? 0),
+        reread: (item) => (m.recordRevision = item?.revision ?? 0),
       },
     );
   }
--- a/src/leader/rent-planner.ts
+++ b/src/leader/rent-planner.ts
@@ -7,7 +7,7 @@
 import type { FreeCapacity, Weights } from '../scheduler/place.js';
 import { RENT_MAX } from '../wire/cloud.js';
 import type { ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import { holds } from '../workers/attempt.js';
+import { occupiesCapacity } from '../workers/attempt.js';
 import type { Machine } from '../workers/machine.js';
 import { freeMachines } from './free-capacity.js';
 import type { Term } from './term.js';
@@ -113,7 +113,7 @@
         target: [false, true].map((spot) => warm.target(spot)),
         coming: fleet.coming.size,
         missed: missed.reduce((n, d) => n + d.tasks, 0),
-        machines: [...term.machines.values()].filter((m) => m.held().length > 0).length,
+        machines: [...term.machines.values()].filter((m) => m.activeAttempts().length > 0).length,
       },
       'fleet',
     );
@@ -145,7 +145,7 @@
     for (const m of term.machines.values()) {
       if (m.state !== 'ready' && m.state !== 'fencing' && m.state !== 'unheard') continue;
       known++;
-      if (now - m.heardAt > patience) silent.add(m);
+      if (now - m.lastSeenAt > patience) silent.add(m);
     }
     if (silent.size > known * MISSED_MOST) silent.clear();
     return silent;
@@ -160,7 +160,13 @@
       if (term.deps.zone(m.zone).keptUntil > now) continue;
       for (const a of m.attempts.values()) {
         const job = term.jobs.get(a.job);
-        if (job === undefined || job.phase !== 'open' || !holds(a) || a.stop !== null) continue;
+        if (
+          job === undefined ||
+          job.phase !== 'open' ||
+          !occupiesCapacity(a) ||
+          a.stopRequest !== null
+        )
+          continue;
         if (job.spec.priority < 3) lost.set(job, (lost.get(job) ?? 0) + 1);
       }
     }
--- a/src/leader/report-digest.ts
+++ b/src/leader/report-digest.ts
@@ -1,8 +1,8 @@
 /** Taking in what reports showed: tasks found, running, ended or gone. */
 
 import type { LiveJob } from '../jobs/live.js';
-import { holds, type Attempt } from '../workers/attempt.js';
-import type { Changes, Machine } from '../workers/machine.js';
+import { occupiesCapacity, type Attempt } from '../workers/attempt.js';
+import type { HeartbeatChanges, Machine } from '../workers/machine.js';
 import type { AttemptStops } from './attempt-stops.js';
 import type { MachineHealth } from './machine-health.js';
 import type { TermState } from './term-state.js';
@@ -21,19 +21,19 @@
   ) {}
 
   /** What a report, a lapsed lease or a returned machine has shown. */
-  digest(m: Machine, c: Changes): void {
+  digest(m: Machine, c: HeartbeatChanges): void {
     const { now } = this.state;
-    for (const a of c.foreign) this.foreign(m, a);
-    for (const a of c.moved) this.noteImage(m, a, now);
-    for (const a of c.over) this.noteImage(m, a, now);
-    for (const a of c.moved) this.moved(m, a, now);
-    for (const a of c.over) this.over(m, a);
+    for (const a of c.unclaimed) this.foreign(m, a);
+    for (const a of c.changed) this.noteImage(m, a, now);
+    for (const a of c.exited) this.noteImage(m, a, now);
+    for (const a of c.changed) this.moved(m, a, now);
+    for (const a of c.exited) this.over(m, a);
     const { report_s } = this.state.deps.settings.workers;
     // Its reports come, but what it is told does not arrive.
-    if (c.missed > 0) this.health.shun(m, report_s * MISSED_SHUN_REPORTS);
-    if (c.sessionMoved) this.health.shun(m, report_s * RESTART_SHUN_REPORTS);
-    if (m.takenAt !== null) this.drain(m);
-    if (c.over.length > 0 || c.moved.length > 0) this.state.requestPass();
+    if (c.rejectedStarts > 0) this.health.shun(m, report_s * MISSED_SHUN_REPORTS);
+    if (c.agentRestarted) this.health.shun(m, report_s * RESTART_SHUN_REPORTS);
+    if (m.reclaimedAt !== null) this.drain(m);
+    if (c.exited.length > 0 || c.changed.length > 0) this.state.requestPass();
   }
 
   /** An attempt that no claim names: adopted where its task is wanted and nowhere else. */
@@ -62,16 +62,20 @@
     const job = this.state.jobs.get(a.job);
     if (job === undefined || (a.state !== 'running' && a.state !== 'waiting')) return;
     const cacheGb = this.state.types.get(m.type)?.cacheGb ?? 0;
-    m.sawImage(job.spec.image, job.spec.imageGb, cacheGb, now);
+    m.noteImage(job.spec.image, job.spec.imageGb, cacheGb, now);
   }
 
   private moved(m: Machine, a: Attempt, now: number): void {
     // Its start provably went nowhere, and it is not wanted any more. Left as it was, it held its room
     // and its task for the rest of the term.
-    if (a.state === 'claimed' && a.stop !== null) this.stops.withdraw(m, a);
-    if (a.fetchS > 0 && a.sentAt !== null && (a.state === 'running' || a.state === 'waiting')) {
-      this.state.fetches.note(a.fetchS, now - a.sentAt);
-      a.fetchS = 0;
+    if (a.state === 'claimed' && a.stopRequest !== null) this.stops.withdraw(m, a);
+    if (
+      a.predictedFetchS > 0 &&
+      a.startSentAt !== null &&
+      (a.state === 'running' || a.state === 'waiting')
+    ) {
+      this.state.fetches.note(a.predictedFetchS, now - a.startSentAt);
+      a.predictedFetchS = 0;
     }
     if (a.state === 'running') this.logRuns(m, a, now);
   }
@@ -120,14 +124,14 @@
   /** Without one of its tasks a gang is over; those that are saving may finish that. */
   private stopRestOfGang(job: LiveJob, a: Attempt): void {
     for (const other of [...job.holding()]) {
-      if (other.number === a.number && other.stop === null) this.stops.stop(other, 0);
+      if (other.number === a.number && other.stopRequest === null) this.stops.stop(other, 0);
     }
   }
 
   private done(m: Machine, job: LiveJob, a: Attempt): void {
     m.successes++;
-    m.errors.clear();
-    m.shuns = 0;
+    m.taskFailures.clear();
+    m.cordonCount = 0;
     const indexes = job.gang ? [...Array(job.spec.tasks).keys()] : [a.index];
     // A gang completes together: if one task is done, all are.
     for (const i of indexes) job.markDone(i, this.state.now);
@@ -142,7 +146,7 @@
   private drain(m: Machine): void {
     for (const a of [...m.attempts.values()]) {
       const job = this.state.jobs.get(a.job);
-      if (job === undefined || !holds(a) || a.stop !== null) continue;
+      if (job === undefined || !occupiesCapacity(a) || a.stopRequest !== null) continue;
       this.stops.stopTask(job, a);
     }
   }
--- a/src/leader/return-planner.ts
+++ b/src/leader/return-planner.ts
@@ -89,14 +89,14 @@
     const ids: string[] = [...this.failed, ...this.neverCame];
     const spare = [false, true].map((spot) => freeMachines(rooms, spot) - this.warm.target(spot));
     for (const m of term.machines.values()) {
-      if (m.state === 'returning' && (m.returnStored || m.revision === 0)) ids.push(m.id);
+      if (m.state === 'returning' && (m.returnRecorded || m.recordRevision === 0)) ids.push(m.id);
     }
     for (const m of this.emptyMachines()) {
       const type = term.types.get(m.type);
       if (type === undefined || !this.dueBack(m, type, now, spare)) continue;
       if (!term.deps.writing()) continue;
       this.markReturning(m, now);
-      if (m.revision === 0) ids.push(m.id);
+      if (m.recordRevision === 0) ids.push(m.id);
     }
     return [...new Set(ids)];
   }
@@ -114,11 +114,11 @@
 
   private markReturning(m: Machine, now: number): void {
     this.term.deps.log.info(
-      { machine: m.id, idle: now - m.idleSince, faulty: m.faulty, state: m.state },
+      { machine: m.id, idle: now - m.idleSince, faulty: m.quarantined, state: m.state },
       'to be returned',
     );
-    m.become('returning');
-    if (m.revision > 0) this.term.dirtyMachines.add(m.id);
+    m.changeState('returning');
+    if (m.recordRevision > 0) this.term.dirtyMachines.add(m.id);
   }
 
   /**
@@ -127,14 +127,14 @@
    */
   private dueBack(m: Machine, type: MachineType, now: number, spare: number[]): boolean {
     const { lease_s, report_s } = this.term.deps.settings.workers;
-    if (m.faulty) return true;
-    if (m.state === 'silent') return now - m.heardAt > lease_s * SILENT_LEASES;
+    if (m.quarantined) return true;
+    if (m.state === 'silent') return now - m.lastSeenAt > lease_s * SILENT_LEASES;
     if (this.subsystems.keeps(m.id)) return false;
     // What is given back early is paid for all the same.
-    const age = Math.max(now - (m.firstHeardAt ?? now) + type.bootS, m.listedAgeS ?? 0);
+    const age = Math.max(now - (m.firstSeenAt ?? now) + type.bootS, m.listedAgeS ?? 0);
     if (age <= MIN_CHARGE_S * CHARGED_SHARE) return false;
     const idle = now - m.idleSince;
-    if (m.vacatedAt !== null) return idle > report_s;
+    if (m.drainingSince !== null) return idle > report_s;
     const kind = m.spot ? 1 : 0;
     if (!this.isTooMany(m, type, idle, spare[kind]!)) return false;
     spare[kind]! -= 1;
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -9,7 +9,7 @@
 import type { Usages } from '../scheduler/quota.js';
 import { specOf } from '../store/stored-job.js';
 import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import { CHANGE_GAP_S } from '../wire/workers.js';
+import { MIN_HEARTBEAT_GAP_S } from '../wire/workers.js';
 import type { Attempt } from '../workers/attempt.js';
 import type { Machine } from '../workers/machine.js';
 import { Evictions } from './evictions.js';
@@ -34,7 +34,7 @@
 /** What a wholly empty machine costs against a full one, in boots. */
 const SPREAD_BOOTS = 0.08;
 /** What telling a task to stop, and hearing that it has, take. */
-const LEAVE_S = CHANGE_GAP_S * 2;
+const LEAVE_S = MIN_HEARTBEAT_GAP_S * 2;
 
 export interface PassResult {
   /** Tasks that were placed. */
@@ -173,7 +173,7 @@
   private specOf(job: string): JobSpec | null {
     const live = this.term.jobs.get(job);
     if (live !== undefined) return live.spec;
-    const facts = this.term.deps.replica.jobs.get(job);
-    return facts === undefined ? null : specOf(facts);
+    const storedJob = this.term.deps.replica.jobs.get(job);
+    return storedJob === undefined ? null : specOf(storedJob);
   }
 }
--- a/src/leader/start-permission.ts
+++ b/src/leader/start-permission.ts
@@ -10,8 +10,8 @@
   const m = state.machines.get(a.machine);
   if (job === undefined || m === undefined || job.phase !== 'open') return false;
   // By the store's changes in their order, whatever this leader believes of the jobs that it needs.
-  if (job.facts.readyAt === null) return false;
-  if (m.state !== 'ready' || m.takenAt !== null) return false;
+  if (job.storedJob.readyAt === null) return false;
+  if (m.state !== 'ready' || m.reclaimedAt !== null) return false;
   if (job.done.has(a.index)) return false;
   return !job.gang || isGangStored(job, a.number);
 }
@@ -20,7 +20,8 @@
 function isGangStored(job: LiveJob, number: number): boolean {
   let claims = 0;
   for (const other of job.holding()) {
-    if (other.number !== number || other.state === 'claiming' || other.stop !== null) return false;
+    if (other.number !== number || other.state === 'claiming' || other.stopRequest !== null)
+      return false;
     claims++;
   }
   return claims === job.spec.tasks;
--- a/src/leader/store.ts
+++ b/src/leader/store.ts
@@ -26,7 +26,7 @@
 
 export interface TermStoreOptions {
   term: Term;
-  state: KeyValueStoreClient;
+  store: KeyValueStoreClient;
   clock: Clock;
   log: Log;
   /** The leader's key has changed: this term is over. */
@@ -82,7 +82,7 @@
   }
 
   private async flush(): Promise<boolean> {
-    const { writes } = this.options.state;
+    const { writes } = this.options.store;
     const due = this.due.collect();
     if (due.length === 0) return false;
     if (writes.available < 1) {
@@ -90,7 +90,7 @@
       return true;
     }
     const most = Math.min(
-      this.options.state.operationsPerTransaction,
+      this.options.store.operationsPerTransaction,
       Math.floor(writes.available),
     );
     // What can wait leaves half of what may be written at once to what comes next.
@@ -117,30 +117,30 @@
   }
 
   private async commit(batch: Write[]): Promise<void> {
-    const { term, state, log, onLost } = this.options;
+    const { term, store, log, onLost } = this.options;
     const guards: Precondition[] = [{ key: records.LEADER, revision: term.deps.token }];
     for (const w of batch) {
       for (const { key, guard } of [w, ...w.also]) guards.push({ key, revision: guard });
     }
     try {
-      const r = await state.compareAndSwap(
+      const result = await store.compareAndSwap(
         guards,
         batch.flatMap((w) => [w.op, ...w.also.map(({ op }) => op)]),
         COMMIT_TIMEOUT_S,
       );
       if (this.stopped) return;
-      if (r.ok) {
-        term.latestRevision = Math.max(term.latestRevision, r.revision);
-        for (const w of batch) w.stored(r.revision);
+      if (result.ok) {
+        term.latestRevision = Math.max(term.latestRevision, result.revision);
+        for (const w of batch) w.stored(result.revision);
         return;
       }
       for (const w of batch) w.failed();
-      if (r.failed.includes(records.LEADER)) {
+      if (result.failed.includes(records.LEADER)) {
         onLost();
         return;
       }
-      log.info({ failed: r.failed }, 'records differ from what was known');
-      const differs = ({ key }: { key: string }): boolean => r.failed.includes(key);
+      log.info({ failed: result.failed }, 'records differ from what was known');
+      const differs = ({ key }: { key: string }): boolean => result.failed.includes(key);
       await this.reread(batch.filter((w) => differs(w) || w.also.some(differs)));
     } catch (e) {
       if (this.stopped) return;
@@ -161,7 +161,7 @@
     if (batch.length === 1) return;
     for (const w of batch) {
       if (this.stopped) return;
-      this.options.state.writes.force(1 + w.also.length);
+      this.options.store.writes.force(1 + w.also.length);
       w.begin();
       await this.commit([w]);
     }
@@ -171,7 +171,7 @@
     for (const w of batch) {
       while (!this.stopped) {
         try {
-          const item = await this.options.state.get(w.key, 1);
+          const item = await this.options.store.get(w.key, 1);
           w.reread(item);
           break;
         } catch {
--- a/src/leader/subsystem-view.ts
+++ b/src/leader/subsystem-view.ts
@@ -15,7 +15,7 @@
   TeamUsage,
   TermView,
 } from '../subsystems/subsystem.js';
-import { holds, type Attempt } from '../workers/attempt.js';
+import { occupiesCapacity, type Attempt } from '../workers/attempt.js';
 import type { CapacityManager } from './capacity.js';
 import type { Term } from './term.js';
 
@@ -82,8 +82,8 @@
     const { term } = this.options;
     const live = term.jobs.get(job);
     if (live !== undefined) return live.spec;
-    const facts = term.deps.replica.jobs.get(job);
-    return facts === undefined ? null : specOf(facts);
+    const storedJob = term.deps.replica.jobs.get(job);
+    return storedJob === undefined ? null : specOf(storedJob);
   }
 
   job(id: string): LiveJobView | undefined {
@@ -96,12 +96,12 @@
 
   latestEndMs(id: string): number {
     const job = this.options.term.jobs.get(id);
-    return job === undefined ? Infinity : this.outlooks.of(job.facts).latestEndMs;
+    return job === undefined ? Infinity : this.outlooks.of(job.storedJob).latestEndMs;
   }
 
   moveReplica({ job, index, from, mayFetch }: ReplicaMove): boolean {
     const attempts = this.options.term.jobs.get(job)?.live.get(index) ?? [];
-    const attempt = attempts.find((a) => a.machine === from && holds(a));
+    const attempt = attempts.find((a) => a.machine === from && occupiesCapacity(a));
     return attempt !== undefined && this.options.moveReplica(attempt, mayFetch);
   }
 
@@ -114,7 +114,7 @@
     const live = term.jobs.get(job);
     const attempt = live?.live.get(index)?.find((a) => a.number === number);
     if (live === undefined || attempt === undefined) return;
-    if (attempt.stop === null && attempt.state !== 'saving') return;
+    if (attempt.stopRequest === null && attempt.state !== 'saving') return;
     term.stopTaskNow(live, attempt);
   }
 
--- a/src/leader/sweep.ts
+++ b/src/leader/sweep.ts
@@ -26,6 +26,6 @@
   const { now } = term;
   const patience = term.deps.settings.workers.lease_s * FORGET_LEASES;
   return [...term.machines.values()].filter(
-    (m) => m.state === 'silent' && now - m.heardAt >= patience,
+    (m) => m.state === 'silent' && now - m.lastSeenAt >= patience,
   );
 }
--- a/src/leader/term-state.ts
+++ b/src/leader/term-state.ts
@@ -87,7 +87,7 @@
       m = new Machine(id, this.deps.token, this.deps.settings.workers.lease_s, this.now);
       // Forgotten, and back before its record was removed: a removal that is tried once more would
       // take away the claims of what is started there from now on.
-      m.revision = this.removals.get(id) ?? 0;
+      m.recordRevision = this.removals.get(id) ?? 0;
       this.removals.delete(id);
       this.machines.set(id, m);
     }
@@ -99,7 +99,7 @@
     this.machines.delete(m.id);
     this.dirtyMachines.delete(m.id);
     if (m.state === 'returned') this.returned.add(m.id);
-    if (m.revision > 0) this.removals.set(m.id, m.revision);
+    if (m.recordRevision > 0) this.removals.set(m.id, m.recordRevision);
   }
 
   /** The record of a forgotten machine was removed (null), or has now this revision. */
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -2,8 +2,8 @@
 
 import { LiveJob } from '../jobs/live.js';
 import type { StoredJob } from '../store/stored-job.js';
-import { advance, type Attempt } from '../workers/attempt.js';
-import type { Changes, Machine } from '../workers/machine.js';
+import { advanceAttempt, type Attempt } from '../workers/attempt.js';
+import type { HeartbeatChanges, Machine } from '../workers/machine.js';
 import { AttemptStops } from './attempt-stops.js';
 import { fenceUnanswered, isLaterToken } from './fencing.js';
 import { inheritMachine, openJobs } from './inheritance.js';
@@ -33,26 +33,26 @@
     this.stops = new AttemptStops(this);
     this.reports = new ReportDigest(this, this.stops, health);
     this.leases = new LeaseExpiry(this, this.reports);
-    for (const facts of openJobs(replica)) this.addJob(facts);
+    for (const storedJob of openJobs(replica)) this.addJob(storedJob);
     for (const [id, stored] of replica.machines) inheritMachine(this, this.stops, id, stored);
   }
 
   // Jobs
 
-  addJob(facts: StoredJob): LiveJob {
-    let job = this.jobs.get(facts.spec.id);
+  addJob(storedJob: StoredJob): LiveJob {
+    let job = this.jobs.get(storedJob.spec.id);
     if (job === undefined) {
-      const layout = progressLayout(this, facts.spec.tasks);
-      job = new LiveJob(facts, layout, this.now, this.deps.wallMs());
-      this.jobs.set(facts.spec.id, job);
+      const layout = progressLayout(this, storedJob.spec.tasks);
+      job = new LiveJob(storedJob, layout, this.now, this.deps.wallMs());
+      this.jobs.set(storedJob.spec.id, job);
     }
     this.requestPass();
     return job;
   }
 
   /** A cancellation is stored. */
-  cancelled(facts: StoredJob): void {
-    const job = this.jobs.get(facts.spec.id);
+  cancelled(storedJob: StoredJob): void {
+    const job = this.jobs.get(storedJob.spec.id);
     if (job !== undefined) this.cancel(job);
   }
 
@@ -77,10 +77,10 @@
   /** The claim is stored. */
   stored(a: Attempt): void {
     if (a.state !== 'claiming') return;
-    advance(a, 'claimed', this.now);
+    advanceAttempt(a, 'claimed', this.now);
     const job = this.jobs.get(a.job);
-    if (a.stop !== null || job === undefined || job.phase !== 'open') {
-      a.stop = null;
+    if (a.stopRequest !== null || job === undefined || job.phase !== 'open') {
+      a.stopRequest = null;
       this.stops.stop(a, 0);
       if (job?.gang === true && job.phase === 'open') this.stops.stopAll(job, 0);
       return;
@@ -111,7 +111,7 @@
   // Machines
 
   /** What a report, a lapsed lease or a returned machine has shown. */
-  digest(m: Machine, c: Changes): void {
+  digest(m: Machine, c: HeartbeatChanges): void {
     this.reports.digest(m, c);
   }
 
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -5,9 +5,9 @@
 import type { ReplicaSync } from '../store/replica-sync.js';
 import type { Replica } from '../store/replica.js';
 import * as records from '../store/records.js';
-import type { PeerNet } from '../peers/net.js';
-import { OutageQuorum, type OutageEvents } from './outage.js';
-import { renewalAllowanceS, type WorkerTimes } from './renewal.js';
+import type { PeerNetwork } from '../peers/peer-network.js';
+import { OutageQuorum, type OutageEvents } from './outage-quorum.js';
+import { renewalAllowanceS, type WorkerTimes } from './renewal-allowance.js';
 
 /**
  * Who leads. The leader's key hangs on a lease; its revision is the token, so tokens only rise.
@@ -18,14 +18,14 @@
  * of controllers (this one among them) has just been refused too, which only an outage does; leases
  * stand still in one. Whatever the state, `entitled` is what counts for every answer and command.
  */
-export type Role = 'following' | 'standing' | 'leading' | 'continuing';
+export type ElectionRole = 'following' | 'standing' | 'leading' | 'continuing';
 
 /** A late controller leaves leadership to a fitter one for so many lives of the leader's lease, at most. */
-const GIVE_WAY_LIVES = 0.5;
+const DEFER_TTLS = 0.5;
 /** It looks so many times in that life whether it still has to. */
-const GIVE_WAY_LOOKS = 20;
+const DEFER_CHECKS_PER_TTL = 20;
 
-const ALLOWED: Record<Role, Role[]> = {
+const TRANSITIONS: Record<ElectionRole, ElectionRole[]> = {
   following: ['standing'],
   standing: ['leading', 'following'],
   leading: ['continuing', 'following'],
@@ -38,114 +38,114 @@
 }
 
 export class Election {
-  role: Role = 'following';
+  role: ElectionRole = 'following';
   token = 0;
   private lease = 0;
   /** How often this process has stood. */
-  private attempts = 0;
-  private validUntil = -Infinity;
+  private campaigns = 0;
+  private leaseValidUntil = -Infinity;
   /**
    * Since when this controller might stand, in seconds of the clock: nobody leads, or by the store only a
    * former process of its own. Null: it might not.
    */
   private vacantSince: number | null = null;
   /** It has handed over, and does not stand before. */
-  private standsFrom = -Infinity;
+  private campaignsFrom = -Infinity;
   /** Tells outages from refusals of this controller alone. */
   readonly outage: OutageQuorum;
   private stopped = false;
   private readonly pause = new Pause();
-  readonly lifeS: number;
+  readonly leaseTtlS: number;
   /** Seconds for which leases may be renewed after the last proof of knowing every cancellation. */
   private readonly allowanceS: number;
 
   constructor(
     private readonly node: string,
     private readonly incarnation: string,
-    nodes: number,
+    controllerCount: number,
     workers: WorkerTimes,
-    private readonly state: KeyValueStoreClient,
-    private readonly follower: ReplicaSync,
+    private readonly store: KeyValueStoreClient,
+    private readonly replicaSync: ReplicaSync,
     private readonly replica: Replica,
-    peers: () => PeerNet,
+    peers: () => PeerNetwork,
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly events: ElectionEvents,
     /** This controller is late, and another one that could be elected is fitter. */
-    private readonly fitterCanStand: () => boolean = () => false,
+    private readonly healthierCanCampaign: () => boolean = () => false,
   ) {
     // A third of the workers' lease: the successor has two thirds to reach them all.
-    this.lifeS = workers.lease_s * 0.3;
-    this.allowanceS = renewalAllowanceS(workers, this.lifeS);
-    const { lifeS, allowanceS } = this;
+    this.leaseTtlS = workers.lease_s * 0.3;
+    this.allowanceS = renewalAllowanceS(workers, this.leaseTtlS);
+    const { leaseTtlS, allowanceS } = this;
     this.outage = new OutageQuorum({
-      nodes, lifeS, allowanceS, state, follower, replica, peers, clock, log, events,
-      leads: () => this.leads,
+      controllerCount: controllerCount, leaseTtlS: leaseTtlS, allowanceS, store, replicaSync, replica, peers, clock, log, events,
+      leads: () => this.isLeading,
     }); // prettier-ignore
   }
 
-  private become(role: Role): void {
+  private changeRole(role: ElectionRole): void {
     if (role === this.role) return;
-    if (!ALLOWED[this.role].includes(role)) throw new Error(`${this.role} -> ${role}`);
+    if (!TRANSITIONS[this.role].includes(role)) throw new Error(`${this.role} -> ${role}`);
     this.log.info({ from: this.role, to: role, token: this.token }, 'role');
-    const led = this.leads;
+    const led = this.isLeading;
     this.role = role;
     if (role === 'leading') this.vacantSince = null;
     if (role === 'following' && led) {
-      this.validUntil = -Infinity;
-      this.state.setRole('follower');
+      this.leaseValidUntil = -Infinity;
+      this.store.setRole('follower');
       this.events.onDeposed();
     }
   }
 
-  private get leads(): boolean {
+  private get isLeading(): boolean {
     return this.role === 'leading' || this.role === 'continuing';
   }
 
   /** Whether this node may act for the controllers at this moment. */
-  get entitled(): boolean {
-    if (!this.leads) return false;
-    return this.clock.now() < this.actsUntil;
+  get isEntitled(): boolean {
+    if (!this.isLeading) return false;
+    return this.clock.now() < this.entitledUntil;
   }
 
   /**
    * A leader whose lease is renewed but whose reads are not answered hears of no cancellation: it
    * must stop renewing workers' leases in time. In an outage `validUntil` counts with this already.
    */
-  private get actsUntil(): number {
-    if (this.role === 'continuing') return this.validUntil;
-    return Math.min(this.validUntil, this.follower.freshAt + this.allowanceS);
+  private get entitledUntil(): number {
+    if (this.role === 'continuing') return this.leaseValidUntil;
+    return Math.min(this.leaseValidUntil, this.replicaSync.freshAt + this.allowanceS);
   }
 
   /** Entitled, and commits can be expected to go through. */
-  get writing(): boolean {
-    return this.role === 'leading' && this.entitled;
+  get canWrite(): boolean {
+    return this.role === 'leading' && this.isEntitled;
   }
 
-  nudge(): void {
+  wake(): void {
     this.pause.end();
   }
 
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
-        if (this.role === 'following') await this.followStep();
-        else await this.leadStep();
+        if (this.role === 'following') await this.stepAsFollower();
+        else await this.stepAsLeader();
       } catch (e) {
         this.log.debug({ err: String(e), role: this.role }, 'election step failed');
-        if (this.role === 'standing') this.become('following');
+        if (this.role === 'standing') this.changeRole('following');
         await sleep(0.2);
       }
     }
   }
 
-  private async followStep(): Promise<void> {
+  private async stepAsFollower(): Promise<void> {
     const leader = this.replica.leader;
-    if (!this.follower.ready) {
+    if (!this.replicaSync.ready) {
       await sleep(0.05);
       return;
     }
-    if (this.clock.now() < Math.max(this.outage.promisedUntil, this.standsFrom)) {
+    if (this.clock.now() < Math.max(this.outage.promisedUntil, this.campaignsFrom)) {
       await sleep(0.1);
       return;
     }
@@ -156,19 +156,19 @@
       await this.pause.wait(0.5);
       return;
     }
-    if (this.givesWay()) {
-      await this.pause.wait(this.lifeS / GIVE_WAY_LOOKS);
+    if (this.defersToHealthier()) {
+      await this.pause.wait(this.leaseTtlS / DEFER_CHECKS_PER_TTL);
       return;
     }
     if (!mine) {
       // Apart from one another, so that a single node stands as a rule.
-      await sleep(random() * 0.05 * this.lifeS);
+      await sleep(random() * 0.05 * this.leaseTtlS);
       if (this.replica.leader !== null) return;
     }
-    this.become('standing');
-    const won = await this.stand(leader?.revision ?? 0);
+    this.changeRole('standing');
+    const won = await this.campaign(leader?.revision ?? 0);
     if (!won) {
-      this.become('following');
+      this.changeRole('following');
       await sleep(0.1 + random() * 0.2);
     }
   }
@@ -177,21 +177,21 @@
    * Whether to let a fitter controller be elected first. Not for long: that one may have ended, and
    * somebody has to stand.
    */
-  private givesWay(): boolean {
+  private defersToHealthier(): boolean {
     const now = this.clock.now();
     this.vacantSince ??= now;
-    if (now - this.vacantSince >= this.lifeS * GIVE_WAY_LIVES) return false;
-    return this.fitterCanStand();
+    if (now - this.vacantSince >= this.leaseTtlS * DEFER_TTLS) return false;
+    return this.healthierCanCampaign();
   }
 
-  private async stand(guard: number): Promise<boolean> {
+  private async campaign(guard: number): Promise<boolean> {
     const grantSentAt = this.clock.now();
-    const lease = await this.state.grantLease(this.lifeS, 1);
+    const lease = await this.store.grantLease(this.leaseTtlS, 1);
     // An earlier attempt's key may turn up late. It hangs on that one's lease, which nobody renews.
-    const incarnation = `${this.incarnation}/${++this.attempts}`;
+    const incarnation = `${this.incarnation}/${++this.campaigns}`;
     let token = 0;
     try {
-      const r = await this.state.compareAndSwap(
+      const result = await this.store.compareAndSwap(
         [{ key: records.LEADER, revision: guard }],
         [
           {
@@ -202,12 +202,12 @@
         ],
         1,
       );
-      if (!r.ok) return false;
-      token = r.revision;
+      if (!result.ok) return false;
+      token = result.revision;
     } catch (e) {
       if (e instanceof RequestRejectedError) return false;
       // Not answered: read it back.
-      const item = await this.state.get(records.LEADER, 1);
+      const item = await this.store.get(records.LEADER, 1);
       if (item === null || records.decodeLeader(item.value).incarnation !== incarnation) {
         return false;
       }
@@ -215,40 +215,40 @@
     }
     this.lease = lease;
     this.token = token;
-    this.validUntil = this.until(grantSentAt);
-    this.state.setRole('leader');
+    this.leaseValidUntil = this.leaseEnd(grantSentAt);
+    this.store.setRole('leader');
     // Everything that former leaders stored must be in the picture before anything is decided.
-    while (this.replica.applied < token || this.follower.freshAt < grantSentAt) {
-      if (this.stopped || this.clock.now() >= this.validUntil) {
-        this.state.setRole('follower');
+    while (this.replica.applied < token || this.replicaSync.freshAt < grantSentAt) {
+      if (this.stopped || this.clock.now() >= this.leaseValidUntil) {
+        this.store.setRole('follower');
         return false;
       }
-      if (!(await this.follower.sync())) await sleep(0.05);
+      if (!(await this.replicaSync.sync())) await sleep(0.05);
     }
     // Stopped while it was being elected: it would lead on with nobody to stop it again.
     if (this.stopped) return false;
-    this.become('leading');
+    this.changeRole('leading');
     this.events.onElected(token);
     return true;
   }
 
   /** The lease ends a life after its renewal was carried out, which is no earlier than it was sent. */
-  private until(sentAt: number): number {
-    return sentAt + this.lifeS * (1 - 2 * DRIFT) - 0.02;
+  private leaseEnd(sentAt: number): number {
+    return sentAt + this.leaseTtlS * (1 - 2 * DRIFT) - 0.02;
   }
 
-  private async leadStep(): Promise<void> {
+  private async stepAsLeader(): Promise<void> {
     const sentAt = this.clock.now();
-    const left = this.validUntil - sentAt;
+    const left = this.leaseValidUntil - sentAt;
     let refused = false;
     try {
-      if (await this.state.keepLeaseAlive(this.lease, Math.max(0.3, Math.min(1, left / 2)))) {
-        this.validUntil = Math.max(this.validUntil, this.until(sentAt));
-        if (this.role === 'continuing') this.become('leading');
-        this.refresh();
+      if (await this.store.keepLeaseAlive(this.lease, Math.max(0.3, Math.min(1, left / 2)))) {
+        this.leaseValidUntil = Math.max(this.leaseValidUntil, this.leaseEnd(sentAt));
+        if (this.role === 'continuing') this.changeRole('leading');
+        this.refreshReplica();
       } else {
         this.log.info({ token: this.token }, 'lease has ended');
-        this.become('following');
+        this.changeRole('following');
         return;
       }
     } catch (e) {
@@ -257,34 +257,34 @@
     }
     const l = this.replica.leader;
     if (l !== null && l.revision > this.token) {
-      this.become('following');
+      this.changeRole('following');
       return;
     }
     if (refused) await this.continueInOutage(sentAt);
-    if (this.clock.now() >= this.actsUntil) {
+    if (this.clock.now() >= this.entitledUntil) {
       this.log.info({ token: this.token }, 'entitlement has run out');
-      this.become('following');
+      this.changeRole('following');
       return;
     }
-    await sleep(this.role === 'continuing' || refused ? this.lifeS / 12 : this.lifeS / 5);
+    await sleep(this.role === 'continuing' || refused ? this.leaseTtlS / 12 : this.leaseTtlS / 5);
   }
 
   /**
    * Hands leadership over: the key goes, and any other controller may stand at once. This one waits for
    * long enough that another one is elected first, where there is one.
    */
-  async resign(): Promise<void> {
+  async stepDown(): Promise<void> {
     if (this.role !== 'leading') return;
     const { lease } = this;
-    this.standsFrom = this.clock.now() + this.lifeS / 2;
-    this.become('following');
+    this.campaignsFrom = this.clock.now() + this.leaseTtlS / 2;
+    this.changeRole('following');
     // Without an answer the key goes by itself, when the lease ends.
-    await this.state.endLease(lease, this.lifeS / 2).catch(() => undefined);
+    await this.store.endLease(lease, this.leaseTtlS / 2).catch(() => undefined);
   }
 
   /** Reads the store when the watch has had nothing to show for a while. */
-  private refresh(): void {
-    if (this.clock.now() - this.follower.freshAt > this.lifeS) void this.follower.sync();
+  private refreshReplica(): void {
+    if (this.clock.now() - this.replicaSync.freshAt > this.leaseTtlS) void this.replicaSync.sync();
   }
 
   /**
@@ -292,15 +292,15 @@
    * still. A node that is served says so, and then this one yields when its time is up.
    */
   private async continueInOutage(askedAt: number): Promise<void> {
-    const forS = this.lifeS / 2;
+    const forS = this.leaseTtlS / 2;
     if (this.outage.acknowledged > this.token) return;
-    const majority = await this.outage.majorityRefused(this.token, forS);
+    const majority = await this.outage.majorityRejected(this.token, forS);
     if (majority === null || this.outage.acknowledged > this.token) return;
     // The promises count from when they were given, which is after the question was sent.
-    const until = Math.min(askedAt + forS * (1 - 2 * DRIFT), this.outage.bound(majority));
+    const until = Math.min(askedAt + forS * (1 - 2 * DRIFT), this.outage.renewalBound(majority));
     if (until <= this.clock.now()) return;
-    this.validUntil = Math.max(this.validUntil, until);
-    if (this.role === 'leading') this.become('continuing');
+    this.leaseValidUntil = Math.max(this.leaseValidUntil, until);
+    if (this.role === 'leading') this.changeRole('continuing');
   }
 
   /**
@@ -312,10 +312,10 @@
     const now = this.clock.now();
     const known = token <= this.outage.acknowledged;
     let until = this.outage.acknowledge(token);
-    if (!known && token > this.token && this.leads) {
-      until = Math.max(until, Math.min(now, this.validUntil));
+    if (!known && token > this.token && this.isLeading) {
+      until = Math.max(until, Math.min(now, this.leaseValidUntil));
       this.log.info({ token: this.token, later: token }, 'a later leader');
-      this.become('following');
+      this.changeRole('following');
     }
     return until - now;
   }
--- a/src/leadership/leader-acknowledgements.ts
+++ b/src/leadership/leader-acknowledgements.ts
@@ -1,7 +1,7 @@
 import type { Election } from './election.js';
-import { QuorumAcknowledgement } from './quorum.js';
+import { QuorumAcknowledgement } from './quorum-acknowledgement.js';
 import type { ElectedAnswer } from '../peers/messages.js';
-import type { PeerNet } from '../peers/net.js';
+import type { PeerNetwork } from '../peers/peer-network.js';
 import { sleep, type Clock } from '../clock.js';
 import type { Settings } from '../config/settings.js';
 import type { Log } from '../log.js';
@@ -10,7 +10,7 @@
 import * as records from '../store/records.js';
 
 /** A leader asks those that have not acknowledged it so many times in a lease. */
-const ASKS = 20;
+const ASKS_PER_LEASE = 20;
 /** A leader that has not asked by the peer link within so many leases is told by the store. */
 const STORE_LEASES = 0.1;
 
@@ -22,16 +22,16 @@
   constructor(
     private readonly settings: Settings,
     private readonly election: Election,
-    private readonly peers: () => PeerNet,
-    private readonly state: KeyValueStoreClient,
+    private readonly peers: () => PeerNetwork,
+    private readonly store: KeyValueStoreClient,
     private readonly replica: Replica,
     private readonly clock: Clock,
     private readonly log: Log,
   ) {}
 
   /** Until when others may renew leases in the place of a leader before this one. */
-  keptUntil(token: number): number {
-    return this.quorum?.token === token ? this.quorum.keptUntil : this.clock.now();
+  othersRenewUntil(token: number): number {
+    return this.quorum?.token === token ? this.quorum.othersRenewUntil : this.clock.now();
   }
 
   /** This controller was elected. */
@@ -39,14 +39,14 @@
     const quorum = new QuorumAcknowledgement(token, this.settings.nodes, this.clock);
     this.quorum = quorum;
     for (const [node, { ack }] of this.replica.acknowledgements) this.noteStored(node, ack);
-    const pause = this.settings.workers.lease_s / ASKS;
+    const pause = this.settings.workers.lease_s / ASKS_PER_LEASE;
     while (!this.stopped && this.quorum === quorum && quorum.state === 'pending') {
       const missing = this.peers().names.filter((n) => !quorum.has(n));
       await Promise.all(
         missing.map(async (node) => {
           const a = await this.peers().ask(node, { q: 'elected', token }, pause);
           const remains = a?.remainsS;
-          if (remains !== undefined) quorum.note(node, { remainsS: remains });
+          if (remains !== undefined) quorum.record(node, { remainsS: remains });
         }),
       );
       if (quorum.state === 'pending') await sleep(pause);
@@ -56,7 +56,7 @@
 
   /** Seen in the store. */
   noteStored(node: string, ack: records.AcknowledgementRecord): void {
-    if (this.quorum?.token === ack.token) this.quorum.note(node, ack);
+    if (this.quorum?.token === ack.token) this.quorum.record(node, ack);
   }
 
   /** Asked by a leader over the peer link. */
@@ -80,13 +80,13 @@
     while (!this.stopped && this.replica.leader?.revision === token) {
       const revision = this.replica.acknowledgements.get(this.settings.node)?.revision ?? 0;
       try {
-        this.state.writes.force(1);
-        const r = await this.state.compareAndSwap(
+        this.store.writes.force(1);
+        const result = await this.store.compareAndSwap(
           [{ key, revision }],
           [{ put: key, value }],
           this.settings.workers.lease_s * STORE_LEASES,
         );
-        if (r.ok) return;
+        if (result.ok) return;
       } catch (e) {
         this.log.debug({ err: String(e) }, 'acknowledgement not stored');
       }
--- a/src/leadership/outage.ts
+++ b/src/leadership/outage-quorum.ts
@@ -6,27 +6,27 @@
 import * as records from '../store/records.js';
 import { MAX_FRAME } from '../peers/frames.js';
 import type { RefusedAnswer } from '../peers/messages.js';
-import type { PeerNet } from '../peers/net.js';
-import { UNHEARD_CONFIRM_S } from './renewal.js';
+import type { PeerNetwork } from '../peers/peer-network.js';
+import { UNHEARD_CONFIRM_S } from './renewal-allowance.js';
 
 /** Of a frame between controllers, what the cancellations told in one answer may take. */
 const CANCELLATIONS_SHARE = 0.9;
 /** What a job's id takes in a frame beside its characters, in bytes. */
 const ID_FRAME_BYTES = 3;
 /** Seconds that a look at the state service may take before it is taken for silent. */
-const LOOK_S = 0.5;
+const PROBE_TIMEOUT_S = 0.5;
 /** Seconds that another controller may take to say whether it is refused. */
-const WITNESS_WAIT_S = 0.8;
+const PEER_TIMEOUT_S = 0.8;
 
 /** Whether all of them can be told at once. Telling some is no use: any of the others may be running. */
-function fitsIntoAnswer(ids: string[]): boolean {
+function fitInOneFrame(ids: string[]): boolean {
   let bytes = 0;
   for (const id of ids) bytes += id.length + ID_FRAME_BYTES;
   return bytes <= MAX_FRAME * CANCELLATIONS_SHARE;
 }
 
 /** A majority's word that the state service refuses it. */
-export interface MajorityRefused {
+export interface MajorityRejected {
   /** Steady time up to which the majority together knows every stored cancellation. */
   freshAt: number;
 }
@@ -40,15 +40,15 @@
 
 export interface OutageQuorumOptions {
   /** Number of controllers, this one included. */
-  nodes: number;
+  controllerCount: number;
   /** Life of a leader's lease, in seconds. */
-  lifeS: number;
+  leaseTtlS: number;
   /** Seconds for which leases may be renewed after the last proof of knowing every cancellation. */
   allowanceS: number;
-  state: KeyValueStoreClient;
-  follower: ReplicaSync;
+  store: KeyValueStoreClient;
+  replicaSync: ReplicaSync;
   replica: Replica;
-  peers: () => PeerNet;
+  peers: () => PeerNetwork;
   clock: Clock;
   log: Log;
   events: OutageEvents;
@@ -66,8 +66,8 @@
   acknowledged = 0;
   /** This controller has promised not to take over before. */
   promisedUntil = -Infinity;
-  private keepUntil = -Infinity;
-  private keeping: Promise<boolean> | null = null;
+  private renewsUntil = -Infinity;
+  private currentCheck: Promise<boolean> | null = null;
   private readonly startedAt: number;
 
   constructor(private readonly options: OutageQuorumOptions) {
@@ -82,15 +82,15 @@
   async answer(token: number, forMs: number, applied: number): Promise<RefusedAnswer> {
     // A process that has not read the store knows neither the leader nor the cancellations that the
     // one before it had acknowledged: its word would make a majority that knows of neither.
-    const { follower, replica, state, events, lifeS } = this.options;
-    if (!follower.ready) return {};
+    const { replicaSync, replica, store, events, leaseTtlS } = this.options;
+    if (!replicaSync.ready) return {};
     const known = replica.leader;
     if (this.acknowledged > token || (known !== null && known.revision > token)) {
       return { refused: false };
     }
     // One that only stands is as good a witness as any: it may stand again and again in an outage.
     if (this.options.leads()) return { refused: false };
-    const promise = this.now + (Math.min(forMs, lifeS * 1000) / 1000) * (1 + 2 * DRIFT);
+    const promise = this.now + (Math.min(forMs, leaseTtlS * 1000) / 1000) * (1 + 2 * DRIFT);
     const before = this.promisedUntil;
     const given = Math.max(before, promise);
     this.promisedUntil = given;
@@ -99,15 +99,15 @@
       if (this.promisedUntil === given) this.promisedUntil = before;
     };
     try {
-      await state.get(records.LEADER, LOOK_S);
+      await store.get(records.LEADER, PROBE_TIMEOUT_S);
       takeBack();
       return { refused: false };
     } catch (e) {
       if (e instanceof RequestRejectedError && e.status === 503) {
         // An outage may keep the last cancellations from the leader: their tasks must go all the same.
         const cancelled = events.cancelledSince(applied);
-        if (!follower.ready || !fitsIntoAnswer(cancelled)) return {};
-        const freshAgeS = this.now - follower.freshAt;
+        if (!replicaSync.ready || !fitInOneFrame(cancelled)) return {};
+        const freshAgeS = this.now - replicaSync.freshAt;
         return { refused: true, cancelled, freshAgeS };
       }
       takeBack();
@@ -121,12 +121,12 @@
    */
   acknowledge(token: number): number {
     const { now } = this;
-    let until = Math.max(this.promisedUntil, Math.min(now, this.keepUntil));
+    let until = Math.max(this.promisedUntil, Math.min(now, this.renewsUntil));
     // A process that began just now does not know what the one before it promised.
-    until = Math.max(until, this.startedAt + this.options.lifeS * (1 + 2 * DRIFT));
+    until = Math.max(until, this.startedAt + this.options.leaseTtlS * (1 + 2 * DRIFT));
     if (token > this.acknowledged) {
       this.acknowledged = token;
-      this.keepUntil = -Infinity;
+      this.renewsUntil = -Infinity;
     }
     return until;
   }
@@ -137,39 +137,39 @@
    * what continuing takes, a majority that is being refused, for longer than a leader takes to notice
    * the outage itself; every later decision on leases counts with what was renewed here.
    */
-  mayKeep(): Promise<boolean> {
+  mayRenewLeases(): Promise<boolean> {
     if (this.options.leads()) return Promise.resolve(false);
-    if (this.now < this.keepUntil) return Promise.resolve(true);
-    this.keeping ??= this.checkKeep().finally(() => (this.keeping = null));
-    return this.keeping;
+    if (this.now < this.renewsUntil) return Promise.resolve(true);
+    this.currentCheck ??= this.checkMayRenewLeases().finally(() => (this.currentCheck = null));
+    return this.currentCheck;
   }
 
-  private async checkKeep(): Promise<boolean> {
+  private async checkMayRenewLeases(): Promise<boolean> {
     const leader = this.options.replica.leader;
     if (leader === null || this.acknowledged > leader.revision) return false;
-    if (!this.options.follower.ready) return false;
+    if (!this.options.replicaSync.ready) return false;
     try {
-      await this.options.state.get(records.LEADER, LOOK_S);
+      await this.options.store.get(records.LEADER, PROBE_TIMEOUT_S);
       return false;
     } catch (e) {
       if (!(e instanceof RequestRejectedError) || e.status !== 503) return false;
     }
-    const since = this.options.state.rejectedSince;
+    const since = this.options.store.rejectedSince;
     // The promises count from when they were given, which is after the question was sent.
     const askedAt = this.now;
-    if (since === null || askedAt - since < this.options.lifeS * 0.4) return false;
-    const majority = await this.majorityRefused(leader.revision, this.substituteS);
+    if (since === null || askedAt - since < this.options.leaseTtlS * 0.4) return false;
+    const majority = await this.majorityRejected(leader.revision, this.substituteS);
     if (majority === null || this.acknowledged > leader.revision) return false;
     const until = askedAt + this.substituteS * (1 - 2 * DRIFT);
-    this.keepUntil = Math.min(until, this.bound(majority));
-    if (this.now >= this.keepUntil) return false;
+    this.renewsUntil = Math.min(until, this.renewalBound(majority));
+    if (this.now >= this.renewsUntil) return false;
     this.options.log.info({ token: leader.revision }, 'leases are kept for a leader that is gone');
     return true;
   }
 
   /** How long after the last proof of an outage a substitute may still renew. */
   get substituteS(): number {
-    return this.options.lifeS / 3;
+    return this.options.leaseTtlS / 3;
   }
 
   /**
@@ -177,13 +177,13 @@
    * answer. A cancellation that none of it knows was stored after `freshAt`, and no user was told of
    * it before a further `UNHEARD_CONFIRM_S`.
    */
-  bound(majority: MajorityRefused): number {
+  renewalBound(majority: MajorityRejected): number {
     return majority.freshAt + UNHEARD_CONFIRM_S + this.options.allowanceS;
   }
 
   /** Null: no majority is refused, or not all of those that answered are. */
-  async majorityRefused(token: number, forS: number): Promise<MajorityRefused | null> {
-    const net = this.options.peers();
+  async majorityRejected(token: number, forS: number): Promise<MajorityRejected | null> {
+    const peers = this.options.peers();
     const askedAt = this.now;
     const question = {
       q: 'refused',
@@ -192,7 +192,9 @@
       applied: this.options.replica.applied,
     } as const;
     const answers = await Promise.all(
-      net.names.map((n) => net.ask(n, question, Math.min(WITNESS_WAIT_S, this.options.lifeS / 4))),
+      peers.names.map((n) =>
+        peers.ask(n, question, Math.min(PEER_TIMEOUT_S, this.options.leaseTtlS / 4)),
+      ),
     );
     for (const a of answers) {
       if (a?.cancelled !== undefined) this.options.events.onKnownCancelled(a.cancelled);
@@ -201,8 +203,11 @@
     const ages = answers.flatMap((a) =>
       a?.refused === true && a.freshAgeS !== undefined ? [a.freshAgeS] : [],
     );
-    if ((1 + ages.length) * 2 <= this.options.nodes) return null;
-    const freshest = Math.max(this.options.follower.freshAt, ...ages.map((age) => askedAt - age));
+    if ((1 + ages.length) * 2 <= this.options.controllerCount) return null;
+    const freshest = Math.max(
+      this.options.replicaSync.freshAt,
+      ...ages.map((age) => askedAt - age),
+    );
     return { freshAt: freshest };
   }
 }
--- a/src/leadership/quorum.ts
+++ b/src/leadership/quorum-acknowledgement.ts
@@ -18,35 +18,35 @@
  *   reached  they have not been since `keptUntil`, and never will be
  */
 export class QuorumAcknowledgement {
-  private readonly ends = new Map<string, number>();
+  private readonly promiseEnds = new Map<string, number>();
 
   constructor(
     readonly token: number,
-    private readonly nodes: number,
+    private readonly controllerCount: number,
     private readonly clock: Clock,
   ) {}
 
   get state(): 'pending' | 'reached' {
-    return this.ends.size >= this.needed ? 'reached' : 'pending';
+    return this.promiseEnds.size >= this.needed ? 'reached' : 'pending';
   }
 
   /** Others that make a majority together with this controller. */
   private get needed(): number {
-    return Math.floor(this.nodes / 2);
+    return Math.floor(this.controllerCount / 2);
   }
 
   has(node: string): boolean {
-    return this.ends.has(node);
+    return this.promiseEnds.has(node);
   }
 
-  note(node: string, a: Acknowledged): void {
-    if (!this.ends.has(node)) this.ends.set(node, this.clock.now() + a.remainsS);
+  record(node: string, a: Acknowledged): void {
+    if (!this.promiseEnds.has(node)) this.promiseEnds.set(node, this.clock.now() + a.remainsS);
   }
 
   /** Until when others may renew, or may have renewed, leases with an older token. */
-  get keptUntil(): number {
+  get othersRenewUntil(): number {
     if (this.state === 'pending') return this.clock.now();
-    const ends = [...this.ends.values()].sort((a, b) => a - b);
+    const ends = [...this.promiseEnds.values()].sort((a, b) => a - b);
     return this.needed === 0 ? -Infinity : ends[this.needed - 1]!;
   }
 }
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -5,7 +5,7 @@
 import type { Replica } from '../store/replica.js';
 import { RequestRejectedError, type KeyValueStoreClient } from '../store/client.js';
 import { ANSWER_WAIT_S } from '../wire/workers.js';
-import type { PeerNet } from '../peers/net.js';
+import type { PeerNetwork } from '../peers/peer-network.js';
 
 /**
  * Zones that go on working by themselves. Where a zone has exactly one controller, that one is its
@@ -28,33 +28,33 @@
  * A worker must get one before it looks for other controllers, all of them outside the cut. By its lease
  * alone, one of 15 s, the zone keeper began when those that had reported in the cut's first moments had gone.
  */
-const LIFE = 0.1;
-const LIFE_OF_WAIT = 0.25;
+const TTL_LEASES = 0.1;
+const TTL_ANSWER_WAITS = 0.25;
 /**
  * When a zone keeper may begin, counted from the sending of the last renewal that was answered. Until then
  * the key is certainly gone: its life, once more for a renewal that was carried out without an answer
  * (there is never more than one of them), once more for an outage too short to be noticed, after
  * which leases have their full time again, and half a life for late ends. In lives.
  */
-const BEGIN = 3.5;
+const BEGIN_TTLS = 3.5;
 /** The bound: longer cuts end like any other silence. */
-const KEEP = 7;
+const RENEW_LEASES = 7;
 /** Renewals within one life of the key. */
-const RENEWALS = 4;
+const RENEWALS_PER_TTL = 4;
 
-export interface Times {
-  lifeS: number;
+export interface ZoneLeaseTimes {
+  ttlS: number;
   beginS: number;
-  keepS: number;
+  renewForS: number;
 }
 
-export function zoneLeaseTimes(leaseS: number): Times {
-  const lifeS = Math.min(leaseS * LIFE, ANSWER_WAIT_S * LIFE_OF_WAIT);
-  return { lifeS, beginS: lifeS * BEGIN, keepS: leaseS * KEEP };
+export function zoneLeaseTimes(leaseS: number): ZoneLeaseTimes {
+  const ttlS = Math.min(leaseS * TTL_LEASES, ANSWER_WAIT_S * TTL_ANSWER_WAITS);
+  return { ttlS, beginS: ttlS * BEGIN_TTLS, renewForS: leaseS * RENEW_LEASES };
 }
 
 /** The sole controller of each zone. With one zone only, nothing is cut off with a zone. */
-export function zoneLeaseKeepers(all: { node: string; zone: string }[]): Map<string, string> {
+export function zoneLeaseHolders(all: { node: string; zone: string }[]): Map<string, string> {
   const by = new Map<string, string[]>();
   for (const n of all) by.set(n.zone, [...(by.get(n.zone) ?? []), n.node]);
   const out = new Map<string, string>();
@@ -71,120 +71,123 @@
  *   doubting a renewal was not answered: none is sent until the store is heard again
  *   alone    neither the store nor any other controller answers
  */
-export type ZoneLeaseKeeperState = 'away' | 'present' | 'doubting' | 'alone';
+export type ZoneLeaseHolderState = 'away' | 'present' | 'doubting' | 'alone';
 
-const ALLOWED: Record<ZoneLeaseKeeperState, ZoneLeaseKeeperState[]> = {
+const TRANSITIONS: Record<ZoneLeaseHolderState, ZoneLeaseHolderState[]> = {
   away: ['present'],
   present: ['away', 'doubting'],
   doubting: ['present', 'alone'],
   alone: ['present', 'doubting'],
 };
 
-export class ZoneLeaseKeeper {
-  state: ZoneLeaseKeeperState = 'away';
+export class ZoneLeaseHolder {
+  state: ZoneLeaseHolderState = 'away';
   /** When the last renewal that was carried out had been sent. */
   private provenAt = -Infinity;
   private lease = 0;
   private stopped = false;
-  private readonly times: Times;
+  private readonly times: ZoneLeaseTimes;
 
   constructor(
     private readonly node: string,
     private readonly incarnation: string,
     leaseS: number,
-    private readonly client: KeyValueStoreClient,
-    private readonly follower: ReplicaSync,
+    private readonly store: KeyValueStoreClient,
+    private readonly replicaSync: ReplicaSync,
     private readonly replica: Replica,
-    private readonly peers: () => PeerNet,
+    private readonly peers: () => PeerNetwork,
     private readonly clock: Clock,
     private readonly log: Log,
   ) {
     this.times = zoneLeaseTimes(leaseS);
   }
 
-  private become(to: ZoneLeaseKeeperState): void {
+  private changeState(to: ZoneLeaseHolderState): void {
     if (to === this.state) return;
-    if (!ALLOWED[this.state].includes(to)) throw new Error(`zoneKeeper: ${this.state} -> ${to}`);
+    if (!TRANSITIONS[this.state].includes(to))
+      throw new Error(`zoneKeeper: ${this.state} -> ${to}`);
     this.log.info({ from: this.state, to }, 'zoneKeeper');
     this.state = to;
   }
 
   /** Whether leases of the zone's machines may be renewed at this moment. */
-  mayKeep(): boolean {
+  mayRenewLeases(): boolean {
     const now = this.clock.now();
     return (
       this.state === 'alone' &&
       now > this.provenAt + this.times.beginS * (1 + 2 * DRIFT) &&
-      now < this.provenAt + this.times.keepS
+      now < this.provenAt + this.times.renewForS
     );
   }
 
   /** Waits for as long as it may still turn out that this zone is alone. */
-  async settle(deadline: number): Promise<boolean> {
+  async waitUntilDecided(deadline: number): Promise<boolean> {
     while (!this.stopped && this.clock.now() < deadline) {
-      if (this.mayKeep()) return true;
+      if (this.mayRenewLeases()) return true;
       if (this.state === 'away' || this.state === 'present') return false;
-      await sleep(this.times.lifeS / RENEWALS);
+      await sleep(this.times.ttlS / RENEWALS_PER_TTL);
     }
-    return this.mayKeep();
+    return this.mayRenewLeases();
   }
 
   async run(): Promise<void> {
-    const pause = this.times.lifeS / RENEWALS;
+    const pause = this.times.ttlS / RENEWALS_PER_TTL;
     while (!this.stopped) {
       try {
         if (this.state === 'away') await this.register();
         else {
           // A renewal that was not answered may still be carried out: a second one would let the key
           // live on while this zone is being kept.
-          if (this.state !== 'present') await this.client.get(records.LEADER, this.times.lifeS / 2);
+          if (this.state !== 'present') await this.store.get(records.LEADER, this.times.ttlS / 2);
           await this.renew();
         }
       } catch (e) {
         // Refused is heard: an outage, or this controller alone. Nothing is cut off.
         const heard = e instanceof RequestRejectedError && e.status > 0;
-        if (this.state === 'present' && !heard) this.become('doubting');
-        if (!heard) await this.look();
+        if (this.state === 'present' && !heard) this.changeState('doubting');
+        if (!heard) await this.askPeers();
       }
       await sleep(pause);
     }
   }
 
   private async register(): Promise<void> {
-    if (!this.follower.ready) return;
+    if (!this.replicaSync.ready) return;
     const sentAt = this.clock.now();
-    const lease = await this.client.grantLease(this.times.lifeS, this.times.lifeS);
+    const lease = await this.store.grantLease(this.times.ttlS, this.times.ttlS);
     const key = records.controllerKey(this.node);
-    this.client.writes.force(1);
-    const r = await this.client.compareAndSwap(
+    this.store.writes.force(1);
+    const result = await this.store.compareAndSwap(
       [{ key, revision: this.replica.controllers.get(this.node) ?? 0 }],
       [{ put: key, value: { i: this.incarnation }, lease }],
-      this.times.lifeS,
+      this.times.ttlS,
     );
-    if (!r.ok) {
-      await this.follower.sync();
+    if (!result.ok) {
+      await this.replicaSync.sync();
       return;
     }
     this.lease = lease;
     this.provenAt = sentAt;
-    this.become('present');
+    this.changeState('present');
   }
 
   private async renew(): Promise<void> {
     const sentAt = this.clock.now();
-    const there = await this.client.keepLeaseAlive(this.lease, this.times.lifeS / 2);
-    this.become('present');
+    const there = await this.store.keepLeaseAlive(this.lease, this.times.ttlS / 2);
+    this.changeState('present');
     if (there) this.provenAt = sentAt;
-    else this.become('away');
+    else this.changeState('away');
   }
 
   /** The store is silent: is anybody else there? */
-  private async look(): Promise<void> {
+  private async askPeers(): Promise<void> {
     if (this.state !== 'doubting' && this.state !== 'alone') return;
-    const net = this.peers();
-    const timeout = this.times.lifeS / 2;
-    const answers = await Promise.all(net.names.map((n) => net.ask(n, { q: 'there' }, timeout)));
-    this.become(answers.some((a) => a !== null) ? 'doubting' : 'alone');
+    const peers = this.peers();
+    const timeout = this.times.ttlS / 2;
+    const answers = await Promise.all(
+      peers.names.map((n) => peers.ask(n, { q: 'there' }, timeout)),
+    );
+    this.changeState(answers.some((a) => a !== null) ? 'doubting' : 'alone');
   }
 
   stop(): void {
@@ -196,25 +199,25 @@
 export class ZoneLeaseWatch {
   private readonly seenAt = new Map<string, number>();
   private readonly goneAt = new Map<string, number>();
-  private readonly times: Times;
+  private readonly times: ZoneLeaseTimes;
 
   constructor(
     private readonly byZone: Map<string, string>,
     leaseS: number,
     private readonly replica: Pick<Replica, 'controllers'>,
-    private readonly follower: Pick<ReplicaSync, 'ready' | 'freshAt'>,
-    private readonly client: Pick<KeyValueStoreClient, 'rejectedAt'>,
+    private readonly replicaSync: Pick<ReplicaSync, 'ready' | 'freshAt'>,
+    private readonly store: Pick<KeyValueStoreClient, 'rejectedAt'>,
     private readonly clock: Clock,
   ) {
     this.times = zoneLeaseTimes(leaseS);
   }
 
-  keeper(zone: string): string | null {
+  holderOf(zone: string): string | null {
     return this.byZone.get(zone) ?? null;
   }
 
   /** Its key has been there for so long, as seen from here. */
-  steady(node: string, forS: number): boolean {
+  isSteady(node: string, forS: number): boolean {
     const seen = this.seenAt.get(node);
     return (
       this.replica.controllers.has(node) && seen !== undefined && this.clock.now() - seen >= forS
@@ -222,7 +225,7 @@
   }
 
   /** A zone keeper's key was put anew or is gone. */
-  changed(node: string): void {
+  keyChanged(node: string): void {
     const now = this.clock.now();
     if (this.replica.controllers.has(node)) this.seenAt.set(node, now);
     else this.goneAt.set(node, now);
@@ -238,18 +241,18 @@
     const now = this.clock.now();
     if (this.replica.controllers.has(node)) {
       // Leases stand still in an outage: what a read shows right after one proves nothing.
-      const sure = this.follower.freshAt - this.client.rejectedAt > this.times.beginS;
+      const sure = this.replicaSync.freshAt - this.store.rejectedAt > this.times.beginS;
       return {
         keptUntil: this.seenAt.get(node) ?? now,
-        provenAt: sure ? this.follower.freshAt : -Infinity,
+        provenAt: sure ? this.replicaSync.freshAt : -Infinity,
       };
     }
     let gone = this.goneAt.get(node);
     if (gone === undefined) {
       gone = now;
       // It may have gone just before this controller had read the store for the first time.
-      if (this.follower.ready) this.goneAt.set(node, now);
+      if (this.replicaSync.ready) this.goneAt.set(node, now);
     }
-    return { keptUntil: gone + this.times.keepS * (1 + 2 * DRIFT), provenAt: Infinity };
+    return { keptUntil: gone + this.times.renewForS * (1 + 2 * DRIFT), provenAt: Infinity };
   }
 }
--- a/src/lending/lender-work.ts
+++ b/src/lending/lender-work.ts
@@ -1,7 +1,7 @@
 /** What is left to do of work that might lend, as the leader knows it. */
 
 import type { EvictionVictim, LiveJobView, TermView } from '../subsystems/subsystem.js';
-import { holds } from '../workers/attempt.js';
+import { occupiesCapacity } from '../workers/attempt.js';
 import { within } from '../jobs/types.js';
 import type { EstimateErrors } from './estimate-errors.js';
 import type { Loan } from './loan.js';
@@ -50,7 +50,8 @@
     wayBackS: wayBack.seconds,
     saves: spec.checkpointS > 0,
     // What an earlier leader started may have run for long.
-    started: attempt.state !== 'fetching' && attempt.state !== 'waiting' && holds(attempt),
+    started:
+      attempt.state !== 'fetching' && attempt.state !== 'waiting' && occupiesCapacity(attempt),
     guaranteed: job.guaranteed,
     lentAgoS: lentAtMs === null ? Infinity : (nowMs - lentAtMs) / 1000,
     lending,
--- a/src/lending/loan-evidence.ts
+++ b/src/lending/loan-evidence.ts
@@ -1,7 +1,7 @@
 /** What the leader knows of the two sides of a loan at one moment. */
 
 import type { AttemptView, LiveJobView, TermView } from '../subsystems/subsystem.js';
-import { holds } from '../workers/attempt.js';
+import { occupiesCapacity } from '../workers/attempt.js';
 import type { Loan } from './loan.js';
 
 /** Where the attempts are that were to stop. */
@@ -39,7 +39,7 @@
 
 function lenderThere(attempts: readonly AttemptView[]): LenderThere {
   if (attempts.length === 0) return 'gone';
-  if (attempts.some((a) => a.stop !== null || a.state === 'saving')) return 'stopping';
+  if (attempts.some((a) => a.stopRequest !== null || a.state === 'saving')) return 'stopping';
   return attempts.some((a) => a.state === 'inherited') ? 'unheard' : 'running';
 }
 
@@ -57,7 +57,7 @@
   const later: AttemptView[] = [];
   for (const { index, attempt } of loan.tasks) {
     for (const a of job?.live.get(index) ?? []) {
-      if (holds(a)) (a.number === attempt ? lent : later).push(a);
+      if (occupiesCapacity(a)) (a.number === attempt ? lent : later).push(a);
     }
   }
   return { lent, later };
@@ -67,7 +67,7 @@
 function borrowerAttempts(loan: Loan, view: TermView): AttemptView[] {
   const job = view.job(loan.borrower);
   const attempts = job === undefined ? [] : [...job.live.values()].flat();
-  return attempts.filter((a) => a.machine === loan.machine && holds(a));
+  return attempts.filter((a) => a.machine === loan.machine && occupiesCapacity(a));
 }
 
 /**
@@ -78,7 +78,7 @@
   const own = borrowerAttempts(loan, view);
   if (own.length > 0) return own;
   const there = [...(view.machine(loan.machine)?.attempts.values() ?? [])];
-  return there.filter((a) => holds(a) && view.spec(a.job)?.kind === 'service');
+  return there.filter((a) => occupiesCapacity(a) && view.spec(a.job)?.kind === 'service');
 }
 
 /** `freeGpus`: what is free on the machine. Nothing has come back while others have it. */
--- a/src/lending/loan-watch.ts
+++ b/src/lending/loan-watch.ts
@@ -161,7 +161,7 @@
     const { view } = this.options;
     if (isAtLimit(loan, view)) return;
     const attempts = replicasThere(loan, view);
-    if (attempts.some((a) => a.stop !== null)) return;
+    if (attempts.some((a) => a.stopRequest !== null)) return;
     for (const { job, index } of attempts) {
       // What a service misses elsewhere it would take back here: it is the more important of the two.
       if (view.job(job)?.pendingCount !== 0) continue;
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -44,7 +44,7 @@
     /** A frame to go with those of a turn; null: none. */
     private readonly attachment: () => object | null,
     /** Seconds for which frames that are not urgent may wait for others. */
-    private readonly gatherS: number,
+    private readonly batchingDelayS: number,
   ) {}
 
   write(value: object, urgent = true): void {
@@ -55,7 +55,7 @@
       setImmediate(() => this.flush());
     } else if (this.state === 'empty') {
       this.become('gathering');
-      this.timer = setTimeout(() => this.flush(), this.gatherS * 1000);
+      this.timer = setTimeout(() => this.flush(), this.batchingDelayS * 1000);
     }
   }
 
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -3,7 +3,7 @@
 import type { Endpoint } from '../config/endpoint.js';
 import type { Log } from '../log.js';
 import { random } from '../random.js';
-import { fitnessAttachment, type FitnessExchange } from './fitness-exchange.js';
+import { healthAttachment, type HealthExchange } from './health-exchange.js';
 import { FrameReader, FrameWriter } from './frames.js';
 import {
   FEATURES,
@@ -42,8 +42,8 @@
   /** Questions under way at a time, at most. */
   maxPending: number;
   /** Seconds for which reports that are passed on may wait for others. */
-  gatherS: number;
-  fitness: FitnessExchange;
+  batchingDelayS: number;
+  health: HealthExchange;
 }
 
 /** Asks another controller over a connection that it opens itself, again and again where it must. */
@@ -80,10 +80,10 @@
     if (now < this.retryAt) return;
     this.retryAt = now + this.backoffMs * (0.75 + random() / 2);
     this.backoffMs = Math.min(MAX_BACKOFF_MS, this.backoffMs * 2);
-    const { self, addr, log, fitness, gatherS } = this.options;
+    const { self, addr, log, health, batchingDelayS } = this.options;
     const socket = connect({ host: addr.host, port: addr.port });
     this.socket = socket;
-    const writer = new FrameWriter(socket, fitnessAttachment(fitness), gatherS);
+    const writer = new FrameWriter(socket, healthAttachment(health), batchingDelayS);
     this.writer = writer;
     this.become('connecting');
     const reader = new FrameReader();
@@ -116,7 +116,7 @@
 
   private received(raw: unknown): void {
     const frame = parseFromAnswerer(raw);
-    if (frame.kind === 'fitness') this.options.fitness.note(this.options.peer, frame.fitness);
+    if (frame.kind === 'fitness') this.options.health.note(this.options.peer, frame.fitness);
     else this.answered(frame.id, frame.answer);
   }
 
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -76,7 +76,7 @@
 export type AnswerTo<Q extends Question> = AnswerByKind[Q['q']];
 
 /** How well a controller is able to lead. */
-export interface Fitness {
+export interface ControllerHealth {
   /** Seconds by which it is behind, see `Overload.latenessS`. */
   latenessS: number;
   /** Whether the state service serves it. */
@@ -114,24 +114,24 @@
   id: number;
   a: Answer;
 }
-export interface FitnessFrame {
-  fitness: Fitness;
+export interface HealthFrame {
+  fitness: ControllerHealth;
 }
 
 /** A frame that no controller sends: its connection is closed. */
-export class BrokenFrame extends Error {}
+export class MalformedFrameError extends Error {}
 
 type Fields = Record<string, unknown>;
 
 const isFields = (raw: unknown): raw is Fields => raw !== null && typeof raw === 'object';
 
-function fieldsOf(frame: unknown): Fields {
-  if (!isFields(frame)) throw new BrokenFrame('no object');
+function objectOf(frame: unknown): Fields {
+  if (!isFields(frame)) throw new MalformedFrameError('no object');
   return frame;
 }
 
-function idOf(frame: Fields): number {
-  if (typeof frame.id !== 'number') throw new BrokenFrame('no id');
+function frameId(frame: Fields): number {
+  if (typeof frame.id !== 'number') throw new MalformedFrameError('no id');
   return frame.id;
 }
 
@@ -220,36 +220,36 @@
 
 export function parseHello(frame: unknown): Hello {
   const result = v.safeParse(hello, frame);
-  if (!result.success) throw new BrokenFrame('unknown version');
+  if (!result.success) throw new MalformedFrameError('unknown version');
   const { from, features } = result.output;
   return { from, features: new Set(features) };
 }
 
-function parseFitness(raw: unknown): Fitness {
+function parseHealth(raw: unknown): ControllerHealth {
   const result = v.safeParse(fitness, raw);
-  if (!result.success) throw new BrokenFrame('fitness');
+  if (!result.success) throw new MalformedFrameError('fitness');
   return result.output;
 }
 
 /** What the controller that opened a connection sends on it; `question` null: a malformed one. */
 export type FromAsker =
   | { kind: 'question'; id: number; question: Question | null }
-  | { kind: 'fitness'; fitness: Fitness };
+  | { kind: 'fitness'; fitness: ControllerHealth };
 
 export function parseFromAsker(raw: unknown): FromAsker {
-  const frame = fieldsOf(raw);
-  if ('fitness' in frame) return { kind: 'fitness', fitness: parseFitness(frame.fitness) };
-  const id = idOf(frame);
-  if (!isFields(frame.q)) throw new BrokenFrame('no question');
+  const frame = objectOf(raw);
+  if ('fitness' in frame) return { kind: 'fitness', fitness: parseHealth(frame.fitness) };
+  const id = frameId(frame);
+  if (!isFields(frame.q)) throw new MalformedFrameError('no question');
   return { kind: 'question', id, question: parseQuestion(frame.q) };
 }
 
 /** What the controller that accepted a connection sends on it; `answer`: see `parseAnswer`. */
 export type FromAnswerer =
-  { kind: 'answer'; id: number; answer: unknown } | { kind: 'fitness'; fitness: Fitness };
+  { kind: 'answer'; id: number; answer: unknown } | { kind: 'fitness'; fitness: ControllerHealth };
 
 export function parseFromAnswerer(raw: unknown): FromAnswerer {
-  const frame = fieldsOf(raw);
-  if ('fitness' in frame) return { kind: 'fitness', fitness: parseFitness(frame.fitness) };
-  return { kind: 'answer', id: idOf(frame), answer: frame.a };
+  const frame = objectOf(raw);
+  if ('fitness' in frame) return { kind: 'fitness', fitness: parseHealth(frame.fitness) };
+  return { kind: 'answer', id: frameId(frame), answer: frame.a };
 }
--- a/src/peers/net.ts
+++ b/src/peers/peer-network.ts
@@ -1,11 +1,11 @@
 import { createServer, type Server, type Socket } from 'node:net';
 import type { Endpoint } from '../config/endpoint.js';
 import type { Log } from '../log.js';
-import { fitnessAttachment, type FitnessExchange } from './fitness-exchange.js';
+import { healthAttachment, type HealthExchange } from './health-exchange.js';
 import { FrameReader, FrameWriter } from './frames.js';
 import { Link } from './link.js';
 import {
-  BrokenFrame,
+  MalformedFrameError,
   parseFromAsker,
   parseHello,
   type Answer,
@@ -15,14 +15,14 @@
 } from './messages.js';
 
 /** Answers a question; the answer is of the question's kind. What it throws is an empty answer. */
-export type Answerer = (from: string, question: Question) => Promise<Answer> | Answer;
+export type QuestionHandler = (from: string, question: Question) => Promise<Answer> | Answer;
 
 /**
  * The links between controllers: CBOR frames with a length before them, over TCP. Each node asks
  * over connections that it opened itself and answers on those that it accepted. Nothing that must
  * hold rests on these links alone; a broken frame closes its connection and nothing else.
  */
-export class PeerNet {
+export class PeerNetwork {
   private readonly server: Server;
   private readonly links = new Map<string, Link>();
   private readonly accepted = new Set<Socket>();
@@ -33,16 +33,27 @@
   constructor(
     self: string,
     peers: { node: string; addr: Endpoint }[],
-    private readonly answerer: Answerer,
+    private readonly handler: QuestionHandler,
     private readonly log: Log,
     /** Questions under way on one link: each comes from a connection of this controller's. */
     private readonly maxPending: number,
-    private readonly fitness: FitnessExchange,
+    private readonly health: HealthExchange,
     /** Seconds for which reports that are passed on may wait for others. */
-    private readonly gatherS = 0,
+    private readonly batchingDelayS = 0,
   ) {
     for (const { node, addr } of peers) {
-      this.links.set(node, new Link({ self, peer: node, addr, log, maxPending, gatherS, fitness }));
+      this.links.set(
+        node,
+        new Link({
+          self,
+          peer: node,
+          addr,
+          log,
+          maxPending,
+          batchingDelayS: batchingDelayS,
+          health: health,
+        }),
+      );
     }
     this.server = createServer((s) => this.accept(s));
     this.server.on('error', (e) => log.error({ err: e.message }, 'peer server'));
@@ -57,7 +68,7 @@
     this.accepted.add(socket);
     socket.setNoDelay(true);
     const reader = new FrameReader();
-    const writer = new FrameWriter(socket, fitnessAttachment(this.fitness), this.gatherS);
+    const writer = new FrameWriter(socket, healthAttachment(this.health), this.batchingDelayS);
     let from: string | null = null;
     let busy = 0;
     const received = (raw: unknown): void => {
@@ -67,10 +78,10 @@
       }
       const frame = parseFromAsker(raw);
       if (frame.kind === 'fitness') {
-        this.fitness.note(from, frame.fitness);
+        this.health.note(from, frame.fitness);
         return;
       }
-      if (++busy > this.maxPending) throw new BrokenFrame('too many questions');
+      if (++busy > this.maxPending) throw new MalformedFrameError('too many questions');
       void this.answer(writer, from, frame.id, frame.question).finally(() => busy--);
     };
     socket.on('error', () => socket.destroy());
@@ -87,7 +98,7 @@
 
   private identify(hello: unknown): string {
     const { from, features } = parseHello(hello);
-    if (!this.links.has(from)) throw new BrokenFrame('unknown peer');
+    if (!this.links.has(from)) throw new MalformedFrameError('unknown peer');
     this.features.set(from, features);
     return from;
   }
@@ -101,7 +112,7 @@
   ): Promise<void> {
     let a: Answer = {};
     try {
-      if (question !== null) a = await this.answerer(from, question);
+      if (question !== null) a = await this.handler(from, question);
     } catch (e) {
       this.log.info({ err: String(e) }, 'question from a peer');
     }
@@ -123,12 +134,12 @@
   }
 
   /** What another controller said of its version; null: it has not opened a connection to this one. */
-  heardFeatures(node: string): ReadonlySet<string> | null {
+  announcedFeatures(node: string): ReadonlySet<string> | null {
     return this.features.get(node) ?? null;
   }
 
   /** The others, those that answered last first. */
-  lately(): string[] {
+  byLatestAnswer(): string[] {
     const links = [...this.links].sort((a, b) => b[1].answeredAt - a[1].answeredAt);
     return links.map(([node]) => node);
   }
--- a/src/store/job-compaction.ts
+++ b/src/store/job-compaction.ts
@@ -14,11 +14,11 @@
 export class JobCompactor {
   private readonly specs = new Map<string, JobSpec>();
 
-  compact(facts: StoredJob): StoredJob {
-    const { atMs, acceptedAt, cancelledAt, cancelledByDependency, doneAt, doneMs } = facts;
-    const { readyAt, readyMs, doneTasks } = facts;
+  compact(storedJob: StoredJob): StoredJob {
+    const { atMs, acceptedAt, cancelledAt, cancelledByDependency, doneAt, doneMs } = storedJob;
+    const { readyAt, readyMs, doneTasks } = storedJob;
     return {
-      spec: this.spec(facts.spec),
+      spec: this.spec(storedJob.spec),
       atMs,
       acceptedAt,
       cancelledAt,
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -10,8 +10,8 @@
 
 export interface ReplicaListener {
   /** A job may start from now on: it was accepted, or all jobs that it needs are done. */
-  onReady?(j: StoredJob): void;
-  onCancelled?(j: StoredJob): void;
+  onReady?(storedJob: StoredJob): void;
+  onCancelled?(storedJob: StoredJob): void;
   onLeader?(): void;
   /** A controller's key was put or is gone. */
   onPresence?(node: string): void;
@@ -74,10 +74,15 @@
    * its tasks: what that takes there must be known.
    */
   compactFinished(beforeMs: number): void {
-    for (const [id, j] of this.jobs) {
-      if (j.atMs >= beforeMs || j.claimCount > 0 || j.spec.id === '' || outcome(j) === 'open')
+    for (const [id, storedJob] of this.jobs) {
+      if (
+        storedJob.atMs >= beforeMs ||
+        storedJob.claimCount > 0 ||
+        storedJob.spec.id === '' ||
+        outcome(storedJob) === 'open'
+      )
         continue;
-      this.jobs.set(id, this.compactor.compact(j));
+      this.jobs.set(id, this.compactor.compact(storedJob));
     }
   }
 
@@ -95,8 +100,9 @@
   listingComplete(): void {
     this.listing = false;
     this.dependencies.rebuild();
-    for (const facts of this.jobs.values()) {
-      if (facts.progress !== null && outcome(facts) === 'cancelled') this.closeCancelled(facts);
+    for (const storedJob of this.jobs.values()) {
+      if (storedJob.progress !== null && outcome(storedJob) === 'cancelled')
+        this.closeCancelled(storedJob);
     }
   }
 
@@ -108,10 +114,10 @@
     const last = this.lastCancelled;
     if (last.since === revision && last.applied === this.applied) return last.ids;
     const ids: string[] = [];
-    for (const [id, facts] of this.jobs) {
-      if (facts.cancelledAt === null || facts.cancelledAt <= revision) continue;
+    for (const [id, storedJob] of this.jobs) {
+      if (storedJob.cancelledAt === null || storedJob.cancelledAt <= revision) continue;
       // What never started has no task whose lease could be renewed: a cascade may hold thousands.
-      if (outcome(facts) === 'cancelled' && !neverStarted(facts)) ids.push(id);
+      if (outcome(storedJob) === 'cancelled' && !neverStarted(storedJob)) ids.push(id);
     }
     this.lastCancelled = { since: revision, applied: this.applied, ids };
     return ids;
@@ -213,9 +219,9 @@
 
   private applyAccepted(accepted: records.AcceptedJob, revision: number): void {
     const id = accepted.spec.id;
-    const old = this.jobs.get(id);
-    if (old !== undefined) {
-      this.mergeRepeatedAcceptance(old, accepted, revision);
+    const storedJob = this.jobs.get(id);
+    if (storedJob !== undefined) {
+      this.mergeRepeatedAcceptance(storedJob, accepted, revision);
       return;
     }
     const alone = accepted.spec.awaits.length === 0;
@@ -251,69 +257,71 @@
    * order a listing shows the two.
    */
   private mergeRepeatedAcceptance(
-    old: StoredJob,
+    storedJob: StoredJob,
     accepted: records.AcceptedJob,
     revision: number,
   ): void {
-    if (revision >= old.acceptedAt) return;
-    old.acceptedAt = revision;
-    if (specOf(old) === null) return;
-    Object.assign(old, accepted);
-    old.readyAt = accepted.spec.awaits.length === 0 ? revision : null;
-    old.readyMs = accepted.atMs;
+    if (revision >= storedJob.acceptedAt) return;
+    storedJob.acceptedAt = revision;
+    if (specOf(storedJob) === null) return;
+    Object.assign(storedJob, accepted);
+    storedJob.readyAt = accepted.spec.awaits.length === 0 ? revision : null;
+    storedJob.readyMs = accepted.atMs;
   }
 
   private applyCancellation(id: string, revision: number): void {
-    const facts = this.jobs.get(id);
-    if (facts === undefined) {
+    const storedJob = this.jobs.get(id);
+    if (storedJob === undefined) {
       // A listing goes by key, not by time: the job itself may come later.
       const early = this.earlyCancels.get(id);
       this.earlyCancels.set(id, Math.min(early ?? Infinity, revision));
       return;
     }
-    if (facts.cancelledAt !== null && revision > facts.cancelledAt) return;
-    facts.cancelledAt = revision;
-    facts.cancelledByDependency = false;
-    if (this.listing || outcome(facts) !== 'cancelled') return;
-    this.closeCancelled(facts);
-    this.dependencies.cancelled(facts);
+    if (storedJob.cancelledAt !== null && revision > storedJob.cancelledAt) return;
+    storedJob.cancelledAt = revision;
+    storedJob.cancelledByDependency = false;
+    if (this.listing || outcome(storedJob) !== 'cancelled') return;
+    this.closeCancelled(storedJob);
+    this.dependencies.cancelled(storedJob);
   }
 
-  private closeCancelled(facts: StoredJob): void {
-    facts.progress = null;
-    this.listener.onCancelled?.(facts);
+  private closeCancelled(storedJob: StoredJob): void {
+    storedJob.progress = null;
+    this.listener.onCancelled?.(storedJob);
   }
 
   private applyProgress(key: string, value: unknown, revision: number): void {
     const { id, number, isPart } = parseProgressKey(key);
-    const facts = this.jobs.get(id);
-    if (facts === undefined) {
+    const storedJob = this.jobs.get(id);
+    if (storedJob === undefined) {
       const early = this.earlyProgress.get(id) ?? [];
       early.push({ key, value, revision });
       this.earlyProgress.set(id, early);
       return;
     }
-    if (facts.doneAt !== null || facts.progress === null) return;
-    const old = facts.progress.get(key);
+    if (storedJob.doneAt !== null || storedJob.progress === null) return;
+    const old = storedJob.progress.get(key);
     if (old !== undefined && old.revision >= revision) return;
     const p = records.decodeProgress(value);
     const first = isPart ? number : number * this.tasksPerChunk;
-    const size = isPart ? (p.tasks ?? 0) : chunkSize(facts.spec.tasks, this.tasksPerChunk, number);
+    const size = isPart
+      ? (p.tasks ?? 0)
+      : chunkSize(storedJob.spec.tasks, this.tasksPerChunk, number);
     const { attainedS } = p;
-    facts.progress.set(key, { first, bits: decodeBits(p.bits, size), revision, attainedS });
-    facts.doneMs = Math.max(facts.doneMs, p.doneMs ?? 0);
-    this.sumProgress(facts);
+    storedJob.progress.set(key, { first, bits: decodeBits(p.bits, size), revision, attainedS });
+    storedJob.doneMs = Math.max(storedJob.doneMs, p.doneMs ?? 0);
+    this.sumProgress(storedJob);
   }
 
   /** Done when all records together name all tasks, with the youngest of them. */
-  private sumProgress(facts: StoredJob): void {
-    const stored = [...facts.progress!.values()];
-    facts.doneTasks = countDone(facts.spec.tasks, stored);
-    facts.attainedS = stored.reduce((sum, { attainedS }) => sum + attainedS, 0);
-    if (facts.doneTasks < facts.spec.tasks) return;
-    facts.doneAt = Math.max(...stored.map(({ revision }) => revision));
-    facts.progress = null;
-    if (!this.listing && outcome(facts) === 'done') this.dependencies.done(facts);
+  private sumProgress(storedJob: StoredJob): void {
+    const stored = [...storedJob.progress!.values()];
+    storedJob.doneTasks = countDone(storedJob.spec.tasks, stored);
+    storedJob.attainedS = stored.reduce((sum, { attainedS }) => sum + attainedS, 0);
+    if (storedJob.doneTasks < storedJob.spec.tasks) return;
+    storedJob.doneAt = Math.max(...stored.map(({ revision }) => revision));
+    storedJob.progress = null;
+    if (!this.listing && outcome(storedJob) === 'done') this.dependencies.done(storedJob);
   }
 
   private applyMachine(id: string, record: records.MachineRecord, revision: number): void {
@@ -328,8 +336,8 @@
 
   private countClaims(record: records.MachineRecord, by: number): void {
     for (const c of record.claims) {
-      const facts = this.jobs.get(c.job);
-      if (facts !== undefined) facts.claimCount = Math.max(0, facts.claimCount + by);
+      const storedJob = this.jobs.get(c.job);
+      if (storedJob !== undefined) storedJob.claimCount = Math.max(0, storedJob.claimCount + by);
     }
   }
 }
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -42,7 +42,7 @@
   constructor(
     private readonly incarnation: string,
     private readonly store: KeyValueStoreClient,
-    private readonly follower: ReplicaSync,
+    private readonly replicaSync: ReplicaSync,
     private readonly replica: Replica,
     private readonly budget: Budget,
     private readonly clock: Clock,
@@ -148,10 +148,10 @@
       if (!first) while (!this.budget.take(1)) await sleep(this.budget.wait(1));
       first = false;
       try {
-        const r: CompareAndSwapResult = await this.store.compareAndSwap(guards, puts, 1.5);
+        const result: CompareAndSwapResult = await this.store.compareAndSwap(guards, puts, 1.5);
         // A failed condition: an attempt that was not answered has been carried out after all.
         stored = true;
-        if (!r.ok) this.log.debug({ keys: r.failed }, 'stored by an earlier attempt');
+        if (!result.ok) this.log.debug({ keys: result.failed }, 'stored by an earlier attempt');
       } catch (e) {
         if (e instanceof RequestRejectedError && (e.status === 400 || e.status === 503)) break;
         if (!(e instanceof RequestRejectedError && e.status === 429)) failures++;
@@ -162,12 +162,12 @@
     let synced = false;
     failures = 0;
     while (stored && !synced && failures++ < MAX_FAILURES && this.clock.now() < deadline) {
-      synced = await this.follower.sync();
+      synced = await this.replicaSync.sync();
       if (!synced) await sleep(0.05);
     }
     for (const e of batch) {
-      const facts = this.replica.jobs.get(e.kind === 'job' ? e.accepted.spec.id : e.id);
-      e.resolve(synced && facts !== undefined ? outcome(facts) : null);
+      const storedJob = this.replica.jobs.get(e.kind === 'job' ? e.accepted.spec.id : e.id);
+      e.resolve(synced && storedJob !== undefined ? outcome(storedJob) : null);
     }
   }
 }
--- a/src/store/stored-job.ts
+++ b/src/store/stored-job.ts
@@ -41,25 +41,32 @@
 }
 
 /** Null: it is over, and what it asked for has left memory. */
-export const specOf = (j: StoredJob): JobSpec | null => (j.spec.id === '' ? null : j.spec);
+export const specOf = (storedJob: StoredJob): JobSpec | null =>
+  storedJob.spec.id === '' ? null : storedJob.spec;
 
 export type JobOutcome = 'open' | 'done' | 'cancelled';
 
 /** The older one of "done" and "cancelled" counts, on every node and for ever. */
-export function outcome(j: StoredJob): JobOutcome {
-  if (j.cancelledAt !== null && (j.doneAt === null || j.cancelledAt < j.doneAt)) return 'cancelled';
-  return j.doneAt !== null ? 'done' : 'open';
+export function outcome(storedJob: StoredJob): JobOutcome {
+  if (
+    storedJob.cancelledAt !== null &&
+    (storedJob.doneAt === null || storedJob.cancelledAt < storedJob.doneAt)
+  )
+    return 'cancelled';
+  return storedJob.doneAt !== null ? 'done' : 'open';
 }
 
 /** Not over, and in need of no other job any more: its tasks may start. */
-export const isReady = (j: StoredJob): boolean => j.readyAt !== null && outcome(j) === 'open';
+export const isReady = (storedJob: StoredJob): boolean =>
+  storedJob.readyAt !== null && outcome(storedJob) === 'open';
 
 /** Accepted, not over, and still in need of other jobs: nothing of it may start. */
-export const isWaiting = (j: StoredJob): boolean => j.readyAt === null && outcome(j) === 'open';
+export const isWaiting = (storedJob: StoredJob): boolean =>
+  storedJob.readyAt === null && outcome(storedJob) === 'open';
 
 /**
  * Whether no task of a cancelled job was ever started, nor can be: it was cancelled before it became
  * ready, and a leader starts tasks of a job only once its copy of the store shows it as ready.
  */
-export const neverStarted = (j: StoredJob): boolean =>
-  j.readyAt === null && outcome(j) === 'cancelled';
+export const neverStarted = (storedJob: StoredJob): boolean =>
+  storedJob.readyAt === null && outcome(storedJob) === 'cancelled';
--- a/src/warm-pools/slot-rooms.ts
+++ b/src/warm-pools/slot-rooms.ts
@@ -3,7 +3,7 @@
 import { fits, type JobSpec, type Size } from '../jobs/types.js';
 import { putBack, type FreeCapacity } from '../scheduler/place.js';
 import type { MachineView, TermView } from '../subsystems/subsystem.js';
-import { holds } from '../workers/attempt.js';
+import { occupiesCapacity } from '../workers/attempt.js';
 import type { PoolDeclaration, ReplicaShape } from './declaration.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
@@ -42,7 +42,7 @@
 export function modelTasks(view: TermView, m: MachineView, pool: PoolDeclaration): ModelTask[] {
   const tasks: ModelTask[] = [];
   for (const a of m.attempts.values()) {
-    if (!holds(a) || a.stop !== null) continue;
+    if (!occupiesCapacity(a) || a.stopRequest !== null) continue;
     const spec = view.spec(a.job);
     if (spec === null || !isFor(pool, spec)) continue;
     tasks.push({
--- a/src/warm-pools/slot-watch.ts
+++ b/src/warm-pools/slot-watch.ts
@@ -3,7 +3,7 @@
 import { fits, type MachineType } from '../jobs/types.js';
 import { putBack, take } from '../scheduler/place.js';
 import type { MachineView, TermView } from '../subsystems/subsystem.js';
-import { holds } from '../workers/attempt.js';
+import { occupiesCapacity } from '../workers/attempt.js';
 import type { PoolDeclaration } from './declaration.js';
 import type { LeadTimes } from './lead-times.js';
 import type { ModelLoader } from './model-loader.js';
@@ -82,11 +82,11 @@
     if (m === undefined) return this.neverCame(entry);
     const { view, nowMs } = this.options;
     if (m.state === 'silent' || m.state === 'returning' || m.state === 'returned') {
-      const silentMs = Math.max(0, view.now() - m.heardAt) * 1000;
+      const silentMs = Math.max(0, view.now() - m.lastSeenAt) * 1000;
       return { kind: 'lost', reason: m.state, atMs: nowMs() - silentMs, uncertainMs: silentMs };
     }
-    if (m.faulty) return { kind: 'lost', reason: 'faulty', atMs: nowMs(), uncertainMs: 0 };
-    if (m.takenAt === null) return null;
+    if (m.quarantined) return { kind: 'lost', reason: 'faulty', atMs: nowMs(), uncertainMs: 0 };
+    if (m.reclaimedAt === null) return null;
     return { kind: 'lost', reason: 'taken back', atMs: nowMs(), uncertainMs: 0 };
   }
 
@@ -168,19 +168,19 @@
   }
 
   private measureBoot({ id, current }: SlotEntry, m: MachineView): void {
-    if (current.rent === null || m.firstHeardAt === null || this.measured.has(id)) return;
+    if (current.rent === null || m.firstSeenAt === null || this.measured.has(id)) return;
     this.measured.add(id);
     // Heard first by this term, which began before: otherwise the boot was over already.
     const { leadTimes, nowMs, view } = this.options;
-    const sinceHeardS = view.now() - m.firstHeardAt;
+    const sinceHeardS = view.now() - m.firstSeenAt;
     const bootS = (nowMs() - current.held!.fromMs) / 1000 - sinceHeardS;
     const isOwn = current.rent.name.startsWith(view.uniquePrefix);
     if (isOwn && bootS > 0) leadTimes.noteBoot(m.type, m.zone, bootS);
   }
 
   private measureLoad({ current }: SlotEntry, m: MachineView, pool: PoolDeclaration): void {
-    if (m.firstHeardAt === null || current.rent === null) return;
-    const loadS = this.options.view.now() - m.firstHeardAt;
+    if (m.firstSeenAt === null || current.rent === null) return;
+    const loadS = this.options.view.now() - m.firstSeenAt;
     this.options.leadTimes.noteLoad(m.type, m.zone, pool.image, Math.max(0, loadS));
   }
 
@@ -218,7 +218,7 @@
 } {
   const used = { cores: 0, gpus: 0, memGb: 0 };
   for (const a of m.attempts.values()) {
-    const spec = holds(a) ? view.spec(a.job) : null;
+    const spec = occupiesCapacity(a) ? view.spec(a.job) : null;
     if (spec !== null) putBack(spec, used);
   }
   return {
--- a/src/wire/report-scan.ts
+++ b/src/wire/heartbeat-scan.ts
@@ -26,14 +26,14 @@
 /** As many digits as always make an integer that a number holds exactly. */
 const MAX_DIGITS = 15;
 /** The longest name that a full parse accepts, in characters. */
-export const MAX_NAME = 200;
+export const MAX_NAME_LENGTH = 200;
 
 const MACHINE = Buffer.from('bench');
 const ZONE = Buffer.from('yard');
 const TOKEN = Buffer.from('hallmark');
 const SEQUENCE = Buffer.from('tally');
 
-export interface ScannedReport {
+export interface ScannedHeartbeat {
   machine: string;
   zone: string;
   token: number;
@@ -109,7 +109,7 @@
   /** The present value, if it is a string that a full parse accepts as a name. */
   name(): string | null {
     const length = this.valueEnd - this.valueStart - 2;
-    if (this.body[this.valueStart] !== QUOTE || length < 1 || length > MAX_NAME) return null;
+    if (this.body[this.valueStart] !== QUOTE || length < 1 || length > MAX_NAME_LENGTH) return null;
     return this.body.toString('latin1', this.valueStart + 1, this.valueEnd - 1);
   }
 
@@ -193,7 +193,7 @@
 }
 
 /** What routing and the recognition of unchanged reports need; null: parse the report. */
-export function scanReport(body: Buffer): ScannedReport | null {
+export function scanHeartbeat(body: Buffer): ScannedHeartbeat | null {
   const members = new MemberScanner(body);
   let machine: string | null = null;
   let zone: string | null = null;
@@ -217,7 +217,7 @@
  * The machine that a report seems to be of, from the first field of that name. A hint for looking something up:
  * whoever uses it must compare the whole body.
  */
-export function scanMachineHint(body: Buffer): string | null {
+export function scanMachineId(body: Buffer): string | null {
   const members = new MemberScanner(body);
   while (members.next()) if (members.keyIs(MACHINE)) return members.name();
   return null;
--- a/src/wire/last-report.ts
+++ b/src/wire/last-heartbeat.ts
@@ -1,14 +1,14 @@
 import { REQUEST_BOUNDS } from '../http/parser.js';
-import { readInteger, scanReport } from './report-scan.js';
-import type { Report } from './workers.js';
+import { readInteger, scanHeartbeat } from './heartbeat-scan.js';
+import type { Heartbeat } from './workers.js';
 
 /** Longer bodies are not kept: a sixteenth of the longest that is accepted. */
 const MAX_KEPT_BYTES = REQUEST_BOUNDS.bodyBytes / 16;
 /** Memory for a body is had in steps, so that one a little longer than the last fits too. */
 const STEP_BYTES = MAX_KEPT_BYTES / 16;
 
-interface Kept {
-  report: Report;
+interface KeptHeartbeat {
+  report: Heartbeat;
   /** The body, in memory of its own: a slice would hold the whole buffer that it was received in. */
   body: Buffer;
   /** Where its sequence number is; null until a report comes that may be a repetition. */
@@ -25,12 +25,12 @@
  * before in the sequence number alone; those need no parsing. It is a shortcut for the parser and decides
  * nothing: `repeat` returns what a full parse of the same bytes would, or null.
  */
-export class LastReport {
-  private kept: Kept | null = null;
+export class LastHeartbeat {
+  private kept: KeptHeartbeat | null = null;
   private memory: Buffer = Buffer.alloc(0);
 
   /** Keeps a report to compare with, unless it is too long. */
-  keep(report: Report, body: Buffer): void {
+  keep(report: Heartbeat, body: Buffer): void {
     this.kept = null;
     const { length } = body;
     if (length > MAX_KEPT_BYTES) return;
@@ -42,7 +42,7 @@
   }
 
   /** The report in a body that differs from the one kept in the sequence number alone; null: parse it. */
-  repeat(body: Buffer): Report | null {
+  decodeRepetition(body: Buffer): Heartbeat | null {
     const { kept } = this;
     // A sequence number has one digit more than the one before, at the most.
     if (kept === null || Math.abs(body.length - kept.body.length) > 1) return null;
@@ -54,20 +54,20 @@
     if (seq === null) return null;
     if (kept.body.compare(body, 0, start, 0, start) !== 0) return null;
     if (kept.body.compare(body, numberEnd, body.length, end) !== 0) return null;
-    return { ...kept.report, seq };
+    return { ...kept.report, sequence: seq };
   }
 
   /** Null, and nothing kept any more: it can't be told with certainty. */
-  private locateSequence(kept: Kept): SequencePosition | null {
+  private locateSequence(kept: KeptHeartbeat): SequencePosition | null {
     if (kept.sequence !== null) return kept.sequence;
-    const scanned = scanReport(kept.body);
+    const scanned = scanHeartbeat(kept.body);
     if (scanned === null) this.kept = null;
     else kept.sequence = { start: scanned.sequenceStart, end: scanned.sequenceEnd };
     return kept.sequence;
   }
 
   /** Whether a report was got from the one kept by `repeat`. */
-  gave(report: Report): boolean {
+  wasDecodedFrom(report: Heartbeat): boolean {
     return this.kept?.report.tasks === report.tasks;
   }
 }
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,4 +1,4 @@
-import { MAX_NAME } from './report-scan.js';
+import { MAX_NAME_LENGTH } from './heartbeat-scan.js';
 import { BadMessage } from './users.js';
 
 /** Workers' reports and the commands to them: the only place that knows their field names. */
@@ -6,46 +6,47 @@
 /** Times that the protocol fixes, whatever a deployment's report interval: how long a worker waits for
  * the answer to a report, and the least time between two reports when something changes. */
 export const ANSWER_WAIT_S = 4;
-export const CHANGE_GAP_S = 0.5;
+export const MIN_HEARTBEAT_GAP_S = 0.5;
 
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'ended';
-export type Cause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'full' | 'busy' | 'unknown';
+export type ExitCause =
+  'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'full' | 'busy' | 'unknown';
 
-export interface TaskReport {
+export interface TaskStatus {
   job: string;
   index: number;
   attempt: number;
   state: TaskState;
-  cause: Cause | null;
+  cause: ExitCause | null;
   saved: boolean;
 }
 
-export interface Report {
+export interface Heartbeat {
   machine: string;
   addr: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
+  agentEpoch: number;
+  sequence: number;
   token: number;
-  noticeS: number | null;
-  tasks: readonly Readonly<TaskReport>[];
+  reclaimNoticeS: number | null;
+  tasks: readonly Readonly<TaskStatus>[];
 }
 
 export type Command =
-  | { op: 'start'; job: string; index: number; attempt: number }
-  | { op: 'stop'; job: string; index: number; attempt: number; graceS: number }
-  | { op: 'forget'; job: string; index: number; attempt: number };
+  | { kind: 'start'; job: string; index: number; attempt: number }
+  | { kind: 'stop'; job: string; index: number; attempt: number; graceS: number }
+  | { kind: 'forget'; job: string; index: number; attempt: number };
 
-const STATES: Record<string, TaskState> = {
+const TASK_STATES: Record<string, TaskState> = {
   pulling: 'fetching',
   gathering: 'waiting',
   running: 'running',
   flushing: 'saving',
   ended: 'ended',
 };
-const CAUSES: Record<string, Cause> = {
+const EXIT_CAUSES: Record<string, ExitCause> = {
   done: 'done',
   halted: 'stopped',
   mates_gone: 'peers',
@@ -61,11 +62,12 @@
   return x;
 };
 const text = (x: unknown, name: string): string => {
-  if (typeof x !== 'string' || x.length === 0 || x.length > MAX_NAME) throw new BadMessage(name);
+  if (typeof x !== 'string' || x.length === 0 || x.length > MAX_NAME_LENGTH)
+    throw new BadMessage(name);
   return x;
 };
 
-export function splitTask(piece: string): { job: string; index: number } {
+export function parseTaskName(piece: string): { job: string; index: number } {
   const slash = piece.indexOf('/');
   const index = Number(piece.slice(slash + 1));
   if (slash <= 0 || !Number.isSafeInteger(index) || index < 0) throw new BadMessage('piece');
@@ -73,21 +75,21 @@
 }
 
 /** Checked by hand: a report comes from every machine every second. */
-export function parseReport(raw: unknown): Report {
+export function parseHeartbeat(raw: unknown): Heartbeat {
   if (raw === null || typeof raw !== 'object') throw new BadMessage('not an object');
   const o = raw as Record<string, unknown>;
-  const tasks: TaskReport[] = [];
+  const tasks: TaskStatus[] = [];
   if (!Array.isArray(o.pieces)) throw new BadMessage('pieces');
   for (const p of o.pieces as unknown[]) {
     if (p === null || typeof p !== 'object') throw new BadMessage('pieces');
     const t = p as Record<string, unknown>;
-    const state = STATES[String(t.temper)];
+    const state = TASK_STATES[String(t.temper)];
     if (state === undefined) throw new BadMessage('temper');
     tasks.push({
-      ...splitTask(text(t.piece, 'piece')),
+      ...parseTaskName(text(t.piece, 'piece')),
       attempt: count(t.pour, 'pour'),
       state,
-      cause: state === 'ended' ? (CAUSES[String(t.cause)] ?? 'error') : null,
+      cause: state === 'ended' ? (EXIT_CAUSES[String(t.cause)] ?? 'error') : null,
       saved: t.saved === true,
     });
   }
@@ -101,16 +103,16 @@
     type: text(o.casting, 'casting'),
     zone: text(o.yard, 'yard'),
     spot: o.loaner === true,
-    session: count(o.shift, 'shift'),
-    seq: count(o.tally, 'tally'),
+    agentEpoch: count(o.shift, 'shift'),
+    sequence: count(o.tally, 'tally'),
     token: count(o.hallmark, 'hallmark'),
-    noticeS: (notice as number | null | undefined) ?? null,
+    reclaimNoticeS: (notice as number | null | undefined) ?? null,
     tasks,
   };
 }
 
 /** The report in a body as a worker sent it. Throws BadMessage if it is no JSON or not a report. */
-export function decodeReport(body: Buffer): Report {
+export function decodeHeartbeat(body: Buffer): Heartbeat {
   let raw: unknown;
   try {
     raw = JSON.parse(body.toString('utf8'));
@@ -118,18 +120,18 @@
     if (e instanceof SyntaxError) throw new BadMessage(e.message);
     throw e;
   }
-  return parseReport(raw);
+  return parseHeartbeat(raw);
 }
 
-const VERBS = { start: 'start', stop: 'kill', forget: 'reap' } as const;
+const COMMAND_VERBS = { start: 'start', stop: 'kill', forget: 'reap' } as const;
 
 function encodeCommand(c: Command): Record<string, unknown> {
   const o: Record<string, unknown> = {
-    verb: VERBS[c.op],
+    verb: COMMAND_VERBS[c.kind],
     piece: `${c.job}/${c.index}`,
     pour: c.attempt,
   };
-  if (c.op === 'stop') o.cooling_s = c.graceS;
+  if (c.kind === 'stop') o.cooling_s = c.graceS;
   return o;
 }
 
@@ -137,7 +139,7 @@
 let withoutCommands = { token: 0, text: '{"hallmark":0,"orders":[]}' };
 
 /** An answer to a report: the token, and the commands in the order in which they are to be carried out. */
-export function encodeOrders(token: number, commands: Command[]): string {
+export function encodeHeartbeatReply(token: number, commands: Command[]): string {
   if (commands.length > 0) {
     return JSON.stringify({ hallmark: token, orders: commands.map(encodeCommand) });
   }
@@ -147,17 +149,17 @@
   return withoutCommands.text;
 }
 
-export const encodeDirect = (token: number, session: number, commands: Command[]): string =>
+export const encodeDirectCommands = (token: number, session: number, commands: Command[]): string =>
   JSON.stringify({ hallmark: token, shift: session, orders: commands.map(encodeCommand) });
 
-export const encodeElsewhere = (node: string | null): string =>
+export const encodeRedirect = (node: string | null): string =>
   node === null ? '{}' : JSON.stringify({ foreman: node });
 
 /** Bytes of a request at most (protocol), and what a report takes for each task. */
 const REQUEST_BYTES = 64 * 1024;
 const REPORTED_TASK_BYTES = 128;
 /** Tasks on a machine, those that have ended among them, that a report has place for. */
-export const MOST_REPORTED_TASKS = Math.floor(REQUEST_BYTES / REPORTED_TASK_BYTES);
+export const MAX_REPORTED_TASKS = Math.floor(REQUEST_BYTES / REPORTED_TASK_BYTES);
 
 /** The most commands in one message, far below a line of 64 KiB. */
-export const MAX_COMMANDS = 400;
+export const MAX_COMMANDS_PER_MESSAGE = 400;
