--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -1,4 +1,4 @@
-import type { Cause } from '../wire/workers.js';
+import type { ExitCause } from '../wire/workers.js';
 
 /**
  * One try of one task on one machine.
@@ -23,16 +23,23 @@
   | 'ended'
   | 'gone';
 
-const SEEN: AttemptState[] = ['fetching', 'waiting', 'running', 'saving', 'ended', 'gone'];
-const ALLOWED: Record<AttemptState, AttemptState[]> = {
+const REPORTED_OR_GONE: AttemptState[] = [
+  'fetching',
+  'waiting',
+  'running',
+  'saving',
+  'ended',
+  'gone',
+];
+const TRANSITIONS: Record<AttemptState, AttemptState[]> = {
   claiming: ['claimed', 'gone'],
-  claimed: ['sent', 'gone', ...SEEN],
-  inherited: SEEN,
-  sent: ['claimed', ...SEEN],
-  fetching: SEEN,
-  waiting: SEEN,
-  running: SEEN,
-  saving: SEEN,
+  claimed: ['sent', 'gone', ...REPORTED_OR_GONE],
+  inherited: REPORTED_OR_GONE,
+  sent: ['claimed', ...REPORTED_OR_GONE],
+  fetching: REPORTED_OR_GONE,
+  waiting: REPORTED_OR_GONE,
+  running: REPORTED_OR_GONE,
+  saving: REPORTED_OR_GONE,
   ended: ['gone'],
   gone: [],
 };
@@ -44,30 +51,30 @@
   machine: string;
   state: AttemptState;
   /** Session of the worker for which the start went out; null: not known. */
-  session: number | null;
+  agentEpoch: number | null;
   /** The start went out in the answer to the check-in with this number. */
-  viaCheckin: number | null;
+  sentInHeartbeat: number | null;
   /** A direct message with the start is under way. */
-  direct: boolean;
+  sendingDirectly: boolean;
   /**
    * Token of a direct message with the start that was never answered: it may arrive at any time in its
    * session, unless the worker has seen a higher token. Null: there is none.
    */
-  unanswered: number | null;
-  cause: Cause | null;
+  unansweredToken: number | null;
+  cause: ExitCause | null;
   saved: boolean;
   /** Wanted gone: since when and with what grace. */
-  stop: { at: number; graceS: number; sentAt: number | null } | null;
+  stopRequest: { at: number; graceS: number; sentAt: number | null } | null;
   /** Its end has been dealt with and stored: the worker may forget it. */
   settled: boolean;
   createdAt: number;
   startedAt: number | null;
   endedAt: number | null;
-  resends: number;
+  rejectedStarts: number;
   /** Seconds of fetching that were predicted for it alone; 0: none, or it shares a fetch. */
-  fetchS: number;
+  predictedFetchS: number;
   /** When its start went out. */
-  sentAt: number | null;
+  startSentAt: number | null;
 }
 
 export function makeAttempt(
@@ -84,27 +91,27 @@
     number,
     machine,
     state,
-    session: null,
-    viaCheckin: null,
-    direct: false,
-    unanswered: null,
+    agentEpoch: null,
+    sentInHeartbeat: null,
+    sendingDirectly: false,
+    unansweredToken: null,
     cause: null,
     saved: false,
-    stop: null,
+    stopRequest: null,
     settled: false,
     createdAt: now,
     startedAt: null,
     endedAt: null,
-    resends: 0,
-    fetchS: 0,
-    sentAt: null,
+    rejectedStarts: 0,
+    predictedFetchS: 0,
+    startSentAt: null,
   };
 }
 
 /** The one function through which an attempt changes its state. False: not a change. */
-export function advance(a: Attempt, to: AttemptState, now: number): boolean {
+export function advanceAttempt(a: Attempt, to: AttemptState, now: number): boolean {
   if (a.state === to) return false;
-  if (!ALLOWED[a.state].includes(to)) throw new Error(`attempt: ${a.state} -> ${to}`);
+  if (!TRANSITIONS[a.state].includes(to)) throw new Error(`attempt: ${a.state} -> ${to}`);
   a.state = to;
   if (to === 'running' && a.startedAt === null) a.startedAt = now;
   if ((to === 'ended' || to === 'gone') && a.endedAt === null) a.endedAt = now;
@@ -112,11 +119,11 @@
 }
 
 /** Whether it holds room on its machine, in its zone and in its team's limit. */
-export const holds = (a: Attempt): boolean => a.state !== 'ended' && a.state !== 'gone';
+export const occupiesCapacity = (a: Attempt): boolean => a.state !== 'ended' && a.state !== 'gone';
 
 /** Whether the worker may know of it, so that it has to be stopped by command. */
-export const mayBeThere = (a: Attempt): boolean =>
-  holds(a) && a.state !== 'claiming' && a.state !== 'claimed';
+export const mayBeOnMachine = (a: Attempt): boolean =>
+  occupiesCapacity(a) && a.state !== 'claiming' && a.state !== 'claimed';
 
 export const attemptKey = (job: string, index: number, number: number): string =>
   `${job}/${index}#${number}`;
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,8 +1,15 @@
 import { DRIFT } from '../clock.js';
-import type { Command, Report } from '../wire/workers.js';
-import { LastReport } from '../wire/last-report.js';
-import { MAX_COMMANDS } from '../wire/workers.js';
-import { advance, attemptKey, holds, makeAttempt, mayBeThere, type Attempt } from './attempt.js';
+import type { Command, Heartbeat } from '../wire/workers.js';
+import { LastHeartbeat } from '../wire/last-heartbeat.js';
+import { MAX_COMMANDS_PER_MESSAGE } from '../wire/workers.js';
+import {
+  advanceAttempt,
+  attemptKey,
+  occupiesCapacity,
+  makeAttempt,
+  mayBeOnMachine,
+  type Attempt,
+} from './attempt.js';
 
 /**
  * What a leader knows of one machine, on evidence.
@@ -16,7 +23,7 @@
  */
 export type MachineState = 'unheard' | 'fencing' | 'ready' | 'silent' | 'returning' | 'returned';
 
-const ALLOWED: Record<MachineState, MachineState[]> = {
+const TRANSITIONS: Record<MachineState, MachineState[]> = {
   unheard: ['fencing', 'ready', 'silent', 'returning', 'returned'],
   fencing: ['ready', 'silent', 'returning', 'returned'],
   ready: ['fencing', 'silent', 'returning', 'returned'],
@@ -25,16 +32,16 @@
   returned: [],
 };
 
-export interface Changes {
+export interface HeartbeatChanges {
   /** Attempts that are provably not on the machine any more, or exited. */
-  over: Attempt[];
+  exited: Attempt[];
   /** Attempts whose state changed otherwise. */
-  moved: Attempt[];
+  changed: Attempt[];
   /** On the machine by its report, but unknown here. */
-  foreign: Attempt[];
+  unclaimed: Attempt[];
   /** Starts that the worker did not take. */
-  missed: number;
-  sessionMoved: boolean;
+  rejectedStarts: number;
+  agentRestarted: boolean;
   stale: boolean;
 }
 
@@ -44,21 +51,21 @@
   type = '';
   zone = '';
   spot = false;
-  session = 0;
-  seq = 0;
+  agentEpoch = 0;
+  sequence = 0;
   /** The last fenced check-in's number in this session; answers of /do count separately. */
-  checkinSeq = 0;
+  fencedSequence = 0;
   /** The newest check-in that came by itself, fenced or not, and when. */
-  private lastCheckin = { session: 0, seq: -1 };
-  checkinAt = -Infinity;
+  private newestHeartbeat = { session: 0, seq: -1 };
+  heartbeatAt = -Infinity;
   /** The newest check-in that had to be parsed, to recognise those that only repeat it. */
-  readonly lastReport = new LastReport();
-  heardAt: number;
-  firstHeardAt: number | null = null;
+  readonly lastHeartbeat = new LastHeartbeat();
+  lastSeenAt: number;
+  firstSeenAt: number | null = null;
   /** When the worker's lease has run out for certain. */
-  leaseEnd: number;
+  leaseExpiresAt: number;
   /** Time at which the cloud takes it, from its notice. */
-  takenAt: number | null = null;
+  reclaimedAt: number | null = null;
   readonly attempts = new Map<string, Attempt>();
   /** Images seen there and when last, the most recently used last. */
   images = new Map<string, { gb: number; at: number }>();
@@ -67,21 +74,21 @@
   /** Since when nothing holds room on it. */
   idleSince: number;
   /** No new work before this time, because it did not do what it was told. */
-  shunnedUntil = -Infinity;
-  shuns = 0;
+  cordonedUntil = -Infinity;
+  cordonCount = 0;
   /** Jobs whose tasks failed here, and when; emptied by a success. */
-  errors = new Map<string, number>();
+  taskFailures = new Map<string, number>();
   successes = 0;
-  faulty = false;
+  quarantined = false;
   /** Being emptied to be given back: nothing new until then. */
-  vacatedAt: number | null = null;
+  drainingSince: number | null = null;
   /** Counts changes of what is on it, so that what is derived from that is reckoned anew only then. */
-  version = 0;
+  changeCount = 0;
   /** Revision of its record, 0: none stored. */
-  revision = 0;
+  recordRevision = 0;
   recordTerm = 0;
   /** Its record says that it is being returned. */
-  returnStored = false;
+  returnRecorded = false;
   listedAgeS: number | null = null;
 
   /** The token that its record is to name next; above `token`: the machine is to be fenced anew. */
@@ -95,20 +102,20 @@
     readonly knownAt: number,
   ) {
     this.nextToken = token;
-    this.heardAt = knownAt;
+    this.lastSeenAt = knownAt;
     this.idleSince = knownAt;
     // Whoever led before may have renewed its lease until this term began; a substitute, in an outage
     // that had just ended then, for a moment more.
-    this.leaseEnd = knownAt + this.leaseSpan() + this.leaseS * 0.1;
+    this.leaseExpiresAt = knownAt + this.leaseSpanS() + this.leaseS * 0.1;
   }
 
-  private leaseSpan(): number {
+  private leaseSpanS(): number {
     return this.leaseS * (1 + 2 * DRIFT) + this.leaseS * 0.04;
   }
 
-  become(to: MachineState): boolean {
+  changeState(to: MachineState): boolean {
     if (to === this.state) return false;
-    if (!ALLOWED[this.state].includes(to)) return false;
+    if (!TRANSITIONS[this.state].includes(to)) return false;
     this.state = to;
     return true;
   }
@@ -118,42 +125,42 @@
     if (token <= this.token) return;
     this.token = token;
     this.nextToken = Math.max(this.nextToken, token);
-    if (this.state === 'ready') this.become('fencing');
+    if (this.state === 'ready') this.changeState('fencing');
   }
 
   /** Whether an unanswered start that may still arrive keeps a task from ending or being forgotten. */
-  blockedByUnanswered(): boolean {
+  isBlockedByUnansweredStart(): boolean {
     for (const a of this.attempts.values()) {
-      if (a.unanswered === null || a.direct) continue;
-      if (a.stop !== null || a.state === 'ended') return true;
+      if (a.unansweredToken === null || a.sendingDirectly) continue;
+      if (a.stopRequest !== null || a.state === 'ended') return true;
     }
     return false;
   }
 
   /** It has shown its token: starts that were sent with a lower one are not carried out any more. */
-  private settleUnanswered(): void {
+  private clearUnansweredStarts(): void {
     for (const a of this.attempts.values()) {
-      if (a.unanswered !== null && a.unanswered < this.token) a.unanswered = null;
+      if (a.unansweredToken !== null && a.unansweredToken < this.token) a.unansweredToken = null;
     }
   }
 
   /** What is on it has changed. */
-  touch(): void {
-    this.version++;
+  markChanged(): void {
+    this.changeCount++;
   }
 
   /**
    * Whether a check-in at least as new has come by itself before. Then it is a late copy: the worker
    * has long stopped waiting for its answer, which renews nothing.
    */
-  hasSeen(r: Report): boolean {
-    const { session, seq } = this.lastCheckin;
-    return r.session < session || (r.session === session && r.seq <= seq);
+  isRepeated(r: Heartbeat): boolean {
+    const { session, seq } = this.newestHeartbeat;
+    return r.agentEpoch < session || (r.agentEpoch === session && r.sequence <= seq);
   }
 
   /** A 200 to a check-in is about to be sent: it renews the lease, counted from the sending. */
-  renewed(now: number): void {
-    this.leaseEnd = Math.max(this.leaseEnd, now + this.leaseSpan());
+  leaseRenewed(now: number): void {
+    this.leaseExpiresAt = Math.max(this.leaseExpiresAt, now + this.leaseSpanS());
   }
 
   /**
@@ -161,62 +168,70 @@
    * check-ins prove that a start has not been carried out: one that is answered with it is over
    * before the next is sent.
    */
-  apply(r: Report, checkin: boolean, now: number): Changes {
-    const c: Changes = {
-      over: [],
-      moved: [],
-      foreign: [],
-      missed: 0,
-      sessionMoved: false,
+  applyHeartbeat(r: Heartbeat, checkin: boolean, now: number): HeartbeatChanges {
+    const c: HeartbeatChanges = {
+      exited: [],
+      changed: [],
+      unclaimed: [],
+      rejectedStarts: 0,
+      agentRestarted: false,
       stale: false,
     };
-    if (checkin && !this.hasSeen(r)) {
-      this.lastCheckin = { session: r.session, seq: r.seq };
-      this.checkinAt = now;
+    if (checkin && !this.isRepeated(r)) {
+      this.newestHeartbeat = { session: r.agentEpoch, seq: r.sequence };
+      this.heartbeatAt = now;
     }
-    if (r.session < this.session || (r.session === this.session && r.seq <= this.seq)) {
+    if (
+      r.agentEpoch < this.agentEpoch ||
+      (r.agentEpoch === this.agentEpoch && r.sequence <= this.sequence)
+    ) {
       // A late copy, or overtaken by the answer to a direct message. It proves nothing new.
       c.stale = true;
       return c;
     }
-    if (r.session > this.session) {
-      c.sessionMoved = this.session !== 0;
+    if (r.agentEpoch > this.agentEpoch) {
+      c.agentRestarted = this.agentEpoch !== 0;
       // Shown by the answer to a direct command perhaps, which renews nothing: but a session begins
       // with a lease of its own, and what is started in it may be there until that has run out.
-      this.renewed(now);
-      this.session = r.session;
+      this.leaseRenewed(now);
+      this.agentEpoch = r.agentEpoch;
       for (const a of [...this.attempts.values()]) {
         // A session that has moved on takes everything with it, late messages included.
-        if (a.session !== null && a.session < r.session && a.state !== 'claiming') {
-          this.end(a, now, c);
+        if (a.agentEpoch !== null && a.agentEpoch < r.agentEpoch && a.state !== 'claiming') {
+          this.endAttempt(a, now, c);
         }
       }
     }
-    this.seq = r.seq;
-    this.heardAt = now;
-    this.firstHeardAt ??= now;
+    this.sequence = r.sequence;
+    this.lastSeenAt = now;
+    this.firstSeenAt ??= now;
     this.addr = r.addr;
     this.type = r.type;
     this.zone = r.zone;
     this.spot = r.spot;
-    if (r.noticeS !== null) {
-      const at = now + r.noticeS;
-      this.takenAt = this.takenAt === null ? at : Math.min(this.takenAt, at);
+    if (r.reclaimNoticeS !== null) {
+      const at = now + r.reclaimNoticeS;
+      this.reclaimedAt = this.reclaimedAt === null ? at : Math.min(this.reclaimedAt, at);
     }
-    if (this.state === 'silent') this.become('fencing');
+    if (this.state === 'silent') this.changeState('fencing');
     if (r.token !== this.token) {
       // Not fenced: an older leader's commands may still be carried out after this report.
-      this.become('fencing');
+      this.changeState('fencing');
       return c;
     }
-    this.become('ready');
-    this.settleUnanswered();
-    if (checkin) this.checkinSeq = r.seq;
-    this.compare(r.tasks, checkin, now, c);
+    this.changeState('ready');
+    this.clearUnansweredStarts();
+    if (checkin) this.fencedSequence = r.sequence;
+    this.reconcileTasks(r.tasks, checkin, now, c);
     return c;
   }
 
-  private compare(tasks: Report['tasks'], checkin: boolean, now: number, c: Changes): void {
+  private reconcileTasks(
+    tasks: Heartbeat['tasks'],
+    checkin: boolean,
+    now: number,
+    c: HeartbeatChanges,
+  ): void {
     const shown = new Set<string>();
     for (const t of tasks) {
       const key = attemptKey(t.job, t.index, t.attempt);
@@ -224,19 +239,19 @@
       let a = this.attempts.get(key);
       if (a === undefined) {
         a = makeAttempt(t.job, t.index, t.attempt, this.id, 'inherited', now);
-        a.session = this.session;
+        a.agentEpoch = this.agentEpoch;
         this.attempts.set(key, a);
-        this.touch();
-        c.foreign.push(a);
+        this.markChanged();
+        c.unclaimed.push(a);
       }
-      a.session = this.session;
+      a.agentEpoch = this.agentEpoch;
       a.cause = t.cause;
       a.saved = t.saved;
       if (a.state === 'claiming' || a.state === 'gone') continue;
       if (a.state === 'ended' && t.state !== 'ended') continue;
-      if (advance(a, t.state, now)) {
-        this.touch();
-        (t.state === 'ended' ? c.over : c.moved).push(a);
+      if (advanceAttempt(a, t.state, now)) {
+        this.markChanged();
+        (t.state === 'ended' ? c.exited : c.changed).push(a);
       }
     }
     for (const [key, a] of [...this.attempts]) {
@@ -247,51 +262,51 @@
         case 'gone':
           break;
         case 'sent':
-          if (!checkin || a.direct || a.unanswered !== null) break;
-          if (a.viaCheckin !== null && this.checkinSeq <= a.viaCheckin) break;
+          if (!checkin || a.sendingDirectly || a.unansweredToken !== null) break;
+          if (a.sentInHeartbeat !== null && this.fencedSequence <= a.sentInHeartbeat) break;
           // The answer that carried the start is over and it is not there: it never will be.
-          advance(a, 'claimed', now);
-          a.resends++;
-          c.missed++;
-          c.moved.push(a);
+          advanceAttempt(a, 'claimed', now);
+          a.rejectedStarts++;
+          c.rejectedStarts++;
+          c.changed.push(a);
           break;
         default:
-          this.end(a, now, c);
+          this.endAttempt(a, now, c);
       }
     }
   }
 
-  private end(a: Attempt, now: number, c: Changes): void {
+  private endAttempt(a: Attempt, now: number, c: HeartbeatChanges): void {
     const before = a.state;
-    if (!advance(a, 'gone', now)) return;
-    this.touch();
+    if (!advanceAttempt(a, 'gone', now)) return;
+    this.markChanged();
     this.attempts.delete(attemptKey(a.job, a.index, a.number));
-    if (before !== 'ended') c.over.push(a);
+    if (before !== 'ended') c.exited.push(a);
   }
 
   /** Everything on it is gone: the lease has run out for certain, or the cloud has confirmed it. */
-  lost(now: number): Attempt[] {
-    const c: Changes = {
-      over: [],
-      moved: [],
-      foreign: [],
-      missed: 0,
-      sessionMoved: false,
+  endAllAttempts(now: number): Attempt[] {
+    const c: HeartbeatChanges = {
+      exited: [],
+      changed: [],
+      unclaimed: [],
+      rejectedStarts: 0,
+      agentRestarted: false,
       stale: false,
     };
-    for (const a of [...this.attempts.values()]) this.end(a, now, c);
-    return c.over;
+    for (const a of [...this.attempts.values()]) this.endAttempt(a, now, c);
+    return c.exited;
   }
 
   /** A claim that was never sent is withdrawn. */
-  withdraw(a: Attempt, now: number): void {
-    advance(a, 'gone', now);
-    this.touch();
+  withdrawClaim(a: Attempt, now: number): void {
+    advanceAttempt(a, 'gone', now);
+    this.markChanged();
     this.attempts.delete(attemptKey(a.job, a.index, a.number));
   }
 
-  claim(a: Attempt): void {
-    this.touch();
+  addClaim(a: Attempt): void {
+    this.markChanged();
     this.attempts.set(attemptKey(a.job, a.index, a.number), a);
   }
 
@@ -304,7 +319,7 @@
    * The commands due now. Forgetting goes first, so that a task may come back to its machine; then
    * stops, then starts.
    */
-  commands(now: number, mayStart: (a: Attempt) => boolean, repeatStops: boolean): Command[] {
+  dueCommands(now: number, mayStart: (a: Attempt) => boolean, repeatStops: boolean): Command[] {
     const forget: Command[] = [];
     const stops: Command[] = [];
     const starts: Command[] = [];
@@ -313,27 +328,28 @@
       const { job, index, number: attempt } = a;
       if (a.state === 'ended') {
         // A start that may still arrive would begin anew what has been forgotten.
-        if (a.settled && a.unanswered === null && !a.direct) {
-          forget.push({ op: 'forget', job, index, attempt });
+        if (a.settled && a.unansweredToken === null && !a.sendingDirectly) {
+          forget.push({ kind: 'forget', job, index, attempt });
           forgotten.add(`${job}/${index}`);
         }
-      } else if (a.stop !== null) {
-        if (mayBeThere(a) && (repeatStops || a.stop.sentAt === null)) {
-          stops.push({ op: 'stop', job, index, attempt, graceS: a.stop.graceS });
+      } else if (a.stopRequest !== null) {
+        if (mayBeOnMachine(a) && (repeatStops || a.stopRequest.sentAt === null)) {
+          stops.push({ kind: 'stop', job, index, attempt, graceS: a.stopRequest.graceS });
         }
       }
     }
     for (const a of this.attempts.values()) {
-      const again = a.state === 'sent' && a.unanswered !== null && !a.direct && repeatStops;
-      if (a.stop !== null || (a.state !== 'claimed' && !again)) continue;
-      if (a.direct || !mayStart(a)) continue;
-      if (this.otherAttempt(a) && !forgotten.has(`${a.job}/${a.index}`)) continue;
-      starts.push({ op: 'start', job: a.job, index: a.index, attempt: a.number });
+      const again =
+        a.state === 'sent' && a.unansweredToken !== null && !a.sendingDirectly && repeatStops;
+      if (a.stopRequest !== null || (a.state !== 'claimed' && !again)) continue;
+      if (a.sendingDirectly || !mayStart(a)) continue;
+      if (this.hasOtherAttempt(a) && !forgotten.has(`${a.job}/${a.index}`)) continue;
+      starts.push({ kind: 'start', job: a.job, index: a.index, attempt: a.number });
     }
-    return [...forget, ...stops, ...starts].slice(0, MAX_COMMANDS);
+    return [...forget, ...stops, ...starts].slice(0, MAX_COMMANDS_PER_MESSAGE);
   }
 
-  private otherAttempt(a: Attempt): boolean {
+  private hasOtherAttempt(a: Attempt): boolean {
     for (const b of this.attempts.values()) {
       if (b !== a && b.index === a.index && b.job === a.job) return true;
     }
@@ -341,26 +357,26 @@
   }
 
   /** Marks what goes out with the answer to a check-in, or straight to the worker. */
-  mark(commands: Command[], via: 'checkin' | 'direct', now: number): void {
+  markSent(commands: Command[], via: 'checkin' | 'direct', now: number): void {
     for (const c of commands) {
       const a = this.attempts.get(attemptKey(c.job, c.index, c.attempt));
       if (a === undefined) continue;
-      if (c.op === 'stop' && a.stop !== null) a.stop.sentAt ??= now;
-      if (c.op === 'start') {
-        if (a.state === 'claimed') advance(a, 'sent', now);
-        a.sentAt ??= now;
-        a.session = this.session;
-        if (via === 'checkin') a.viaCheckin = this.checkinSeq;
+      if (c.kind === 'stop' && a.stopRequest !== null) a.stopRequest.sentAt ??= now;
+      if (c.kind === 'start') {
+        if (a.state === 'claimed') advanceAttempt(a, 'sent', now);
+        a.startSentAt ??= now;
+        a.agentEpoch = this.agentEpoch;
+        if (via === 'checkin') a.sentInHeartbeat = this.fencedSequence;
         else {
-          a.direct = true;
-          a.viaCheckin = null;
+          a.sendingDirectly = true;
+          a.sentInHeartbeat = null;
         }
       }
     }
   }
 
   /** How a direct message ended: carried out or not, provably; or nobody knows. */
-  directDone(
+  directCommandsEnded(
     commands: Command[],
     how: 'done' | 'refused' | 'unknown',
     session: number,
@@ -371,27 +387,28 @@
     for (const c of commands) {
       const a = this.attempts.get(attemptKey(c.job, c.index, c.attempt));
       if (a === undefined) continue;
-      if (c.op === 'stop' && how !== 'done' && a.stop !== null) a.stop.sentAt = null;
-      if (c.op !== 'start') continue;
-      a.direct = false;
-      if (how === 'unknown' && a.session === session) a.unanswered = token;
-      if (how === 'refused' && a.state === 'sent' && a.unanswered === null) {
-        advance(a, 'claimed', now);
+      if (c.kind === 'stop' && how !== 'done' && a.stopRequest !== null)
+        a.stopRequest.sentAt = null;
+      if (c.kind !== 'start') continue;
+      a.sendingDirectly = false;
+      if (how === 'unknown' && a.agentEpoch === session) a.unansweredToken = token;
+      if (how === 'refused' && a.state === 'sent' && a.unansweredToken === null) {
+        advanceAttempt(a, 'claimed', now);
       }
     }
   }
 
-  holdsAny(): boolean {
-    for (const a of this.attempts.values()) if (holds(a)) return true;
+  hasActiveAttempts(): boolean {
+    for (const a of this.attempts.values()) if (occupiesCapacity(a)) return true;
     return false;
   }
 
-  held(): Attempt[] {
-    return [...this.attempts.values()].filter(holds);
+  activeAttempts(): Attempt[] {
+    return [...this.attempts.values()].filter(occupiesCapacity);
   }
 
-  sawImage(image: string, gb: number, cacheGb: number, now: number): void {
-    this.touch();
+  noteImage(image: string, gb: number, cacheGb: number, now: number): void {
+    this.markChanged();
     if (!this.images.has(image)) this.fetchedGb += gb;
     this.images.delete(image);
     this.images.set(image, { gb, at: now });
--- a/test/confirmation.test.ts
+++ b/test/confirmation.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { PeerNet } from '../src/peers/net.js';
-import { UNHEARD_CONFIRM_S } from '../src/leadership/renewal.js';
+import type { PeerNetwork } from '../src/peers/peer-network.js';
+import { UNHEARD_CONFIRM_S } from '../src/leadership/renewal-allowance.js';
 import type { ZoneLeaseWatch } from '../src/leadership/zone-lease.js';
 import { CancellationNotices } from '../src/cancellation/notices.js';
 import { CancellationConfirmation } from '../src/cancellation/confirmation.js';
@@ -53,7 +53,7 @@
       zones.map((zone) => [zone, { record: { zone, claims: [{ job: JOB }] } }]),
     );
     const replica = fake<Replica>({ machines, jobs: new Map(), lastToken: 1 });
-    const peers = fake<PeerNet>({
+    const peers = fake<PeerNetwork>({
       names: ['b', 'c', 'd'],
       ask: (node: string) => Promise.resolve(noting.includes(node) ? { noted: true } : null),
     });
@@ -66,10 +66,10 @@
       nodes: 4, peers, replica, clock, rememberS: 100,
       waitUnlessNoted: (job, noted) => notices.waitUnlessNoted(job, noted),
     }); // prettier-ignore
-    const facts = { claimCount: 1, cancelledAt: 5 } as StoredJob;
-    const first = await confirmation.confirm(facts, JOB);
+    const storedJob = { claimCount: 1, cancelledAt: 5 } as StoredJob;
+    const first = await confirmation.confirm(storedJob, JOB);
     now = after;
-    const last = after === 0 ? first : await confirmation.confirm(facts, JOB);
+    const last = after === 0 ? first : await confirmation.confirm(storedJob, JOB);
     assert.equal(last, confirmed, name);
   }
 });
--- a/test/evidence.test.ts
+++ b/test/evidence.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Report, TaskReport } from '../src/wire/workers.js';
-import { parseReport } from '../src/wire/workers.js';
+import type { Heartbeat, TaskStatus } from '../src/wire/workers.js';
+import { parseHeartbeat } from '../src/wire/workers.js';
 import { BadMessage } from '../src/wire/users.js';
 import { makeAttempt, type Attempt, type AttemptState } from '../src/workers/attempt.js';
 import { Machine } from '../src/workers/machine.js';
@@ -9,16 +9,16 @@
 const TOKEN = 50;
 const LEASE = 10;
 
-const report = (over: Partial<Report> = {}, tasks: Partial<TaskReport>[] = []): Report => ({
+const report = (over: Partial<Heartbeat> = {}, tasks: Partial<TaskStatus>[] = []): Heartbeat => ({
   machine: 'm',
   addr: '127.0.0.1:1',
   type: 'g8',
   zone: 'z1',
   spot: false,
-  session: 1,
-  seq: 1,
+  agentEpoch: 1,
+  sequence: 1,
   token: TOKEN,
-  noticeS: null,
+  reclaimNoticeS: null,
   tasks: tasks.map((t) => ({
     job: 'j', index: 0, attempt: 50, state: 'running', cause: null, saved: false, ...t,
   })), // prettier-ignore
@@ -28,28 +28,28 @@
 function setup(state: AttemptState): { m: Machine; a: Attempt } {
   const m = new Machine('m', TOKEN, LEASE, 0);
   const a = makeAttempt('j', 0, 50, 'm', state, 0);
-  m.claim(a);
+  m.addClaim(a);
   return { m, a };
 }
 
 /** A start in the answer to check-in 10. */
 function sent(): { m: Machine; a: Attempt } {
   const s = setup('claimed');
-  s.m.apply(report({ seq: 10 }), true, 1);
-  const c = s.m.commands(1, () => true, true);
+  s.m.applyHeartbeat(report({ sequence: 10 }), true, 1);
+  const c = s.m.dueCommands(1, () => true, true);
   assert.deepEqual(
-    c.map((x) => x.op),
+    c.map((x) => x.kind),
     ['start'],
   );
-  s.m.mark(c, 'checkin', 1);
+  s.m.markSent(c, 'checkin', 1);
   return s;
 }
 
-function sentDirect(): { m: Machine; a: Attempt; commands: ReturnType<Machine['commands']> } {
+function sentDirect(): { m: Machine; a: Attempt; commands: ReturnType<Machine['dueCommands']> } {
   const s = setup('claimed');
-  s.m.apply(report({ seq: 10 }), true, 1);
-  const commands = s.m.commands(1, () => true, false);
-  s.m.mark(commands, 'direct', 1);
+  s.m.applyHeartbeat(report({ sequence: 10 }), true, 1);
+  const commands = s.m.dueCommands(1, () => true, false);
+  s.m.markSent(commands, 'direct', 1);
   return { ...s, commands };
 }
 
@@ -60,7 +60,7 @@
       'an older report does not show it',
       () => {
         const s = sent();
-        s.m.apply(report({ seq: 9 }), true, 2);
+        s.m.applyHeartbeat(report({ sequence: 9 }), true, 2);
         return s;
       },
       false,
@@ -69,7 +69,7 @@
       'the session has moved on',
       () => {
         const s = sent();
-        s.m.apply(report({ session: 2, seq: 1 }), true, 2);
+        s.m.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), true, 2);
         return s;
       },
       true,
@@ -78,8 +78,8 @@
       'a late copy from an older session says nothing',
       () => {
         const s = sent();
-        s.m.apply(report({ seq: 11 }, [{}]), true, 2);
-        s.m.apply(report({ session: 0, seq: 99 }), true, 3);
+        s.m.applyHeartbeat(report({ sequence: 11 }, [{}]), true, 2);
+        s.m.applyHeartbeat(report({ agentEpoch: 0, sequence: 99 }), true, 3);
         return s;
       },
       false,
@@ -88,8 +88,8 @@
       'a running task is missing from a newer fenced report',
       () => {
         const s = sent();
-        s.m.apply(report({ seq: 11 }, [{}]), true, 2);
-        s.m.apply(report({ seq: 12 }), true, 3);
+        s.m.applyHeartbeat(report({ sequence: 11 }, [{}]), true, 2);
+        s.m.applyHeartbeat(report({ sequence: 12 }), true, 3);
         return s;
       },
       true,
@@ -98,7 +98,7 @@
       'it is missing from a report that is not fenced',
       () => {
         const s = setup('inherited');
-        s.m.apply(report({ seq: 12, token: TOKEN - 1 }), true, 3);
+        s.m.applyHeartbeat(report({ sequence: 12, token: TOKEN - 1 }), true, 3);
         return s;
       },
       false,
@@ -107,7 +107,7 @@
       'inherited, and a fenced report does not show it',
       () => {
         const s = setup('inherited');
-        s.m.apply(report({ seq: 12 }), true, 3);
+        s.m.applyHeartbeat(report({ sequence: 12 }), true, 3);
         return s;
       },
       true,
@@ -116,7 +116,11 @@
       'it has ended',
       () => {
         const s = sent();
-        s.m.apply(report({ seq: 11 }, [{ state: 'ended', cause: 'stopped' }]), true, 2);
+        s.m.applyHeartbeat(
+          report({ sequence: 11 }, [{ state: 'ended', cause: 'stopped' }]),
+          true,
+          2,
+        );
         return s;
       },
       true,
@@ -125,7 +129,7 @@
       'the lease has run out',
       () => {
         const s = sent();
-        s.m.lost(20);
+        s.m.endAllAttempts(20);
         return s;
       },
       true,
@@ -139,9 +143,9 @@
 
 test('a start that the next check-in lacks is sent again; a direct answer proves nothing', () => {
   const s = sent();
-  s.m.apply(report({ seq: 11 }), false, 2);
+  s.m.applyHeartbeat(report({ sequence: 11 }), false, 2);
   assert.equal(s.a.state, 'sent', 'the answer to check-in 10 may still be under way');
-  s.m.apply(report({ seq: 12 }), true, 2);
+  s.m.applyHeartbeat(report({ sequence: 12 }), true, 2);
   assert.equal(s.a.state, 'claimed');
 });
 
@@ -149,61 +153,61 @@
   // Packets held back by a cut are delivered later: the start must not be taken for lost, and what
   // it started must not be forgotten, or it would start once more.
   const { m, a, commands } = sentDirect();
-  m.directDone(commands, 'unknown', 1, 2);
-  m.apply(report({ seq: 11 }), true, 3);
+  m.directCommandsEnded(commands, 'unknown', 1, 2);
+  m.applyHeartbeat(report({ sequence: 11 }), true, 3);
   assert.equal(a.state, 'sent');
   assert.deepEqual(
-    m.commands(3, () => true, true).map((c) => c.op),
+    m.dueCommands(3, () => true, true).map((c) => c.kind),
     ['start'],
     'sent again',
   );
-  m.apply(report({ seq: 12 }, [{ state: 'ended', cause: 'done' }]), true, 4);
+  m.applyHeartbeat(report({ sequence: 12 }, [{ state: 'ended', cause: 'done' }]), true, 4);
   a.settled = true;
   assert.deepEqual(
-    m.commands(4, () => true, true),
+    m.dueCommands(4, () => true, true),
     [],
     'not forgotten',
   );
-  m.apply(report({ session: 2, seq: 1 }), true, 20);
+  m.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), true, 20);
   assert.equal(a.state, 'gone');
 });
 
 test('a direct start that provably was not carried out can be sent again', () => {
   const { m, a, commands } = sentDirect();
-  m.directDone(commands, 'refused', 1, 2);
+  m.directCommandsEnded(commands, 'refused', 1, 2);
   assert.equal(a.state, 'claimed');
 });
 
 test('an ended task is forgotten only once it is settled, and started anew only after that', () => {
   const { m, a } = sent();
-  m.apply(report({ seq: 11 }, [{ state: 'ended', cause: 'error' }]), true, 2);
+  m.applyHeartbeat(report({ sequence: 11 }, [{ state: 'ended', cause: 'error' }]), true, 2);
   const next = makeAttempt('j', 0, 51, 'm', 'claimed', 2);
-  m.claim(next);
+  m.addClaim(next);
   assert.deepEqual(
-    m.commands(2, () => true, true),
+    m.dueCommands(2, () => true, true),
     [],
   );
   a.settled = true;
   assert.deepEqual(
-    m.commands(2, () => true, true).map((c) => c.op),
+    m.dueCommands(2, () => true, true).map((c) => c.kind),
     ['forget', 'start'],
   );
 });
 
 test('a renewed lease moves its end, a late copy never moves it back', () => {
   const m = new Machine('m', TOKEN, LEASE, 0);
-  m.renewed(5);
-  const end = m.leaseEnd;
+  m.leaseRenewed(5);
+  const end = m.leaseExpiresAt;
   assert.ok(end > 5 + LEASE);
-  m.renewed(4);
-  assert.equal(m.leaseEnd, end);
+  m.leaseRenewed(4);
+  assert.equal(m.leaseExpiresAt, end);
 });
 
 test('tasks nobody here knows of are told apart', () => {
   const m = new Machine('m', TOKEN, LEASE, 0);
-  const c = m.apply(report({}, [{ job: 'x' }]), true, 1);
+  const c = m.applyHeartbeat(report({}, [{ job: 'x' }]), true, 1);
   assert.deepEqual(
-    c.foreign.map((a) => a.job),
+    c.unclaimed.map((a) => a.job),
     ['x'],
   );
 });
@@ -213,7 +217,7 @@
     bench: 'm', addr: 'a:1', casting: 'g8', yard: 'a', loaner: true, shift: 1, tally: 8,
     hallmark: 4, recall_s: null, pieces: [{ piece: 'wk-1/3', pour: 2, temper: 'running' }],
   }; // prettier-ignore
-  assert.equal(parseReport(good).tasks[0]?.index, 3);
+  assert.equal(parseHeartbeat(good).tasks[0]?.index, 3);
   const cases: unknown[] = [
     null,
     [],
@@ -225,5 +229,5 @@
     { ...good, pieces: [{ piece: 'wk-1/1', pour: 1, temper: 'dancing' }] },
     { ...good, recall_s: 'soon' },
   ];
-  for (const c of cases) assert.throws(() => parseReport(c), BadMessage);
+  for (const c of cases) assert.throws(() => parseHeartbeat(c), BadMessage);
 });
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -191,8 +191,8 @@
     put(records.versionKey(node), records.encodeVersion({ features: [...FEATURES], ...file }));
   };
   const versions = new Versions({
-    ...{ node: 'a', others: ['b', 'c'], leaseS: 2, replica, state: null!, follower: null! },
-    ...{ peers: () => null!, fitness: null!, clock: { now: () => 0 }, log: silentLog() },
+    ...{ node: 'a', others: ['b', 'c'], leaseS: 2, replica, store: null!, replicaSync: null! },
+    ...{ peers: () => null!, health: null!, clock: { now: () => 0 }, log: silentLog() },
     file: { hash: 'one', subsystems: [] },
   });
   assert.deepEqual(versions.withOtherFeatures(), [], 'nobody leads');
--- a/test/hand-over.test.ts
+++ b/test/hand-over.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FitnessTable } from '../src/admission/fitness.js';
-import { HandOver } from '../src/admission/hand-over.js';
+import { HealthTable } from '../src/admission/controller-health.js';
+import { LeadershipTransfer } from '../src/admission/leadership-transfer.js';
 import { Overload } from '../src/admission/overload.js';
 import { silentLog } from '../src/log.js';
-import type { Fitness } from '../src/peers/messages.js';
+import type { ControllerHealth } from '../src/peers/messages.js';
 import { ANSWER_WAIT_S } from '../src/wire/workers.js';
 import { wait } from './helpers.js';
 import { playAll } from './standins/cluster.js';
@@ -19,7 +19,7 @@
   name: string;
   /** Latenesses of the timer, a tick apart. */
   lags: number[];
-  others: (Fitness | null)[];
+  others: (ControllerHealth | null)[];
   /** Report intervals since the others have told their figures. */
   age?: number;
   leads?: boolean;
@@ -28,11 +28,15 @@
   resigns: number;
 }
 
-const idle: Fitness = { latenessS: 0, served: true };
-const asLate: Fitness = { ...idle, latenessS: LATE };
-const cutOff: Fitness = { ...idle, served: false };
+const idle: ControllerHealth = { latenessS: 0, served: true };
+const asLate: ControllerHealth = { ...idle, latenessS: LATE };
+const cutOff: ControllerHealth = { ...idle, served: false };
 /** Another controller whose reports wait for the leader. */
-const waits = (relayS: number, latenessS = 0): Fitness => ({ latenessS, served: true, relayS });
+const waits = (relayS: number, latenessS = 0): ControllerHealth => ({
+  latenessS,
+  served: true,
+  relayS,
+});
 const lately = (lag: number): number[] => Array<number>(6).fill(lag);
 
 const CASES: Case[] = [
@@ -59,8 +63,8 @@
 /** A controller's own part: what it knows of itself and the others, and whether it hands over. */
 class Node {
   readonly overload = new Overload();
-  readonly fitness: FitnessTable;
-  readonly handOver: HandOver;
+  readonly health: HealthTable;
+  readonly leadershipTransfer: LeadershipTransfer;
   resigned = 0;
 
   constructor(
@@ -69,16 +73,16 @@
     resign = (): void => undefined,
     electedAt = (): number => -Infinity,
   ) {
-    this.fitness = new FitnessTable({ clock, reportS: REPORT_S, own: () => this.own });
-    this.handOver = new HandOver({
+    this.health = new HealthTable({ clock, reportS: REPORT_S, own: () => this.own });
+    this.leadershipTransfer = new LeadershipTransfer({
       overload: this.overload,
-      fitness: this.fitness,
+      health: this.health,
       clock,
       log: silentLog(),
       leaseS: LEASE_S,
       leads,
       electedAt,
-      resign: () => {
+      stepDown: () => {
         this.resigned++;
         resign();
         return Promise.resolve();
@@ -86,7 +90,7 @@
     });
   }
 
-  get own(): Fitness {
+  get own(): ControllerHealth {
     return { latenessS: this.overload.latenessS, served: true };
   }
 }
@@ -102,11 +106,11 @@
       others.forEach((figure, i) => {
         const at = now;
         now -= age * REPORT_S;
-        if (figure !== null) node.fitness.note(`n-${i}`, figure);
+        if (figure !== null) node.health.note(`n-${i}`, figure);
         now = at;
       });
       node.overload.noteLag(lag, now);
-      node.handOver.consider();
+      node.leadershipTransfer.consider();
     }
     assert.equal(node.resigned, resigns, name);
   }
@@ -115,7 +119,7 @@
 test('figures go with frames once in a quarter of a report interval; who is silent is asked', () => {
   let now = 0;
   const node = new Node({ now: () => now }, () => true);
-  const [first, second] = [node.fitness.sender(), node.fitness.sender()];
+  const [first, second] = [node.health.nextToSend(), node.health.nextToSend()];
   assert.deepEqual([first(), first(), second()], [node.own, null, node.own], 'by connection');
   now += REPORT_S * 0.2;
   assert.equal(first(), null);
@@ -126,8 +130,8 @@
   const peers = { names: ['a', 'b'], ask: (to: string) => Promise.resolve(void asked.push(to)) };
   const refresh = (): string[] => {
     now += TICK_S;
-    node.fitness.note('b', idle);
-    node.fitness.refresh(fake<Parameters<FitnessTable['refresh']>[0]>(peers));
+    node.health.note('b', idle);
+    node.health.refresh(fake<Parameters<HealthTable['refresh']>[0]>(peers));
     return asked.splice(0);
   };
   assert.deepEqual([refresh(), refresh(), refresh(), refresh()], [['a'], [], ['a'], []]);
@@ -143,16 +147,16 @@
     ['c', LATE * 0.2, true],
     ['d', 0, false],
   ];
-  for (const [name, latenessS, served] of figures) node.fitness.note(name, { latenessS, served });
-  assert.equal(node.fitness.fitter(), 'b');
+  for (const [name, latenessS, served] of figures) node.health.note(name, { latenessS, served });
+  assert.equal(node.health.healthier(), 'b');
   assert.deepEqual(
-    ['a', 'b', 'nobody'].map((name) => node.fitness.isLate(name)),
+    ['a', 'b', 'nobody'].map((name) => node.health.isLate(name)),
     [true, false, false],
   );
-  node.fitness.note('e', waits(ANSWER_WAIT_S * 0.2));
-  assert.equal(node.fitness.isLate('e'), false, 'what it passes on waits for the leader');
+  node.health.note('e', waits(ANSWER_WAIT_S * 0.2));
+  assert.equal(node.health.isLate('e'), false, 'what it passes on waits for the leader');
   now += REPORT_S * 4;
-  assert.deepEqual([node.fitness.fitter(), node.fitness.isLate('a')], [null, false], 'stale');
+  assert.deepEqual([node.health.healthier(), node.health.isLate('a')], [null, false], 'stale');
 });
 
 /** How late a controller is while it leads, or while it follows, at a time. */
@@ -207,9 +211,9 @@
       now += TICK_S;
       nodes.forEach((node, i) => {
         node.overload.noteLag(latenesses[i]!(leader === i, now), now);
-        nodes.forEach((other, k) => k !== i && other.fitness.note(`n-${i}`, node.own));
+        nodes.forEach((other, k) => k !== i && other.health.note(`n-${i}`, node.own));
       });
-      for (const node of nodes) node.handOver.consider();
+      for (const node of nodes) node.leadershipTransfer.consider();
     }
     assert.ok(changes >= least && changes <= most, `${name}: ${changes}`);
     for (const node of nodes) assert.ok(node.resigned <= EACH, `${name}: ${node.resigned} of one`);
@@ -223,7 +227,7 @@
     await cluster.runs('wk-000001', 3);
     const old = await cluster.newLeader();
     const began = Date.now();
-    await cluster.controllers[old]!.election.resign();
+    await cluster.controllers[old]!.election.stepDown();
     assert.equal(cluster.leads(old), false);
     await cluster.newLeader(old);
     // Without the key's end the others would wait for its lease, 0.3 of a worker's.
--- a/test/large.test.ts
+++ b/test/large.test.ts
@@ -82,7 +82,7 @@
       if (r.status === 503) {
         // Beside other load a pass over so many machines takes seconds, and with the stand-ins in the same
         // process the leader's own lease can be renewed too late. Only then may it refuse.
-        const isLate = !node.election.entitled || node.leader === null;
+        const isLate = !node.election.isEntitled || node.leader === null;
         assert.ok(isLate || node.election.token !== before, 'refused by a leader that is entitled');
         return false;
       }
--- a/test/lending-failures.test.ts
+++ b/test/lending-failures.test.ts
@@ -206,10 +206,10 @@
     async strike(w) {
       const copies = [...w.fleet.workers.values()].map((worker) => worker.report());
       await w.step();
-      for (const copy of copies) w.leader.checkin(copy);
+      for (const copy of copies) w.leader.answerHeartbeat(copy);
       await w.run(1);
       w.takeOver();
-      for (const copy of copies) w.leader.checkin(copy);
+      for (const copy of copies) w.leader.answerHeartbeat(copy);
     },
   },
   {
--- a/test/lending-helpers.ts
+++ b/test/lending-helpers.ts
@@ -10,7 +10,7 @@
 import type { Leader } from '../src/leader/leader.js';
 import type { Subsystem } from '../src/subsystems/subsystem.js';
 import * as records from '../src/store/records.js';
-import type { TaskReport } from '../src/wire/workers.js';
+import type { TaskStatus } from '../src/wire/workers.js';
 import { settings } from './helpers.js';
 import { Fleet, Worker, World } from './meeting-helpers.js';
 
@@ -69,7 +69,7 @@
 }
 
 export class BatchWorker extends Worker {
-  private readonly runs = new Map<TaskReport, Run>();
+  private readonly runs = new Map<TaskStatus, Run>();
   private readonly batch: BatchFleet;
 
   constructor(id: string, fleet: BatchFleet, zone: string) {
@@ -91,7 +91,7 @@
     this.tasks.clear();
   }
 
-  private proceed(task: TaskReport): void {
+  private proceed(task: TaskStatus): void {
     const work = this.batch.work.get(task.job);
     if (work === undefined || task.state === 'ended') return;
     const run = this.runs.get(task) ?? { progressS: this.saved(task), savedAt: null };
@@ -106,7 +106,7 @@
     } else if (run.savedAt !== null && this.fleet.now >= run.savedAt) this.finishSaving(task, run);
   }
 
-  private finishSaving(task: TaskReport, run: Run): void {
+  private finishSaving(task: TaskStatus, run: Run): void {
     if (this.batch.saving === 'fails') {
       this.fallBack(task);
     } else {
@@ -116,12 +116,12 @@
     this.end(task, 'stopped');
   }
 
-  private saved({ job, index }: TaskReport): number {
+  private saved({ job, index }: TaskStatus): number {
     return this.batch.savedS.get(`${job}/${index}`) ?? 0;
   }
 
   /** To the last checkpoint, which is at a multiple of the interval. */
-  private fallBack(task: TaskReport): void {
+  private fallBack(task: TaskStatus): void {
     const run = this.runs.get(task);
     const work = this.batch.work.get(task.job);
     if (run === undefined || work === undefined || work.workS === Infinity) return;
@@ -134,7 +134,7 @@
     this.batch.savedS.set(`${task.job}/${task.index}`, savedS);
   }
 
-  protected override stop(task: TaskReport, graceS: number): void {
+  protected override stop(task: TaskStatus, graceS: number): void {
     const work = this.batch.work.get(task.job);
     if (task.state === 'ended') return;
     const saves = work !== undefined && work.spec.checkpointS > 0 && graceS >= work.spec.saveS;
@@ -374,8 +374,8 @@
 
   private lateCommands(old: Leader, id: string): void {
     const m = old.term.machines.get(id)!;
-    const commands = m.commands(this.now, (a) => old.term.mayStart(a), true);
-    this.fleet.workers.get(id)?.direct(m.token, m.session, commands);
+    const commands = m.dueCommands(this.now, (a) => old.term.mayStart(a), true);
+    this.fleet.workers.get(id)?.direct(m.token, m.agentEpoch, commands);
   }
 
   /**
--- a/test/lending-random.test.ts
+++ b/test/lending-random.test.ts
@@ -118,7 +118,7 @@
   'saving fails': ({ world }) => void (world.batch.saving = 'fails'),
   'saving never ends': ({ world }) => void (world.batch.saving = 'never ends'),
   'reports come again': (run, number) => {
-    run.world.leader.checkin(machine(run, number).report());
+    run.world.leader.answerHeartbeat(machine(run, number).report());
   },
 };
 
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -7,11 +7,11 @@
   parseQuestion,
   PROTOCOL_VERSION,
   type Answer,
-  type Fitness,
+  type ControllerHealth,
   type QuestionKind,
 } from '../src/peers/messages.js';
-import type { FitnessExchange } from '../src/peers/fitness-exchange.js';
-import { PeerNet } from '../src/peers/net.js';
+import type { HealthExchange } from '../src/peers/health-exchange.js';
+import { PeerNetwork } from '../src/peers/peer-network.js';
 import { silentLog } from '../src/log.js';
 
 test('frames survive any cutting; what is too long or no CBOR is refused', () => {
@@ -29,20 +29,20 @@
 });
 
 const SAW_REPORT = { status: 200, body: 'report' };
-const FIGURES: Record<string, Fitness> = {
+const FIGURES: Record<string, ControllerHealth> = {
   a: { latenessS: 1, served: true },
   b: { latenessS: 2, served: false },
 };
 /** What each controller has been told, by its name. */
-const noted = new Map<string, Fitness>();
-const fitness = (self: string): FitnessExchange => ({
-  sender: () => () => FIGURES[self]!,
+const noted = new Map<string, ControllerHealth>();
+const fitness = (self: string): HealthExchange => ({
+  nextToSend: () => () => FIGURES[self]!,
   note: (_from, figure) => void noted.set(self, figure),
 });
 
 test('a hostile connection is closed and harms no other', async () => {
   const at = { host: '127.0.0.1', port: 0 };
-  const server = new PeerNet(
+  const server = new PeerNetwork(
     'a',
     [{ node: 'b', addr: at }],
     (_f, q) => {
@@ -57,7 +57,7 @@
   const port = (server as unknown as { server: { address(): { port: number } } }).server.address()
     .port;
   const to = [{ node: 'a', addr: { ...at, port } }];
-  const client = new PeerNet('b', to, () => ({}), silentLog(), 500, fitness('b'));
+  const client = new PeerNetwork('b', to, () => ({}), silentLog(), 500, fitness('b'));
   assert.deepEqual(await client.ask('a', { q: 'report', body: Buffer.from('x'), hop: false }, 2), {
     ...SAW_REPORT,
   });
--- a/test/load-lines.test.ts
+++ b/test/load-lines.test.ts
@@ -5,7 +5,7 @@
 import { summary } from '../scripts/summary.js';
 import { LoadLog, type LoadLine, type LoadSources } from '../src/controller/load-log.js';
 import type { Log } from '../src/log.js';
-import { ReportCounts } from '../src/heartbeat/report-counts.js';
+import { HeartbeatCounts } from '../src/heartbeat/heartbeat-counts.js';
 
 /** What a controller logs that answers `answered` more reports before each of its lines. */
 function linesOf(answered: number[]): LoadLine[] {
@@ -14,7 +14,7 @@
     role: () => 'leading',
     overload: { delayS: 0.25, latenessS: 0 },
     requests: { size: 7, refused: { report: 0, cancellation: 0, poll: 0, submission: 0 } },
-    reports: new ReportCounts(),
+    reports: new HeartbeatCounts(),
     machinesLost: () => 0,
     stateTraffic: () => ({ sent: 0, sentBytes: 0, received: 0, receivedBytes: 0 }),
     passes: { count: 0, seconds: 0 },
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Election } from '../src/leadership/election.js';
 import type { Answer, Question } from '../src/peers/messages.js';
-import type { PeerNet } from '../src/peers/net.js';
+import type { PeerNetwork } from '../src/peers/peer-network.js';
 import { silentLog } from '../src/log.js';
 import type { ReplicaSync } from '../src/store/replica-sync.js';
 import * as records from '../src/store/records.js';
@@ -16,9 +16,9 @@
 const WORKERS = { lease_s: LEASE, cancel_s: LEASE * 2.5 };
 
 interface Steps {
-  stand(guard: number): Promise<boolean>;
-  leadStep(): Promise<void>;
-  followStep(): Promise<void>;
+  campaign(guard: number): Promise<boolean>;
+  stepAsLeader(): Promise<void>;
+  stepAsFollower(): Promise<void>;
 }
 
 class Controller {
@@ -48,7 +48,7 @@
     };
     this.sync = sync;
     const names = ['x', 'y'];
-    const peers = fake<PeerNet>({
+    const peers = fake<PeerNetwork>({
       names,
       ask: (to: string, _q: Question) => Promise.resolve(this.others()[names.indexOf(to)] ?? null),
     });
@@ -75,9 +75,9 @@
     this.now = 100;
   }
 
-  async stand(guard = 0): Promise<boolean> {
+  async campaign(guard = 0): Promise<boolean> {
     this.election.role = 'standing';
-    const won = await this.steps.stand(guard);
+    const won = await this.steps.campaign(guard);
     if (!won) this.election.role = 'following';
     return won;
   }
@@ -88,16 +88,16 @@
     const store = new MemoryStore();
     const [a, b] = [new Controller(store, 'a'), new Controller(store, 'b')];
     store.mode = mode;
-    const won = [await a.stand(), await b.stand()];
+    const won = [await a.campaign(), await b.campaign()];
     assert.deepEqual(won, [true, false], mode);
     assert.equal(a.election.token, store.revision(records.LEADER), mode);
-    assert.equal(a.election.entitled, true, mode);
-    assert.equal(b.election.entitled, false, mode);
+    assert.equal(a.election.isEntitled, true, mode);
+    assert.equal(b.election.isEntitled, false, mode);
   }
   const store = new MemoryStore();
   const late = new Controller(store);
   store.mode = 'hold back';
-  assert.equal(await late.stand(), false, 'nobody knows');
+  assert.equal(await late.campaign(), false, 'nobody knows');
 });
 
 test('a leader that the store refuses acts on only while a majority is refused too', async () => {
@@ -114,18 +114,18 @@
   for (const [name, answers, continues] of cases) {
     const store = new MemoryStore();
     const c = new Controller(store, 'a', () => answers);
-    await c.stand();
+    await c.campaign();
     store.mode = 'refuse';
     store.keepLeaseAlive = () => store.get('').then(() => true);
     c.now += LIFE * 0.7;
-    await c.steps.leadStep();
+    await c.steps.stepAsLeader();
     c.now += LIFE * 0.35;
-    assert.equal(c.election.entitled, continues, name);
-    assert.equal(c.election.writing, false, `${name}: nothing new`);
+    assert.equal(c.election.isEntitled, continues, name);
+    assert.equal(c.election.canWrite, false, `${name}: nothing new`);
     if (answers.includes(refused)) assert.deepEqual([...new Set(c.told)], ['wk-1'], name);
     // One that has acknowledged a later leader is over at once.
     c.election.acknowledge(c.election.token + 1);
-    assert.equal(c.election.entitled, false, name);
+    assert.equal(c.election.isEntitled, false, name);
     assert.equal(c.deposed, 1, name);
   }
 });
@@ -170,16 +170,16 @@
     store.mode = 'refuse';
     store.rejectedSince = c.now - LIFE * forLives;
     if (acknowledged) c.election.acknowledge(token + 1);
-    assert.equal(await c.election.outage.mayKeep(), keeps, name);
+    assert.equal(await c.election.outage.mayRenewLeases(), keeps, name);
     if (!keeps) continue;
     c.election.acknowledge(token + 1);
     assert.equal(
-      await c.election.outage.mayKeep(),
+      await c.election.outage.mayRenewLeases(),
       false,
       'no more once a later one is acknowledged',
     );
     c.now += LIFE;
-    assert.equal(await c.election.outage.mayKeep(), false);
+    assert.equal(await c.election.outage.mayRenewLeases(), false);
   }
 });
 
@@ -223,8 +223,8 @@
         else await store.compareAndSwap([], [{ remove: records.LEADER }]);
         await c.sync();
       }
-      const stepped = c.steps.followStep();
-      c.election.nudge();
+      const stepped = c.steps.stepAsFollower();
+      c.election.wake();
       await stepped;
       c.now += step;
     }
--- a/test/meeting-helpers.ts
+++ b/test/meeting-helpers.ts
@@ -22,7 +22,7 @@
 import * as records from '../src/store/records.js';
 import { Replica } from '../src/store/replica.js';
 import type { Change, Precondition, KeyValue, Operation } from '../src/wire/key-value-store.js';
-import type { Command, Report, TaskReport } from '../src/wire/workers.js';
+import type { Command, Heartbeat, TaskStatus } from '../src/wire/workers.js';
 import { attemptKey } from '../src/workers/attempt.js';
 import type { Machine } from '../src/workers/machine.js';
 import { g8, settings, spec } from './helpers.js';
@@ -173,7 +173,7 @@
   mute = false;
   noticeS: number | null = null;
   answeredAt: number;
-  readonly tasks = new Map<string, TaskReport>();
+  readonly tasks = new Map<string, TaskStatus>();
 
   constructor(
     readonly id: string,
@@ -183,11 +183,11 @@
     this.answeredAt = fleet.now;
   }
 
-  report(): Report {
+  report(): Heartbeat {
     this.seq++;
     return {
       machine: this.id, addr: '127.0.0.1:1', type: 'g8', zone: this.zone, spot: false,
-      session: this.session, seq: this.seq, token: this.token, noticeS: this.noticeS,
+      agentEpoch: this.session, sequence: this.seq, token: this.token, reclaimNoticeS: this.noticeS,
       tasks: [...this.tasks.values()].map((t) => ({ ...t })),
     }; // prettier-ignore
   }
@@ -208,7 +208,7 @@
   }
 
   /** Null: refused, or lost. */
-  direct(token: number, session: number, orders: Command[]): Report | null {
+  direct(token: number, session: number, orders: Command[]): Heartbeat | null {
     if (token < this.token || session !== this.session) return null;
     this.token = token;
     this.execute(orders);
@@ -219,9 +219,9 @@
     for (const c of orders) {
       const key = attemptKey(c.job, c.index, c.attempt);
       const task = this.tasks.get(key);
-      if (c.op === 'forget' && task?.state === 'ended') this.tasks.delete(key);
-      if (c.op === 'stop' && task !== undefined) this.stop(task, c.graceS);
-      if (c.op !== 'start' || task !== undefined) continue;
+      if (c.kind === 'forget' && task?.state === 'ended') this.tasks.delete(key);
+      if (c.kind === 'stop' && task !== undefined) this.stop(task, c.graceS);
+      if (c.kind !== 'start' || task !== undefined) continue;
       this.fleet.started(this, c);
       const { job, index, attempt } = c;
       this.tasks.set(key, { job, index, attempt, state: 'running', cause: null, saved: false });
@@ -229,17 +229,17 @@
   }
 
   /** Nothing is saved here. */
-  protected stop(task: TaskReport, _graceS: number): void {
+  protected stop(task: TaskStatus, _graceS: number): void {
     this.end(task, 'stopped');
   }
 
-  end(task: TaskReport, cause: TaskReport['cause']): void {
+  end(task: TaskStatus, cause: TaskStatus['cause']): void {
     if (task.state === 'ended') return;
     task.state = 'ended';
     task.cause = cause;
   }
 
-  running(job: string): TaskReport[] {
+  running(job: string): TaskStatus[] {
     return [...this.tasks.values()].filter((t) => t.job === job && t.state !== 'ended');
   }
 }
@@ -367,7 +367,7 @@
         prove: () => undefined,
       },
       {
-        state: this.store.client(),
+        store: this.store.client(),
         cloud: this.extras.cloud ?? fake<CloudClient>({ list: () => Promise.resolve([]) }),
         onLost: () => undefined,
         costs: new Costs(() => this.now),
@@ -379,8 +379,8 @@
     this.parts.schedule = () => undefined;
     this.parts.direct.push = () => undefined;
     replica.listener = {
-      onReady: (facts) => leader.onReady(facts),
-      onCancelled: (facts) => leader.onCancelled(facts),
+      onReady: (storedJob) => leader.onReady(storedJob),
+      onCancelled: (storedJob) => leader.onCancelled(storedJob),
     };
     this.parts.capacity.fleet.listedOnce = true;
   }
@@ -400,7 +400,7 @@
   checkin(worker: Worker): void {
     if (worker.mute) return;
     const sentAt = this.now;
-    const reply = this.leader.checkin(worker.report());
+    const reply = this.leader.answerHeartbeat(worker.report());
     if (reply.status !== 200) return;
     const { hallmark, orders } = JSON.parse(String(reply.body)) as {
       hallmark: number;
@@ -413,13 +413,13 @@
   sendDirect(id: string): { arrive(): void; unanswered(): void } {
     const m = this.machine(id);
     const worker = this.fleet.workers.get(id)!;
-    const commands = m.commands(this.now, (a) => this.term.mayStart(a), false);
-    const { session } = m;
+    const commands = m.dueCommands(this.now, (a) => this.term.mayStart(a), false);
+    const { agentEpoch } = m;
     const { token } = this;
-    m.mark(commands, 'direct', this.now);
+    m.markSent(commands, 'direct', this.now);
     return {
-      arrive: () => void worker.direct(token, session, commands),
-      unanswered: () => m.directDone(commands, 'unknown', session, this.now),
+      arrive: () => void worker.direct(token, agentEpoch, commands),
+      unanswered: () => m.directCommandsEnded(commands, 'unknown', agentEpoch, this.now),
     };
   }
 
@@ -461,6 +461,6 @@
 function asCommand(o: { verb: string; piece: string; pour: number; cooling_s?: number }): Command {
   const [job, index] = o.piece.split('/') as [string, string];
   const base = { job, index: Number(index), attempt: o.pour };
-  const op = OPS[o.verb as keyof typeof OPS];
-  return op === 'stop' ? { op, ...base, graceS: o.cooling_s ?? 0 } : { op, ...base };
+  const kind = OPS[o.verb as keyof typeof OPS];
+  return kind === 'stop' ? { kind, ...base, graceS: o.cooling_s ?? 0 } : { kind, ...base };
 }
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -1,7 +1,7 @@
 /** Meetings of troubles with the end of a leader: what the next one starts, stops and waits for. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { TaskReport } from '../src/wire/workers.js';
+import type { TaskStatus } from '../src/wire/workers.js';
 import * as records from '../src/store/records.js';
 import { outcome } from '../src/store/stored-job.js';
 import { World, type Worker } from './meeting-helpers.js';
@@ -9,7 +9,7 @@
 const JOB = 'wk-000001';
 const OTHER = 'wk-000002';
 
-const task = (worker: Worker, job = JOB, index = 0): TaskReport =>
+const task = (worker: Worker, job = JOB, index = 0): TaskStatus =>
   worker.running(job).find((t) => t.index === index)!;
 
 /** Machines that are known and ready. */
@@ -91,7 +91,7 @@
       const w = await world(['a']);
       w.job({ id: JOB });
       await until(w);
-      const late = w.machine('a').held().length > 0 ? w.sendDirect('a') : null;
+      const late = w.machine('a').activeAttempts().length > 0 ? w.sendDirect('a') : null;
       w.cancel(JOB);
       if (seen === 'by word of another') w.leader.onKnownCancelled(JOB);
       if (seen === 'by the old leader' || seen === 'no change') w.store.feed(w.replica);
@@ -106,7 +106,7 @@
       assert.equal(w.fleet.running(JOB), 0, `${name}, ${seen}`);
       // Without a change what was on its way already starts, and is stopped.
       if (seen !== 'no change') assert.deepEqual(w.fleet.broken, [], `${name}, ${seen}`);
-      assert.deepEqual(w.machine('a').held(), [], `${name}, ${seen}`);
+      assert.deepEqual(w.machine('a').activeAttempts(), [], `${name}, ${seen}`);
       if (seen !== 'no change') assert.equal(w.term.jobs.size, 0, `${name}, ${seen}`);
       assert.equal(outcome(w.store.feed(w.replica).jobs.get(JOB)!), 'cancelled', name);
     }
@@ -131,7 +131,7 @@
   }
   assert.ok([...w.fleet.starts.values()].every((n) => n === 1));
   // What starts now has a number of its own.
-  const tasks = (): TaskReport[] =>
+  const tasks = (): TaskStatus[] =>
     [...w.fleet.workers.values()].flatMap((x) => [...x.tasks.values()]);
   for (let failures = 0; failures < 2; failures++) {
     const old = tasks().find((t) => t.job === JOB && t.index === 0)!;
@@ -269,25 +269,26 @@
     w.takeOver();
     if (when === 'at once') {
       for (let i = 0; i < 2; i++) w.checkin(c);
-      w.leader.checkin(empty);
+      w.leader.answerHeartbeat(empty);
       w.pass();
       await w.flush();
       w.checkin(c);
     }
     await w.run(1);
-    if (when !== 'at once') for (const copy of [old, empty]) w.leader.checkin(copy);
-    if (when !== 'at once') w.leader.checkin({ ...empty, token: w.token });
-    if (when === 'after a change') w.leader.checkin({ ...empty, session: 0, seq: 1e6 });
+    if (when !== 'at once') for (const copy of [old, empty]) w.leader.answerHeartbeat(copy);
+    if (when !== 'at once') w.leader.answerHeartbeat({ ...empty, token: w.token });
+    if (when === 'after a change')
+      w.leader.answerHeartbeat({ ...empty, agentEpoch: 0, sequence: 1e6 });
     w.pass();
     await w.run(2);
     check(when);
   }
   // A leader whose time is over answers nobody who knows of a later one.
-  assert.equal(w.leader.checkin({ ...old, token: w.token + 1 }).status, 503);
+  assert.equal(w.leader.answerHeartbeat({ ...old, token: w.token + 1 }).status, 503);
   // Of an earlier attempt of a task that runs there again.
-  a.end(task(a, JOB, w.machine('a').held()[0]!.index), 'error');
+  a.end(task(a, JOB, w.machine('a').activeAttempts()[0]!.index), 'error');
   await w.run(3);
-  w.leader.checkin({ ...old, token: w.token });
+  w.leader.answerHeartbeat({ ...old, token: w.token });
   await w.run(1);
   assert.equal(w.fleet.running(JOB), 2);
   assert.deepEqual(w.fleet.broken, []);
@@ -347,9 +348,9 @@
     w.checkin(on);
     w.takeOver();
     await w.run(10);
-    const facts = w.replica.jobs.get(JOB)!;
-    assert.equal(facts.doneTasks, index + 1);
-    assert.equal(outcome(facts), index === 2 ? 'done' : 'open');
+    const storedJob = w.replica.jobs.get(JOB)!;
+    assert.equal(storedJob.doneTasks, index + 1);
+    assert.equal(outcome(storedJob), index === 2 ? 'done' : 'open');
   }
   assert.ok([...w.fleet.starts.values()].every((n) => n === 1));
   assert.deepEqual(w.fleet.broken, []);
@@ -514,12 +515,12 @@
   w.pass();
   const placed = w.term.jobs.get(JOB)!.live.get(0)![0]!.machine;
   // It would go back at once if it were empty.
-  w.machine(placed).faulty = true;
+  w.machine(placed).quarantined = true;
   assert.ok(!w.parts.capacity.toReturn().includes(placed));
   assert.equal(w.machine(placed).state, 'ready');
   await w.run(1);
   const other = placed === 'a' ? 'b' : 'a';
-  w.machine(other).become('returning');
+  w.machine(other).changeState('returning');
   w.term.dirtyMachines.add(other);
   await w.flush();
   // The request stays unanswered; the leader changes; it is carried out late.
--- a/test/meeting-leases.test.ts
+++ b/test/meeting-leases.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Machine } from '../src/workers/machine.js';
-import type { Report } from '../src/wire/workers.js';
+import type { Heartbeat } from '../src/wire/workers.js';
 import { World } from './meeting-helpers.js';
 
 const JOB = 'wk-000001';
@@ -29,35 +29,35 @@
   for (const [name, heard, then, moves] of cases) {
     const w = new World();
     const worker = w.fleet.add('a');
-    const report = (s: Seen): Report => ({
+    const report = (s: Seen): Heartbeat => ({
       ...worker.report(),
       token: w.token,
-      session: s.session,
-      seq: s.seq,
+      agentEpoch: s.session,
+      sequence: s.seq,
     });
     for (const s of heard) {
-      if (s.direct === true) w.machine('a').apply(report(s), false, w.now);
-      else w.leader.checkin(report(s));
+      if (s.direct === true) w.machine('a').applyHeartbeat(report(s), false, w.now);
+      else w.leader.answerHeartbeat(report(s));
     }
-    const before = w.machine('a').leaseEnd;
+    const before = w.machine('a').leaseExpiresAt;
     w.fleet.now += 1;
-    w.leader.checkin(report(then));
-    assert.equal(w.machine('a').leaseEnd > before, moves, name);
+    w.leader.answerHeartbeat(report(then));
+    assert.equal(w.machine('a').leaseExpiresAt > before, moves, name);
   }
 });
 
 test('a session first shown by the answer to a direct command has its whole lease', () => {
   const lease = 10;
   const m = new Machine('m', 5, lease, 0);
-  const report: Report = {
-    machine: 'm', addr: 'a:1', type: 'g8', zone: 'z1', spot: false, session: 1, seq: 1, token: 5,
-    noticeS: null, tasks: [],
+  const report: Heartbeat = {
+    machine: 'm', addr: 'a:1', type: 'g8', zone: 'z1', spot: false, agentEpoch: 1, sequence: 1, token: 5,
+    reclaimNoticeS: null, tasks: [],
   }; // prettier-ignore
-  m.apply(report, true, 0);
-  m.renewed(0);
+  m.applyHeartbeat(report, true, 0);
+  m.leaseRenewed(0);
   const at = lease + 0.1;
-  m.apply({ ...report, session: 2, seq: 1 }, false, at);
-  assert.ok(m.leaseEnd >= at + lease, 'the worker began it no later than now');
+  m.applyHeartbeat({ ...report, agentEpoch: 2, sequence: 1 }, false, at);
+  assert.ok(m.leaseExpiresAt >= at + lease, 'the worker began it no later than now');
 });
 
 test('a machine that reaches no controller gets nothing new, though direct commands reach it', async () => {
@@ -67,11 +67,11 @@
   a.mute = true;
   for (let i = 0; i < 8; i++) {
     w.fleet.now += w.settings.workers.report_s;
-    w.machine('a').apply(a.report(), false, w.now);
+    w.machine('a').applyHeartbeat(a.report(), false, w.now);
   }
   w.job({ id: JOB });
   w.pass();
-  assert.deepEqual(w.machine('a').held(), []);
+  assert.deepEqual(w.machine('a').activeAttempts(), []);
 });
 
 test('a late copy of a report makes no machine that was returned come back', async () => {
@@ -82,8 +82,8 @@
   w.checkin(a);
   w.fleet.workers.delete('a');
   w.parts.capacity.returned(['a']);
-  w.leader.checkin(copy);
-  w.leader.checkin(copy);
+  w.leader.answerHeartbeat(copy);
+  w.leader.answerHeartbeat(copy);
   w.job({ id: JOB });
   w.pass();
   await w.flush();
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { JobKind } from '../src/jobs/types.js';
 import { outcome } from '../src/store/stored-job.js';
-import type { Report, TaskReport } from '../src/wire/workers.js';
+import type { Heartbeat, TaskStatus } from '../src/wire/workers.js';
 import type { Machine } from '../src/workers/machine.js';
 import { World, type Worker } from './meeting-helpers.js';
 
@@ -108,7 +108,7 @@
     }
   }
 
-  private endGang(job: Job, { job: id, attempt }: TaskReport): void {
+  private endGang(job: Job, { job: id, attempt }: TaskStatus): void {
     const workers = [...this.w.fleet.workers.values()];
     const mates = workers.flatMap((x) => x.running(id).filter((t) => t.attempt === attempt));
     const whole = mates.length === job.tasks;
@@ -121,8 +121,8 @@
       worker.tick();
       this.work(worker, troubles);
       if (troubles && this.chance(0.03)) {
-        const copy: Report = worker.report();
-        this.delay(this.random() * 6, () => void w.leader.checkin(copy));
+        const copy: Heartbeat = worker.report();
+        this.delay(this.random() * 6, () => void w.leader.answerHeartbeat(copy));
       }
       w.checkin(worker);
     }
@@ -132,23 +132,23 @@
   private direct(m: Machine, troubles: boolean): void {
     const { w } = this;
     const worker = w.fleet.workers.get(m.id)!;
-    const commands = m.commands(w.now, (a) => w.term.mayStart(a), false);
-    if (commands.every((c) => c.op === 'forget')) return;
-    const { session } = m;
+    const commands = m.dueCommands(w.now, (a) => w.term.mayStart(a), false);
+    if (commands.every((c) => c.kind === 'forget')) return;
+    const { agentEpoch } = m;
     const { token } = w;
-    m.mark(commands, 'direct', w.now);
+    m.markSent(commands, 'direct', w.now);
     const how = worker.deaf ? 'lost' : troubles ? this.random() : 'answered';
     if (how === 'lost' || Number(how) > 0.85) {
-      m.directDone(commands, 'unknown', session, w.now);
+      m.directCommandsEnded(commands, 'unknown', agentEpoch, w.now);
     } else if (Number(how) > 0.7) {
-      this.delay(this.random() * 8, () => void worker.direct(token, session, commands));
-      m.directDone(commands, 'unknown', session, w.now);
+      this.delay(this.random() * 8, () => void worker.direct(token, agentEpoch, commands));
+      m.directCommandsEnded(commands, 'unknown', agentEpoch, w.now);
     } else {
-      const report = worker.direct(token, session, commands);
+      const report = worker.direct(token, agentEpoch, commands);
       const answered = Number(how) > 0.6 ? 'unknown' : report === null ? 'refused' : 'done';
-      m.directDone(commands, answered, session, w.now);
+      m.directCommandsEnded(commands, answered, agentEpoch, w.now);
       if (answered === 'unknown') return;
-      w.term.digest(m, m.apply(report ?? worker.report(), false, w.now));
+      w.term.digest(m, m.applyHeartbeat(report ?? worker.report(), false, w.now));
     }
   }
 
--- a/test/meeting-records.test.ts
+++ b/test/meeting-records.test.ts
@@ -42,7 +42,7 @@
   store.cancel(JOB, 'a');
   const open: string[] = [];
   const replica = store.listed({
-    onReady: (facts) => void (outcome(facts) === 'open' && open.push(facts.spec.id)),
+    onReady: (storedJob) => void (outcome(storedJob) === 'open' && open.push(storedJob.spec.id)),
   });
   assert.equal(outcome(replica.jobs.get(JOB)!), 'cancelled');
   assert.deepEqual(replica.cancelledSince(0), [JOB], 'told to others in an outage');
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -82,7 +82,7 @@
   await w.run(2);
   a.end(a.running(JOB)[0]!, 'done');
   await w.run(PATIENCE_S);
-  w.machine('a').become('returning');
+  w.machine('a').changeState('returning');
   w.term.dirtyMachines.add('a');
   await w.flush();
   const record = w.store.value(records.machineKey('a'));
@@ -125,7 +125,7 @@
       w.cancel(id);
       await w.run(w.settings.workers.lease_s * 2);
     }
-    assert.equal(w.machine('a').faulty, false, `${jobs} jobs`);
+    assert.equal(w.machine('a').quarantined, false, `${jobs} jobs`);
     w.job({ id: JOB });
     await w.run(PATIENCE_S);
     assert.equal(w.fleet.running(JOB), 1, `${jobs} jobs`);
--- a/test/meeting-witness.test.ts
+++ b/test/meeting-witness.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Election } from '../src/leadership/election.js';
 import { encodeFrame, MAX_FRAME } from '../src/peers/frames.js';
-import type { PeerNet } from '../src/peers/net.js';
+import type { PeerNetwork } from '../src/peers/peer-network.js';
 import { silentLog } from '../src/log.js';
 import { RequestRejectedError, OutcomeUnknownError } from '../src/store/client.js';
 import type { ReplicaSync } from '../src/store/replica-sync.js';
@@ -19,7 +19,7 @@
 function controller(
   store: MemoryStore,
   ready = true,
-): { election: Election; stand(): Promise<boolean> } {
+): { election: Election; campaign(): Promise<boolean> } {
   const clock = { now: LONG_AGO };
   const replica = ready ? store.listed() : new Replica(store.valueBytes);
   const sync = (): Promise<boolean> => Promise.resolve(store.feed(replica) !== null);
@@ -31,7 +31,7 @@
     store.client(),
     fake<ReplicaSync>({ ready, sync, freshAt: 0 }),
     replica,
-    () => fake<PeerNet>({ names: [] }),
+    () => fake<PeerNetwork>({ names: [] }),
     { now: () => clock.now },
     silentLog(),
     {
@@ -42,14 +42,14 @@
     },
   );
   clock.now = 0;
-  const parts = election as unknown as { stand(guard: number): Promise<boolean> };
-  const stand = async (): Promise<boolean> => {
+  const parts = election as unknown as { campaign(guard: number): Promise<boolean> };
+  const campaign = async (): Promise<boolean> => {
     election.role = 'standing';
-    const won = await parts.stand(0);
+    const won = await parts.campaign(0);
     if (!won) election.role = 'following';
     return won;
   };
-  return { election, stand };
+  return { election, campaign };
 }
 
 test('a promise that one answer gave is not erased by another answer that ends meanwhile', async () => {
@@ -98,13 +98,13 @@
 test("an earlier attempt's key that turns up late is not taken for this attempt's", async () => {
   // It hangs on the earlier attempt's lease, which nobody renews.
   const store = new MemoryStore();
-  const { stand } = controller(store);
+  const { campaign } = controller(store);
   store.mode = 'hold back';
-  assert.equal(await stand(), false);
+  assert.equal(await campaign(), false);
   const get = store.get.bind(store);
   store.get = (key) => {
     store.deliver();
     return get(key);
   };
-  assert.equal(await stand(), false);
+  assert.equal(await campaign(), false);
 });
--- a/test/pass-helpers.ts
+++ b/test/pass-helpers.ts
@@ -9,7 +9,7 @@
 import * as records from '../src/store/records.js';
 import { Replica } from '../src/store/replica.js';
 import type { Machine } from '../src/workers/machine.js';
-import type { TaskReport } from '../src/wire/workers.js';
+import type { TaskStatus } from '../src/wire/workers.js';
 import { g8, settings, spec } from './helpers.js';
 
 export const TOKEN = 50;
@@ -94,12 +94,12 @@
 
   private seq = 0;
 
-  report(id: string, tasks: TaskReport[]): void {
+  report(id: string, tasks: TaskStatus[]): void {
     const m = this.term.machine(id);
-    const changes = m.apply(
+    const changes = m.applyHeartbeat(
       {
-        machine: id, addr: '127.0.0.1:1', type: 'g8', zone: 'z1', spot: false, session: 1,
-        seq: ++this.seq, token: TOKEN, noticeS: null, tasks,
+        machine: id, addr: '127.0.0.1:1', type: 'g8', zone: 'z1', spot: false, agentEpoch: 1,
+        sequence: ++this.seq, token: TOKEN, reclaimNoticeS: null, tasks,
       },
       true,
       this.now,
@@ -111,12 +111,12 @@
   settle(id: string, ended: boolean): void {
     const m = this.term.machines.get(id)!;
     for (const a of m.attempts.values()) this.term.stored(a);
-    const tasks = [...m.attempts.values()].map((a): TaskReport => ({
+    const tasks = [...m.attempts.values()].map((a): TaskStatus => ({
       job: a.job,
       index: a.index,
       attempt: a.number,
-      state: a.stop !== null ? (ended ? 'ended' : 'saving') : 'running',
-      cause: a.stop !== null && ended ? 'stopped' : null,
+      state: a.stopRequest !== null ? (ended ? 'ended' : 'saving') : 'running',
+      cause: a.stopRequest !== null && ended ? 'stopped' : null,
       saved: true,
     }));
     this.report(id, tasks);
@@ -129,6 +129,6 @@
 
   on(id: string, job: string): number {
     const m: Machine = this.term.machines.get(id)!;
-    return m.held().filter((a) => a.job === job && a.stop === null).length;
+    return m.activeAttempts().filter((a) => a.job === job && a.stopRequest === null).length;
   }
 }
--- a/test/pipeline-users.test.ts
+++ b/test/pipeline-users.test.ts
@@ -49,12 +49,12 @@
     const before = made.ledger;
     const { users, replica } = usersSide(made, 'a');
     assert.equal(await told(users.submit(body({ awaits }))), want, name);
-    const facts = replica.jobs.get(JOB);
+    const storedJob = replica.jobs.get(JOB);
     if (!want.startsWith('201')) assert.equal(made.ledger, before, `${name}: nothing is stored`);
     else
       assert.equal(
-        facts?.readyAt === null,
-        want === '201 cancelled' || facts?.unmetDependencies === 1,
+        storedJob?.readyAt === null,
+        want === '201 cancelled' || storedJob?.unmetDependencies === 1,
         name,
       );
     // The same at any other controller, and what was accepted is never refused later.
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -105,8 +105,8 @@
 function replica(): { replica: Replica; ready: string[]; cancelled: Set<string> } {
   const made = { replica: new Replica(8192), ready: [] as string[], cancelled: new Set<string>() };
   made.replica.listener = {
-    onReady: (facts) => made.ready.push(facts.spec.id),
-    onCancelled: (facts) => made.cancelled.add(facts.spec.id),
+    onReady: (storedJob) => made.ready.push(storedJob.spec.id),
+    onCancelled: (storedJob) => made.cancelled.add(storedJob.spec.id),
   };
   return made;
 }
@@ -136,13 +136,13 @@
   return made;
 }
 
-function shown(facts: StoredJob): object {
-  const { acceptedAt, cancelledAt, cancelledByDependency, readyAt, readyMs } = facts;
+function shown(storedJob: StoredJob): object {
+  const { acceptedAt, cancelledAt, cancelledByDependency, readyAt, readyMs } = storedJob;
   const cancelled =
-    outcome(facts) === 'cancelled'
+    outcome(storedJob) === 'cancelled'
       ? { cancelledAt, cancelledWithNeeded: cancelledByDependency }
       : {};
-  return { outcome: outcome(facts), acceptedAt, readyAt, readyMs, ...cancelled };
+  return { outcome: outcome(storedJob), acceptedAt, readyAt, readyMs, ...cancelled };
 }
 
 test('waiting, ready and cancelled follow from the store alone, listed or streamed, and as expected', () => {
@@ -156,14 +156,14 @@
         assert.deepEqual([...made.ready].sort(), [...new Set(made.ready)].sort(), 'told once');
         for (const id of made.ready) assert.notEqual(made.replica.jobs.get(id)!.readyAt, null);
         for (const [number, expected] of reference.jobs) {
-          const facts = made.replica.jobs.get(idOf(number))!;
-          assert.equal(outcome(facts), reference.outcome(number));
-          assert.equal(facts.readyAt, reference.readyAt(number));
-          assert.equal(facts.acceptedAt, expected.acceptedAt);
+          const storedJob = made.replica.jobs.get(idOf(number))!;
+          assert.equal(outcome(storedJob), reference.outcome(number));
+          assert.equal(storedJob.readyAt, reference.readyAt(number));
+          assert.equal(storedJob.acceptedAt, expected.acceptedAt);
           if (reference.outcome(number) === 'cancelled') {
-            assert.equal(facts.cancelledAt, reference.cancelledAt(number));
+            assert.equal(storedJob.cancelledAt, reference.cancelledAt(number));
           }
-          assert.deepEqual(shown(facts), shown(live.replica.jobs.get(idOf(number))!));
+          assert.deepEqual(shown(storedJob), shown(live.replica.jobs.get(idOf(number))!));
         }
       }
     }),
@@ -178,8 +178,8 @@
       const { ready, cancelled, replica: copy } = streamed(changes);
       const wanted = [...reference.jobs.keys()].filter((id) => reference.readyAt(id) !== null);
       assert.deepEqual([...ready].sort(), wanted.map(idOf).sort());
-      for (const facts of copy.jobs.values()) {
-        if (outcome(facts) === 'cancelled') assert.ok(cancelled.has(facts.spec.id));
+      for (const storedJob of copy.jobs.values()) {
+        if (outcome(storedJob) === 'cancelled') assert.ok(cancelled.has(storedJob.spec.id));
       }
     }),
     { numRuns: 300 },
@@ -217,7 +217,7 @@
     copy.advance(many + 2, [cancel(idOf(0), many + 2)]);
     assert.equal(cancelled.size, many + 1, name);
     assert.ok(
-      [...copy.jobs.values()].every((facts) => outcome(facts) === 'cancelled'),
+      [...copy.jobs.values()].every((storedJob) => outcome(storedJob) === 'cancelled'),
       name,
     );
     const again = listed([...changes, cancel(idOf(0), many + 2)], many + 2);
--- a/test/quorum.test.ts
+++ b/test/quorum.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
-import { QuorumAcknowledgement } from '../src/leadership/quorum.js';
+import { QuorumAcknowledgement } from '../src/leadership/quorum-acknowledgement.js';
 import { ACKNOWLEDGEMENTS } from '../src/store/records.js';
 import { until, wait } from './helpers.js';
 import { Cluster } from './standins/cluster.js';
@@ -20,8 +20,8 @@
   ];
   for (const [name, nodes, remains, kept] of cases) {
     const m = new QuorumAcknowledgement(7, nodes, { now: () => 100 });
-    remains.forEach((remainsS, i) => m.note(`n-${i}`, { remainsS }));
-    assert.equal(m.keptUntil, kept, name);
+    remains.forEach((remainsS, i) => m.record(`n-${i}`, { remainsS }));
+    assert.equal(m.othersRenewUntil, kept, name);
     assert.equal(m.state, kept === 100 ? 'pending' : 'reached', name);
   }
 });
--- a/test/redirects.test.ts
+++ b/test/redirects.test.ts
@@ -35,8 +35,8 @@
   return new Redirects({
     settings: settings(),
     replica: { leader: leads ? { node: 'n-1', revision: 5, incarnation: 'i' } : null },
-    state: { health },
-    zoneLeases: { keeper: () => home, steady: () => steady },
+    store: { health },
+    zoneLeases: { holderOf: () => home, isSteady: () => steady },
     isLate: (node) => late.includes(node),
     clock: { now },
   } as RedirectOptions);
@@ -44,7 +44,7 @@
 
 test('a worker goes to the controller of its zone where that keeps up', () => {
   for (const c of CASES) {
-    assert.equal(redirects(c).targetOf({ machine: 'm', zone: 'z1' }), c.target, c.name);
+    assert.equal(redirects(c).redirectTarget({ machine: 'm', zone: 'z1' }), c.target, c.name);
   }
 });
 
@@ -54,10 +54,14 @@
   const moves: number[] = [];
   for (; now < LEASE_S * 4; now++) {
     // Sent back each time, by a controller that it could not reach.
-    if (here.targetOf({ machine: 'm', zone: 'z1' }) === null) continue;
-    here.note('m');
+    if (here.redirectTarget({ machine: 'm', zone: 'z1' }) === null) continue;
+    here.recordSent('m');
     moves.push(now);
-    assert.equal(here.targetOf({ machine: 'other', zone: 'z1' }), 'n-1', 'others go as before');
+    assert.equal(
+      here.redirectTarget({ machine: 'other', zone: 'z1' }),
+      'n-1',
+      'others go as before',
+    );
   }
   assert.deepEqual(moves, [0, LEASE_S * 1.5, LEASE_S * 3]);
 });
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -153,11 +153,11 @@
     const r = new Replica(8192);
     r.advance(9, changes);
     r.compactFinished(before);
-    const facts = r.jobs.get('wk-000001')!;
-    assert.equal(specOf(facts) === null, trimmed, name);
-    assert.equal(facts.spec.tasks, 2, name);
+    const storedJob = r.jobs.get('wk-000001')!;
+    assert.equal(specOf(storedJob) === null, trimmed, name);
+    assert.equal(storedJob.spec.tasks, 2, name);
     // What comes late, or again, changes nothing.
     r.advance(12, [job(10), cancel(11), done(12)]);
-    if (out !== 'open') assert.equal(outcome(facts), out, name);
+    if (out !== 'open') assert.equal(outcome(storedJob), out, name);
   }
 });
--- a/test/report-bytes.test.ts
+++ b/test/report-bytes.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Reports } from '../src/heartbeat/reports.js';
+import { HeartbeatHandler } from '../src/heartbeat/heartbeat-handler.js';
 import type { Reply } from '../src/http/server.js';
 import { silentLog } from '../src/log.js';
 import { encodeFrame, FrameReader } from '../src/peers/frames.js';
 import type { Answer, Question } from '../src/peers/messages.js';
 import { random, seedRandom } from '../src/random.js';
-import { LastReport } from '../src/wire/last-report.js';
-import { scanReport } from '../src/wire/report-scan.js';
+import { LastHeartbeat } from '../src/wire/last-heartbeat.js';
+import { scanHeartbeat } from '../src/wire/heartbeat-scan.js';
 import { BadMessage } from '../src/wire/users.js';
-import { decodeReport, type Report } from '../src/wire/workers.js';
+import { decodeHeartbeat, type Heartbeat } from '../src/wire/workers.js';
 import { settings } from './helpers.js';
 import { World } from './meeting-helpers.js';
-import { fake } from './support/fake.js';
+import { fake, type Partially } from './support/fake.js';
 
 const bodyOf = (token: number, tally: number | string, machine = 'm'): string =>
   `{"bench":"${machine}","addr":"127.0.0.1:1","casting":"g8","yard":"z1","loaner":true,"shift":1,` +
@@ -20,27 +20,28 @@
   `{"piece":"wk-1/0","pour":2,"temper":"running"},` +
   `{"piece":"wk-2/0","pour":1,"temper":"ended","cause":"done"}]}`;
 
-function parsed(body: Buffer): Report | null {
+function parsed(body: Buffer): Heartbeat | null {
   try {
-    return decodeReport(body);
+    return decodeHeartbeat(body);
   } catch (e) {
     if (e instanceof BadMessage) return null;
     throw e;
   }
 }
 
+type HandlerOptions = ConstructorParameters<typeof HeartbeatHandler>[0];
 type Ask = (to: string, question: Question) => Promise<Answer | null>;
 
 /** A controller that knows of a leader, or is one. */
 function controller(
-  over: Record<string, unknown>,
+  over: Partially<HandlerOptions>,
   ask: Ask = () => Promise.resolve(null),
-): Reports {
-  return new Reports(
-    fake<ConstructorParameters<typeof Reports>[0]>({
+): HeartbeatHandler {
+  return new HeartbeatHandler(
+    fake<HandlerOptions>({
       settings: settings(),
-      election: { entitled: over.leader !== undefined, outage: { mayKeep: () => true } },
-      state: { health: 'served' },
+      election: { isEntitled: over.leader !== undefined, outage: { mayRenewLeases: () => true } },
+      store: { health: 'served' },
       replica: {
         leader: { node: 'n-1', revision: 5 },
         lastToken: 5,
@@ -48,11 +49,11 @@
         machines: new Map(),
       },
       peers: { names: ['n-1'], ask },
-      zoneKeeper: null,
-      zoneLeases: { keeper: () => null, steady: () => true },
+      zoneLeaseHolder: null,
+      zoneLeases: { holderOf: () => null, isSteady: () => true },
       isLate: () => false,
       leader: () => null,
-      knownCancelled: () => false,
+      isKnownCancelled: () => false,
       clock: { now: () => 0 },
       log: silentLog(),
       ...over,
@@ -63,8 +64,18 @@
 /** What a leader knows of its machines. */
 const known = ({ term }: World): unknown =>
   [...term.machines.values()].map((m) => [
-    ...[m.id, m.state, m.session, m.seq, m.checkinSeq, m.token, m.takenAt, m.leaseEnd, m.addr],
-    ...[...m.attempts].map(([key, a]) => [key, a.state, a.cause, a.saved, a.session]),
+    ...[
+      m.id,
+      m.state,
+      m.agentEpoch,
+      m.sequence,
+      m.fencedSequence,
+      m.token,
+      m.reclaimedAt,
+      m.leaseExpiresAt,
+      m.addr,
+    ],
+    ...[...m.attempts].map(([key, a]) => [key, a.state, a.cause, a.saved, a.agentEpoch]),
   ]);
 
 const pick = <T>(list: readonly T[]): T => list[Math.floor(random() * list.length)]!;
@@ -110,11 +121,11 @@
 test('a report gets the same verdict straight, passed on and without any shortcut', async () => {
   seedRandom(20);
   const [straight, passedOn, plain] = [new World(), new World(), new World()];
-  const leads = (w: World): Reports => controller({ leader: () => w.leader });
+  const leads = (w: World): HeartbeatHandler => controller({ leader: () => w.leader });
   const [direct, leader] = [leads(straight), leads(passedOn)];
   const ask: Ask = async (_to, question) => {
     const [q] = new FrameReader().push(encodeFrame(question)) as [{ body: Buffer; hop: boolean }];
-    return { ...(await leader.passedOn(q.body, q.hop)) };
+    return { ...(await leader.handleForwarded(q.body, q.hop)) };
   };
   const follower = controller({}, ask);
   const count = { good: 0, malformed: 0, scanned: 0, repeated: 0 };
@@ -126,14 +137,15 @@
     sent.push(body);
     for (const w of [straight, passedOn, plain]) w.fleet.now += 0.01;
     const report = parsed(body);
-    const scanned = scanReport(body);
-    const last = report && straight.term.machines.get(report.machine)?.lastReport.repeat(body);
+    const scanned = scanHeartbeat(body);
+    const last =
+      report && straight.term.machines.get(report.machine)?.lastHeartbeat.decodeRepetition(body);
     if (report === null) count.malformed++;
     else count.good++;
     if (report !== null && scanned !== null) {
       const { machine, zone, token, sequenceStart, sequenceEnd } = scanned;
       const digits = body.toString('latin1', sequenceStart, sequenceEnd);
-      const seen = { machine, zone, token, seq: Number(digits) };
+      const seen = { machine, zone, token, sequence: Number(digits) };
       assert.deepEqual({ ...report, ...seen }, report, body.toString());
       count.scanned++;
     }
@@ -142,10 +154,10 @@
       count.repeated++;
     }
     const want: Reply =
-      report === null ? { status: 400, body: '{}' } : plain.leader.checkin(report);
+      report === null ? { status: 400, body: '{}' } : plain.leader.answerHeartbeat(report);
     const answer = (r: Reply): unknown => [r.status, r.body];
-    assert.deepEqual(answer(await direct.checkin(body)), answer(want), body.toString());
-    const onward = await follower.checkin(body);
+    assert.deepEqual(answer(await direct.handle(body)), answer(want), body.toString());
+    const onward = await follower.handle(body);
     // A leader's 503 is no verdict: the follower may renew in its place then.
     if (want.status !== 503) assert.deepEqual(answer(onward), answer(want), body.toString());
     assert.deepEqual([known(straight), known(passedOn)], [known(plain), known(plain)]);
@@ -180,7 +192,7 @@
     ['a token in another form', text.replace('"hallmark":5', '"hallmark":50e-1'), null],
   ];
   for (const [name, body, want] of cases) {
-    const scanned = scanReport(Buffer.from(body));
+    const scanned = scanHeartbeat(Buffer.from(body));
     assert.deepEqual(scanned && { ...scanned, ...want }, want && scanned, name);
     assert.equal(scanned === null, want === null, name);
   }
@@ -189,25 +201,28 @@
 test('malformed reports get 400 wherever they end, and whoever finds them out', async () => {
   const good = Buffer.from(bodyOf(5, 1));
   const bad = Buffer.from(bodyOf(5, 1).replace('running', 'dancing'));
-  assert.ok(scanReport(bad) !== null, 'the scan alone does not find it');
+  assert.ok(scanHeartbeat(bad) !== null, 'the scan alone does not find it');
   const busy: Ask = () => Promise.resolve({ status: 503 });
   const judged: Ask = () => Promise.resolve({ status: 400, body: '{}' });
-  const home = { zoneLeases: { keeper: () => 'n-1', steady: () => true } };
-  const zoneKeeper = { mayKeep: () => true };
-  const cases: [string, Reports, number][] = [
+  const home = { zoneLeases: { holderOf: () => 'n-1', isSteady: () => true } };
+  const zoneLeaseHolder = { mayRenewLeases: () => true };
+  const cases: [string, HeartbeatHandler, number][] = [
     ['sent home', controller(home), 421],
-    ['kept in a cut zone', controller({ zoneKeeper }), 200],
+    ['kept in a cut zone', controller({ zoneLeaseHolder }), 200],
     ['nobody leads', controller({ replica: { leader: null } }), 503],
     ['renewed in an outage', controller({}, busy), 200],
-    ['nobody answers', controller({ election: { outage: { mayKeep: () => false } } }), 421],
+    ['nobody answers', controller({ election: { outage: { mayRenewLeases: () => false } } }), 421],
     ['the leader found it', controller({}, judged), 400],
   ];
   for (const [name, reports, status] of cases) {
-    assert.equal((await reports.checkin(bad)).status, 400, name);
-    assert.equal((await reports.checkin(good)).status, status, name);
+    assert.equal((await reports.handle(bad)).status, 400, name);
+    assert.equal((await reports.handle(good)).status, status, name);
   }
   const { leader } = new World();
-  assert.equal((await controller({ leader: () => leader }).passedOn(bad, false))?.status, 400);
+  assert.equal(
+    (await controller({ leader: () => leader }).handleForwarded(bad, false))?.status,
+    400,
+  );
 });
 
 test('only a report that repeats the last one is taken for it, and its order counts all the same', () => {
@@ -240,29 +255,37 @@
     const w = new World();
     const reports = controller({ leader: () => w.leader });
     // The second shows the token to a machine that is known by now.
-    for (const tally of [1, 8]) void reports.checkin(Buffer.from(bodyOf(w.token, tally)));
+    for (const tally of [1, 8]) void reports.handle(Buffer.from(bodyOf(w.token, tally)));
     w.fleet.now = 1;
     const m = w.machine('m');
-    const { leaseEnd } = m;
+    const { leaseExpiresAt } = m;
     const body = Buffer.from(text(w.token));
-    const repeated = m.lastReport.repeat(body) !== null;
-    const { status } = reports.checkin(body) as Reply;
-    assert.deepEqual([repeated, status, m.seq, m.leaseEnd > leaseEnd], want, name);
+    const repeated = m.lastHeartbeat.decodeRepetition(body) !== null;
+    const { status } = reports.handle(body) as Reply;
+    assert.deepEqual([repeated, status, m.sequence, m.leaseExpiresAt > leaseExpiresAt], want, name);
     // A late copy takes no newer one's place.
-    if (m.seq === 8) assert.equal(m.lastReport.repeat(Buffer.from(bodyOf(w.token, 10)))?.seq, 10);
+    if (m.sequence === 8)
+      assert.equal(
+        m.lastHeartbeat.decodeRepetition(Buffer.from(bodyOf(w.token, 10)))?.sequence,
+        10,
+      );
     // What came in another form is compared with from then on, if it was newer.
-    if (status === 200 && m.seq === 9) {
-      assert.equal(m.lastReport.repeat(body)?.seq, name === 'an exponent' ? undefined : 9, name);
+    if (status === 200 && m.sequence === 9) {
+      assert.equal(
+        m.lastHeartbeat.decodeRepetition(body)?.sequence,
+        name === 'an exponent' ? undefined : 9,
+        name,
+      );
     }
   }
 });
 
 test('a sequence number beyond what a number holds exactly is left to the parser', () => {
   const [largest, tooLarge] = ['9007199254740991', '9007199254740993'];
-  const last = new LastReport();
+  const last = new LastHeartbeat();
   const body = Buffer.from(bodyOf(5, largest));
-  last.keep(decodeReport(body), body);
-  assert.equal(last.repeat(Buffer.from(bodyOf(5, tooLarge))), null);
+  last.keep(decodeHeartbeat(body), body);
+  assert.equal(last.decodeRepetition(Buffer.from(bodyOf(5, tooLarge))), null);
   assert.equal(parsed(Buffer.from(bodyOf(5, tooLarge))), null);
 });
 
@@ -271,7 +294,7 @@
     const pieces = Array(tasks).fill('{"piece":"wk-1/0","pour":2,"temper":"running"}').join(',');
     return Buffer.from(bodyOf(5, 1).replace(/\[.*\]/, `[${pieces}]`));
   };
-  const last = new LastReport();
+  const last = new LastHeartbeat();
   for (const [tasks, kept] of [
     [1, true],
     [70, true],
@@ -279,8 +302,8 @@
     [2, true],
   ] as const) {
     const body = long(tasks);
-    last.keep(decodeReport(body), body);
-    assert.equal(last.repeat(body) !== null, kept, `${tasks} tasks`);
+    last.keep(decodeHeartbeat(body), body);
+    assert.equal(last.decodeRepetition(body) !== null, kept, `${tasks} tasks`);
     const { memory } = last as unknown as { memory: Buffer };
     assert.ok(memory.buffer.byteLength <= 4096 && memory.buffer !== body.buffer);
   }
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -3,8 +3,8 @@
 import type { ReplyAnswer } from '../src/peers/messages.js';
 import { silentLog } from '../src/log.js';
 import { CancellationNotices } from '../src/cancellation/notices.js';
-import { RelayWait } from '../src/heartbeat/relay-wait.js';
-import { Reports } from '../src/heartbeat/reports.js';
+import { ForwardingDelay } from '../src/heartbeat/forwarding-delay.js';
+import { HeartbeatHandler } from '../src/heartbeat/heartbeat-handler.js';
 import type { Replica } from '../src/store/replica.js';
 import { ANSWER_WAIT_S } from '../src/wire/workers.js';
 import { settings } from './helpers.js';
@@ -36,10 +36,10 @@
   for (const [name, health, leader, answers, status, asked, more = []] of cases) {
     const seen: string[] = [];
     let now = 0;
-    const parts = fake<ConstructorParameters<typeof Reports>[0]>({
+    const parts = fake<ConstructorParameters<typeof HeartbeatHandler>[0]>({
       settings: { ...settings(), workers: { ...settings().workers, report_s: 2.5 } },
-      election: { entitled: false, outage: { mayKeep: () => Promise.resolve(false) } },
-      state: { health },
+      election: { isEntitled: false, outage: { mayRenewLeases: () => Promise.resolve(false) } },
+      store: { health },
       replica: {
         leader: leader === null ? null : { node: leader, revision: 5 },
         jobs: new Map(),
@@ -53,19 +53,19 @@
           return Promise.resolve(answers[node] ?? null);
         },
       },
-      zoneKeeper: null,
-      zoneLeases: { keeper: () => null },
+      zoneLeaseHolder: null,
+      zoneLeases: { holderOf: () => null },
       isLate: () => false,
       leader: () => null,
-      knownCancelled: () => false,
+      isKnownCancelled: () => false,
       clock: { now: () => now },
       log: silentLog(),
     });
-    const reports = new Reports(parts);
-    assert.equal((await reports.checkin(report)).status, status, name);
+    const reports = new HeartbeatHandler(parts);
+    assert.equal((await reports.handle(report)).status, status, name);
     // Only what the leader itself was asked tells how long it lets others wait.
     const asksLeader = seen.some((way) => !way.endsWith('hop'));
-    assert.equal(reports.relayWait.meanS !== undefined, asksLeader, `${name}: wait noted`);
+    assert.equal(reports.forwardingDelay.meanS !== undefined, asksLeader, `${name}: wait noted`);
     assert.deepEqual(more.length > 0 ? seen.slice(0, 2) : seen, asked, name);
     // Reports came every 2.5 s, and their answers after the worker had gone elsewhere.
     assert.ok(now < ANSWER_WAIT_S, `${name}: ${now} s`);
@@ -95,7 +95,7 @@
 
 test('how long passed-on reports wait: a mean of the latest, and only of the present', () => {
   let now = 0;
-  const wait = new RelayWait({ now: () => now }, 1);
+  const wait = new ForwardingDelay({ now: () => now }, 1);
   assert.equal(wait.meanS, undefined);
   wait.note(1);
   assert.equal(wait.meanS, 1);
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { QuestionOf, ReplyAnswer } from '../src/peers/messages.js';
-import type { PeerNet } from '../src/peers/net.js';
+import type { PeerNetwork } from '../src/peers/peer-network.js';
 import { RequestForwarder } from '../src/api/request-forwarder.js';
 import type { Users } from '../src/api/users.js';
 import type { StoreHealth, KeyValueStoreClient } from '../src/store/client.js';
@@ -34,8 +34,8 @@
     poll: () => Promise.resolve({ status: own }),
     cancel: () => Promise.resolve({ status: own }),
   });
-  const net = fake<PeerNet>({
-    lately: () => Object.keys(peers),
+  const net = fake<PeerNetwork>({
+    byLatestAnswer: () => Object.keys(peers),
     ask: (node: string) => {
       asked.push(node);
       return Promise.resolve(peers[node] ?? null);
@@ -134,7 +134,7 @@
   ];
   for (const [name, failure, tries] of cases) {
     let commits = 0;
-    const state = fake<KeyValueStoreClient>({
+    const store = fake<KeyValueStoreClient>({
       valueBytes: 8192,
       compareAndSwap: () => {
         commits++;
@@ -142,12 +142,12 @@
       },
     });
     const replica = fake<Replica>({ jobs: new Map() });
-    const follower = fake<ReplicaSync>({ sync: () => Promise.resolve(false) });
+    const replicaSync = fake<ReplicaSync>({ sync: () => Promise.resolve(false) });
     const budget = new Budget(100, steadyClock);
     const requestWriter = new RequestWriter(
       'n',
-      state,
-      follower,
+      store,
+      replicaSync,
       replica,
       budget,
       steadyClock,
@@ -168,13 +168,13 @@
     ['larger values', 9, 32768, 3000, false],
   ];
   for (const [name, rate, valueBytes, jobs, full] of cases) {
-    const state = fake<KeyValueStoreClient>({
+    const store = fake<KeyValueStoreClient>({
       valueBytes,
       compareAndSwap: () => new Promise(() => undefined),
     });
     const budget = new Budget(rate, { now: () => 0 });
     const requestWriter = new RequestWriter(
-      'n', state, null!, null!, budget, steadyClock, silentLog(),
+      'n', store, null!, null!, budget, steadyClock, silentLog(),
     ); // prettier-ignore
     for (let i = 0; i < jobs; i++)
       void requestWriter.accept({ spec: spec({ id: `wk-${i}` }), atMs: 0 }, 60);
--- a/test/subsystems.test.ts
+++ b/test/subsystems.test.ts
@@ -49,7 +49,7 @@
     b.job({ id: 'wk-3', gpus: 1 });
     b.now += LEASE_S * 10;
     b.report('m1', subsystems.any ? [] : [
-      { job: 'wk-1', index: 0, attempt: b.term.machines.get('m1')!.held()[0]!.number, state: 'running', cause: null, saved: false },
+      { job: 'wk-1', index: 0, attempt: b.term.machines.get('m1')!.activeAttempts()[0]!.number, state: 'running', cause: null, saved: false },
     ]); // prettier-ignore
     b.pass();
     const { reservations } = b.scheduler as unknown as { reservations: GangReservations };
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -145,11 +145,11 @@
 function workerMessages(): RecordedForms {
   const task = { job: 'wk-1', index: 4, attempt: 2 };
   const commands: workers.Command[] = [
-    { op: 'forget', ...task },
-    { op: 'stop', ...task, graceS: 10 },
-    { op: 'start', ...task },
+    { kind: 'forget', ...task },
+    { kind: 'stop', ...task, graceS: 10 },
+    { kind: 'start', ...task },
   ];
-  const parsed = workers.parseReport(WORKER_REPORT);
+  const parsed = workers.parseHeartbeat(WORKER_REPORT);
   const broken = [
     {},
     { ...WORKER_REPORT, bench: '' },
@@ -160,15 +160,15 @@
   ];
   return {
     report: [
-      parsed.machine, parsed.addr, parsed.type, parsed.zone, parsed.spot, parsed.session,
-      parsed.seq, parsed.token, parsed.noticeS, parsed.tasks.map((t) => Object.values(t)),
+      parsed.machine, parsed.addr, parsed.type, parsed.zone, parsed.spot, parsed.agentEpoch,
+      parsed.sequence, parsed.token, parsed.reclaimNoticeS, parsed.tasks.map((t) => Object.values(t)),
     ],
-    malformed: broken.map((raw) => outcomeOf(() => workers.parseReport(raw))),
-    garbage: outcomeOf(() => workers.decodeReport(Buffer.from('{'))),
-    orders: [workers.encodeOrders(41, []), workers.encodeOrders(41, commands)],
-    direct: workers.encodeDirect(41, 3, commands),
-    elsewhere: [workers.encodeElsewhere(null), workers.encodeElsewhere('n-1')],
-    bounds: [workers.ANSWER_WAIT_S, workers.CHANGE_GAP_S, workers.MOST_REPORTED_TASKS, workers.MAX_COMMANDS],
+    malformed: broken.map((raw) => outcomeOf(() => workers.parseHeartbeat(raw))),
+    garbage: outcomeOf(() => workers.decodeHeartbeat(Buffer.from('{'))),
+    orders: [workers.encodeHeartbeatReply(41, []), workers.encodeHeartbeatReply(41, commands)],
+    direct: workers.encodeDirectCommands(41, 3, commands),
+    elsewhere: [workers.encodeRedirect(null), workers.encodeRedirect('n-1')],
+    bounds: [workers.ANSWER_WAIT_S, workers.MIN_HEARTBEAT_GAP_S, workers.MAX_REPORTED_TASKS, workers.MAX_COMMANDS_PER_MESSAGE],
   }; // prettier-ignore
 }
 
@@ -519,8 +519,8 @@
     bench.pass();
     const machines = ids.map((id) =>
       [...(bench.term.machines.get(id)?.attempts.values() ?? [])].map(
-        ({ job, index, number, stop }) =>
-          `${job}/${index}#${number}${stop === null ? '' : ' stops'}`,
+        ({ job, index, number, stopRequest }) =>
+          `${job}/${index}#${number}${stopRequest === null ? '' : ' stops'}`,
       ),
     );
     seen.push([machines, bench.rents()]);
--- a/test/unplaced-requests.test.ts
+++ b/test/unplaced-requests.test.ts
@@ -89,8 +89,8 @@
     const { demand } = bench.scheduler.pass();
     seen.push(demand.map((d) => [d.spec.id, d.tasks]));
     for (const id of MACHINES) {
-      const held = bench.term.machines.get(id)!.held();
-      seen.push(held.map((a) => [a.job, a.index, a.number, a.stop !== null]));
+      const held = bench.term.machines.get(id)!.activeAttempts();
+      seen.push(held.map((a) => [a.job, a.index, a.number, a.stopRequest !== null]));
       if (i % 3 === 0) bench.settle(id, i % 2 === 0);
     }
   }
--- a/test/users-helpers.ts
+++ b/test/users-helpers.ts
@@ -21,7 +21,7 @@
 
 export interface UsersSide {
   users: Users;
-  follower: ReplicaSync;
+  replicaSync: ReplicaSync;
   replica: Replica;
 }
 
@@ -34,15 +34,23 @@
   const clock = { now: () => 0 };
   const log = silentLog();
   const replica = store.listed();
-  const client = store.client();
-  const follower = new ReplicaSync(client, replica, clock, log, () => 0, 0);
-  follower.ready = true;
+  const storeClient = store.client();
+  const replicaSync = new ReplicaSync(storeClient, replica, clock, log, () => 0, 0);
+  replicaSync.ready = true;
   const force = (): void => undefined;
   const budget = fake<Budget>({ take: () => true, perSecond: 100, force });
-  const requestWriter = new RequestWriter(name, client, follower, replica, budget, clock, log);
+  const requestWriter = new RequestWriter(
+    name,
+    storeClient,
+    replicaSync,
+    replica,
+    budget,
+    clock,
+    log,
+  );
   const users = new Users({
     settings: settings(),
-    follower,
+    replicaSync,
     replica,
     requestWriter,
     types: () => [g8],
@@ -53,7 +61,7 @@
     log,
     ...over,
   });
-  return { users, follower, replica };
+  return { users, replicaSync: replicaSync, replica };
 }
 
 /** What a user is told: the status, and the state of the job. */
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -125,11 +125,12 @@
     leaseS: LEASE_S,
     replica,
     peers: () => ({
-      heardFeatures: (node) => (others[node]!.hello === null ? null : new Set(others[node]!.hello)),
+      announcedFeatures: (node) =>
+        others[node]!.hello === null ? null : new Set(others[node]!.hello),
     }),
-    fitness: { silentS: (node) => others[node]!.silentS },
-    state: null!,
-    follower: null!,
+    health: { silentS: (node) => others[node]!.silentS },
+    store: null!,
+    replicaSync: null!,
     clock: { now: () => 0 },
     log: silentLog(),
   });
--- a/test/warm-pools.test.ts
+++ b/test/warm-pools.test.ts
@@ -690,7 +690,7 @@
         w.replicaJob('wk-1');
         await w.runUntil(BURST_AT);
         const [warm] = machinesOf(w, 'tutor');
-        w.machine(warm!).sawImage('tutor-1', 1, 100, w.now);
+        w.machine(warm!).noteImage('tutor-1', 1, 100, w.now);
         w.cancel('wk-1');
         await w.run(1);
         w.job({ id: 'wk-9', tasks: 1, gpus: 2, cores: 2, priority: 1, image: 'x', imageGb: 99.5 });
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'node:test';
 import { steadyClock } from '../src/clock.js';
 import {
-  ZoneLeaseKeeper,
+  ZoneLeaseHolder,
   ZoneLeaseWatch,
-  zoneLeaseKeepers,
+  zoneLeaseHolders,
   zoneLeaseTimes,
 } from '../src/leadership/zone-lease.js';
 import { silentLog } from '../src/log.js';
-import { KEEP_SHARE } from '../src/heartbeat/reports.js';
+import { RENEWAL_WAIT_SHARE } from '../src/heartbeat/heartbeat-handler.js';
 import {
   RequestRejectedError,
   OutcomeUnknownError,
@@ -16,7 +16,7 @@
 } from '../src/store/client.js';
 import type { ReplicaSync } from '../src/store/replica-sync.js';
 import type { Replica } from '../src/store/replica.js';
-import type { PeerNet } from '../src/peers/net.js';
+import type { PeerNetwork } from '../src/peers/peer-network.js';
 import { controllerKey } from '../src/store/records.js';
 import { ANSWER_WAIT_S } from '../src/wire/workers.js';
 import { until, wait } from './helpers.js';
@@ -32,21 +32,21 @@
     ['two in one', [n('a', 'x'), n('b', 'x'), n('c', 'y')], [['y', 'c']]],
   ]; // prettier-ignore
   for (const [name, nodes, want] of cases)
-    assert.deepEqual([...zoneLeaseKeepers(nodes)], want, name);
+    assert.deepEqual([...zoneLeaseHolders(nodes)], want, name);
 });
 
 test('a zone keeper begins before workers give up waiting, whatever their lease', () => {
   for (const lease of [2, 10, 13, 15.25, 120]) {
-    const { lifeS, beginS, keepS } = zoneLeaseTimes(lease);
-    assert.ok(beginS <= ANSWER_WAIT_S * KEEP_SHARE, `${lease}: ${beginS}`);
+    const { ttlS, beginS, renewForS } = zoneLeaseTimes(lease);
+    assert.ok(beginS <= ANSWER_WAIT_S * RENEWAL_WAIT_SHARE, `${lease}: ${beginS}`);
     // Its key's life three times and half of it once more, see where they are reckoned.
-    assert.ok(beginS >= lifeS * 3.5 && keepS > lease && lifeS <= lease / 10, `${lease}`);
+    assert.ok(beginS >= ttlS * 3.5 && renewForS > lease && ttlS <= lease / 10, `${lease}`);
   }
 });
 
 test('until when a zone may be kept, and what is certain of it', () => {
   const lease = 10;
-  const { beginS, keepS } = zoneLeaseTimes(lease);
+  const { beginS, renewForS } = zoneLeaseTimes(lease);
   const at = { now: 100 };
   const setup = (present: boolean, freshAt: number, rejectedAt: number): ZoneLeaseWatch => {
     const replica = { controllers: new Map(present ? [['a', 5]] : []) };
@@ -59,11 +59,11 @@
       { now: () => at.now },
     );
     at.now = 90;
-    w.changed('a');
+    w.keyChanged('a');
     at.now = 100;
     return w;
   };
-  const gone = 90 + keepS;
+  const gone = 90 + renewForS;
   const cases: [string, ZoneLeaseWatch, string, number, number][] = [
     ['no zone keeper there', setup(true, 99, -Infinity), 'y', -Infinity, Infinity],
     ['key there, read just now', setup(true, 99, -Infinity), 'x', 90, 99],
@@ -84,7 +84,7 @@
   let silent = false;
   let unanswered = 0;
   let answeredSentAt = -Infinity;
-  const client = fake<KeyValueStoreClient>({
+  const store = fake<KeyValueStoreClient>({
     answeredAt: 0,
     writes: { force: () => undefined },
     grantLease: async () => 7,
@@ -105,40 +105,40 @@
     },
   });
   const log = silentLog();
-  const follower = fake<ReplicaSync>({ ready: true, sync: async () => true });
+  const replicaSync = fake<ReplicaSync>({ ready: true, sync: async () => true });
   const replica = fake<Replica>({ controllers: new Map() });
-  const peers = fake<PeerNet>({ names: ['b'], ask: async () => null });
-  const zoneKeeper = new ZoneLeaseKeeper(
+  const peers = fake<PeerNetwork>({ names: ['b'], ask: async () => null });
+  const zoneLeaseHolder = new ZoneLeaseHolder(
     'a',
     'a-1',
     lease,
-    client,
-    follower,
+    store,
+    replicaSync,
     replica,
     () => peers,
     steadyClock,
     log,
   );
-  void zoneKeeper.run();
-  await until('present', () => zoneKeeper.state === 'present' && answeredSentAt > 0);
-  assert.equal(zoneKeeper.mayKeep(), false);
+  void zoneLeaseHolder.run();
+  await until('present', () => zoneLeaseHolder.state === 'present' && answeredSentAt > 0);
+  assert.equal(zoneLeaseHolder.mayRenewLeases(), false);
   silent = true;
-  await until('kept', () => zoneKeeper.mayKeep());
+  await until('kept', () => zoneLeaseHolder.mayRenewLeases());
   assert.ok(steadyClock.now() - answeredSentAt > beginS);
-  assert.equal(zoneKeeper.state, 'alone');
+  assert.equal(zoneLeaseHolder.state, 'alone');
   // One that was carried out without an answer lets the key live once more; a second would be one
   // too many.
   assert.equal(unanswered, 1);
-  await until('the bound', () => !zoneKeeper.mayKeep());
-  assert.equal(zoneKeeper.state, 'alone');
+  await until('the bound', () => !zoneLeaseHolder.mayRenewLeases());
+  assert.equal(zoneLeaseHolder.state, 'alone');
   silent = false;
-  await until('heard again', () => zoneKeeper.state === 'present');
-  assert.equal(zoneKeeper.mayKeep(), false);
-  zoneKeeper.stop();
+  await until('heard again', () => zoneLeaseHolder.state === 'present');
+  assert.equal(zoneLeaseHolder.mayRenewLeases(), false);
+  zoneLeaseHolder.stop();
 });
 
 test('a refusal is heard: nobody is cut off by an outage', async () => {
-  const client = fake<KeyValueStoreClient>({
+  const store = fake<KeyValueStoreClient>({
     writes: { force: () => undefined },
     grantLease: async () => 7,
     compareAndSwap: async () => ({ ok: true, revision: 1 }),
@@ -149,25 +149,25 @@
       throw new RequestRejectedError(503);
     },
   });
-  const follower = fake<ReplicaSync>({ ready: true, sync: async () => true });
-  const peers = fake<PeerNet>({ names: ['b'], ask: async () => null });
-  const zoneKeeper = new ZoneLeaseKeeper(
+  const replicaSync = fake<ReplicaSync>({ ready: true, sync: async () => true });
+  const peers = fake<PeerNetwork>({ names: ['b'], ask: async () => null });
+  const zoneLeaseHolder = new ZoneLeaseHolder(
     'a',
     'a-1',
     0.2,
-    client,
-    follower,
+    store,
+    replicaSync,
     fake<Replica>({ controllers: new Map() }),
     () => peers,
     steadyClock,
     silentLog(),
   );
-  void zoneKeeper.run();
-  await until('present', () => zoneKeeper.state === 'present');
+  void zoneLeaseHolder.run();
+  await until('present', () => zoneLeaseHolder.state === 'present');
   await wait(300);
-  assert.equal(zoneKeeper.mayKeep(), false);
-  assert.equal(zoneKeeper.state, 'present');
-  zoneKeeper.stop();
+  assert.equal(zoneLeaseHolder.mayRenewLeases(), false);
+  assert.equal(zoneLeaseHolder.state, 'present');
+  zoneLeaseHolder.stop();
 });
 
 // A zone with its controller and its machines, cut off from everything else.
