--- a/scripts/costs.ts
+++ b/scripts/costs.ts
@@ -200,9 +200,9 @@
   for (let attempt = 1; ; attempt++) {
     try {
       return await Measurement.run(checkout, machines);
-    } catch (e) {
-      if (!(e instanceof Unusable) || attempt === ATTEMPTS) throw e;
-      process.stdout.write(`discarded, repeated: ${e.message}\n`);
+    } catch (error) {
+      if (!(error instanceof Unusable) || attempt === ATTEMPTS) throw error;
+      process.stdout.write(`discarded, repeated: ${error.message}\n`);
     }
   }
 }
--- a/scripts/fleet-load.ts
+++ b/scripts/fleet-load.ts
@@ -105,8 +105,8 @@
     private readonly post: (controller: number, path: string, body: string) => Promise<HttpAnswer>,
     claims: records.Claim[],
   ) {
-    this.pieces = claims.map((c) => ({
-      piece: `${c.job}/0`,
+    this.pieces = claims.map((claim) => ({
+      piece: `${claim.job}/0`,
       pour: 1,
       temper: 'running',
     }));
@@ -257,7 +257,7 @@
       stdio: ['ignore', 'ignore', 'pipe'],
     });
     const controller = { process: child, port, name, output: '', startS: 0 };
-    child.stderr.on('data', (d: Buffer) => (controller.output += d.toString()));
+    child.stderr.on('data', (data: Buffer) => (controller.output += data.toString()));
     return controller;
   }
 
@@ -278,7 +278,7 @@
       const headers = { 'content-length': Buffer.byteLength(body) };
       const r = request({ host: '127.0.0.1', port, method, path, headers, agent }, (res) => {
         let text = '';
-        res.on('data', (d: Buffer) => (text += d.toString()));
+        res.on('data', (data: Buffer) => (text += data.toString()));
         res.on('end', () => done({ status: res.statusCode ?? 0, body: text }));
       });
       r.on('error', () => done({ status: 0, body: '' }));
--- a/scripts/mixed-versions.ts
+++ b/scripts/mixed-versions.ts
@@ -54,7 +54,7 @@
   }
 
   runs(ref: string, tasks: number): boolean {
-    const running = [...this.rules.workers.values()].flatMap((w) => w.tasks);
+    const running = [...this.rules.workers.values()].flatMap((worker) => worker.tasks);
     return (
       running.filter((t) => t.piece.startsWith(`${ref}/`) && t.temper === 'running').length >= tasks
     );
--- a/scripts/warm-pools.ts
+++ b/scripts/warm-pools.ts
@@ -41,8 +41,8 @@
   burstFeatures({ image: MODEL, port, slots: REPLICAS, burstMs, holdS: 60, aheadS: 7 });
 
 const answering = (workers: Worker[]): number =>
-  workers.reduce((sum, w) => {
-    const model = w.modelServer?.models.get(MODEL);
+  workers.reduce((sum, worker) => {
+    const model = worker.modelServer?.models.get(MODEL);
     return sum + (model?.state === 'ready' ? model.users : 0);
   }, 0);
 
--- a/src/admission/request-queue.ts
+++ b/src/admission/request-queue.ts
@@ -144,8 +144,8 @@
         serve: () => {
           try {
             resolve(work());
-          } catch (e) {
-            reject(e as Error);
+          } catch (error) {
+            reject(error as Error);
           }
         },
         refuse: () => resolve(this.refuse(kind, refusal)),
@@ -169,8 +169,8 @@
   private turn(): void {
     try {
       if (this.state === 'draining') this.slice();
-    } catch (e) {
-      this.options.onError(e);
+    } catch (error) {
+      this.options.onError(error);
     }
     if (this.size === 0) this.become('idle');
     else this.defer(() => this.turn());
--- a/src/api/request-forwarder.ts
+++ b/src/api/request-forwarder.ts
@@ -48,8 +48,8 @@
 
   async serve(request: UserRequest): Promise<Reply> {
     if (this.served || this.users.knows(request)) {
-      const r = await this.local(request);
-      if (r.status !== 503 || this.served) return r;
+      const reply = await this.local(request);
+      if (reply.status !== 503 || this.served) return reply;
     }
     // Looks whether the state service is back, besides.
     else void this.replicaSync.sync();
--- a/src/api/users.ts
+++ b/src/api/users.ts
@@ -81,10 +81,10 @@
     let spec: JobSpec;
     try {
       spec = parseSubmission(body);
-    } catch (e) {
-      if (!(e instanceof BadMessage)) throw e;
-      const reply = { status: 400, body: encodeError(e.message) };
-      return this.refuse(this.idOf(body), reply, e.message);
+    } catch (error) {
+      if (!(error instanceof BadMessage)) throw error;
+      const reply = { status: 400, body: encodeError(error.message) };
+      return this.refuse(this.idOf(body), reply, error.message);
     }
     const known = this.replica.jobs.get(spec.id);
     if (known !== undefined) return this.current(spec.id);
--- a/src/cancellation/notices.ts
+++ b/src/cancellation/notices.ts
@@ -121,7 +121,7 @@
     const zones = new Set(unsure.map(([zone]) => zone));
     let wait = 0;
     for (const { record } of this.replica.machines.values()) {
-      if (!zones.has(record.zone) || !record.claims.some((c) => c.job === job)) continue;
+      if (!zones.has(record.zone) || !record.claims.some((claim) => claim.job === job)) continue;
       wait = Math.max(wait, this.waitForZone(record.zone));
     }
     const { lease_s } = this.settings.workers;
--- a/src/cloud/arrivals.ts
+++ b/src/cloud/arrivals.ts
@@ -57,7 +57,7 @@
     if (Math.abs(now - this.refreshedMs) < this.everyS * 1000) return;
     this.refreshedMs = now;
     const types = this.types();
-    const bootS = Math.max(1, ...types.map((t) => t.bootS));
+    const bootS = Math.max(1, ...types.map((type) => type.bootS));
     const from = now - Math.max(HOT_BOOTS, WARM_BOOTS) * bootS * 1000;
     this.recent = this.recent.filter((r) => r.atMs >= from);
     this.gone = this.gone.filter((r) => r.atMs >= from);
@@ -71,12 +71,12 @@
     for (const { spec, atMs } of this.recent) {
       if (atMs < now - windowS * 1000) continue;
       const key = `${spec.image} ${spec.gpus} ${spec.cores}`;
-      const h = by.get(key) ?? { image: spec.image, gb: spec.imageGb, spec, expected: 0 };
-      h.expected += (Math.min(spec.tasks, TASKS_MOST) * bootS) / windowS;
-      by.set(key, h);
+      const hotImage = by.get(key) ?? { image: spec.image, gb: spec.imageGb, spec, expected: 0 };
+      hotImage.expected += (Math.min(spec.tasks, TASKS_MOST) * bootS) / windowS;
+      by.set(key, hotImage);
     }
     return [...by.values()]
-      .sort((a, b) => b.expected * b.gb - a.expected * a.gb)
+      .sort((hotImage, b) => b.expected * b.gb - hotImage.expected * hotImage.gb)
       .slice(0, HOT_MOST);
   }
 
@@ -86,7 +86,7 @@
       const out: Arrival[] = [];
       for (const { spec, atMs } of seen) {
         if (spec.spot !== spot) continue;
-        const type = types.find((t) => fits(spec, t));
+        const type = types.find((type) => fits(spec, type));
         if (type === undefined) continue;
         out.push({ atMs, size: (unit(spec) / unit(type)) * Math.min(spec.tasks, TASKS_MOST) });
       }
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -26,9 +26,9 @@
     return this.http.request(method, path, body, 5);
   }
 
-  private static json(r: Response): unknown {
-    if (r.status !== 200) throw new Error(`cloud answered ${r.status}`);
-    return JSON.parse(r.body.toString('utf8'));
+  private static json(response: Response): unknown {
+    if (response.status !== 200) throw new Error(`cloud answered ${response.status}`);
+    return JSON.parse(response.body.toString('utf8'));
   }
 
   async types(): Promise<MachineType[]> {
@@ -39,8 +39,8 @@
     const all: wire.ListedMachine[] = [];
     let after = '';
     for (;;) {
-      const r = await this.call('GET', wire.listPath(after));
-      const page = wire.parseList(CloudClient.json(r));
+      const response = await this.call('GET', wire.listPath(after));
+      const page = wire.parseList(CloudClient.json(response));
       all.push(...page.machines);
       if (!page.more || page.machines.length === 0) return all;
       after = page.machines[page.machines.length - 1]!.id;
@@ -48,29 +48,29 @@
   }
 
   async rent(request: wire.RentRequest): Promise<RentResult> {
-    let r: Response;
+    let response: Response;
     try {
-      r = await this.call('POST', wire.RENT_PATH, wire.encodeRent(request));
+      response = await this.call('POST', wire.RENT_PATH, wire.encodeRent(request));
     } catch {
       return { how: 'unknown' };
     }
-    const text = r.body.toString('utf8');
-    if (r.status === 200) {
+    const text = response.body.toString('utf8');
+    if (response.status === 200) {
       try {
         return { how: 'rented', ids: wire.parseRented(JSON.parse(text)) };
       } catch {
         return { how: 'unknown' };
       }
     }
-    if (r.status === 503 && text.includes('no capacity')) return { how: 'none' };
-    return { how: 'refused', status: r.status };
+    if (response.status === 503 && text.includes('no capacity')) return { how: 'none' };
+    return { how: 'refused', status: response.status };
   }
 
   /** True: they and all that was on them are gone. */
   async giveBack(ids: string[]): Promise<boolean> {
     try {
-      const r = await this.call('POST', wire.RETURN_PATH, wire.encodeReturn(ids));
-      return r.status === 200;
+      const response = await this.call('POST', wire.RETURN_PATH, wire.encodeReturn(ids));
+      return response.status === 200;
     } catch {
       return false;
     }
--- a/src/cloud/fleet.ts
+++ b/src/cloud/fleet.ts
@@ -81,8 +81,8 @@
     while (!this.stopped) {
       try {
         if (this.host.entitled()) await this.round();
-      } catch (e) {
-        this.log.debug({ err: String(e) }, 'cloud round failed');
+      } catch (error) {
+        this.log.debug({ err: String(error) }, 'cloud round failed');
         await sleep(0.5 + random() * 0.5);
       }
       await this.pause.wait(0.5);
@@ -113,14 +113,14 @@
     }
     await this.retryRents();
     await this.sendStored();
-    for (const w of this.host.wanted()) {
-      for (let left = w.count; left > 0; left -= RENT_MAX) {
+    for (const wanted of this.host.wanted()) {
+      for (let left = wanted.count; left > 0; left -= RENT_MAX) {
         if (this.stopped || !this.host.entitled()) return;
         const request: RentRequest = {
           name: `${this.name}-${this.counter++}`,
-          type: w.type,
-          zone: w.zone,
-          spot: w.spot,
+          type: wanted.type,
+          zone: wanted.zone,
+          spot: wanted.spot,
           count: Math.min(left, RENT_MAX),
         };
         await this.rent(request, this.clock.now());
@@ -159,11 +159,11 @@
   }
 
   private async rent(request: RentRequest, since: number): Promise<void> {
-    const r = await this.cloud.rent(request);
-    this.log.info({ request, result: r.how }, 'rent');
-    switch (r.how) {
+    const result = await this.cloud.rent(request);
+    this.log.info({ request, result: result.how }, 'rent');
+    switch (result.how) {
       case 'rented':
-        this.rented(request, r.ids);
+        this.rented(request, result.ids);
         break;
       case 'none':
         this.noteShort(request);
@@ -173,7 +173,7 @@
         break;
       case 'refused':
         // An outage, or too many calls: nothing was rented.
-        throw new Error(`rent refused: ${r.status}`);
+        throw new Error(`rent refused: ${result.status}`);
     }
   }
 
@@ -186,34 +186,34 @@
     const now = this.clock.now();
     this.listedOnce = true;
     const names = new Set<string>();
-    for (const m of all) {
-      names.add(m.id);
-      if (this.gone.has(m.id) || this.host.known(m.id) || m.state === 'failed') {
-        this.coming.delete(m.id);
+    for (const listed of all) {
+      names.add(listed.id);
+      if (this.gone.has(listed.id) || this.host.known(listed.id) || listed.state === 'failed') {
+        this.coming.delete(listed.id);
         continue;
       }
-      const c = this.coming.get(m.id);
-      if (c !== undefined) {
-        c.listed = true;
-        c.running ||= m.state === 'running';
+      const coming = this.coming.get(listed.id);
+      if (coming !== undefined) {
+        coming.listed = true;
+        coming.running ||= listed.state === 'running';
       } else {
-        this.coming.set(m.id, {
-          id: m.id,
-          type: m.type,
-          zone: m.zone,
-          spot: m.spot,
-          since: now - m.ageS,
+        this.coming.set(listed.id, {
+          id: listed.id,
+          type: listed.type,
+          zone: listed.zone,
+          spot: listed.spot,
+          since: now - listed.ageS,
           listed: true,
-          running: m.state === 'running',
+          running: listed.state === 'running',
         });
       }
     }
-    for (const c of [...this.coming.values()]) {
-      if (!names.has(c.id) && now - c.since > this.lagS * (c.listed ? 2 : 4))
-        this.coming.delete(c.id);
+    for (const coming of [...this.coming.values()]) {
+      if (!names.has(coming.id) && now - coming.since > this.lagS * (coming.listed ? 2 : 4))
+        this.coming.delete(coming.id);
     }
     for (const [id, at] of [...this.gone]) if (now - at > this.lagS * 20) this.gone.delete(id);
-    this.host.listed(all.filter((m) => !this.gone.has(m.id)));
+    this.host.listed(all.filter((listed) => !this.gone.has(listed.id)));
   }
 
   stop(): void {
--- a/src/cloud/plan.ts
+++ b/src/cloud/plan.ts
@@ -47,23 +47,23 @@
 /** A machine that is not there yet: empty, and every image has to be fetched. */
 export function comingCapacity(
   id: string,
-  t: MachineType,
+  type: MachineType,
   zone: string,
   spot: boolean,
 ): FreeCapacity {
   return {
     id,
-    type: t.name,
+    type: type.name,
     zone,
     spot,
-    cores: t.cores,
-    gpus: t.gpus,
-    memGb: t.memGb,
-    whole: t,
+    cores: type.cores,
+    gpus: type.gpus,
+    memGb: type.memGb,
+    whole: type,
     penaltyS: 0,
-    imageWaitS: (_image, gb) => gb / Math.max(t.fetchGbPerS, 1e-9),
+    imageWaitS: (_image, gb) => gb / Math.max(type.fetchGbPerS, 1e-9),
     hasImage: () => false,
-    fetchS: (gb) => gb / Math.max(t.fetchGbPerS, 1e-9),
+    fetchS: (gb) => gb / Math.max(type.fetchGbPerS, 1e-9),
     hotHere: () => [],
   };
 }
@@ -101,28 +101,30 @@
 export function planRent(input: PlanInput): Wanted[] {
   const wanted = new Map<string, Wanted>();
   let count = 0;
-  for (const d of input.demand) {
-    const zones = new Map(d.zones);
+  for (const demand of input.demand) {
+    const zones = new Map(demand.zones);
     const { may } = input;
     const where =
-      may === undefined ? { zones } : { zones, may: (r: FreeCapacity) => may(d.spec, r) };
-    for (let i = 0; i < d.tasks; i++) {
-      let room = bestFit(d.spec, input.rooms, where, input.weights);
+      may === undefined
+        ? { zones }
+        : { zones, may: (capacity: FreeCapacity) => may(demand.spec, capacity) };
+    for (let i = 0; i < demand.tasks; i++) {
+      let room = bestFit(demand.spec, input.rooms, where, input.weights);
       if (room === null) {
         if (count >= input.most) break;
-        const kind = choose(d.spec, zones, input);
+        const kind = choose(demand.spec, zones, input);
         if (kind === null) break;
         room = comingCapacity(`planned-${serial++}`, kind.type, kind.zone, kind.spot);
         input.rooms.push(room);
         count++;
         input.perZone.set(kind.zone, (input.perZone.get(kind.zone) ?? 0) + 1);
         const key = `${kind.type.name} ${kind.zone} ${kind.spot}`;
-        const w = wanted.get(key);
-        if (w === undefined) {
+        const order = wanted.get(key);
+        if (order === undefined) {
           wanted.set(key, { type: kind.type.name, zone: kind.zone, spot: kind.spot, count: 1 });
-        } else w.count++;
+        } else order.count++;
       }
-      take(d.spec, room);
+      take(demand.spec, room);
       zones.set(room.zone, (zones.get(room.zone) ?? 0) + 1);
     }
   }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -104,8 +104,8 @@
   let raw: unknown;
   try {
     raw = parse(text);
-  } catch (e) {
-    throw new SettingsError(`not valid TOML: ${(e as Error).message.split('\n')[0]}`);
+  } catch (error) {
+    throw new SettingsError(`not valid TOML: ${(error as Error).message.split('\n')[0]}`);
   }
   const result = v.safeParse(schema, raw);
   if (!result.success) {
@@ -143,8 +143,10 @@
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
-  } catch (e) {
-    throw new SettingsError(`cannot be read: ${(e as NodeJS.ErrnoException).code ?? String(e)}`);
+  } catch (error) {
+    throw new SettingsError(
+      `cannot be read: ${(error as NodeJS.ErrnoException).code ?? String(error)}`,
+    );
   }
   return parseSettings(text);
 }
--- a/src/controller/http-requests.ts
+++ b/src/controller/http-requests.ts
@@ -16,7 +16,7 @@
   clock: Clock;
   costs: Costs;
   requests: RequestQueue;
-  reports: HeartbeatHandler;
+  heartbeats: HeartbeatHandler;
   forwarder: RequestForwarder;
   /** Whether this controller leads: then reports are taken in, not passed on. */
   leads: () => boolean;
@@ -53,10 +53,10 @@
   }
 
   private report(body: Buffer): Reply | Promise<Reply> {
-    const { clock, costs, leads, reports, requests } = this.options;
+    const { clock, costs, leads, heartbeats, requests } = this.options;
     const arrivedAt = clock.now();
     const work = (): Reply | Promise<Reply> =>
-      costs.time('report', () => reports.handle(body, arrivedAt));
+      costs.time('report', () => heartbeats.handle(body, arrivedAt));
     const patienceS = leads() ? REPORT_PATIENCE_S : RELAY_PATIENCE_S;
     return requests.run('report', work, BUSY, patienceS);
   }
--- a/src/controller/load-log.ts
+++ b/src/controller/load-log.ts
@@ -19,7 +19,7 @@
   role: () => string;
   overload: Pick<Overload, 'delayS' | 'latenessS'>;
   requests: Pick<RequestQueue, 'size' | 'refused'>;
-  reports: HeartbeatCounts;
+  heartbeats: HeartbeatCounts;
   /** Machines whose leases this controller as leader counted as lost, since its start. */
   machinesLost: () => number;
   /** Messages to and from the state service. */
@@ -110,17 +110,17 @@
   }
 
   private totals(): Totals {
-    const { clock, reports, requests, machinesLost, stateTraffic, passes } = this.sources;
+    const { clock, heartbeats, requests, machinesLost, stateTraffic, passes } = this.sources;
     const { refused } = requests;
     const traffic = stateTraffic();
     const cpu = process.cpuUsage();
     return {
       interval_ms: clock.now() * 1000,
-      reports_answered: reports.answered,
-      reports_answered_for_peers: reports.answeredForPeers,
-      reports_kept: reports.renewedForLeader,
-      reports_passed_on: reports.forwarded,
-      reports_passed_on_failed: reports.forwardingFailed,
+      reports_answered: heartbeats.answered,
+      reports_answered_for_peers: heartbeats.answeredForPeers,
+      reports_kept: heartbeats.renewedForLeader,
+      reports_passed_on: heartbeats.forwarded,
+      reports_passed_on_failed: heartbeats.forwardingFailed,
       reports_dropped: refused.report,
       submissions_refused: refused.submission,
       polls_refused: refused.poll,
--- a/src/controller/machine-types.ts
+++ b/src/controller/machine-types.ts
@@ -48,8 +48,8 @@
         this.fetched = await cloud.types();
         leader()?.onTypes(this.fetched);
         return;
-      } catch (e) {
-        log.debug({ err: String(e) }, 'machine types not had');
+      } catch (error) {
+        log.debug({ err: String(error) }, 'machine types not had');
         await sleep(RETRY_S + random());
       }
     }
--- a/src/controller/peer-answers.ts
+++ b/src/controller/peer-answers.ts
@@ -11,7 +11,7 @@
 export interface PeerAnswersOptions {
   requests: RequestQueue;
   costs: Costs;
-  reports: HeartbeatHandler;
+  heartbeats: HeartbeatHandler;
   forwarder: RequestForwarder;
   election: Election;
   acknowledgements: LeaderAcknowledgements;
@@ -47,9 +47,9 @@
   }
 
   private report({ body, hop }: QuestionOf<'report'>): ReplyAnswer | Promise<ReplyAnswer> {
-    const { costs, reports, requests } = this.options;
+    const { costs, heartbeats, requests } = this.options;
     const work = (): ReplyAnswer | Promise<ReplyAnswer> => {
-      const reply = costs.time('report', () => reports.handleForwarded(body, hop));
+      const reply = costs.time('report', () => heartbeats.handleForwarded(body, hop));
       if (reply instanceof Promise) return reply.then((r) => ({ ...(r ?? { status: 504 }) }));
       return { ...reply };
     };
--- a/src/controller/run.ts
+++ b/src/controller/run.ts
@@ -27,8 +27,8 @@
   process.on('unhandledRejection', (e) => log.error({ err: String(e) }, 'unhandled rejection'));
   try {
     await new Controller(settings, policy, log, await controllerOptions(features)).start();
-  } catch (e) {
-    giveUp(`cannot listen: ${(e as Error).message}`);
+  } catch (error) {
+    giveUp(`cannot listen: ${(error as Error).message}`);
   }
   const reviewHeap = limitHeapGrowth(settings.limits.mem_mb);
   const timer = setInterval(() => {
--- a/src/controller/versions.ts
+++ b/src/controller/versions.ts
@@ -93,8 +93,8 @@
           );
           await replicaSync.sync();
         }
-      } catch (e) {
-        log.debug({ err: String(e) }, 'version not stored');
+      } catch (error) {
+        log.debug({ err: String(error) }, 'version not stored');
       }
       await sleep(leaseS * PUBLISH_LEASES);
     }
--- a/src/features/features-file.ts
+++ b/src/features/features-file.ts
@@ -36,8 +36,8 @@
   let raw: unknown;
   try {
     raw = parse(text);
-  } catch (e) {
-    throw new FeaturesError(`not valid TOML: ${(e as Error).message.split('\n')[0]}`);
+  } catch (error) {
+    throw new FeaturesError(`not valid TOML: ${(error as Error).message.split('\n')[0]}`);
   }
   const result = v.safeParse(schema, raw);
   if (!result.success) {
@@ -63,8 +63,10 @@
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
-  } catch (e) {
-    throw new FeaturesError(`cannot be read: ${(e as NodeJS.ErrnoException).code ?? String(e)}`);
+  } catch (error) {
+    throw new FeaturesError(
+      `cannot be read: ${(error as NodeJS.ErrnoException).code ?? String(error)}`,
+    );
   }
   return parseFeatures(text, settings, nowMs);
 }
--- a/src/heartbeat/heartbeat-handler.ts
+++ b/src/heartbeat/heartbeat-handler.ts
@@ -71,29 +71,29 @@
     const { settings, election, replica, zoneLeaseHolder } = this.options;
     const leader = this.options.leader();
     if (leader !== null && election.isEntitled) return this.answerAsLeader(leader, body);
-    const report = new ReceivedHeartbeat(body);
-    const target = this.redirects.redirectTarget(report.routing);
-    if (target !== null) return this.redirect(report.parse(), target);
-    if (zoneLeaseHolder?.mayRenewLeases() === true && report.routing.zone === settings.zone) {
-      return this.renewForLeader(report.parse(), replica.lastToken);
+    const heartbeat = new ReceivedHeartbeat(body);
+    const target = this.redirects.redirectTarget(heartbeat.routing);
+    if (target !== null) return this.redirect(heartbeat.parse(), target);
+    if (zoneLeaseHolder?.mayRenewLeases() === true && heartbeat.routing.zone === settings.zone) {
+      return this.renewForLeader(heartbeat.parse(), replica.lastToken);
     }
     const deadline = arrivedAt + ANSWER_WAIT_S * RENEWAL_WAIT_SHARE;
     const alone = zoneLeaseHolder?.state === 'alone';
     const leads = replica.leader;
     const served = this.options.store.health === 'served';
     if (!alone && leads === null && served) {
-      report.parse();
+      heartbeat.parse();
       return { status: 503, retryAfter: 1 };
     }
-    return this.forward(report, alone ? null : (leads?.node ?? settings.node), deadline);
+    return this.forward(heartbeat, alone ? null : (leads?.node ?? settings.node), deadline);
   }
 
   /** A report straight from a worker to the leader. */
   private answerAsLeader(leader: Leader, body: Buffer): Reply {
-    const report = leader.decodeHeartbeat(body);
-    const target = this.redirects.redirectTarget(report);
-    if (target !== null) return this.redirect(report, target);
-    return this.counts.countReply(leader.answerHeartbeat(report, body), 'worker');
+    const heartbeat = leader.decodeHeartbeat(body);
+    const target = this.redirects.redirectTarget(heartbeat);
+    if (target !== null) return this.redirect(heartbeat, target);
+    return this.counts.countReply(leader.answerHeartbeat(heartbeat, body), 'worker');
   }
 
   /** Answers a malformed report with 400, whatever part of the work finds it to be so. */
@@ -107,13 +107,13 @@
     try {
       const answer = work();
       return answer instanceof Promise ? answer.catch(refuse) : answer;
-    } catch (e) {
-      return refuse(e);
+    } catch (error) {
+      return refuse(error);
     }
   }
 
-  private redirect(report: Heartbeat, target: string): Reply {
-    this.redirects.recordSent(report.machine);
+  private redirect(heartbeat: Heartbeat, target: string): Reply {
+    this.redirects.recordSent(heartbeat.machine);
     return { status: 421, body: encodeRedirect(target) };
   }
 
@@ -122,7 +122,7 @@
    * where it is: a leader that it cannot reach, or one that ends, costs it no connection of its own.
    */
   private async forward(
-    report: ReceivedHeartbeat,
+    heartbeat: ReceivedHeartbeat,
     leader: string | null,
     deadline: number,
   ): Promise<Reply> {
@@ -143,7 +143,7 @@
       );
       if (patience <= 0) break;
       const askedAt = clock.now();
-      const a = await peers.ask(to, { q: 'report', body: report.body, hop }, patience);
+      const a = await peers.ask(to, { q: 'report', body: heartbeat.body, hop }, patience);
       if (!hop) this.forwardingDelay.note(clock.now() - askedAt);
       if (a?.status === 200 && a.body !== undefined) {
         this.counts.forwarded++;
@@ -159,7 +159,7 @@
     }
     this.counts.forwardingFailed++;
     // No leader has judged it.
-    const parsed = report.parse();
+    const parsed = heartbeat.parse();
     const token = replica.leader?.revision;
     if (token !== undefined && (await election.outage.mayRenewLeases()))
       return this.renewForLeader(parsed, token);
@@ -178,19 +178,25 @@
   }
 
   /** Renews a worker's lease in a leader's place. The only commands: cancelled tasks stop. */
-  private renewForLeader(report: Heartbeat, leaderToken: number): Reply {
+  private renewForLeader(heartbeat: Heartbeat, leaderToken: number): Reply {
     const { replica, isKnownCancelled } = this.options;
-    const record = replica.machines.get(report.machine)?.record;
+    const record = replica.machines.get(heartbeat.machine)?.record;
     const token = (record?.term === leaderToken ? record.token : undefined) ?? leaderToken;
     // It knows of a leader that this controller does not: what it got from here it would drop, and
     // stay here while its lease runs out.
-    if (report.token > token) return { status: 503, retryAfter: 1 };
+    if (heartbeat.token > token) return { status: 503, retryAfter: 1 };
     const stops: Command[] = [];
-    for (const t of report.tasks) {
-      const storedJob = replica.jobs.get(t.job);
+    for (const task of heartbeat.tasks) {
+      const storedJob = replica.jobs.get(task.job);
       const cancelled = storedJob !== undefined && outcome(storedJob) === 'cancelled';
-      if (t.state === 'ended' || !(cancelled || isKnownCancelled(t.job))) continue;
-      stops.push({ kind: 'stop', job: t.job, index: t.index, attempt: t.attempt, graceS: 0 });
+      if (task.state === 'ended' || !(cancelled || isKnownCancelled(task.job))) continue;
+      stops.push({
+        kind: 'stop',
+        job: task.job,
+        index: task.index,
+        attempt: task.attempt,
+        graceS: 0,
+      });
     }
     this.counts.renewedForLeader++;
     return {
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -31,7 +31,7 @@
   path: string;
   body: string | undefined;
   deadline: number;
-  resolve: (r: Response) => void;
+  resolve: (response: Response) => void;
   reject: (e: Error) => void;
   timer: NodeJS.Timeout | undefined;
 }
@@ -191,7 +191,7 @@
   close(): void {
     this.closed = true;
     for (const job of this.queue.splice(0)) job.reject(new NoResponse('client closed', false));
-    for (const l of this.lines) l.destroy();
+    for (const line of this.lines) line.destroy();
     this.lines.clear();
     this.idle.length = 0;
   }
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -68,7 +68,7 @@
 
   get pending(): number {
     let n = this.held.length;
-    for (const c of this.chunks) n += c.length;
+    for (const data of this.chunks) n += data.length;
     return n;
   }
 
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -75,8 +75,8 @@
     let message: Message | null;
     try {
       message = this.parser.next();
-    } catch (e) {
-      this.fail(e instanceof HttpError ? e.status : 400);
+    } catch (error) {
+      this.fail(error instanceof HttpError ? error.status : 400);
       return;
     }
     if (message === null) return;
@@ -93,8 +93,8 @@
     try {
       const r = this.server.handler(message);
       reply = r instanceof Promise ? await r : r;
-    } catch (e) {
-      this.server.onError(e);
+    } catch (error) {
+      this.server.onError(error);
       reply = { status: 503, retryAfter: 1 };
     }
     // Broken in the meantime, or already answered with 400.
@@ -143,8 +143,12 @@
     if (this.open.size >= this.bounds.sockets) {
       // Make room by dropping the connection that has been idle longest, else refuse.
       let oldest: Connection | undefined;
-      for (const c of this.open) {
-        if (c.state === 'idle' && (oldest === undefined || c.since < oldest.since)) oldest = c;
+      for (const connection of this.open) {
+        if (
+          connection.state === 'idle' &&
+          (oldest === undefined || connection.since < oldest.since)
+        )
+          oldest = connection;
       }
       if (oldest === undefined || this.now() - oldest.since < this.bounds.readS) {
         socket.destroy();
@@ -156,8 +160,8 @@
     this.open.add(new Connection(socket, this));
   }
 
-  gone(c: Connection): void {
-    this.open.delete(c);
+  gone(connection: Connection): void {
+    this.open.delete(connection);
   }
 
   get connections(): number {
@@ -167,11 +171,13 @@
   listen(at: Endpoint): Promise<void> {
     this.sweep = setInterval(() => {
       const now = this.now();
-      for (const c of this.open) {
-        const age = now - c.since;
-        if (c.state === 'reading' && age > this.bounds.readS) c.fail(408);
-        else if (c.state === 'idle' && age > this.bounds.idleS) c.socket.destroy();
-        else if (c.state === 'closing' && age > this.bounds.readS) c.socket.destroy();
+      for (const connection of this.open) {
+        const age = now - connection.since;
+        if (connection.state === 'reading' && age > this.bounds.readS) connection.fail(408);
+        else if (connection.state === 'idle' && age > this.bounds.idleS)
+          connection.socket.destroy();
+        else if (connection.state === 'closing' && age > this.bounds.readS)
+          connection.socket.destroy();
       }
     }, 1000);
     return new Promise((resolve, reject) => {
@@ -191,7 +197,7 @@
   close(): void {
     clearInterval(this.sweep);
     this.server.close();
-    for (const c of this.open) c.socket.destroy();
+    for (const connection of this.open) connection.socket.destroy();
     this.open.clear();
   }
 }
--- a/src/jobs/live.ts
+++ b/src/jobs/live.ts
@@ -90,11 +90,11 @@
     this.phase = phase;
   }
 
-  adopt(a: Attempt): void {
-    const list = this.live.get(a.index);
-    if (list === undefined) this.live.set(a.index, [a]);
-    else list.push(a);
-    this.numbers.set(a.index, Math.max(this.numbers.get(a.index) ?? 0, a.number));
+  adopt(attempt: Attempt): void {
+    const list = this.live.get(attempt.index);
+    if (list === undefined) this.live.set(attempt.index, [attempt]);
+    else list.push(attempt);
+    this.numbers.set(attempt.index, Math.max(this.numbers.get(attempt.index) ?? 0, attempt.number));
   }
 
   /** A new attempt's number: above all earlier ones of the task, of every leader before. */
@@ -109,16 +109,17 @@
   }
 
   /** An attempt is over. The task is wanted again unless it is done or on some other machine. */
-  release(a: Attempt): void {
-    const list = this.live.get(a.index);
+  release(attempt: Attempt): void {
+    const list = this.live.get(attempt.index);
     if (list !== undefined) {
-      const rest = list.filter((x) => x !== a);
-      if (rest.length > 0) this.live.set(a.index, rest);
-      else this.live.delete(a.index);
+      const rest = list.filter((each) => each !== attempt);
+      if (rest.length > 0) this.live.set(attempt.index, rest);
+      else this.live.delete(attempt.index);
     }
     // A worker's report may show a task that the job does not have.
-    if (a.index >= this.spec.tasks) return;
-    if (!this.done.has(a.index) && !this.live.has(a.index)) this.requeued.add(a.index);
+    if (attempt.index >= this.spec.tasks) return;
+    if (!this.done.has(attempt.index) && !this.live.has(attempt.index))
+      this.requeued.add(attempt.index);
   }
 
   /** After a failure: not at once again, and later each time. */
@@ -150,8 +151,8 @@
   /** These are stored now. Returns the ended attempts that have been dealt with by this. */
   storedTasks(unit: number, indexes: number[], now: number): Attempt[] {
     this.progress.stored(unit, indexes, now);
-    const over = this.awaiting.filter((a) => this.progress.isStored(a.index));
-    this.awaiting = this.awaiting.filter((a) => !this.progress.isStored(a.index));
+    const over = this.awaiting.filter((attempt) => this.progress.isStored(attempt.index));
+    this.awaiting = this.awaiting.filter((attempt) => !this.progress.isStored(attempt.index));
     return over;
   }
 
@@ -173,7 +174,8 @@
 
   /** Attempts that hold room. */
   *holding(): IterableIterator<Attempt> {
-    for (const list of this.live.values()) for (const a of list) if (occupiesCapacity(a)) yield a;
+    for (const list of this.live.values())
+      for (const attempt of list) if (occupiesCapacity(attempt)) yield attempt;
   }
 
   get holdingCount(): number {
@@ -208,9 +210,9 @@
     return out;
   }
 
-  claimed(a: Attempt): void {
-    this.requeued.delete(a.index);
-    this.adopt(a);
+  claimed(attempt: Attempt): void {
+    this.requeued.delete(attempt.index);
+    this.adopt(attempt);
   }
 
   get finished(): boolean {
--- a/src/leader/attempt-stops.ts
+++ b/src/leader/attempt-stops.ts
@@ -13,62 +13,63 @@
   constructor(private readonly state: TermState) {}
 
   /** Wants an attempt gone within so many seconds. One that was never sent is withdrawn at once. */
-  stop(a: Attempt, graceS: number): void {
-    if (!occupiesCapacity(a)) return;
-    const m = this.state.machines.get(a.machine);
-    if (a.state === 'claimed' && m !== undefined) {
-      this.withdraw(m, a);
+  stop(attempt: Attempt, graceS: number): void {
+    if (!occupiesCapacity(attempt)) return;
+    const machine = this.state.machines.get(attempt.machine);
+    if (attempt.state === 'claimed' && machine !== undefined) {
+      this.withdraw(machine, attempt);
       return;
     }
-    if (a.stopRequest === null || graceS < a.stopRequest.graceS) {
-      a.stopRequest = { at: this.state.now, graceS, sentAt: null };
-      m?.markChanged();
-      if (mayBeOnMachine(a)) this.state.urgent.add(a.machine);
+    if (attempt.stopRequest === null || graceS < attempt.stopRequest.graceS) {
+      attempt.stopRequest = { at: this.state.now, graceS, sentAt: null };
+      machine?.markChanged();
+      if (mayBeOnMachine(attempt)) this.state.urgent.add(attempt.machine);
     }
     this.state.requestPass();
   }
 
   /** A claim whose start was never sent, or provably not carried out. */
-  withdraw(m: Machine, a: Attempt): void {
-    m.withdrawClaim(a, this.state.now);
-    this.state.dirtyMachines.add(m.id);
-    this.state.jobs.get(a.job)?.release(a);
+  withdraw(machine: Machine, attempt: Attempt): void {
+    machine.withdrawClaim(attempt, this.state.now);
+    this.state.dirtyMachines.add(machine.id);
+    this.state.jobs.get(attempt.job)?.release(attempt);
     this.state.requestPass();
   }
 
   /** An attempt that serves nothing: stopped at once if it shows up, forgotten when it has ended. */
-  dismiss(a: Attempt): void {
-    if (a.state === 'ended') a.settled = true;
-    else a.stopRequest ??= { at: this.state.now, graceS: 0, sentAt: null };
-    this.state.machines.get(a.machine)?.markChanged();
-    this.state.urgent.add(a.machine);
+  dismiss(attempt: Attempt): void {
+    if (attempt.state === 'ended') attempt.settled = true;
+    else attempt.stopRequest ??= { at: this.state.now, graceS: 0, sentAt: null };
+    this.state.machines.get(attempt.machine)?.markChanged();
+    this.state.urgent.add(attempt.machine);
   }
 
   /** Every task of a job is told within the same moment: a gang goes as a whole. */
   stopAll(job: LiveJob, graceS: number): void {
-    for (const list of [...job.live.values()]) for (const a of [...list]) this.stop(a, graceS);
+    for (const list of [...job.live.values()])
+      for (const attempt of [...list]) this.stop(attempt, graceS);
   }
 
   /** With the time it takes to save. Of a gang all tasks go. */
-  stopTask(job: LiveJob, a: Attempt): void {
+  stopTask(job: LiveJob, attempt: Attempt): void {
     const graceS = job.spec.checkpointS > 0 ? job.spec.saveS * GRACE_PER_SAVE : 0;
     if (job.gang) this.stopAll(job, graceS);
-    else this.stop(a, graceS);
+    else this.stop(attempt, graceS);
   }
 
   /** Without saving: what it did since its last checkpoint is lost. */
-  stopTaskNow(job: LiveJob, a: Attempt): void {
+  stopTaskNow(job: LiveJob, attempt: Attempt): void {
     if (job.gang) this.stopAll(job, 0);
-    else this.stop(a, 0);
+    else this.stop(attempt, 0);
   }
 
   /** Nothing of a job starts any more; what may be somewhere is told to go. */
   close(job: LiveJob): void {
     if (job.phase === 'open') job.become('closing');
     this.stopAll(job, 0);
-    for (const m of this.state.machines.values()) {
-      for (const a of m.attempts.values()) {
-        if (a.job === job.spec.id && a.state === 'ended') a.settled = true;
+    for (const machine of this.state.machines.values()) {
+      for (const attempt of machine.attempts.values()) {
+        if (attempt.job === job.spec.id && attempt.state === 'ended') attempt.settled = true;
       }
     }
     this.state.requestPass();
--- a/src/leader/capacity.ts
+++ b/src/leader/capacity.ts
@@ -25,7 +25,7 @@
   scheduler: () => Scheduler;
   arrivals: Arrivals;
   /** A machine is gone for good. */
-  forget: (m: Machine) => void;
+  forget: (machine: Machine) => void;
   onTypes: (types: MachineType[]) => void;
   subsystems?: ActiveSubsystems;
 }
@@ -88,8 +88,10 @@
 
   /** Whether no spot machine of a type is to be had anywhere at present. */
   spotShort(type: string): boolean {
-    const t = this.options.term.types.get(type);
-    return t === undefined || t.zones.every((z) => this.fleet.short(type, z, true));
+    const machineType = this.options.term.types.get(type);
+    return (
+      machineType === undefined || machineType.zones.every((z) => this.fleet.short(type, z, true))
+    );
   }
 
   /** Free capacity that is kept on spot or ordinary machines, in machines. */
@@ -124,11 +126,11 @@
     const { term, forget } = this.options;
     for (const id of ids) {
       this.returns.confirmed(id);
-      const m = term.machines.get(id);
-      if (m === undefined) continue;
-      term.lose(m);
-      m.changeState('returned');
-      forget(m);
+      const machine = term.machines.get(id);
+      if (machine === undefined) continue;
+      term.lose(machine);
+      machine.changeState('returned');
+      forget(machine);
     }
   }
 
--- a/src/leader/claim-space.ts
+++ b/src/leader/claim-space.ts
@@ -42,36 +42,36 @@
     this.form = form;
     if (this.measured.size > this.term.machines.size * 2) this.measured.clear();
     this.crowded.clear();
-    for (const m of this.term.machines.values()) this.noteClaimed(m);
+    for (const machine of this.term.machines.values()) this.noteClaimed(machine);
   }
 
   /** A claim was added to a machine, in a pass. */
-  noteClaimed(m: Machine): void {
-    if (!this.surelyHolds(m.attempts.size + 1)) this.crowded.add(m.id);
+  noteClaimed(machine: Machine): void {
+    if (!this.surelyHolds(machine.attempts.size + 1)) this.crowded.add(machine.id);
   }
 
   /** Whether a task of the job, or of a gang all that fit there, can be claimed on a machine. */
   has(job: LiveJob, room: FreeCapacity): boolean {
     // Asked for each job and machine of each pass: as a rule this is all.
     if (this.crowded.size === 0 && !job.gang) return true;
-    const m = this.term.machines.get(room.id)!;
-    const held = m.attempts.size;
+    const machine = this.term.machines.get(room.id)!;
+    const held = machine.attempts.size;
     const more = job.gang ? tasksThatFit(job, room) : 1;
     if (held === 0 || this.surelyHolds(held + more)) return true;
     if (held + more > MAX_REPORTED_TASKS) return false;
     const eachMore = this.form === 'dense' ? DENSE_TASK_BYTES : CLAIM_BYTES;
-    return this.bytes(m) + CLAIM_BYTES + (more - 1) * eachMore <= this.mostBytes;
+    return this.bytes(machine) + CLAIM_BYTES + (more - 1) * eachMore <= this.mostBytes;
   }
 
   private surelyHolds(claims: number): boolean {
     return claims <= MAX_REPORTED_TASKS && FRAME_BYTES + claims * CLAIM_BYTES <= this.mostBytes;
   }
 
-  private bytes(m: Machine): number {
-    const known = this.measured.get(m.id);
-    if (known?.version === m.changeCount) return known.bytes;
-    const bytes = bytesWithoutImages(machineRecord(this.term, m), this.form);
-    this.measured.set(m.id, { version: m.changeCount, bytes });
+  private bytes(machine: Machine): number {
+    const known = this.measured.get(machine.id);
+    if (known?.version === machine.changeCount) return known.bytes;
+    const bytes = bytesWithoutImages(machineRecord(this.term, machine), this.form);
+    this.measured.set(machine.id, { version: machine.changeCount, bytes });
     return bytes;
   }
 }
--- a/src/leader/consolidation.ts
+++ b/src/leader/consolidation.ts
@@ -47,17 +47,17 @@
 
   private useAgain(now: number, wanted: boolean): void {
     const patience = this.term.deps.settings.workers.lease_s * EMPTIED_LEASES;
-    for (const m of this.term.machines.values()) {
-      if (m.drainingSince === null || m.state !== 'ready') continue;
-      if (wanted || now - m.drainingSince > patience) m.drainingSince = null;
+    for (const machine of this.term.machines.values()) {
+      if (machine.drainingSince === null || machine.state !== 'ready') continue;
+      if (wanted || now - machine.drainingSince > patience) machine.drainingSince = null;
     }
   }
 
   /** An empty ordinary machine goes back first. */
   private hasEmpty(): boolean {
-    for (const m of this.term.machines.values()) {
-      if (m.spot || m.state !== 'ready' || m.attempts.size > 0) continue;
-      if (!this.keeps(m.id)) return true;
+    for (const machine of this.term.machines.values()) {
+      if (machine.spot || machine.state !== 'ready' || machine.attempts.size > 0) continue;
+      if (!this.keeps(machine.id)) return true;
     }
     return false;
   }
--- a/src/leader/direct.ts
+++ b/src/leader/direct.ts
@@ -31,66 +31,77 @@
   push(): void {
     const { term } = this;
     for (const id of [...term.urgent]) {
-      const m = term.machines.get(id);
-      if (m === undefined || m.state === 'silent' || m.state === 'unheard') {
+      const machine = term.machines.get(id);
+      if (machine === undefined || machine.state === 'silent' || machine.state === 'unheard') {
         term.urgent.delete(id);
         continue;
       }
-      if (m.state === 'fencing') continue;
-      void this.tell(m);
+      if (machine.state === 'fencing') continue;
+      void this.tell(machine);
     }
   }
 
   /** Null: all are busy, and what there is to say waits for the machine's next check-in. */
-  private channel(m: Machine): Channel | null {
-    const known = this.channels.get(m.id);
-    this.channels.delete(m.id);
-    if (known?.addr === m.addr) {
-      this.channels.set(m.id, known);
+  private channel(machine: Machine): Channel | null {
+    const known = this.channels.get(machine.id);
+    this.channels.delete(machine.id);
+    if (known?.addr === machine.addr) {
+      this.channels.set(machine.id, known);
       return known;
     }
     known?.client.close();
     if (this.channels.size >= this.term.deps.settings.limits.sockets * SOCKETS_SHARE) {
-      const idle = [...this.channels].find(([, c]) => !c.busy);
+      const idle = [...this.channels].find(([, channel]) => !channel.busy);
       if (idle === undefined) return null;
       this.forget(idle[0]);
     }
-    const made = { client: new HttpClient(endpoint(m.addr), 1, 4), addr: m.addr, busy: false };
-    this.channels.set(m.id, made);
+    const made = {
+      client: new HttpClient(endpoint(machine.addr), 1, 4),
+      addr: machine.addr,
+      busy: false,
+    };
+    this.channels.set(machine.id, made);
     return made;
   }
 
-  private async tell(m: Machine): Promise<void> {
+  private async tell(machine: Machine): Promise<void> {
     const { term } = this;
     const { deps } = term;
-    const d = this.channel(m);
-    if (d === null || d.busy) return;
-    const commands = m.dueCommands(term.now, (a) => term.mayStart(a), false);
-    term.urgent.delete(m.id);
-    if (commands.every((c) => c.kind === 'forget')) return;
-    const { agentEpoch, token } = m;
-    m.markSent(commands, 'direct', term.now);
-    d.busy = true;
+    const channel = this.channel(machine);
+    if (channel === null || channel.busy) return;
+    const commands = machine.dueCommands(term.now, (attempt) => term.mayStart(attempt), false);
+    term.urgent.delete(machine.id);
+    if (commands.every((command) => command.kind === 'forget')) return;
+    const { agentEpoch, token } = machine;
+    machine.markSent(commands, 'direct', term.now);
+    channel.busy = true;
     const timeout = deps.settings.workers.report_s * ANSWER_REPORTS;
     try {
       const body = encodeDirectCommands(token, agentEpoch, commands);
-      const r = await d.client.request('POST', '/do', body, timeout);
+      const response = await channel.client.request('POST', '/do', body, timeout);
       if (this.stopped) return;
-      const how = r.status === 200 ? 'done' : 'refused';
-      m.directCommandsEnded(commands, how, agentEpoch, term.now, token);
-      if (r.status === 200 || r.status === 409) {
-        const report = parseHeartbeat(JSON.parse(r.body.toString('utf8')));
-        if (report.machine === m.id) term.digest(m, m.applyHeartbeat(report, false, term.now));
+      const how = response.status === 200 ? 'done' : 'refused';
+      machine.directCommandsEnded(commands, how, agentEpoch, term.now, token);
+      if (response.status === 200 || response.status === 409) {
+        const heartbeat = parseHeartbeat(JSON.parse(response.body.toString('utf8')));
+        if (heartbeat.machine === machine.id)
+          term.digest(machine, machine.applyHeartbeat(heartbeat, false, term.now));
       }
-    } catch (e) {
+    } catch (error) {
       if (this.stopped) return;
-      const never = e instanceof NoResponse && !e.sent;
-      m.directCommandsEnded(commands, never ? 'refused' : 'unknown', agentEpoch, term.now, token);
-      deps.log.debug({ machine: m.id, err: String(e) }, 'direct commands not answered');
+      const never = error instanceof NoResponse && !error.sent;
+      machine.directCommandsEnded(
+        commands,
+        never ? 'refused' : 'unknown',
+        agentEpoch,
+        term.now,
+        token,
+      );
+      deps.log.debug({ machine: machine.id, err: String(error) }, 'direct commands not answered');
     } finally {
-      d.busy = false;
+      channel.busy = false;
     }
-    if (term.urgent.has(m.id)) this.again();
+    if (term.urgent.has(machine.id)) this.again();
   }
 
   forget(id: string): void {
@@ -100,7 +111,7 @@
 
   stop(): void {
     this.stopped = true;
-    for (const c of this.channels.values()) c.client.close();
+    for (const channel of this.channels.values()) channel.client.close();
     this.channels.clear();
   }
 }
--- a/src/leader/due-writes.ts
+++ b/src/leader/due-writes.ts
@@ -41,9 +41,9 @@
     const due: Due[] = [];
     for (const job of term.jobs.values()) this.addProgress(job, now, due);
     for (const id of term.dirtyMachines) {
-      const m = term.machines.get(id);
-      if (m === undefined) term.dirtyMachines.delete(id);
-      else this.addMachine(m, due);
+      const machine = term.machines.get(id);
+      if (machine === undefined) term.dirtyMachines.delete(id);
+      else this.addMachine(machine, due);
     }
     for (const [id, revision] of term.removals) {
       due.push({ urgency: LATER, make: () => writes.removal(id, revision) });
@@ -54,7 +54,7 @@
       const urgency = write.write.urgent === true ? ENDS : SUBSYSTEMS;
       due.push({ urgency, ops, make: () => writes.owned(write) });
     }
-    return due.sort((a, b) => a.urgency - b.urgency);
+    return due.sort((due, entry) => due.urgency - entry.urgency);
   }
 
   private addProgress(job: LiveJob, now: number, due: Due[]): void {
@@ -68,22 +68,24 @@
     }
   }
 
-  private addMachine(m: Machine, due: Due[]): void {
-    const claiming = this.claiming(m);
-    const make = (): Write => this.writes.machine(m);
+  private addMachine(machine: Machine, due: Due[]): void {
+    const claiming = this.claiming(machine);
+    const make = (): Write => this.writes.machine(machine);
     if (claiming !== null) due.push({ urgency: claiming, make });
-    else if (m.state === 'returning' || m.nextToken > m.token) due.push({ urgency: SOON, make });
-    else if (m.recordRevision === 0 && m.attempts.size === 0) this.term.dirtyMachines.delete(m.id);
+    else if (machine.state === 'returning' || machine.nextToken > machine.token)
+      due.push({ urgency: SOON, make });
+    else if (machine.recordRevision === 0 && machine.attempts.size === 0)
+      this.term.dirtyMachines.delete(machine.id);
     // Claims too many are safe; they are dropped with the next write, or when there is time.
     else due.push({ urgency: LATER, make });
   }
 
   /** The highest priority among the claims on a machine that wait for being stored. */
-  private claiming(m: Machine): number | null {
+  private claiming(machine: Machine): number | null {
     let best: number | null = null;
-    for (const a of m.attempts.values()) {
-      if (a.state !== 'claiming') continue;
-      const priority = this.term.jobs.get(a.job)?.spec.priority ?? SOON - 1;
+    for (const attempt of machine.attempts.values()) {
+      if (attempt.state !== 'claiming') continue;
+      const priority = this.term.jobs.get(attempt.job)?.spec.priority ?? SOON - 1;
       if (best === null || priority < best) best = priority;
     }
     return best;
--- a/src/leader/evictions.ts
+++ b/src/leader/evictions.ts
@@ -40,12 +40,12 @@
   ) {}
 
   /** What stopping a task costs. Lesser work first; within it what loses least. */
-  private priced(borrower: LiveJob, v: HeldVictim, how: Haste): HeldVictim {
-    const { job } = v;
+  private priced(borrower: LiveJob, victim: HeldVictim, how: Haste): HeldVictim {
+    const { job } = victim;
     const saves = job.spec.checkpointS > 0 && how !== 'swift';
-    const lossS = (saves ? v.saveS : v.unsavedS) * (job.gang ? job.spec.tasks : 1);
-    const harmS = this.subsystems.evictionHarm(borrower, v, how !== 'swift') * HARM_S;
-    return { ...v, lossS: lossS + harmS + (3 - job.spec.priority) * TIER };
+    const lossS = (saves ? victim.saveS : victim.unsavedS) * (job.gang ? job.spec.tasks : 1);
+    const harmS = this.subsystems.evictionHarm(borrower, victim, how !== 'swift') * HARM_S;
+    return { ...victim, lossS: lossS + harmS + (3 - job.spec.priority) * TIER };
   }
 
   private mayEvict(job: LiveJob, victim: LiveJob): boolean {
@@ -88,12 +88,13 @@
       if (!allowed(spec, room) || !mayUse(room)) continue;
       const { id, type, zone, spot } = room;
       // Most machines hold nothing that may be stopped: no need to look at each task there.
-      const may = slot.least > from ? slot.victims.filter((v) => this.mayEvict(job, v.job)) : [];
+      const may =
+        slot.least > from ? slot.victims.filter((victim) => this.mayEvict(job, victim.job)) : [];
       const imageS = room.imageWaitS(spec.image, spec.imageGb) * this.term.fetches.sure;
-      const saveS = may.reduce((most, v) => Math.max(most, v.saveS), 0);
+      const saveS = may.reduce((most, victim) => Math.max(most, victim.saveS), 0);
       const how = haste(leftS, saveS, imageS + slot.freeingS);
       if (inTime && how === 'late') continue;
-      const victims = may.map((v) => this.priced(job, v, how));
+      const victims = may.map((victim) => this.priced(job, victim, how));
       const waitS = imageS + (how === 'late' ? LATE_S : 0);
       const cores = room.cores + freeing.cores;
       const gpus = room.gpus + freeing.gpus;
@@ -116,9 +117,9 @@
         o = open.find((x) => x.id === e.machine)!;
         const victims = e.victims as HeldVictim[];
         chosen.push({ o, victims });
-        for (const v of victims) {
-          putBack(v, o);
-          o.victims.splice(o.victims.indexOf(v), 1);
+        for (const victim of victims) {
+          putBack(victim, o);
+          o.victims.splice(o.victims.indexOf(victim), 1);
         }
       }
       take(spec, o);
@@ -127,7 +128,7 @@
     }
     const { log } = this.term.deps;
     if (log.isLevelEnabled('debug')) {
-      const stopped = chosen.flatMap((c) => c.victims.map((v) => v.id));
+      const stopped = chosen.flatMap((c) => c.victims.map((victim) => victim.id));
       const how = [...new Set(got.map((o) => o.how))];
       const { id, class: cls } = spec;
       log.debug(
@@ -141,9 +142,9 @@
       const saves = o.how !== 'swift';
       const carryOut = (): boolean => this.carryOut(job, victims, saves);
       this.subsystems.evict({ machine: o.id, borrower: job, victims, saves, carryOut });
-      for (const v of victims) putBack(v, o.slot.freeing);
-      const gone = new Set(victims.map((v) => v.id));
-      o.slot.victims = o.slot.victims.filter((v) => !gone.has(v.id));
+      for (const victim of victims) putBack(victim, o.slot.freeing);
+      const gone = new Set(victims.map((victim) => victim.id));
+      o.slot.victims = o.slot.victims.filter((victim) => !gone.has(victim.id));
     }
     // A gang of several was once passed over for a minute and more: as soon as one of its places was
     // free, lesser work took it, while the others were still being made.
--- a/src/leader/fencing.ts
+++ b/src/leader/fencing.ts
@@ -8,10 +8,10 @@
  * this leader's place must be able to give it.
  */
 export function fenceUnanswered(state: TermState): void {
-  for (const m of state.machines.values()) {
-    if (m.state !== 'ready' || !m.isBlockedByUnansweredStart()) continue;
-    if (state.latestRevision > m.token) m.nextToken = state.latestRevision;
-    state.dirtyMachines.add(m.id);
+  for (const machine of state.machines.values()) {
+    if (machine.state !== 'ready' || !machine.isBlockedByUnansweredStart()) continue;
+    if (state.latestRevision > machine.token) machine.nextToken = state.latestRevision;
+    state.dirtyMachines.add(machine.id);
   }
 }
 
--- a/src/leader/figures.ts
+++ b/src/leader/figures.ts
@@ -8,12 +8,13 @@
 export function figures(term: Term, capacity: CapacityManager): Record<string, number> {
   const counts: Record<string, number> = {};
   const add = (name: string): void => void (counts[name] = (counts[name] ?? 0) + 1);
-  for (const m of term.machines.values()) {
-    add(`machines_${m.state}`);
-    for (const a of m.attempts.values()) if (occupiesCapacity(a)) add(`attempts_${a.state}`);
+  for (const machine of term.machines.values()) {
+    add(`machines_${machine.state}`);
+    for (const attempt of machine.attempts.values())
+      if (occupiesCapacity(attempt)) add(`attempts_${attempt.state}`);
   }
   counts.machines_coming = capacity.fleet.coming.size;
   counts.jobs_open = term.jobs.size;
-  counts.demand_tasks = capacity.demand.reduce((n, d) => n + d.tasks, 0);
+  counts.demand_tasks = capacity.demand.reduce((n, demand) => n + demand.tasks, 0);
   return counts;
 }
--- a/src/leader/free-capacity.ts
+++ b/src/leader/free-capacity.ts
@@ -79,7 +79,7 @@
     const { facts } = this;
     if (facts.hotFor !== hot) {
       facts.hotFor = hot;
-      facts.hotHere = hot.filter((h) => facts.cached.has(h.image));
+      facts.hotHere = hot.filter((hotImage) => facts.cached.has(hotImage.image));
     }
     return facts.hotHere;
   }
@@ -113,29 +113,30 @@
   ) {}
 
   /** Null while a job on the machine is unknown here: what it takes cannot be told. */
-  private entry(m: Machine): Entry | null {
-    const type = this.term.types.get(m.type);
+  private entry(machine: Machine): Entry | null {
+    const type = this.term.types.get(machine.type);
     if (type === undefined) return null;
-    const known = this.entries.get(m.id);
-    if (known !== undefined && known.version === m.changeCount && known.type === type) return known;
-    const made = this.make(m, type);
-    if (made === null) this.entries.delete(m.id);
-    else this.entries.set(m.id, made);
+    const known = this.entries.get(machine.id);
+    if (known !== undefined && known.version === machine.changeCount && known.type === type)
+      return known;
+    const made = this.make(machine, type);
+    if (made === null) this.entries.delete(machine.id);
+    else this.entries.set(machine.id, made);
     return made;
   }
 
-  private make(m: Machine, type: MachineType): Entry | null {
+  private make(machine: Machine, type: MachineType): Entry | null {
     let { cores, gpus, memGb } = type;
     const facts: MachineFacts = {
-      id: m.id,
-      type: m.type,
-      zone: m.zone,
-      spot: m.spot,
+      id: machine.id,
+      type: machine.type,
+      zone: machine.zone,
+      spot: machine.spot,
       whole: type,
-      cached: new Set(m.images.keys()),
+      cached: new Set(machine.images.keys()),
       fetching: new Map(),
       running: new Set(),
-      keepsAll: m.fetchedGb <= type.cacheGb * SURE_SHARE,
+      keepsAll: machine.fetchedGb <= type.cacheGb * SURE_SHARE,
       fetchGbPerS: Math.max(type.fetchGbPerS, 1e-9),
       hotFor: null,
       hotHere: [],
@@ -143,34 +144,35 @@
     const held: JobSpec[] = [];
     let inUse = false;
     const soft: Size = { cores: 0, gpus: 0, memGb: 0 };
-    for (const a of m.attempts.values()) {
-      if (!occupiesCapacity(a)) continue;
-      const spec = this.specOf(a.job);
+    for (const attempt of machine.attempts.values()) {
+      if (!occupiesCapacity(attempt)) continue;
+      const spec = this.specOf(attempt.job);
       if (spec === null) return null;
       held.push(spec);
       cores -= spec.cores;
       gpus -= spec.gpus;
       memGb -= spec.memGb;
       inUse ||= spec.priority < 3;
-      if (a.stopRequest === null && this.leaves(spec)) putBack(spec, soft);
-      if (a.state === 'running' && a.stopRequest === null) facts.running.add(spec.image);
-      if (a.startedAt !== null) facts.cached.add(spec.image);
+      if (attempt.stopRequest === null && this.leaves(spec)) putBack(spec, soft);
+      if (attempt.state === 'running' && attempt.stopRequest === null)
+        facts.running.add(spec.image);
+      if (attempt.startedAt !== null) facts.cached.add(spec.image);
       else if (!facts.cached.has(spec.image)) facts.fetching.set(spec.image, spec.imageGb);
     }
     const room = new MachineFreeCapacity(facts, cores, gpus, memGb);
     const free = freeShare(room);
     putBack(room, soft);
     room.softShare = freeShare({ ...soft, whole: type }) - free;
-    return { version: m.changeCount, type, room, held, inUse };
+    return { version: machine.changeCount, type, room, held, inUse };
   }
 
   /** Copies for those machines that may be used now: a pass takes from them. */
-  rooms(usable: (m: Machine) => boolean): FreeCapacity[] {
+  rooms(usable: (machine: Machine) => boolean): FreeCapacity[] {
     const out: FreeCapacity[] = [];
-    for (const m of this.term.machines.values()) {
-      if (!usable(m)) continue;
-      const e = this.entry(m);
-      if (e !== null) out.push(e.room.copy(m.cordonCount));
+    for (const machine of this.term.machines.values()) {
+      if (!usable(machine)) continue;
+      const e = this.entry(machine);
+      if (e !== null) out.push(e.room.copy(machine.cordonCount));
     }
     if (this.entries.size > this.term.machines.size * 2) {
       for (const id of [...this.entries.keys()]) {
@@ -182,19 +184,19 @@
 
   /** What teams' tasks use, wherever they may be. */
   usages(): Usages {
-    const u = new Usages(this.term.deps.settings.teams);
-    for (const m of this.term.machines.values()) {
-      const e = this.entry(m);
+    const usages = new Usages(this.term.deps.settings.teams);
+    for (const machine of this.term.machines.values()) {
+      const e = this.entry(machine);
       if (e !== null) {
-        for (const spec of e.held) u.add(spec, 1);
+        for (const spec of e.held) usages.add(spec, 1);
         continue;
       }
-      for (const a of m.attempts.values()) {
-        const spec = occupiesCapacity(a) ? this.specOf(a.job) : null;
-        if (spec !== null) u.add(spec, 1);
+      for (const attempt of machine.attempts.values()) {
+        const spec = occupiesCapacity(attempt) ? this.specOf(attempt.job) : null;
+        if (spec !== null) usages.add(spec, 1);
       }
     }
-    return u;
+    return usages;
   }
 
   /** What is free on a machine once all but its services has ended. */
@@ -220,6 +222,7 @@
 /** Free capacity in machines. What is taken by work that leaves at once counts as free. */
 export function freeMachines(rooms: FreeCapacity[], spot: boolean): number {
   let free = 0;
-  for (const r of rooms) if (r.spot === spot) free += freeShare(r) + (r.softShare ?? 0);
+  for (const capacity of rooms)
+    if (capacity.spot === spot) free += freeShare(capacity) + (capacity.softShare ?? 0);
   return free;
 }
--- a/src/leader/inheritance.ts
+++ b/src/leader/inheritance.ts
@@ -12,8 +12,8 @@
  * go by it.
  */
 export function openJobs(replica: Replica): StoredJob[] {
-  const open = [...replica.jobs.values()].filter((f) => isReady(f));
-  return open.sort((a, b) => a.readyAt! - b.readyAt!);
+  const open = [...replica.jobs.values()].filter((storedJob) => isReady(storedJob));
+  return open.sort((storedJob, b) => storedJob.readyAt! - b.readyAt!);
 }
 
 /**
@@ -26,32 +26,32 @@
   id: string,
   stored: StoredMachine,
 ): void {
-  const m = restored(state, id, stored);
+  const machine = restored(state, id, stored);
   const { startedAt: now } = state;
-  for (const c of stored.record.claims) {
-    const a = makeAttempt(c.job, c.index, c.attempt, id, 'inherited', now);
-    m.addClaim(a);
-    const job = state.jobs.get(c.job);
-    if (job !== undefined && !job.done.has(c.index)) job.adopt(a);
-    else stops.dismiss(a);
+  for (const claim of stored.record.claims) {
+    const attempt = makeAttempt(claim.job, claim.index, claim.attempt, id, 'inherited', now);
+    machine.addClaim(attempt);
+    const job = state.jobs.get(claim.job);
+    if (job !== undefined && !job.done.has(claim.index)) job.adopt(attempt);
+    else stops.dismiss(attempt);
   }
-  state.machines.set(id, m);
+  state.machines.set(id, machine);
 }
 
 function restored(state: TermState, id: string, { record, revision }: StoredMachine): Machine {
   const { deps, startedAt: now } = state;
-  const m = new Machine(id, deps.token, deps.settings.workers.lease_s, now);
-  m.addr = record.addr;
-  m.type = record.type;
-  m.zone = record.zone;
-  m.spot = record.spot;
-  m.recordRevision = revision;
-  m.recordTerm = record.term;
+  const machine = new Machine(id, deps.token, deps.settings.workers.lease_s, now);
+  machine.addr = record.addr;
+  machine.type = record.type;
+  machine.zone = record.zone;
+  machine.spot = record.spot;
+  machine.recordRevision = revision;
+  machine.recordTerm = record.term;
   for (const [image, gb] of record.images) {
-    m.images.set(image, { gb, at: now });
-    m.fetchedGb += gb;
+    machine.images.set(image, { gb, at: now });
+    machine.fetchedGb += gb;
   }
   // The record says so already: without this no round would ever name it to the cloud again.
-  if (record.returning && m.changeState('returning')) m.returnRecorded = true;
-  return m;
+  if (record.returning && machine.changeState('returning')) machine.returnRecorded = true;
+  return machine;
 }
--- a/src/leader/job-placement.ts
+++ b/src/leader/job-placement.ts
@@ -121,7 +121,8 @@
     if (!this.isLate(search, room)) return room;
     // Too late there, because the image has to be fetched. Better where it is, whatever others
     // may want of that place, or where lesser work can make room in time.
-    const may = (r: FreeCapacity): boolean => where.may(r) && !this.isLate(search, r);
+    const may = (capacity: FreeCapacity): boolean =>
+      where.may(capacity) && !this.isLate(search, capacity);
     const inTime = bestFit(job.spec, rooms, { ...where, may }, weights);
     if (inTime !== null) return inTime;
     return evictions.make(job, 1, where.zones, where.may, true) === 0 ? 'being made' : room;
@@ -144,8 +145,8 @@
   private isSuspect(job: LiveJob): boolean {
     if (job.succeeded || job.failedOn.size < SUSPECT_MACHINES) return false;
     const { lease_s } = this.term.deps.settings.workers;
-    for (const a of job.holding()) {
-      if (a.startedAt !== null) job.noteRun(this.term.now - a.startedAt, lease_s);
+    for (const attempt of job.holding()) {
+      if (attempt.startedAt !== null) job.noteRun(this.term.now - attempt.startedAt, lease_s);
     }
     return !job.succeeded;
   }
@@ -158,18 +159,18 @@
   private claim(job: LiveJob, index: number, number: number, room: FreeCapacity): void {
     const { term } = this;
     const { spec } = job;
-    const m = term.machines.get(room.id)!;
-    this.logPlaced(job, index, m, room);
-    const a = makeAttempt(spec.id, index, number, m.id, 'claiming', term.now);
+    const machine = term.machines.get(room.id)!;
+    this.logPlaced(job, index, machine, room);
+    const attempt = makeAttempt(spec.id, index, number, machine.id, 'claiming', term.now);
     const fetchS = room.imageWaitS(spec.image, spec.imageGb);
-    if (fetchS === room.fetchS(spec.imageGb)) a.predictedFetchS = fetchS;
-    m.addClaim(a);
-    this.eligibility.noteClaimed(m);
-    job.claimed(a);
-    term.dirtyMachines.add(m.id);
+    if (fetchS === room.fetchS(spec.imageGb)) attempt.predictedFetchS = fetchS;
+    machine.addClaim(attempt);
+    this.eligibility.noteClaimed(machine);
+    job.claimed(attempt);
+    term.dirtyMachines.add(machine.id);
   }
 
-  private logPlaced(job: LiveJob, index: number, m: Machine, room: FreeCapacity): void {
+  private logPlaced(job: LiveJob, index: number, machine: Machine, room: FreeCapacity): void {
     const { log } = this.term.deps;
     if (!log.isLevelEnabled('debug')) return;
     log.debug(
@@ -177,7 +178,7 @@
         job: job.spec.id,
         index,
         class: job.spec.class,
-        machine: m.id,
+        machine: machine.id,
         imageWaitS: room.imageWaitS(job.spec.image, job.spec.imageGb),
         ageS: this.term.now - job.readySince,
       },
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -71,7 +71,7 @@
       cloud,
       scheduler: () => this.scheduler,
       arrivals: this.arrivals,
-      forget: (m) => this.forget(m),
+      forget: (machine) => this.forget(machine),
       onTypes: (types) => this.onTypes(types),
       subsystems: this.subsystems,
     });
@@ -123,11 +123,11 @@
 
   onTypes(types: MachineType[]): void {
     const before = JSON.stringify(
-      [...this.term.types.values()].map((t) => ({ ...t, spotPrice: 0 })),
+      [...this.term.types.values()].map((type) => ({ ...type, spotPrice: 0 })),
     );
     this.term.setTypes(types);
     // Prices move all the time; only what validation and placing rest on is worth a write.
-    if (JSON.stringify(types.map((t) => ({ ...t, spotPrice: 0 }))) !== before) {
+    if (JSON.stringify(types.map((type) => ({ ...type, spotPrice: 0 }))) !== before) {
       this.store.markTypes();
       this.store.nudge();
     }
@@ -163,46 +163,48 @@
    * A worker's check-in, straight from it or passed on by another controller. `body`: what it was read from,
    * if the machine's next report is to be compared with it.
    */
-  answerHeartbeat(report: Heartbeat, body?: Buffer): Reply {
+  answerHeartbeat(heartbeat: Heartbeat, body?: Buffer): Reply {
     const { term, deps } = this;
     if (!deps.entitled()) return { status: 503, retryAfter: 1 };
     // Of a later leader: it would drop an answer from here, and its lease would run out meanwhile.
-    if (term.isLater(report.token)) return { status: 503, retryAfter: 1 };
+    if (term.isLater(heartbeat.token)) return { status: 503, retryAfter: 1 };
     // A copy that was held back. Taken for a machine, work would be placed on it.
-    if (term.returned.has(report.machine)) return { status: 503, retryAfter: 1 };
+    if (term.returned.has(heartbeat.machine)) return { status: 503, retryAfter: 1 };
     const now = term.now;
-    const m = this.machineOf(report);
-    const repeated = m.isRepeated(report);
-    if (body !== undefined && !repeated && !m.lastHeartbeat.wasDecodedFrom(report)) {
-      m.lastHeartbeat.keep(report, body);
+    const machine = this.machineOf(heartbeat);
+    const repeated = machine.isRepeated(heartbeat);
+    if (body !== undefined && !repeated && !machine.lastHeartbeat.wasDecodedFrom(heartbeat)) {
+      machine.lastHeartbeat.keep(heartbeat, body);
     }
     // Fenced once by this term, forgotten, and back.
-    if (report.token > m.token) m.raiseToken(term.latestRevision);
-    const changes = m.applyHeartbeat(report, true, now);
-    if (!changes.stale) term.digest(m, changes);
+    if (heartbeat.token > machine.token) machine.raiseToken(term.latestRevision);
+    const changes = machine.applyHeartbeat(heartbeat, true, now);
+    if (!changes.stale) term.digest(machine, changes);
     const fresh =
       !changes.stale &&
-      (m.state === 'ready' || m.state === 'returning') &&
-      report.token === m.token;
-    const commands = fresh ? m.dueCommands(now, (a) => term.mayStart(a), true) : [];
-    m.markSent(commands, 'checkin', now);
-    if (fresh) term.urgent.delete(m.id);
-    if (!repeated) m.leaseRenewed(now);
-    return { status: 200, body: encodeHeartbeatReply(m.token, commands) };
+      (machine.state === 'ready' || machine.state === 'returning') &&
+      heartbeat.token === machine.token;
+    const commands = fresh
+      ? machine.dueCommands(now, (attempt) => term.mayStart(attempt), true)
+      : [];
+    machine.markSent(commands, 'checkin', now);
+    if (fresh) term.urgent.delete(machine.id);
+    if (!repeated) machine.leaseRenewed(now);
+    return { status: 200, body: encodeHeartbeatReply(machine.token, commands) };
   }
 
-  private machineOf(report: Heartbeat): Machine {
-    const known = this.term.machines.has(report.machine);
-    const m = this.term.machine(report.machine);
+  private machineOf(heartbeat: Heartbeat): Machine {
+    const known = this.term.machines.has(heartbeat.machine);
+    const machine = this.term.machine(heartbeat.machine);
     if (!known) {
       this.deps.log.info(
-        { machine: m.id, type: report.type, zone: report.zone },
+        { machine: machine.id, type: heartbeat.type, zone: heartbeat.zone },
         'machine reports',
       );
-      this.capacity.fleet.heard(m.id);
+      this.capacity.fleet.heard(machine.id);
       this.term.requestPass();
     }
-    return m;
+    return machine;
   }
 
   // Passes
@@ -214,8 +216,8 @@
       this.timer = null;
       try {
         this.costs.time('pass', () => this.pass());
-      } catch (e) {
-        this.deps.log.error({ err: String(e), stack: (e as Error).stack }, 'pass failed');
+      } catch (error) {
+        this.deps.log.error({ err: String(error), stack: (error as Error).stack }, 'pass failed');
       }
     }, wait * 1000);
   }
@@ -245,7 +247,8 @@
       capacity.rooms = r.rooms;
       capacity.usages = r.usages;
     }
-    for (const m of term.machines.values()) if (m.hasActiveAttempts()) m.idleSince = began;
+    for (const machine of term.machines.values())
+      if (machine.hasActiveAttempts()) machine.idleSince = began;
     if (term.dirtyMachines.size > 0 || this.anyDirty()) this.store.nudge();
     this.direct.push();
     if (capacity.demand.length > 0) capacity.fleet.nudge();
@@ -256,28 +259,29 @@
   private logFenced(): void {
     const { machines, now, startedAt } = this.term;
     if (now - startedAt > this.deps.settings.workers.lease_s) this.fencedLogged = true;
-    for (const m of machines.values()) if (m.state === 'unheard' || m.state === 'fencing') return;
+    for (const machine of machines.values())
+      if (machine.state === 'unheard' || machine.state === 'fencing') return;
     this.fencedLogged = true;
     this.deps.log.info({ machines: machines.size, tookS: now - startedAt }, 'all machines fenced');
   }
 
   private anyDirty(): boolean {
-    for (const j of this.term.jobs.values()) if (j.progress.dirty.size > 0) return true;
+    for (const job of this.term.jobs.values()) if (job.progress.dirty.size > 0) return true;
     return false;
   }
 
   /** Forgets jobs and machines that are over. */
   private sweep(): void {
     closeJobs(this.term);
-    for (const m of lostForGood(this.term)) {
+    for (const machine of lostForGood(this.term)) {
       // Not in the cloud's list either: nothing is left to give back.
-      if (this.capacity.unlisted(m.id)) this.forget(m);
+      if (this.capacity.unlisted(machine.id)) this.forget(machine);
     }
   }
 
-  private forget(m: Machine): void {
-    this.term.forget(m);
-    this.direct.forget(m.id);
+  private forget(machine: Machine): void {
+    this.term.forget(machine);
+    this.direct.forget(machine.id);
   }
 
   // Figures
--- a/src/leader/lease-expiry.ts
+++ b/src/leader/lease-expiry.ts
@@ -16,36 +16,44 @@
     const { deps, machines, now } = this.state;
     const kept = deps.keptUntil();
     let unproven = false;
-    for (const m of machines.values()) {
+    for (const machine of machines.values()) {
       // While the state service is down others may renew leases in this controller's place.
-      if (kept > m.knownAt) m.leaseRenewed(kept);
-      if (now <= m.leaseExpiresAt || m.state === 'silent' || m.state === 'returned') continue;
+      if (kept > machine.knownAt) machine.leaseRenewed(kept);
+      if (
+        now <= machine.leaseExpiresAt ||
+        machine.state === 'silent' ||
+        machine.state === 'returned'
+      )
+        continue;
       // Its zone may be cut off as a whole and go on working inside itself.
-      const zone = deps.zone(m.zone);
-      m.leaseRenewed(zone.keptUntil);
-      if (now <= m.leaseExpiresAt) continue;
-      if (zone.provenAt < m.leaseExpiresAt) unproven = true;
-      else this.expired(m);
+      const zone = deps.zone(machine.zone);
+      machine.leaseRenewed(zone.keptUntil);
+      if (now <= machine.leaseExpiresAt) continue;
+      if (zone.provenAt < machine.leaseExpiresAt) unproven = true;
+      else this.expired(machine);
     }
     if (unproven) deps.prove();
   }
 
-  private expired(m: Machine): void {
-    if (m.state === 'returning') {
-      if (m.attempts.size > 0) this.lose(m);
+  private expired(machine: Machine): void {
+    if (machine.state === 'returning') {
+      if (machine.attempts.size > 0) this.lose(machine);
       return;
     }
-    this.state.deps.log.info({ machine: m.id, attempts: m.attempts.size }, 'machine lost');
+    this.state.deps.log.info(
+      { machine: machine.id, attempts: machine.attempts.size },
+      'machine lost',
+    );
     this.state.machinesLost++;
-    this.lose(m);
-    m.changeState('silent');
+    this.lose(machine);
+    machine.changeState('silent');
   }
 
   /** All that was on a machine is provably gone. */
-  lose(m: Machine): void {
-    const over = m.endAllAttempts(this.state.now);
-    for (const a of over) this.digest.over(m, a);
-    this.state.dirtyMachines.add(m.id);
+  lose(machine: Machine): void {
+    const over = machine.endAllAttempts(this.state.now);
+    for (const attempt of over) this.digest.over(machine, attempt);
+    this.state.dirtyMachines.add(machine.id);
     this.state.requestPass();
   }
 }
--- a/src/leader/long-work-share.ts
+++ b/src/leader/long-work-share.ts
@@ -59,7 +59,8 @@
   const shares = new Map<string, number>();
   if (long.length === 0) return shares;
   const wholes = new Map<string, number>();
-  for (const r of rooms) wholes.set(r.type, (wholes.get(r.type) ?? 0) + unit(r.whole));
+  for (const capacity of rooms)
+    wholes.set(capacity.type, (wholes.get(capacity.type) ?? 0) + unit(capacity.whole));
   for (const [type, whole] of wholes) {
     const share = reserved(whole, rho, wantedOf(type, whole, long));
     if (share > 0) shares.set(type, share);
@@ -87,15 +88,19 @@
   const shares = pass.longWorkShares(job.spec.priority);
   if (shares.size === 0) return { may: mayUse, taken: NOTHING_TO_COUNT };
   const free = new Map<string, number>();
-  for (const r of pass.rooms) {
-    if (shares.has(r.type) && mayUse(r)) free.set(r.type, (free.get(r.type) ?? 0) + unitsOn(r, r));
+  for (const capacity of pass.rooms) {
+    if (shares.has(capacity.type) && mayUse(capacity))
+      free.set(capacity.type, (free.get(capacity.type) ?? 0) + unitsOn(capacity, capacity));
   }
   const need = unit(job.spec);
   return {
-    may: (r) => {
-      const share = shares.get(r.type);
-      return mayUse(r) && (share === undefined || (free.get(r.type) ?? 0) - need >= share);
+    may: (capacity) => {
+      const share = shares.get(capacity.type);
+      return (
+        mayUse(capacity) && (share === undefined || (free.get(capacity.type) ?? 0) - need >= share)
+      );
     },
-    taken: (r) => free.set(r.type, (free.get(r.type) ?? 0) - unitsOn(r, job.spec)),
+    taken: (capacity) =>
+      free.set(capacity.type, (free.get(capacity.type) ?? 0) - unitsOn(capacity, job.spec)),
   };
 }
--- a/src/leader/machine-eligibility.ts
+++ b/src/leader/machine-eligibility.ts
@@ -16,18 +16,18 @@
 const ANY: MayUse = () => true;
 
 /** Whether anything new may go to a machine now. */
-export function isUsable(term: Term, m: Machine): boolean {
+export function isUsable(term: Term, machine: Machine): boolean {
   const { now } = term;
   const { report_s } = term.deps.settings.workers;
   return (
-    m.state === 'ready' &&
-    m.reclaimedAt === null &&
-    !m.quarantined &&
-    m.drainingSince === null &&
+    machine.state === 'ready' &&
+    machine.reclaimedAt === null &&
+    !machine.quarantined &&
+    machine.drainingSince === null &&
     // Not by answers to direct commands: a worker that reaches no controller gives those too, while
     // its lease runs out.
-    now - m.heartbeatAt < report_s * HEARD_REPORTS &&
-    now >= m.cordonedUntil
+    now - machine.heartbeatAt < report_s * HEARD_REPORTS &&
+    now >= machine.cordonedUntil
   );
 }
 
@@ -72,8 +72,8 @@
   }
 
   /** A claim was added to a machine. */
-  noteClaimed(m: Machine): void {
-    this.claimSpace.noteClaimed(m);
+  noteClaimed(machine: Machine): void {
+    this.claimSpace.noteClaimed(machine);
   }
 
   /** The machines a job may use, whatever is held for long work. */
@@ -98,10 +98,11 @@
     const { gpus } = job.spec;
     // What leaves at once when others come may use even the room that is kept for them.
     const soft = this.options.leavesSoon(job.spec);
-    return (r) => {
-      const beyond = soft || this.excess.get(r.spot)! >= gpus / Math.max(1, r.whole.gpus);
-      if (r.spot) return beyond || job.guaranteed;
-      return this.noSpot(r.type) || (beyond && this.options.index.inUse(r.id));
+    return (capacity) => {
+      const beyond =
+        soft || this.excess.get(capacity.spot)! >= gpus / Math.max(1, capacity.whole.gpus);
+      if (capacity.spot) return beyond || job.guaranteed;
+      return this.noSpot(capacity.type) || (beyond && this.options.index.inUse(capacity.id));
     };
   }
 
--- a/src/leader/machine-health.ts
+++ b/src/leader/machine-health.ts
@@ -35,43 +35,48 @@
   constructor(private readonly options: MachineHealthOptions) {}
 
   /** Places nothing new on a machine for a while: longer each time, until a task does well there. */
-  shun(m: Machine, firstS: number): void {
+  shun(machine: Machine, firstS: number): void {
     const most = this.options.workers.lease_s * SHUN_LEASES;
-    m.cordonedUntil = Math.max(
-      m.cordonedUntil,
-      this.options.clock.now() + Math.min(most, firstS * 2 ** m.cordonCount),
+    machine.cordonedUntil = Math.max(
+      machine.cordonedUntil,
+      this.options.clock.now() + Math.min(most, firstS * 2 ** machine.cordonCount),
     );
-    m.cordonCount = Math.min(m.cordonCount + 1, SHUNS_MOST);
+    machine.cordonCount = Math.min(machine.cordonCount + 1, SHUNS_MOST);
   }
 
   /** A task ended without being done. */
-  taskFailed(m: Machine, job: LiveJob, a: Attempt): void {
+  taskFailed(machine: Machine, job: LiveJob, attempt: Attempt): void {
     const now = this.options.clock.now();
     const { report_s, lease_s } = this.options.workers;
-    switch (a.cause) {
+    switch (attempt.cause) {
       case 'error': {
-        job.failedOn.add(m.id);
+        job.failedOn.add(machine.id);
         // Machines are told from jobs: a job that fails wherever it goes says nothing of machines.
         const jobSuspect = !job.succeeded && job.failedOn.size >= SUSPECT_JOB_MACHINES;
-        job.postpone(a.index, now, report_s / 2, lease_s * (jobSuspect ? POSTPONE_LEASES : 1));
+        job.postpone(
+          attempt.index,
+          now,
+          report_s / 2,
+          lease_s * (jobSuspect ? POSTPONE_LEASES : 1),
+        );
         if (!jobSuspect) {
-          m.taskFailures.set(`${a.job}/${a.index}`, now);
-          this.shun(m, report_s * 2);
+          machine.taskFailures.set(`${attempt.job}/${attempt.index}`, now);
+          this.shun(machine, report_s * 2);
         }
-        this.judge(m);
+        this.judge(machine);
         this.options.log.info(
-          { machine: m.id, job: a.job, index: a.index, jobSuspect },
+          { machine: machine.id, job: attempt.job, index: attempt.index, jobSuspect },
           'task failed',
         );
         break;
       }
       case 'full':
       case 'busy':
-        this.shun(m, report_s);
+        this.shun(machine, report_s);
         break;
       case 'unknown':
         // The worker did not find the job's description: perhaps it is not there yet.
-        job.postpone(a.index, now, report_s, lease_s * POSTPONE_LEASES);
+        job.postpone(attempt.index, now, report_s, lease_s * POSTPONE_LEASES);
         break;
       default:
         break;
@@ -79,20 +84,20 @@
   }
 
   /** A machine is faulty when tasks of jobs that do well elsewhere fail on it, one after another. */
-  private judge(m: Machine): void {
+  private judge(machine: Machine): void {
     const recent = this.options.clock.now() - this.options.workers.lease_s * ERROR_LEASES;
     const doubted = new Set<string>();
     let against = 0;
-    for (const [task, at] of m.taskFailures) {
+    for (const [task, at] of machine.taskFailures) {
       const id = task.slice(0, task.lastIndexOf('/'));
-      if (at < recent) m.taskFailures.delete(task);
+      if (at < recent) machine.taskFailures.delete(task);
       else if (this.hasSucceeded(id)) against++;
       // Several tasks of a job with a mistake fail together where it is tried first: that counts once.
       else if (this.options.jobs.get(id)?.failedOn.size === 1) doubted.add(id);
     }
-    if (against + doubted.size >= FAULTY_JOBS && !m.quarantined) {
-      m.quarantined = true;
-      this.options.log.info({ machine: m.id }, 'faulty machine put aside');
+    if (against + doubted.size >= FAULTY_JOBS && !machine.quarantined) {
+      machine.quarantined = true;
+      this.options.log.info({ machine: machine.id }, 'faulty machine put aside');
     }
   }
 
--- a/src/leader/moves.ts
+++ b/src/leader/moves.ts
@@ -48,7 +48,7 @@
     claim: (job: LiveJob, index: number, room: FreeCapacity) => void,
   ): number {
     if (this.bookings.size === 0) return 0;
-    const byId = new Map(rooms.map((r) => [r.id, r]));
+    const byId = new Map(rooms.map((capacity) => [capacity.id, capacity]));
     let placed = 0;
     for (const [key, b] of [...this.bookings]) {
       const { job: id, index } = parseTaskName(key);
@@ -78,27 +78,27 @@
 
   private candidates(
     rooms: FreeCapacity[],
-    usable: (m: Machine) => boolean,
+    usable: (machine: Machine) => boolean,
     now: number,
   ): Candidate[] {
     const { lease_s, report_s } = this.term.deps.settings.workers;
     const candidates: Candidate[] = [];
     for (const room of rooms) {
-      const m = this.term.machines.get(room.id);
-      if (m === undefined || room.spot || !usable(m)) continue;
-      const held = m.activeAttempts();
-      const jobs = held.map((a) => this.term.jobs.get(a.job));
+      const machine = this.term.machines.get(room.id);
+      if (machine === undefined || room.spot || !usable(machine)) continue;
+      const held = machine.activeAttempts();
+      const jobs = held.map((attempt) => this.term.jobs.get(attempt.job));
       const steady = held.every(
-        (a, i) =>
+        (attempt, i) =>
           jobs[i]?.spec.kind === 'service' &&
-          a.stopRequest === null &&
-          a.startedAt !== null &&
-          now - a.startedAt > lease_s * STEADY_LEASES,
+          attempt.stopRequest === null &&
+          attempt.startedAt !== null &&
+          now - attempt.startedAt > lease_s * STEADY_LEASES,
       );
-      if (!steady || now - m.lastSeenAt > report_s * 1.5) continue;
+      if (!steady || now - machine.lastSeenAt > report_s * 1.5) continue;
       candidates.push({
         room,
-        replicas: jobs.map((j) => ({ spec: j!.spec, zones: this.zonesOf(j!) })),
+        replicas: jobs.map((job) => ({ spec: job!.spec, zones: this.zonesOf(job!) })),
       });
     }
     return candidates;
@@ -108,16 +108,20 @@
    * Empties one machine whose replicas fit elsewhere. Of a class, so few move within a lease's span
    * that its time up does not show it.
    */
-  vacate(rooms: FreeCapacity[], usable: (m: Machine) => boolean, weights: Weights): Machine | null {
+  vacate(
+    rooms: FreeCapacity[],
+    usable: (machine: Machine) => boolean,
+    weights: Weights,
+  ): Machine | null {
     const now = this.term.now;
     const mayMove = this.moveBound();
     const chosen = chooseVacated(this.candidates(rooms, usable, now), rooms, mayMove, weights);
     if (chosen === null) return null;
-    const m = this.term.machines.get(chosen.candidate.room.id)!;
-    m.drainingSince = now;
-    m.activeAttempts().forEach((attempt, i) => this.move(attempt, chosen.to[i]!));
-    this.term.deps.log.info({ machine: m.id, replicas: chosen.to.length }, 'emptied');
-    return m;
+    const machine = this.term.machines.get(chosen.candidate.room.id)!;
+    machine.drainingSince = now;
+    machine.activeAttempts().forEach((attempt, i) => this.move(attempt, chosen.to[i]!));
+    this.term.deps.log.info({ machine: machine.id, replicas: chosen.to.length }, 'emptied');
+    return machine;
   }
   /**
    * Moves one replica to a free place; false: there is none now, or too many of its class have moved. It is stopped before it starts there: a task must not be on two machines.
@@ -127,17 +131,19 @@
     if (job === undefined || job.spec.kind !== 'service' || attempt.stopRequest !== null)
       return false;
     const { spec } = job;
-    const others = [...job.holding()].filter((a) => a !== attempt && a.stopRequest === null);
+    const others = [...job.holding()].filter(
+      (each) => each !== attempt && each.stopRequest === null,
+    );
     // The others answer meanwhile.
-    if (!others.some((a) => a.state === 'running')) return false;
+    if (!others.some((attempt) => attempt.state === 'running')) return false;
     if (!this.moveBound(MOVES_LEAST)([{ spec }])) return false;
     const zones = this.zonesOf(job);
     const here = this.term.machines.get(attempt.machine)?.zone;
     if (here !== undefined) zones.set(here, (zones.get(here) ?? 1) - 1);
     const free = rooms.filter(
-      (r) => r.id !== attempt.machine && (mayFetch || r.hasImage(spec.image)),
+      (capacity) => capacity.id !== attempt.machine && (mayFetch || capacity.hasImage(spec.image)),
     );
-    const room = bestFit(spec, free, { zones, may: (r) => may(spec, r) }, weights);
+    const room = bestFit(spec, free, { zones, may: (capacity) => may(spec, capacity) }, weights);
     if (room === null) return false;
     this.move(attempt, room.id, BOOKED_ALONE_REPORTS);
     return true;
@@ -155,9 +161,9 @@
 
   private replicasByClass(): Map<string, number> {
     const replicas = new Map<string, number>();
-    for (const j of this.term.jobs.values()) {
-      const n = replicas.get(j.spec.class) ?? 0;
-      if (j.spec.kind === 'service') replicas.set(j.spec.class, n + j.holdingCount);
+    for (const job of this.term.jobs.values()) {
+      const n = replicas.get(job.spec.class) ?? 0;
+      if (job.spec.kind === 'service') replicas.set(job.spec.class, n + job.holdingCount);
     }
     return replicas;
   }
--- a/src/leader/pass-context.ts
+++ b/src/leader/pass-context.ts
@@ -37,8 +37,8 @@
 /** Tasks of a job in each zone, counted for as long as they may be on a machine. */
 export function zonesOf(term: Term, job: LiveJob): Map<string, number> {
   const zones = new Map<string, number>();
-  for (const a of job.holding()) {
-    const zone = term.machines.get(a.machine)?.zone;
+  for (const attempt of job.holding()) {
+    const zone = term.machines.get(attempt.machine)?.zone;
     if (zone !== undefined) zones.set(zone, (zones.get(zone) ?? 0) + 1);
   }
   return zones;
--- a/src/leader/queue.ts
+++ b/src/leader/queue.ts
@@ -5,18 +5,18 @@
 import type { Term } from './term.js';
 
 /** As the ranking sees a job without others after it: a pipeline of its own. */
-const alone = (j: LiveJob): Ready => ({
-  unfinishedS: j.unfinishedPredictedS,
-  finishedS: j.finishedPredictedS,
-  attainedS: j.attainedS,
-  predictedS: j.spec.estimateS,
-  pipelineMeanS: j.spec.estimateS,
+const alone = (job: LiveJob): Ready => ({
+  unfinishedS: job.unfinishedPredictedS,
+  finishedS: job.finishedPredictedS,
+  attainedS: job.attainedS,
+  predictedS: job.spec.estimateS,
+  pipelineMeanS: job.spec.estimateS,
   successors: [],
 });
 
 /** With what waits for it: of the rest of the pipeline the longest path counts. */
-function before(j: LiveJob, { criticalS, depth, successors }: Outlook): Ready {
-  const own = alone(j);
+function before(job: LiveJob, { criticalS, depth, successors }: Outlook): Ready {
+  const own = alone(job);
   return {
     ...own,
     unfinishedS: own.unfinishedS + criticalS,
@@ -37,13 +37,13 @@
     this.outlooks = new Outlooks(term.deps.replica.dependencies);
   }
 
-  private asReady(j: LiveJob): Ready {
-    if (!this.hasSuccessors(j)) return alone(j);
-    return before(j, this.outlooks.of(j.storedJob));
+  private asReady(job: LiveJob): Ready {
+    if (!this.hasSuccessors(job)) return alone(job);
+    return before(job, this.outlooks.of(job.storedJob));
   }
 
-  private hasSuccessors(j: LiveJob): boolean {
-    return this.term.deps.replica.dependencies.hasDependents(j.spec.id);
+  private hasSuccessors(job: LiveJob): boolean {
+    return this.term.deps.replica.dependencies.hasDependents(job.spec.id);
   }
 
   /**
@@ -51,14 +51,14 @@
    * for what comes before the deadline is short. Raised from the beginning, days with troubles went worse:
    * docs/results.md.
    */
-  private inheritPriority(j: LiveJob): void {
-    const { storedJob } = j;
-    if (!this.hasSuccessors(j)) {
-      j.setPriority(storedJob.spec.priority);
+  private inheritPriority(job: LiveJob): void {
+    const { storedJob } = job;
+    if (!this.hasSuccessors(job)) {
+      job.setPriority(storedJob.spec.priority);
       return;
     }
     const outlook = this.outlooks.of(storedJob);
-    j.setPriority(this.isUrgent(j, outlook) ? outlook.priority : storedJob.spec.priority);
+    job.setPriority(this.isUrgent(job, outlook) ? outlook.priority : storedJob.spec.priority);
   }
 
   /** Whether it may end too late if it waits for a machine to boot first. Without a deadline: always. */
@@ -73,22 +73,22 @@
     const { policy, replica } = this.term.deps;
     // Most fleets have no pipelines at most times, and passes are many.
     const noPipelines = replica.dependencies.isEmpty;
-    const asReady = noPipelines ? alone : (j: LiveJob): Ready => this.asReady(j);
+    const asReady = noPipelines ? alone : (job: LiveJob): Ready => this.asReady(job);
     const open: LiveJob[] = [];
-    for (const j of this.term.jobs.values()) {
-      if (j.phase !== 'open') continue;
-      if (!noPipelines || j.spec !== j.storedJob.spec) this.inheritPriority(j);
-      open.push(j);
+    for (const job of this.term.jobs.values()) {
+      if (job.phase !== 'open') continue;
+      if (!noPipelines || job.spec !== job.storedJob.spec) this.inheritPriority(job);
+      open.push(job);
     }
-    const finite = open.filter((j) => j.spec.kind !== 'service');
-    const remainings = finite.map((j) => remaining(asReady(j), policy));
+    const finite = open.filter((job) => job.spec.kind !== 'service');
+    const remainings = finite.map((job) => remaining(asReady(job), policy));
     this.marks.update(remainings, policy, now);
-    finite.forEach((j, i) => (j.long = this.marks.isLong(remainings[i]!, j.long)));
+    finite.forEach((job, i) => (job.long = this.marks.isLong(remainings[i]!, job.long)));
     this.markGuaranteed(open);
-    const waiting = open.filter((j) => j.pendingCount > 0);
+    const waiting = open.filter((job) => job.pendingCount > 0);
     const s = scores(
       waiting.map(asReady),
-      waiting.map((j) => j.long),
+      waiting.map((job) => job.long),
       policy,
     );
     const order = waiting.map((job, i) => {
@@ -105,15 +105,15 @@
    */
   private markGuaranteed(open: LiveJob[]): void {
     const sums = new Map<string, { cores: number; gpus: number }>();
-    for (const j of open) {
-      const team = this.term.deps.settings.teams.get(j.spec.team);
-      j.guaranteed = false;
+    for (const job of open) {
+      const team = this.term.deps.settings.teams.get(job.spec.team);
+      job.guaranteed = false;
       if (team === undefined || (team.cores <= 0 && team.gpus <= 0)) continue;
       let sum = sums.get(team.name);
       if (sum === undefined) sums.set(team.name, (sum = { cores: 0, gpus: 0 }));
-      sum.cores += j.spec.cores * j.spec.tasks;
-      sum.gpus += j.spec.gpus * j.spec.tasks;
-      j.guaranteed = within(sum.cores, team.cores) && within(sum.gpus, team.gpus);
+      sum.cores += job.spec.cores * job.spec.tasks;
+      sum.gpus += job.spec.gpus * job.spec.tasks;
+      job.guaranteed = within(sum.cores, team.cores) && within(sum.gpus, team.gpus);
     }
   }
 }
--- a/src/leader/record-writes.ts
+++ b/src/leader/record-writes.ts
@@ -74,30 +74,30 @@
   ) {}
 
   /** A machine's record: what may be on it. */
-  machine(m: Machine): Write {
+  machine(machine: Machine): Write {
     const { term } = this;
-    const claims = m.claims();
-    const key = records.machineKey(m.id);
-    const returning = m.state === 'returning';
-    const token = m.nextToken;
-    const record = machineRecord(term, m);
+    const claims = machine.claims();
+    const key = records.machineKey(machine.id);
+    const returning = machine.state === 'returning';
+    const token = machine.nextToken;
+    const record = machineRecord(term, machine);
     const form = term.deps.denseRecords() ? 'dense' : 'plain';
     const value = records.encodeMachine(record, machineRecordBytes(term.deps.settings), form);
     return makeWrite(
       key,
-      m.recordRevision,
+      machine.recordRevision,
       { put: key, value },
       {
-        begin: () => term.dirtyMachines.delete(m.id),
+        begin: () => term.dirtyMachines.delete(machine.id),
         stored: (revision) => {
-          m.recordRevision = revision;
-          m.recordTerm = term.deps.token;
-          m.raiseToken(token);
-          if (returning) m.returnRecorded = true;
-          for (const a of claims) term.stored(a);
+          machine.recordRevision = revision;
+          machine.recordTerm = term.deps.token;
+          machine.raiseToken(token);
+          if (returning) machine.returnRecorded = true;
+          for (const attempt of claims) term.stored(attempt);
         },
-        failed: () => term.dirtyMachines.add(m.id),
-        reread: (item) => (m.recordRevision = item?.revision ?? 0),
+        failed: () => term.dirtyMachines.add(machine.id),
+        reread: (item) => (machine.recordRevision = item?.revision ?? 0),
       },
     );
   }
@@ -112,9 +112,9 @@
     const fresh = progress.unstored(unit);
     const stored = (revision: number): void => {
       progress.revisions.set(key, revision);
-      for (const a of job.storedTasks(unit, fresh, this.clock.now())) {
-        a.settled = true;
-        this.term.urgent.add(a.machine);
+      for (const attempt of job.storedTasks(unit, fresh, this.clock.now())) {
+        attempt.settled = true;
+        this.term.urgent.add(attempt.machine);
       }
       if (job.finished && progress.dirty.size === 0) this.term.completed(job);
     };
--- a/src/leader/rent-planner.ts
+++ b/src/leader/rent-planner.ts
@@ -82,8 +82,8 @@
   private machinesPerZone(): ZoneCounts {
     const perZone: ZoneCounts = new Map();
     const count = (zone: string): void => void perZone.set(zone, (perZone.get(zone) ?? 0) + 1);
-    for (const m of this.options.term.machines.values()) count(m.zone);
-    for (const c of this.options.fleet.coming.values()) count(c.zone);
+    for (const machine of this.options.term.machines.values()) count(machine.zone);
+    for (const coming of this.options.fleet.coming.values()) count(coming.zone);
     return perZone;
   }
 
@@ -92,10 +92,10 @@
     const { term, fleet } = this.options;
     const { now } = term;
     const rooms: FreeCapacity[] = [];
-    for (const c of fleet.coming.values()) {
-      const type = term.types.get(c.type);
-      if (type === undefined || now - c.since > type.bootS * LATE_BOOTS) continue;
-      rooms.push(comingCapacity(c.id, type, c.zone, c.spot));
+    for (const coming of fleet.coming.values()) {
+      const type = term.types.get(coming.type);
+      if (type === undefined || now - coming.since > type.bootS * LATE_BOOTS) continue;
+      rooms.push(comingCapacity(coming.id, type, coming.zone, coming.spot));
     }
     return rooms;
   }
@@ -105,15 +105,18 @@
     const { log } = term.deps;
     if (!log.isLevelEnabled('debug')) return;
     const byClass = new Map<string, number>();
-    for (const d of demand) byClass.set(d.spec.class, (byClass.get(d.spec.class) ?? 0) + d.tasks);
+    for (const wanted of demand)
+      byClass.set(wanted.spec.class, (byClass.get(wanted.spec.class) ?? 0) + wanted.tasks);
     log.debug(
       {
         demand: [...byClass],
         free: [false, true].map((spot) => freeMachines(rooms, spot)),
         target: [false, true].map((spot) => warm.target(spot)),
         coming: fleet.coming.size,
-        missed: missed.reduce((n, d) => n + d.tasks, 0),
-        machines: [...term.machines.values()].filter((m) => m.activeAttempts().length > 0).length,
+        missed: missed.reduce((n, demand) => n + demand.tasks, 0),
+        machines: [...term.machines.values()].filter(
+          (machine) => machine.activeAttempts().length > 0,
+        ).length,
       },
       'fleet',
     );
@@ -142,10 +145,11 @@
     const patience = term.deps.settings.workers.lease_s * MISSED_LEASE;
     const silent = new Set<Machine>();
     let known = 0;
-    for (const m of term.machines.values()) {
-      if (m.state !== 'ready' && m.state !== 'fencing' && m.state !== 'unheard') continue;
+    for (const machine of term.machines.values()) {
+      if (machine.state !== 'ready' && machine.state !== 'fencing' && machine.state !== 'unheard')
+        continue;
       known++;
-      if (now - m.lastSeenAt > patience) silent.add(m);
+      if (now - machine.lastSeenAt > patience) silent.add(machine);
     }
     if (silent.size > known * MISSED_MOST) silent.clear();
     return silent;
@@ -156,15 +160,15 @@
     const { term } = this.options;
     const { now } = term;
     const lost = new Map<LiveJob, number>();
-    for (const m of silent) {
-      if (term.deps.zone(m.zone).keptUntil > now) continue;
-      for (const a of m.attempts.values()) {
-        const job = term.jobs.get(a.job);
+    for (const machine of silent) {
+      if (term.deps.zone(machine.zone).keptUntil > now) continue;
+      for (const attempt of machine.attempts.values()) {
+        const job = term.jobs.get(attempt.job);
         if (
           job === undefined ||
           job.phase !== 'open' ||
-          !occupiesCapacity(a) ||
-          a.stopRequest !== null
+          !occupiesCapacity(attempt) ||
+          attempt.stopRequest !== null
         )
           continue;
         if (job.spec.priority < 3) lost.set(job, (lost.get(job) ?? 0) + 1);
@@ -175,10 +179,10 @@
 
   private zonesWithout(job: LiveJob, silent: Set<Machine>): ZoneCounts {
     const zones: ZoneCounts = new Map();
-    for (const a of job.holding()) {
-      const m = this.options.term.machines.get(a.machine);
-      if (m === undefined || silent.has(m)) continue;
-      zones.set(m.zone, (zones.get(m.zone) ?? 0) + 1);
+    for (const attempt of job.holding()) {
+      const machine = this.options.term.machines.get(attempt.machine);
+      if (machine === undefined || silent.has(machine)) continue;
+      zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
     }
     return zones;
   }
@@ -198,15 +202,15 @@
   private cheapest(perZone: ZoneCounts, spot: boolean): Pick<Wanted, 'type' | 'zone'> | null {
     let best: Pick<Wanted, 'type' | 'zone'> | null = null;
     let bestCost = Infinity;
-    for (const t of this.options.term.types.values()) {
-      if (spot && t.spotPrice <= 0) continue;
-      for (const zone of t.zones) {
-        if (this.options.fleet.short(t.name, zone, spot)) continue;
-        const price = spot ? t.spotPrice : t.price;
-        const cost = (price / unit(t)) * (1 + SPREAD_SHARE * (perZone.get(zone) ?? 0));
+    for (const type of this.options.term.types.values()) {
+      if (spot && type.spotPrice <= 0) continue;
+      for (const zone of type.zones) {
+        if (this.options.fleet.short(type.name, zone, spot)) continue;
+        const price = spot ? type.spotPrice : type.price;
+        const cost = (price / unit(type)) * (1 + SPREAD_SHARE * (perZone.get(zone) ?? 0));
         if (cost < bestCost) {
           bestCost = cost;
-          best = { type: t.name, zone };
+          best = { type: type.name, zone };
         }
       }
     }
@@ -216,7 +220,7 @@
 
 function addWanted(wanted: Wanted[], more: Wanted): void {
   const same = wanted.find(
-    (w) => w.type === more.type && w.zone === more.zone && w.spot === more.spot,
+    (wanted) => wanted.type === more.type && wanted.zone === more.zone && wanted.spot === more.spot,
   );
   if (same === undefined) wanted.push(more);
   else same.count += more.count;
--- a/src/leader/report-digest.ts
+++ b/src/leader/report-digest.ts
@@ -21,74 +21,78 @@
   ) {}
 
   /** What a report, a lapsed lease or a returned machine has shown. */
-  digest(m: Machine, c: HeartbeatChanges): void {
+  digest(machine: Machine, changes: HeartbeatChanges): void {
     const { now } = this.state;
-    for (const a of c.unclaimed) this.foreign(m, a);
-    for (const a of c.changed) this.noteImage(m, a, now);
-    for (const a of c.exited) this.noteImage(m, a, now);
-    for (const a of c.changed) this.moved(m, a, now);
-    for (const a of c.exited) this.over(m, a);
+    for (const attempt of changes.unclaimed) this.foreign(machine, attempt);
+    for (const attempt of changes.changed) this.noteImage(machine, attempt, now);
+    for (const attempt of changes.exited) this.noteImage(machine, attempt, now);
+    for (const attempt of changes.changed) this.moved(machine, attempt, now);
+    for (const attempt of changes.exited) this.over(machine, attempt);
     const { report_s } = this.state.deps.settings.workers;
     // Its reports come, but what it is told does not arrive.
-    if (c.rejectedStarts > 0) this.health.shun(m, report_s * MISSED_SHUN_REPORTS);
-    if (c.agentRestarted) this.health.shun(m, report_s * RESTART_SHUN_REPORTS);
-    if (m.reclaimedAt !== null) this.drain(m);
-    if (c.exited.length > 0 || c.changed.length > 0) this.state.requestPass();
+    if (changes.rejectedStarts > 0) this.health.shun(machine, report_s * MISSED_SHUN_REPORTS);
+    if (changes.agentRestarted) this.health.shun(machine, report_s * RESTART_SHUN_REPORTS);
+    if (machine.reclaimedAt !== null) this.drain(machine);
+    if (changes.exited.length > 0 || changes.changed.length > 0) this.state.requestPass();
   }
 
   /** An attempt that no claim names: adopted where its task is wanted and nowhere else. */
-  private foreign(m: Machine, a: Attempt): void {
-    const job = this.state.jobs.get(a.job);
-    this.state.dirtyMachines.add(m.id);
+  private foreign(machine: Machine, attempt: Attempt): void {
+    const job = this.state.jobs.get(attempt.job);
+    this.state.dirtyMachines.add(machine.id);
     if (job === undefined || job.phase !== 'open') {
-      this.dismissFound(m, a, 'unwanted task found');
+      this.dismissFound(machine, attempt, 'unwanted task found');
       return;
     }
-    const others = job.gang ? [...job.holding()].length > 0 : job.live.has(a.index);
-    if (job.done.has(a.index) || others || a.index >= job.spec.tasks) {
-      this.dismissFound(m, a, 'second copy of a task found');
+    const others = job.gang ? [...job.holding()].length > 0 : job.live.has(attempt.index);
+    if (job.done.has(attempt.index) || others || attempt.index >= job.spec.tasks) {
+      this.dismissFound(machine, attempt, 'second copy of a task found');
       return;
     }
-    job.adopt(a);
+    job.adopt(attempt);
     if (job.gang) this.stops.stopAll(job, 0);
   }
 
-  private dismissFound(m: Machine, a: Attempt, message: string): void {
-    this.state.deps.log.info({ machine: m.id, job: a.job, index: a.index }, message);
-    this.stops.dismiss(a);
+  private dismissFound(machine: Machine, attempt: Attempt, message: string): void {
+    this.state.deps.log.info(
+      { machine: machine.id, job: attempt.job, index: attempt.index },
+      message,
+    );
+    this.stops.dismiss(attempt);
   }
 
-  private noteImage(m: Machine, a: Attempt, now: number): void {
-    const job = this.state.jobs.get(a.job);
-    if (job === undefined || (a.state !== 'running' && a.state !== 'waiting')) return;
-    const cacheGb = this.state.types.get(m.type)?.cacheGb ?? 0;
-    m.noteImage(job.spec.image, job.spec.imageGb, cacheGb, now);
+  private noteImage(machine: Machine, attempt: Attempt, now: number): void {
+    const job = this.state.jobs.get(attempt.job);
+    if (job === undefined || (attempt.state !== 'running' && attempt.state !== 'waiting')) return;
+    const cacheGb = this.state.types.get(machine.type)?.cacheGb ?? 0;
+    machine.noteImage(job.spec.image, job.spec.imageGb, cacheGb, now);
   }
 
-  private moved(m: Machine, a: Attempt, now: number): void {
+  private moved(machine: Machine, attempt: Attempt, now: number): void {
     // Its start provably went nowhere, and it is not wanted any more. Left as it was, it held its room
     // and its task for the rest of the term.
-    if (a.state === 'claimed' && a.stopRequest !== null) this.stops.withdraw(m, a);
+    if (attempt.state === 'claimed' && attempt.stopRequest !== null)
+      this.stops.withdraw(machine, attempt);
     if (
-      a.predictedFetchS > 0 &&
-      a.startSentAt !== null &&
-      (a.state === 'running' || a.state === 'waiting')
+      attempt.predictedFetchS > 0 &&
+      attempt.startSentAt !== null &&
+      (attempt.state === 'running' || attempt.state === 'waiting')
     ) {
-      this.state.fetches.note(a.predictedFetchS, now - a.startSentAt);
-      a.predictedFetchS = 0;
+      this.state.fetches.note(attempt.predictedFetchS, now - attempt.startSentAt);
+      attempt.predictedFetchS = 0;
     }
-    if (a.state === 'running') this.logRuns(m, a, now);
+    if (attempt.state === 'running') this.logRuns(machine, attempt, now);
   }
 
-  private logRuns(m: Machine, a: Attempt, now: number): void {
-    const job = this.state.jobs.get(a.job);
+  private logRuns(machine: Machine, attempt: Attempt, now: number): void {
+    const job = this.state.jobs.get(attempt.job);
     if (job === undefined) return;
     this.state.deps.log.debug(
       {
-        job: a.job,
-        index: a.index,
+        job: attempt.job,
+        index: attempt.index,
         class: job.spec.class,
-        machine: m.id,
+        machine: machine.id,
         ageS: now - job.readySince,
       },
       'runs',
@@ -96,58 +100,58 @@
   }
 
   /** An attempt has exited or is provably gone. */
-  over(m: Machine, a: Attempt): void {
-    const job = this.state.jobs.get(a.job);
+  over(machine: Machine, attempt: Attempt): void {
+    const job = this.state.jobs.get(attempt.job);
     if (job === undefined) {
-      a.settled = true;
+      attempt.settled = true;
       return;
     }
-    this.noteRun(job, a);
-    if (a.state === 'ended' && a.cause === 'done' && !job.cancelled) {
-      this.done(m, job, a);
+    this.noteRun(job, attempt);
+    if (attempt.state === 'ended' && attempt.cause === 'done' && !job.cancelled) {
+      this.done(machine, job, attempt);
       return;
     }
-    a.settled = true;
-    job.release(a);
+    attempt.settled = true;
+    job.release(attempt);
     if (job.phase !== 'open') return;
-    if (a.state === 'ended') this.health.taskFailed(m, job, a);
-    if (job.gang) this.stopRestOfGang(job, a);
+    if (attempt.state === 'ended') this.health.taskFailed(machine, job, attempt);
+    if (job.gang) this.stopRestOfGang(job, attempt);
   }
 
-  private noteRun(job: LiveJob, a: Attempt): void {
-    if (a.startedAt === null) return;
-    const ranS = this.state.now - a.startedAt;
+  private noteRun(job: LiveJob, attempt: Attempt): void {
+    if (attempt.startedAt === null) return;
+    const ranS = this.state.now - attempt.startedAt;
     job.attainedS += ranS;
     job.noteRun(ranS, this.state.deps.settings.workers.lease_s);
   }
 
   /** Without one of its tasks a gang is over; those that are saving may finish that. */
-  private stopRestOfGang(job: LiveJob, a: Attempt): void {
+  private stopRestOfGang(job: LiveJob, attempt: Attempt): void {
     for (const other of [...job.holding()]) {
-      if (other.number === a.number && other.stopRequest === null) this.stops.stop(other, 0);
+      if (other.number === attempt.number && other.stopRequest === null) this.stops.stop(other, 0);
     }
   }
 
-  private done(m: Machine, job: LiveJob, a: Attempt): void {
-    m.successes++;
-    m.taskFailures.clear();
-    m.cordonCount = 0;
-    const indexes = job.gang ? [...Array(job.spec.tasks).keys()] : [a.index];
+  private done(machine: Machine, job: LiveJob, attempt: Attempt): void {
+    machine.successes++;
+    machine.taskFailures.clear();
+    machine.cordonCount = 0;
+    const indexes = job.gang ? [...Array(job.spec.tasks).keys()] : [attempt.index];
     // A gang completes together: if one task is done, all are.
     for (const i of indexes) job.markDone(i, this.state.now);
     // Stored already, as for the other tasks of a gang: nothing is written again.
-    if (job.progress.isStored(a.index)) a.settled = true;
-    else job.awaiting.push(a);
-    job.release(a);
-    for (const other of [...(job.live.get(a.index) ?? [])]) this.stops.stop(other, 0);
+    if (job.progress.isStored(attempt.index)) attempt.settled = true;
+    else job.awaiting.push(attempt);
+    job.release(attempt);
+    for (const other of [...(job.live.get(attempt.index) ?? [])]) this.stops.stop(other, 0);
   }
 
   /** The cloud is about to take the machine: what can be saved is saved now. */
-  private drain(m: Machine): void {
-    for (const a of [...m.attempts.values()]) {
-      const job = this.state.jobs.get(a.job);
-      if (job === undefined || !occupiesCapacity(a) || a.stopRequest !== null) continue;
-      this.stops.stopTask(job, a);
+  private drain(machine: Machine): void {
+    for (const attempt of [...machine.attempts.values()]) {
+      const job = this.state.jobs.get(attempt.job);
+      if (job === undefined || !occupiesCapacity(attempt) || attempt.stopRequest !== null) continue;
+      this.stops.stopTask(job, attempt);
     }
   }
 }
--- a/src/leader/return-planner.ts
+++ b/src/leader/return-planner.ts
@@ -48,7 +48,7 @@
   /** Takes in the cloud's list of all machines that it has not confirmed as gone. */
   listed(all: ListedMachine[]): void {
     const { now } = this.term;
-    this.lastListed = new Set(all.map((m) => m.id));
+    this.lastListed = new Set(all.map((listed) => listed.id));
     for (const listed of all) this.judge(listed, now);
     this.dropThoseThatCame();
   }
@@ -88,15 +88,16 @@
     this.dropThoseThatCame();
     const ids: string[] = [...this.failed, ...this.neverCame];
     const spare = [false, true].map((spot) => freeMachines(rooms, spot) - this.warm.target(spot));
-    for (const m of term.machines.values()) {
-      if (m.state === 'returning' && (m.returnRecorded || m.recordRevision === 0)) ids.push(m.id);
+    for (const machine of term.machines.values()) {
+      if (machine.state === 'returning' && (machine.returnRecorded || machine.recordRevision === 0))
+        ids.push(machine.id);
     }
-    for (const m of this.emptyMachines()) {
-      const type = term.types.get(m.type);
-      if (type === undefined || !this.dueBack(m, type, now, spare)) continue;
+    for (const machine of this.emptyMachines()) {
+      const type = term.types.get(machine.type);
+      if (type === undefined || !this.dueBack(machine, type, now, spare)) continue;
       if (!term.deps.writing()) continue;
-      this.markReturning(m, now);
-      if (m.recordRevision === 0) ids.push(m.id);
+      this.markReturning(machine, now);
+      if (machine.recordRevision === 0) ids.push(machine.id);
     }
     return [...new Set(ids)];
   }
@@ -104,55 +105,61 @@
   /** Machines with few images come first: what others have cached spares the next task its fetch. */
   private emptyMachines(): Machine[] {
     const empty: { m: Machine; gb: number }[] = [];
-    for (const m of this.term.machines.values()) {
-      if ((m.state !== 'ready' && m.state !== 'silent') || m.attempts.size > 0) continue;
-      empty.push({ m, gb: cachedGb(m) });
+    for (const machine of this.term.machines.values()) {
+      if ((machine.state !== 'ready' && machine.state !== 'silent') || machine.attempts.size > 0)
+        continue;
+      empty.push({ m: machine, gb: cachedGb(machine) });
     }
     empty.sort((a, b) => a.gb - b.gb);
     return empty.map((e) => e.m);
   }
 
-  private markReturning(m: Machine, now: number): void {
+  private markReturning(machine: Machine, now: number): void {
     this.term.deps.log.info(
-      { machine: m.id, idle: now - m.idleSince, faulty: m.quarantined, state: m.state },
+      {
+        machine: machine.id,
+        idle: now - machine.idleSince,
+        faulty: machine.quarantined,
+        state: machine.state,
+      },
       'to be returned',
     );
-    m.changeState('returning');
-    if (m.recordRevision > 0) this.term.dirtyMachines.add(m.id);
+    machine.changeState('returning');
+    if (machine.recordRevision > 0) this.term.dirtyMachines.add(machine.id);
   }
 
   /**
    * Whether an empty machine goes back now. `spare`: free machines above the reserve, ordinary and spot;
    * one that goes for being too many is taken off.
    */
-  private dueBack(m: Machine, type: MachineType, now: number, spare: number[]): boolean {
+  private dueBack(machine: Machine, type: MachineType, now: number, spare: number[]): boolean {
     const { lease_s, report_s } = this.term.deps.settings.workers;
-    if (m.quarantined) return true;
-    if (m.state === 'silent') return now - m.lastSeenAt > lease_s * SILENT_LEASES;
-    if (this.subsystems.keeps(m.id)) return false;
+    if (machine.quarantined) return true;
+    if (machine.state === 'silent') return now - machine.lastSeenAt > lease_s * SILENT_LEASES;
+    if (this.subsystems.keeps(machine.id)) return false;
     // What is given back early is paid for all the same.
-    const age = Math.max(now - (m.firstSeenAt ?? now) + type.bootS, m.listedAgeS ?? 0);
+    const age = Math.max(now - (machine.firstSeenAt ?? now) + type.bootS, machine.listedAgeS ?? 0);
     if (age <= MIN_CHARGE_S * CHARGED_SHARE) return false;
-    const idle = now - m.idleSince;
-    if (m.drainingSince !== null) return idle > report_s;
-    const kind = m.spot ? 1 : 0;
-    if (!this.isTooMany(m, type, idle, spare[kind]!)) return false;
+    const idle = now - machine.idleSince;
+    if (machine.drainingSince !== null) return idle > report_s;
+    const kind = machine.spot ? 1 : 0;
+    if (!this.isTooMany(machine, type, idle, spare[kind]!)) return false;
     spare[kind]! -= 1;
     return true;
   }
 
   /** What is held above the reserve goes back, with a margin against going back and forth. */
-  private isTooMany(m: Machine, type: MachineType, idle: number, surplus: number): boolean {
+  private isTooMany(machine: Machine, type: MachineType, idle: number, surplus: number): boolean {
     // Where nothing is kept even the last one goes: it once stayed for the rest of the day.
-    const none = this.term.jobs.size === 0 || (m.spot && this.warm.target(true) === 0);
+    const none = this.term.jobs.size === 0 || (machine.spot && this.warm.target(true) === 0);
     if (surplus < (none ? LAST_SURPLUS : SURPLUS)) return false;
-    const early = m.spot || surplus >= MUCH_SURPLUS;
+    const early = machine.spot || surplus >= MUCH_SURPLUS;
     return idle > type.bootS * (early ? IDLE_EARLY_BOOTS : IDLE_BOOTS);
   }
 }
 
-function cachedGb(m: Machine): number {
+function cachedGb(machine: Machine): number {
   let gb = 0;
-  for (const image of m.images.values()) gb += image.gb;
+  for (const image of machine.images.values()) gb += image.gb;
   return gb;
 }
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduler.ts
@@ -96,7 +96,7 @@
   pass(): PassResult {
     const { term } = this;
     const { now } = term;
-    const rooms = this.index.rooms((m) => isUsable(term, m));
+    const rooms = this.index.rooms((machine) => isUsable(term, machine));
     const usages = this.index.usages();
     this.eligibility.beginPass(rooms);
     const weights = this.weights();
@@ -154,7 +154,11 @@
 
   /** Empties a machine whose replicas fit elsewhere, to be given back. */
   vacate(rooms: FreeCapacity[]): Machine | null {
-    return this.moves.vacate(this.unkept(rooms), (m) => isUsable(this.term, m), this.weights());
+    return this.moves.vacate(
+      this.unkept(rooms),
+      (machine) => isUsable(this.term, machine),
+      this.weights(),
+    );
   }
 
   /** Moves one replica to a free place. */
--- a/src/leader/start-permission.ts
+++ b/src/leader/start-permission.ts
@@ -5,15 +5,15 @@
 import type { TermState } from './term-state.js';
 
 /** Its job is open and ready, its task not done, its machine ready; of a gang, every claim is stored. */
-export function mayStart(state: TermState, a: Attempt): boolean {
-  const job = state.jobs.get(a.job);
-  const m = state.machines.get(a.machine);
-  if (job === undefined || m === undefined || job.phase !== 'open') return false;
+export function mayStart(state: TermState, attempt: Attempt): boolean {
+  const job = state.jobs.get(attempt.job);
+  const machine = state.machines.get(attempt.machine);
+  if (job === undefined || machine === undefined || job.phase !== 'open') return false;
   // By the store's changes in their order, whatever this leader believes of the jobs that it needs.
   if (job.storedJob.readyAt === null) return false;
-  if (m.state !== 'ready' || m.reclaimedAt !== null) return false;
-  if (job.done.has(a.index)) return false;
-  return !job.gang || isGangStored(job, a.number);
+  if (machine.state !== 'ready' || machine.reclaimedAt !== null) return false;
+  if (job.done.has(attempt.index)) return false;
+  return !job.gang || isGangStored(job, attempt.number);
 }
 
 /** All of a gang's claims are stored before the first of them starts. */
--- a/src/leader/store.ts
+++ b/src/leader/store.ts
@@ -74,8 +74,11 @@
       try {
         if (!this.options.term.deps.writing() || !(await this.flush()))
           await this.pause.wait(IDLE_S);
-      } catch (e) {
-        this.options.log.error({ err: String(e), stack: (e as Error).stack }, 'store round failed');
+      } catch (error) {
+        this.options.log.error(
+          { err: String(error), stack: (error as Error).stack },
+          'store round failed',
+        );
         await sleep(RETRY_S);
       }
     }
@@ -98,20 +101,20 @@
     const batch: Write[] = [];
     let bytes = FRAME_BYTES;
     let ops = 0;
-    for (const d of due) {
-      ops += d.ops ?? 1;
+    for (const entry of due) {
+      ops += entry.ops ?? 1;
       // A group that is larger than its share waits until all is there, rather than for ever.
       const alone = batch.length === 0 && writes.available >= writes.capacity * NEARLY_ALL;
-      if (ops > (d.urgency >= LATER && !alone ? mostLater : most)) break;
+      if (ops > (entry.urgency >= LATER && !alone ? mostLater : most)) break;
       // Encoded only now: of what waits for its turn only the order is looked at.
-      const w = d.make();
-      if (bytes + w.bytes > TXN_BYTES) break;
-      bytes += w.bytes;
-      w.begin();
-      batch.push(w);
+      const write = entry.make();
+      if (bytes + write.bytes > TXN_BYTES) break;
+      bytes += write.bytes;
+      write.begin();
+      batch.push(write);
     }
     if (batch.length === 0) return false;
-    writes.force(batch.reduce((sum, w) => sum + 1 + w.also.length, 0));
+    writes.force(batch.reduce((sum, write) => sum + 1 + write.also.length, 0));
     await this.commit(batch);
     return true;
   }
@@ -119,34 +122,34 @@
   private async commit(batch: Write[]): Promise<void> {
     const { term, store, log, onLost } = this.options;
     const guards: Precondition[] = [{ key: records.LEADER, revision: term.deps.token }];
-    for (const w of batch) {
-      for (const { key, guard } of [w, ...w.also]) guards.push({ key, revision: guard });
+    for (const write of batch) {
+      for (const { key, guard } of [write, ...write.also]) guards.push({ key, revision: guard });
     }
     try {
       const result = await store.compareAndSwap(
         guards,
-        batch.flatMap((w) => [w.op, ...w.also.map(({ op }) => op)]),
+        batch.flatMap((write) => [write.op, ...write.also.map(({ op }) => op)]),
         COMMIT_TIMEOUT_S,
       );
       if (this.stopped) return;
       if (result.ok) {
         term.latestRevision = Math.max(term.latestRevision, result.revision);
-        for (const w of batch) w.stored(result.revision);
+        for (const write of batch) write.stored(result.revision);
         return;
       }
-      for (const w of batch) w.failed();
+      for (const write of batch) write.failed();
       if (result.failed.includes(records.LEADER)) {
         onLost();
         return;
       }
       log.info({ failed: result.failed }, 'records differ from what was known');
       const differs = ({ key }: { key: string }): boolean => result.failed.includes(key);
-      await this.reread(batch.filter((w) => differs(w) || w.also.some(differs)));
-    } catch (e) {
+      await this.reread(batch.filter((write) => differs(write) || write.also.some(differs)));
+    } catch (error) {
       if (this.stopped) return;
-      for (const w of batch) w.failed();
-      if (e instanceof RequestRejectedError) {
-        if (e.status === 400) await this.rejected(batch);
+      for (const write of batch) write.failed();
+      if (error instanceof RequestRejectedError) {
+        if (error.status === 400) await this.rejected(batch);
         await sleep(REFUSED_S + random() * REFUSED_S);
         return;
       }
@@ -157,22 +160,22 @@
 
   /** One malformed write must not keep the others of its batch from being stored. */
   private async rejected(batch: Write[]): Promise<void> {
-    this.options.log.error({ keys: batch.map((w) => w.key) }, 'commit malformed');
+    this.options.log.error({ keys: batch.map((write) => write.key) }, 'commit malformed');
     if (batch.length === 1) return;
-    for (const w of batch) {
+    for (const write of batch) {
       if (this.stopped) return;
-      this.options.store.writes.force(1 + w.also.length);
-      w.begin();
-      await this.commit([w]);
+      this.options.store.writes.force(1 + write.also.length);
+      write.begin();
+      await this.commit([write]);
     }
   }
 
   private async reread(batch: Write[]): Promise<void> {
-    for (const w of batch) {
+    for (const write of batch) {
       while (!this.stopped) {
         try {
-          const item = await this.options.store.get(w.key, 1);
-          w.reread(item);
+          const item = await this.options.store.get(write.key, 1);
+          write.reread(item);
           break;
         } catch {
           await sleep(RETRY_S);
--- a/src/leader/stored-machine.ts
+++ b/src/leader/stored-machine.ts
@@ -15,18 +15,20 @@
   Math.floor(state.value_kb * 1024 * RECORD_SHARE);
 
 /** The record as it would be stored now. */
-export function machineRecord({ deps }: TermState, m: Machine): MachineRecord {
-  const token = m.nextToken;
+export function machineRecord({ deps }: TermState, machine: Machine): MachineRecord {
+  const token = machine.nextToken;
   return {
     owner: deps.settings.node,
     term: deps.token,
     ...(token > deps.token ? { token } : {}),
-    addr: m.addr,
-    type: m.type,
-    zone: m.zone,
-    spot: m.spot,
-    returning: m.state === 'returning',
-    claims: m.claims().map((a) => ({ job: a.job, index: a.index, attempt: a.number })),
-    images: [...m.images].slice(-IMAGES_MAX).map(([image, i]) => [image, i.gb]),
+    addr: machine.addr,
+    type: machine.type,
+    zone: machine.zone,
+    spot: machine.spot,
+    returning: machine.state === 'returning',
+    claims: machine
+      .claims()
+      .map((attempt) => ({ job: attempt.job, index: attempt.index, attempt: attempt.number })),
+    images: [...machine.images].slice(-IMAGES_MAX).map(([image, i]) => [image, i.gb]),
   };
 }
--- a/src/leader/subsystem-view.ts
+++ b/src/leader/subsystem-view.ts
@@ -101,7 +101,9 @@
 
   moveReplica({ job, index, from, mayFetch }: ReplicaMove): boolean {
     const attempts = this.options.term.jobs.get(job)?.live.get(index) ?? [];
-    const attempt = attempts.find((a) => a.machine === from && occupiesCapacity(a));
+    const attempt = attempts.find(
+      (attempt) => attempt.machine === from && occupiesCapacity(attempt),
+    );
     return attempt !== undefined && this.options.moveReplica(attempt, mayFetch);
   }
 
@@ -112,7 +114,7 @@
   endStopped({ job, index, number }: AttemptView): void {
     const { term } = this.options;
     const live = term.jobs.get(job);
-    const attempt = live?.live.get(index)?.find((a) => a.number === number);
+    const attempt = live?.live.get(index)?.find((attempt) => attempt.number === number);
     if (live === undefined || attempt === undefined) return;
     if (attempt.stopRequest === null && attempt.state !== 'saving') return;
     term.stopTaskNow(live, attempt);
--- a/src/leader/sweep.ts
+++ b/src/leader/sweep.ts
@@ -8,11 +8,11 @@
 
 /** Closes and forgets jobs that are over and that no attempt on any machine is of. */
 export function closeJobs(term: Term): void {
-  const closing = [...term.jobs.values()].filter((j) => j.phase === 'closing');
+  const closing = [...term.jobs.values()].filter((job) => job.phase === 'closing');
   if (closing.length === 0) return;
   const referred = new Set<string>();
-  for (const m of term.machines.values()) {
-    for (const a of m.attempts.values()) referred.add(a.job);
+  for (const machine of term.machines.values()) {
+    for (const attempt of machine.attempts.values()) referred.add(attempt.job);
   }
   for (const job of closing) {
     if (referred.has(job.spec.id)) continue;
@@ -26,6 +26,6 @@
   const { now } = term;
   const patience = term.deps.settings.workers.lease_s * FORGET_LEASES;
   return [...term.machines.values()].filter(
-    (m) => m.state === 'silent' && now - m.lastSeenAt >= patience,
+    (machine) => machine.state === 'silent' && now - machine.lastSeenAt >= patience,
   );
 }
--- a/src/leader/term-state.ts
+++ b/src/leader/term-state.ts
@@ -76,30 +76,30 @@
   }
 
   setTypes(types: MachineType[]): void {
-    this.types = new Map(types.map((t) => [t.name, t]));
-    this.slowestBootS = Math.max(0, ...types.map((t) => t.bootS));
+    this.types = new Map(types.map((type) => [type.name, type]));
+    this.slowestBootS = Math.max(0, ...types.map((type) => type.bootS));
   }
 
   /** The machine of this name; one that nothing is known of is added. */
   machine(id: string): Machine {
-    let m = this.machines.get(id);
-    if (m === undefined) {
-      m = new Machine(id, this.deps.token, this.deps.settings.workers.lease_s, this.now);
+    let machine = this.machines.get(id);
+    if (machine === undefined) {
+      machine = new Machine(id, this.deps.token, this.deps.settings.workers.lease_s, this.now);
       // Forgotten, and back before its record was removed: a removal that is tried once more would
       // take away the claims of what is started there from now on.
-      m.recordRevision = this.removals.get(id) ?? 0;
+      machine.recordRevision = this.removals.get(id) ?? 0;
       this.removals.delete(id);
-      this.machines.set(id, m);
+      this.machines.set(id, machine);
     }
-    return m;
+    return machine;
   }
 
   /** Nothing is known of a machine any more; its record goes too. */
-  forget(m: Machine): void {
-    this.machines.delete(m.id);
-    this.dirtyMachines.delete(m.id);
-    if (m.state === 'returned') this.returned.add(m.id);
-    if (m.recordRevision > 0) this.removals.set(m.id, m.recordRevision);
+  forget(machine: Machine): void {
+    this.machines.delete(machine.id);
+    this.dirtyMachines.delete(machine.id);
+    if (machine.state === 'returned') this.returned.add(machine.id);
+    if (machine.recordRevision > 0) this.removals.set(machine.id, machine.recordRevision);
   }
 
   /** The record of a forgotten machine was removed (null), or has now this revision. */
--- a/src/leader/term.ts
+++ b/src/leader/term.ts
@@ -75,44 +75,44 @@
   // Attempts
 
   /** The claim is stored. */
-  stored(a: Attempt): void {
-    if (a.state !== 'claiming') return;
-    advanceAttempt(a, 'claimed', this.now);
-    const job = this.jobs.get(a.job);
-    if (a.stopRequest !== null || job === undefined || job.phase !== 'open') {
-      a.stopRequest = null;
-      this.stops.stop(a, 0);
+  stored(attempt: Attempt): void {
+    if (attempt.state !== 'claiming') return;
+    advanceAttempt(attempt, 'claimed', this.now);
+    const job = this.jobs.get(attempt.job);
+    if (attempt.stopRequest !== null || job === undefined || job.phase !== 'open') {
+      attempt.stopRequest = null;
+      this.stops.stop(attempt, 0);
       if (job?.gang === true && job.phase === 'open') this.stops.stopAll(job, 0);
       return;
     }
-    this.urgent.add(a.machine);
+    this.urgent.add(attempt.machine);
     if (job.gang) for (const other of job.holding()) this.urgent.add(other.machine);
   }
 
-  mayStart(a: Attempt): boolean {
-    return mayStart(this, a);
+  mayStart(attempt: Attempt): boolean {
+    return mayStart(this, attempt);
   }
 
   /** Wants an attempt gone within so many seconds. One that was never sent is withdrawn at once. */
-  stop(a: Attempt, graceS: number): void {
-    this.stops.stop(a, graceS);
+  stop(attempt: Attempt, graceS: number): void {
+    this.stops.stop(attempt, graceS);
   }
 
   /** Stops a task, or the gang it is of, with the time it takes to save. */
-  stopTask(job: LiveJob, a: Attempt): void {
-    this.stops.stopTask(job, a);
+  stopTask(job: LiveJob, attempt: Attempt): void {
+    this.stops.stopTask(job, attempt);
   }
 
   /** Without saving: what it did since its last checkpoint is lost. */
-  stopTaskNow(job: LiveJob, a: Attempt): void {
-    this.stops.stopTaskNow(job, a);
+  stopTaskNow(job: LiveJob, attempt: Attempt): void {
+    this.stops.stopTaskNow(job, attempt);
   }
 
   // Machines
 
   /** What a report, a lapsed lease or a returned machine has shown. */
-  digest(m: Machine, c: HeartbeatChanges): void {
-    this.reports.digest(m, c);
+  digest(machine: Machine, changes: HeartbeatChanges): void {
+    this.reports.digest(machine, changes);
   }
 
   /** Leases that have run out for certain, with nobody else entitled to renew them. */
@@ -121,8 +121,8 @@
   }
 
   /** All that was on a machine is provably gone. */
-  lose(m: Machine): void {
-    this.leases.lose(m);
+  lose(machine: Machine): void {
+    this.leases.lose(machine);
   }
 
   /** Fences machines anew whose direct starts were never answered and keep something from being done. */
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -131,8 +131,8 @@
       try {
         if (this.role === 'following') await this.stepAsFollower();
         else await this.stepAsLeader();
-      } catch (e) {
-        this.log.debug({ err: String(e), role: this.role }, 'election step failed');
+      } catch (error) {
+        this.log.debug({ err: String(error), role: this.role }, 'election step failed');
         if (this.role === 'standing') this.changeRole('following');
         await sleep(0.2);
       }
@@ -204,8 +204,8 @@
       );
       if (!result.ok) return false;
       token = result.revision;
-    } catch (e) {
-      if (e instanceof RequestRejectedError) return false;
+    } catch (error) {
+      if (error instanceof RequestRejectedError) return false;
       // Not answered: read it back.
       const item = await this.store.get(records.LEADER, 1);
       if (item === null || records.decodeLeader(item.value).incarnation !== incarnation) {
@@ -251,9 +251,9 @@
         this.changeRole('following');
         return;
       }
-    } catch (e) {
-      refused = e instanceof RequestRejectedError && e.status === 503;
-      this.log.debug({ err: String(e), left }, 'lease not renewed');
+    } catch (error) {
+      refused = error instanceof RequestRejectedError && error.status === 503;
+      this.log.debug({ err: String(error), left }, 'lease not renewed');
     }
     const l = this.replica.leader;
     if (l !== null && l.revision > this.token) {
--- a/src/leadership/leader-acknowledgements.ts
+++ b/src/leadership/leader-acknowledgements.ts
@@ -87,8 +87,8 @@
           this.settings.workers.lease_s * STORE_LEASES,
         );
         if (result.ok) return;
-      } catch (e) {
-        this.log.debug({ err: String(e) }, 'acknowledgement not stored');
+      } catch (error) {
+        this.log.debug({ err: String(error) }, 'acknowledgement not stored');
       }
       // Carried out without an answer, or refused: what the store shows next tells which.
       await sleep(this.settings.workers.lease_s * STORE_LEASES);
--- a/src/leadership/outage-quorum.ts
+++ b/src/leadership/outage-quorum.ts
@@ -102,8 +102,8 @@
       await store.get(records.LEADER, PROBE_TIMEOUT_S);
       takeBack();
       return { refused: false };
-    } catch (e) {
-      if (e instanceof RequestRejectedError && e.status === 503) {
+    } catch (error) {
+      if (error instanceof RequestRejectedError && error.status === 503) {
         // An outage may keep the last cancellations from the leader: their tasks must go all the same.
         const cancelled = events.cancelledSince(applied);
         if (!replicaSync.ready || !fitInOneFrame(cancelled)) return {};
@@ -151,8 +151,8 @@
     try {
       await this.options.store.get(records.LEADER, PROBE_TIMEOUT_S);
       return false;
-    } catch (e) {
-      if (!(e instanceof RequestRejectedError) || e.status !== 503) return false;
+    } catch (error) {
+      if (!(error instanceof RequestRejectedError) || error.status !== 503) return false;
     }
     const since = this.options.store.rejectedSince;
     // The promises count from when they were given, which is after the question was sent.
--- a/src/leadership/quorum-acknowledgement.ts
+++ b/src/leadership/quorum-acknowledgement.ts
@@ -39,8 +39,9 @@
     return this.promiseEnds.has(node);
   }
 
-  record(node: string, a: Acknowledged): void {
-    if (!this.promiseEnds.has(node)) this.promiseEnds.set(node, this.clock.now() + a.remainsS);
+  record(node: string, acknowledged: Acknowledged): void {
+    if (!this.promiseEnds.has(node))
+      this.promiseEnds.set(node, this.clock.now() + acknowledged.remainsS);
   }
 
   /** Until when others may renew, or may have renewed, leases with an older token. */
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -141,9 +141,9 @@
           if (this.state !== 'present') await this.store.get(records.LEADER, this.times.ttlS / 2);
           await this.renew();
         }
-      } catch (e) {
+      } catch (error) {
         // Refused is heard: an outage, or this controller alone. Nothing is cut off.
-        const heard = e instanceof RequestRejectedError && e.status > 0;
+        const heard = error instanceof RequestRejectedError && error.status > 0;
         if (this.state === 'present' && !heard) this.changeState('doubting');
         if (!heard) await this.askPeers();
       }
--- a/src/lending/grants.ts
+++ b/src/lending/grants.ts
@@ -182,7 +182,7 @@
 /** A gang lends whole. */
 function lentTasks({ job, attempt }: EvictionVictim): LentTask[] {
   const attempts = job.gang ? [...job.live.values()].flat() : [attempt];
-  const same = attempts.filter((a) => a.number === attempt.number);
+  const same = attempts.filter((each) => each.number === attempt.number);
   return same
     .map(({ index, number, machine }) => ({ index, attempt: number, machine }))
     .sort((a, b) => a.index - b.index);
--- a/src/lending/loan-evidence.ts
+++ b/src/lending/loan-evidence.ts
@@ -39,13 +39,14 @@
 
 function lenderThere(attempts: readonly AttemptView[]): LenderThere {
   if (attempts.length === 0) return 'gone';
-  if (attempts.some((a) => a.stopRequest !== null || a.state === 'saving')) return 'stopping';
-  return attempts.some((a) => a.state === 'inherited') ? 'unheard' : 'running';
+  if (attempts.some((attempt) => attempt.stopRequest !== null || attempt.state === 'saving'))
+    return 'stopping';
+  return attempts.some((attempt) => attempt.state === 'inherited') ? 'unheard' : 'running';
 }
 
 function lenderElsewhere(loan: Loan, attempts: readonly AttemptView[]): LenderElsewhere {
   if (attempts.length < loan.tasks.length) return 'nowhere';
-  return attempts.every((a) => a.state === 'running') ? 'running' : 'placed';
+  return attempts.every((attempt) => attempt.state === 'running') ? 'running' : 'placed';
 }
 
 /** Attempts of the lent tasks that may be somewhere: those that were to stop, and later ones. */
@@ -56,8 +57,8 @@
   const lent: AttemptView[] = [];
   const later: AttemptView[] = [];
   for (const { index, attempt } of loan.tasks) {
-    for (const a of job?.live.get(index) ?? []) {
-      if (occupiesCapacity(a)) (a.number === attempt ? lent : later).push(a);
+    for (const each of job?.live.get(index) ?? []) {
+      if (occupiesCapacity(each)) (each.number === attempt ? lent : later).push(each);
     }
   }
   return { lent, later };
@@ -67,7 +68,9 @@
 function borrowerAttempts(loan: Loan, view: TermView): AttemptView[] {
   const job = view.job(loan.borrower);
   const attempts = job === undefined ? [] : [...job.live.values()].flat();
-  return attempts.filter((a) => a.machine === loan.machine && occupiesCapacity(a));
+  return attempts.filter(
+    (attempt) => attempt.machine === loan.machine && occupiesCapacity(attempt),
+  );
 }
 
 /**
@@ -78,7 +81,9 @@
   const own = borrowerAttempts(loan, view);
   if (own.length > 0) return own;
   const there = [...(view.machine(loan.machine)?.attempts.values() ?? [])];
-  return there.filter((a) => occupiesCapacity(a) && view.spec(a.job)?.kind === 'service');
+  return there.filter(
+    (attempt) => occupiesCapacity(attempt) && view.spec(attempt.job)?.kind === 'service',
+  );
 }
 
 /** `freeGpus`: what is free on the machine. Nothing has come back while others have it. */
--- a/src/lending/loan-watch.ts
+++ b/src/lending/loan-watch.ts
@@ -148,7 +148,7 @@
     const mostS = job.spec.saveS * SAVE_FACTOR + view.settings.workers.lease_s * SAVE_LEASES;
     if ((view.wallMs() - loan.changedMs) / 1000 <= mostS) return;
     for (const { index, attempt } of loan.tasks) {
-      const late = job.live.get(index)?.find((a) => a.number === attempt);
+      const late = job.live.get(index)?.find((each) => each.number === attempt);
       if (late !== undefined) view.endStopped(late);
     }
   }
@@ -161,7 +161,7 @@
     const { view } = this.options;
     if (isAtLimit(loan, view)) return;
     const attempts = replicasThere(loan, view);
-    if (attempts.some((a) => a.stopRequest !== null)) return;
+    if (attempts.some((attempt) => attempt.stopRequest !== null)) return;
     for (const { job, index } of attempts) {
       // What a service misses elsewhere it would take back here: it is the more important of the two.
       if (view.job(job)?.pendingCount !== 0) continue;
--- a/src/main.ts
+++ b/src/main.ts
@@ -63,9 +63,9 @@
   const { FeaturesError, loadFeatures } = await import('./features/features-file.js');
   try {
     return loadFeatures(file, settings, Date.now());
-  } catch (e) {
-    if (e instanceof FeaturesError) give(`features ${file}: ${e.message}`);
-    throw e;
+  } catch (error) {
+    if (error instanceof FeaturesError) give(`features ${file}: ${error.message}`);
+    throw error;
   }
 }
 
@@ -74,9 +74,9 @@
   const { CommandError } = await import('./subsystems/view-command.js');
   try {
     process.stdout.write(await answer());
-  } catch (e) {
-    if (e instanceof CommandError) give(`${command}: ${e.message}`);
-    throw e;
+  } catch (error) {
+    if (error instanceof CommandError) give(`${command}: ${error.message}`);
+    throw error;
   }
 }
 
@@ -122,9 +122,9 @@
   let settings;
   try {
     settings = loadSettings(args.config!);
-  } catch (e) {
-    if (e instanceof SettingsError) give(`settings ${args.config}: ${e.message}`);
-    throw e;
+  } catch (error) {
+    if (error instanceof SettingsError) give(`settings ${args.config}: ${error.message}`);
+    throw error;
   }
   const { operatorScript } = args;
   const features = await readFeatures(args.features, settings);
--- a/src/operator/load.ts
+++ b/src/operator/load.ts
@@ -8,8 +8,8 @@
   const { loadScript, ScriptError } = await import('./script.js');
   try {
     return { policy: loadScript(file), wrong: null };
-  } catch (e) {
-    if (!(e instanceof ScriptError)) throw e;
-    return { policy: DEFAULT_POLICY, wrong: `operator script ${file}: ${e.message}` };
+  } catch (error) {
+    if (!(error instanceof ScriptError)) throw error;
+    return { policy: DEFAULT_POLICY, wrong: `operator script ${file}: ${error.message}` };
   }
 }
--- a/src/operator/script.ts
+++ b/src/operator/script.ts
@@ -34,8 +34,10 @@
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
-  } catch (e) {
-    throw new ScriptError(`cannot be read: ${(e as NodeJS.ErrnoException).code ?? String(e)}`);
+  } catch (error) {
+    throw new ScriptError(
+      `cannot be read: ${(error as NodeJS.ErrnoException).code ?? String(error)}`,
+    );
   }
   return runScript(text);
 }
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -66,9 +66,9 @@
       this.socket?.destroy();
       this.socket = null;
       this.writer = null;
-      for (const p of this.pending.values()) {
-        clearTimeout(p.timer);
-        p.resolve(null);
+      for (const pending of this.pending.values()) {
+        clearTimeout(pending.timer);
+        pending.resolve(null);
       }
       this.pending.clear();
     }
@@ -101,8 +101,8 @@
     socket.on('data', (data) => {
       try {
         for (const frame of reader.push(data)) this.received(frame);
-      } catch (e) {
-        log.info({ err: String(e) }, 'broken frame from a peer');
+      } catch (error) {
+        log.info({ err: String(error) }, 'broken frame from a peer');
         down();
       }
     });
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -50,12 +50,12 @@
           addr,
           log,
           maxPending,
-          batchingDelayS: batchingDelayS,
-          health: health,
+          batchingDelayS,
+          health,
         }),
       );
     }
-    this.server = createServer((s) => this.accept(s));
+    this.server = createServer((socket) => this.accept(socket));
     this.server.on('error', (e) => log.error({ err: e.message }, 'peer server'));
   }
 
@@ -89,8 +89,8 @@
     socket.on('data', (data) => {
       try {
         for (const frame of reader.push(data)) received(frame);
-      } catch (e) {
-        this.log.info({ err: String(e) }, 'broken frame from a peer');
+      } catch (error) {
+        this.log.info({ err: String(error) }, 'broken frame from a peer');
         socket.destroy();
       }
     });
@@ -110,13 +110,13 @@
     id: number,
     question: Question | null,
   ): Promise<void> {
-    let a: Answer = {};
+    let answer: Answer = {};
     try {
-      if (question !== null) a = await this.handler(from, question);
-    } catch (e) {
-      this.log.info({ err: String(e) }, 'question from a peer');
+      if (question !== null) answer = await this.handler(from, question);
+    } catch (error) {
+      this.log.info({ err: String(error) }, 'question from a peer');
     }
-    writer.write({ id, a } satisfies AnswerFrame);
+    writer.write({ id, a: answer } satisfies AnswerFrame);
   }
 
   listen(at: Endpoint): Promise<void> {
@@ -158,7 +158,7 @@
   close(): void {
     this.closed = true;
     this.server.close();
-    for (const l of this.links.values()) l.close();
-    for (const s of this.accepted) s.destroy();
+    for (const link of this.links.values()) link.close();
+    for (const socket of this.accepted) socket.destroy();
   }
 }
--- a/src/scheduler/place.ts
+++ b/src/scheduler/place.ts
@@ -23,8 +23,8 @@
 }
 
 /** To try something out. It may be of a class: a spread of it would lose its methods. */
-export const copyFreeCapacity = (r: FreeCapacity): FreeCapacity =>
-  Object.assign(Object.create(Object.getPrototypeOf(r) as object) as FreeCapacity, r);
+export const copyFreeCapacity = (capacity: FreeCapacity): FreeCapacity =>
+  Object.assign(Object.create(Object.getPrototypeOf(capacity) as object) as FreeCapacity, capacity);
 
 export interface Where {
   /** Tasks of the job in each zone at this moment. */
@@ -85,16 +85,21 @@
 export function opportunity(spec: JobSpec, room: FreeCapacity, hot: HotImage[]): number {
   let lost = 0;
   let after: Size | null = null;
-  for (const h of room.hotHere?.(hot) ?? hot) {
-    if (h.image === spec.image || (room.spot && !h.spec.spot) || !fits(h.spec, room)) continue;
+  for (const hotImage of room.hotHere?.(hot) ?? hot) {
+    if (
+      hotImage.image === spec.image ||
+      (room.spot && !hotImage.spec.spot) ||
+      !fits(hotImage.spec, room)
+    )
+      continue;
     after ??= {
       cores: room.cores - spec.cores,
       gpus: room.gpus - spec.gpus,
       memGb: room.memGb - spec.memGb,
     };
-    if (fits(h.spec, after) || room.imageWaitS(h.image, h.gb) > 0) continue;
+    if (fits(hotImage.spec, after) || room.imageWaitS(hotImage.image, hotImage.gb) > 0) continue;
     // One place serves one of them at a time.
-    lost += Math.min(1, h.expected) * room.fetchS(h.gb);
+    lost += Math.min(1, hotImage.expected) * room.fetchS(hotImage.gb);
   }
   return lost;
 }
@@ -110,15 +115,20 @@
 }
 
 /** In seconds. What cannot be below `bound` is not reckoned to its end: the dear part comes last. */
-export function cost(spec: JobSpec, room: FreeCapacity, w: Weights, bound = Infinity): number {
+export function cost(
+  spec: JobSpec,
+  room: FreeCapacity,
+  weights: Weights,
+  bound = Infinity,
+): number {
   const own =
     room.imageWaitS(spec.image, spec.imageGb) +
-    (spec.spot && !room.spot ? w.ordinaryS : 0) +
-    leftover(spec, room) * w.spreadS +
+    (spec.spot && !room.spot ? weights.ordinaryS : 0) +
+    leftover(spec, room) * weights.spreadS +
     room.penaltyS -
-    (w.preferenceS?.(spec, room) ?? 0);
-  if (w.hot === undefined || own >= bound) return own;
-  return own + opportunity(spec, room, w.hot);
+    (weights.preferenceS?.(spec, room) ?? 0);
+  if (weights.hot === undefined || own >= bound) return own;
+  return own + opportunity(spec, room, weights.hot);
 }
 
 /** The machine on which a task costs least, or null: it fits nowhere that it may use. Takes nothing. */
@@ -126,7 +136,7 @@
   spec: JobSpec,
   rooms: Iterable<FreeCapacity>,
   where: Where,
-  w: Weights,
+  weights: Weights,
 ): FreeCapacity | null {
   let best: FreeCapacity | null = null;
   let bestCost = Infinity;
@@ -135,7 +145,7 @@
     if (where.avoid?.has(room.id) === true) continue;
     if (!zoneAllowed(spec, room.zone, where.zones)) continue;
     if (where.may !== undefined && !where.may(room)) continue;
-    const c = cost(spec, room, w, bestCost);
+    const c = cost(spec, room, weights, bestCost);
     if (c < bestCost) {
       best = room;
       bestCost = c;
@@ -161,20 +171,20 @@
   spec: JobSpec,
   rooms: FreeCapacity[],
   where: Where,
-  w: Weights,
+  weights: Weights,
 ): FreeCapacity[] | null {
-  const zones = spec.oneZone ? [...new Set(rooms.map((r) => r.zone))] : [null];
+  const zones = spec.oneZone ? [...new Set(rooms.map((capacity) => capacity.zone))] : [null];
   let best: FreeCapacity[] | null = null;
   let bestCost = Infinity;
   for (const zone of zones) {
-    const inZone = zone === null ? rooms : rooms.filter((r) => r.zone === zone);
+    const inZone = zone === null ? rooms : rooms.filter((capacity) => capacity.zone === zone);
     const counts = new Map(where.zones);
     const got: FreeCapacity[] = [];
     let total = 0;
     for (let i = 0; i < spec.tasks; i++) {
-      const room = bestFit(spec, inZone, { ...where, zones: counts }, w);
+      const room = bestFit(spec, inZone, { ...where, zones: counts }, weights);
       if (room === null) break;
-      total = Math.max(total, cost(spec, room, w));
+      total = Math.max(total, cost(spec, room, weights));
       take(spec, room);
       counts.set(room.zone, (counts.get(room.zone) ?? 0) + 1);
       got.push(room);
--- a/src/scheduler/preempt.ts
+++ b/src/scheduler/preempt.ts
@@ -37,26 +37,26 @@
     const free: Size = { cores: m.cores, gpus: m.gpus, memGb: m.memGb };
     const chosen: Victim[] = [];
     let loss = m.waitS ?? 0;
-    for (const v of [...m.victims].sort((a, b) => a.lossS - b.lossS)) {
+    for (const victim of [...m.victims].sort((victim, b) => victim.lossS - b.lossS)) {
       if (fits(spec, free)) break;
-      free.cores += v.cores;
-      free.gpus += v.gpus;
-      free.memGb += v.memGb;
-      chosen.push(v);
-      loss += v.lossS;
+      free.cores += victim.cores;
+      free.gpus += victim.gpus;
+      free.memGb += victim.memGb;
+      chosen.push(victim);
+      loss += victim.lossS;
     }
     if (chosen.length === 0 || !fits(spec, free)) continue;
     // Those that turn out not to be needed stay.
-    for (const v of [...chosen].sort((a, b) => b.lossS - a.lossS)) {
+    for (const victim of [...chosen].sort((victim, b) => b.lossS - victim.lossS)) {
       const without: Size = {
-        cores: free.cores - v.cores,
-        gpus: free.gpus - v.gpus,
-        memGb: free.memGb - v.memGb,
+        cores: free.cores - victim.cores,
+        gpus: free.gpus - victim.gpus,
+        memGb: free.memGb - victim.memGb,
       };
       if (fits(spec, without)) {
         Object.assign(free, without);
-        chosen.splice(chosen.indexOf(v), 1);
-        loss -= v.lossS;
+        chosen.splice(chosen.indexOf(victim), 1);
+        loss -= victim.lossS;
       }
     }
     if (loss < bestLoss) {
--- a/src/scheduler/quota.ts
+++ b/src/scheduler/quota.ts
@@ -66,14 +66,14 @@
   const team = teams.get(spec.team);
   if (team === undefined) return 'unknown team';
   const allowed = types.filter(
-    (t) =>
-      (spec.types === null || spec.types.includes(t.name)) &&
-      (spec.zone === null || t.zones.includes(spec.zone)),
+    (type) =>
+      (spec.types === null || spec.types.includes(type.name)) &&
+      (spec.zone === null || type.zones.includes(spec.zone)),
   );
-  const fitting = allowed.filter((t) => fits(spec, t));
+  const fitting = allowed.filter((type) => fits(spec, type));
   if (fitting.length === 0) return 'fits no allowed machine type';
   if (spec.kind === 'gang' && spec.scatter) {
-    const zones = new Set(fitting.flatMap((t) => t.zones));
+    const zones = new Set(fitting.flatMap((type) => type.zones));
     const usable = spec.zone !== null || spec.oneZone ? 1 : zones.size;
     if (scatterCap(spec.tasks) * usable < spec.tasks) return 'no zones can hold all its tasks';
   }
--- a/src/scheduler/rank.ts
+++ b/src/scheduler/rank.ts
@@ -23,14 +23,16 @@
   successors: Successor[];
 }
 
-export function remaining(r: Ready, p: Policy): number {
-  return (r.unfinishedS * (r.attainedS + p.epsilonS)) / (r.finishedS + p.epsilonS);
+export function remaining(ready: Ready, policy: Policy): number {
+  return (
+    (ready.unfinishedS * (ready.attainedS + policy.epsilonS)) / (ready.finishedS + policy.epsilonS)
+  );
 }
 
-export function contribution(r: Ready, p: Policy): number {
-  const [work, depth, each] = p.omega;
-  let phi = each * r.successors.length;
-  for (const s of r.successors) phi += work * s.workS + depth * s.depth;
+export function contribution(ready: Ready, policy: Policy): number {
+  const [work, depth, each] = policy.omega;
+  let phi = each * ready.successors.length;
+  for (const s of ready.successors) phi += work * s.workS + depth * s.depth;
   return phi;
 }
 
@@ -52,9 +54,9 @@
   private threshold: number | null = null;
   private at = 0;
 
-  update(remainings: number[], p: Policy, now: number): void {
+  update(remainings: number[], policy: Policy, now: number): void {
     if (remainings.length === 0) return;
-    const raw = longThreshold(remainings, p.eta);
+    const raw = longThreshold(remainings, policy.eta);
     if (this.threshold === null) this.threshold = raw;
     else {
       const settle = Math.max(1, mean(remainings));
@@ -70,20 +72,20 @@
 }
 
 /** Scores of all ready jobs; `long` says which belong to long pipelines. */
-export function scores(ready: Ready[], long: boolean[], p: Policy): number[] {
-  const inverse = ready.map((r) => 1 / (remaining(r, p) + p.epsilonS));
-  const phi = ready.map((r) => contribution(r, p));
-  const heavy = ready.map((r, i) =>
-    long[i] === true && r.predictedS >= p.heavy * r.pipelineMeanS ? 1 : 0,
+export function scores(ready: Ready[], long: boolean[], policy: Policy): number[] {
+  const inverse = ready.map((ready) => 1 / (remaining(ready, policy) + policy.epsilonS));
+  const phi = ready.map((ready) => contribution(ready, policy));
+  const heavy = ready.map((ready, i) =>
+    long[i] === true && ready.predictedS >= policy.heavy * ready.pipelineMeanS ? 1 : 0,
   );
   const scaled = (xs: number[]): number[] => {
-    const by = mean(xs) + p.scaling;
+    const by = mean(xs) + policy.scaling;
     return xs.map((x) => x / by);
   };
   const a = scaled(inverse);
   const b = scaled(phi);
   const c = scaled(heavy);
-  return ready.map((_, i) => a[i]! + b[i]! + c[i]!);
+  return ready.map((ready, i) => a[i]! + b[i]! + c[i]!);
 }
 
 export interface Ordered {
--- a/src/scheduler/vacate.ts
+++ b/src/scheduler/vacate.ts
@@ -30,7 +30,7 @@
   candidates: Candidate[],
   rooms: FreeCapacity[],
   mayMove: (replicas: Replica[]) => boolean,
-  w: Weights,
+  weights: Weights,
 ): { candidate: Candidate; to: string[] } | null {
   const sorted = candidates
     .filter((c) => c.replicas.length > 0 && freeShare(c.room) >= EMPTY_SHARE)
@@ -39,16 +39,16 @@
     if (!mayMove(c.replicas)) continue;
     // Only places on machines that are in use anyway: the emptier one never receives.
     const places = rooms
-      .filter((r) => r.id !== c.room.id && !r.spot && freeShare(r) < 1)
-      .filter((r) => freeShare(r) <= freeShare(c.room))
+      .filter((capacity) => capacity.id !== c.room.id && !capacity.spot && freeShare(capacity) < 1)
+      .filter((capacity) => freeShare(capacity) <= freeShare(c.room))
       .map(copyFreeCapacity);
     const to: string[] = [];
     const all = c.replicas.every((replica) => {
       const zones = new Map(replica.zones);
       zones.set(c.room.zone, (zones.get(c.room.zone) ?? 1) - 1);
       // What is cached is an estimate; moving on a wrong one cost a replica a whole fetch.
-      const there = places.filter((r) => r.hasImage(replica.spec.image));
-      const room = bestFit(replica.spec, there, { zones }, w);
+      const there = places.filter((capacity) => capacity.hasImage(replica.spec.image));
+      const room = bestFit(replica.spec, there, { zones }, weights);
       if (room === null) return false;
       take(replica.spec, room);
       to.push(room.id);
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -75,43 +75,43 @@
     timeoutS: number,
   ): Promise<Response> {
     const sentAt = this.clock.now();
-    let r: Response;
+    let response: Response;
     try {
-      r = await http.request(method, path, body, timeoutS);
-    } catch (e) {
+      response = await http.request(method, path, body, timeoutS);
+    } catch (error) {
       if (this.clock.now() > this.servedAt) this.health = 'silent';
-      if (e instanceof NoResponse && !e.sent) throw new RequestRejectedError(0);
-      throw new OutcomeUnknownError(e instanceof Error ? e.message : String(e));
+      if (error instanceof NoResponse && !error.sent) throw new RequestRejectedError(0);
+      throw new OutcomeUnknownError(error instanceof Error ? error.message : String(error));
     }
     this.answeredAt = this.clock.now();
-    if (r.status === 503) {
+    if (response.status === 503) {
       this.health = 'refused';
       this.rejectedAt = this.clock.now();
       this.rejectedSince ??= this.rejectedAt;
       throw new RequestRejectedError(503);
     }
-    if (r.status === 429) throw new RequestRejectedError(429);
+    if (response.status === 429) throw new RequestRejectedError(429);
     this.health = 'served';
     this.rejectedSince = null;
     this.servedAt = Math.max(this.servedAt, sentAt);
-    return r;
+    return response;
   }
 
-  private parseJson(r: Response): unknown {
+  private parseJson(response: Response): unknown {
     try {
-      return JSON.parse(r.body.toString('utf8'));
+      return JSON.parse(response.body.toString('utf8'));
     } catch {
       throw new OutcomeUnknownError('garbled answer');
     }
   }
 
-  private parseBody<T>(r: Response, parse: (raw: unknown) => T): T {
+  private parseBody<T>(response: Response, parse: (raw: unknown) => T): T {
     try {
-      return parse(this.parseJson(r));
-    } catch (e) {
-      if (e instanceof wire.MalformedMessageError)
-        throw new OutcomeUnknownError(`garbled answer: ${e.message}`);
-      throw e;
+      return parse(this.parseJson(response));
+    } catch (error) {
+      if (error instanceof wire.MalformedMessageError)
+        throw new OutcomeUnknownError(`garbled answer: ${error.message}`);
+      throw error;
     }
   }
 
@@ -132,24 +132,26 @@
     urgent = true,
   ): Promise<CompareAndSwapResult> {
     await this.waitForBudget(urgent);
-    const r = await this.call(
+    const response = await this.call(
       this.http,
       'POST',
       wire.TRANSACTION_PATH,
       wire.encodeTransaction(guards, ops),
       timeoutS,
     );
-    if (r.status === 200) return { ok: true, revision: this.parseBody(r, wire.parseRevision) };
-    if (r.status === 409) return { ok: false, failed: this.parseBody(r, wire.parseFailedKeys) };
-    throw new RequestRejectedError(r.status);
+    if (response.status === 200)
+      return { ok: true, revision: this.parseBody(response, wire.parseRevision) };
+    if (response.status === 409)
+      return { ok: false, failed: this.parseBody(response, wire.parseFailedKeys) };
+    throw new RequestRejectedError(response.status);
   }
 
   async get(key: string, timeoutS: number): Promise<wire.KeyValue | null> {
     await this.waitForBudget(true);
-    const r = await this.call(this.http, 'GET', wire.keyPath(key), undefined, timeoutS);
-    if (r.status === 200) return this.parseBody(r, wire.parseItem);
-    if (r.status === 404) return null;
-    throw new RequestRejectedError(r.status);
+    const response = await this.call(this.http, 'GET', wire.keyPath(key), undefined, timeoutS);
+    if (response.status === 200) return this.parseBody(response, wire.parseItem);
+    if (response.status === 404) return null;
+    throw new RequestRejectedError(response.status);
   }
 
   /** All keys below a prefix. `revision` is that of the first page: follow the changes from there. */
@@ -158,9 +160,15 @@
     let revision = -1;
     for (;;) {
       await this.waitForBudget(false);
-      const r = await this.call(this.http, 'GET', wire.listPath(prefix, after), undefined, 5);
-      if (r.status !== 200) throw new RequestRejectedError(r.status);
-      const page = this.parseBody(r, wire.parsePage);
+      const response = await this.call(
+        this.http,
+        'GET',
+        wire.listPath(prefix, after),
+        undefined,
+        5,
+      );
+      if (response.status !== 200) throw new RequestRejectedError(response.status);
+      const page = this.parseBody(response, wire.parsePage);
       if (revision < 0) revision = page.revision;
       for (const item of page.items) each(item);
       if (!page.more || page.items.length === 0) return revision;
@@ -178,26 +186,27 @@
     await this.waitForBudget(waitS === 0);
     const path = wire.changesPath(prefix, after, Math.round(waitS * 1000));
     const http = waitS > 0 ? this.watchHttp : this.http;
-    const r = await this.call(http, 'GET', path, undefined, timeoutS);
-    if (r.status === 410) return null;
-    if (r.status !== 200) throw new RequestRejectedError(r.status);
-    return this.parseBody(r, wire.parseChanges);
+    const response = await this.call(http, 'GET', path, undefined, timeoutS);
+    if (response.status === 410) return null;
+    if (response.status !== 200) throw new RequestRejectedError(response.status);
+    return this.parseBody(response, wire.parseChanges);
   }
 
   async grantLease(lifeS: number, timeoutS: number): Promise<number> {
     await this.waitForBudget(true);
     const body = wire.encodeLeaseTtl(Math.round(lifeS * 1000));
-    const r = await this.call(this.http, 'POST', wire.LEASES_PATH, body, timeoutS);
-    if (r.status !== 200 && r.status !== 201) throw new RequestRejectedError(r.status);
-    return this.parseBody(r, wire.parseLeaseId);
+    const response = await this.call(this.http, 'POST', wire.LEASES_PATH, body, timeoutS);
+    if (response.status !== 200 && response.status !== 201)
+      throw new RequestRejectedError(response.status);
+    return this.parseBody(response, wire.parseLeaseId);
   }
 
   /** False: the lease has come to an end. */
   async keepLeaseAlive(id: number, timeoutS: number): Promise<boolean> {
     await this.waitForBudget(true);
-    const r = await this.call(this.http, 'POST', wire.leaseKeepAlivePath(id), '', timeoutS);
-    if (r.status === 404) return false;
-    if (r.status !== 200) throw new RequestRejectedError(r.status);
+    const response = await this.call(this.http, 'POST', wire.leaseKeepAlivePath(id), '', timeoutS);
+    if (response.status === 404) return false;
+    if (response.status !== 200) throw new RequestRejectedError(response.status);
     return true;
   }
 
--- a/src/store/machine-record.ts
+++ b/src/store/machine-record.ts
@@ -48,20 +48,20 @@
  * something, claims are never left out.
  */
 export function encodeMachine(
-  m: MachineRecord,
+  record: MachineRecord,
   maxBytes = Infinity,
   allowed: ClaimForm = 'plain',
 ): unknown {
-  const whole = encodeAs(m, 'plain');
+  const whole = encodeAs(record, 'plain');
   if (bytesOf(whole) <= maxBytes) return whole;
-  const form = densest(m, allowed);
-  const left = maxBytes - bytesOf(encodeAs({ ...m, images: [] }, form));
-  return encodeAs({ ...m, images: latestWithin(m.images, left) }, form);
+  const form = densest(record, allowed);
+  const left = maxBytes - bytesOf(encodeAs({ ...record, images: [] }, form));
+  return encodeAs({ ...record, images: latestWithin(record.images, left) }, form);
 }
 
 /** Bytes of a record without any images. */
-export function bytesWithoutImages(m: MachineRecord, allowed: ClaimForm): number {
-  return bytesOf(encodeAs({ ...m, images: [] }, densest(m, allowed)));
+export function bytesWithoutImages(record: MachineRecord, allowed: ClaimForm): number {
+  return bytesOf(encodeAs({ ...record, images: [] }, densest(record, allowed)));
 }
 
 const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
@@ -78,18 +78,18 @@
   return kept;
 }
 
-const encodeAs = (m: MachineRecord, form: ClaimForm): unknown => ({
-  o: m.owner,
-  e: m.term,
-  ...(m.token === undefined ? {} : { k: m.token }),
-  a: m.addr,
-  c: m.type,
-  z: m.zone,
-  f: (m.spot ? 1 : 0) | (m.returning ? 2 : 0),
+const encodeAs = (record: MachineRecord, form: ClaimForm): unknown => ({
+  o: record.owner,
+  e: record.term,
+  ...(record.token === undefined ? {} : { k: record.token }),
+  a: record.addr,
+  c: record.type,
+  z: record.zone,
+  f: (record.spot ? 1 : 0) | (record.returning ? 2 : 0),
   ...(form === 'dense'
-    ? { d: encodeDenseClaims(m.claims) }
-    : { t: m.claims.map((c) => [c.job, c.index, c.attempt]) }),
-  i: m.images,
+    ? { d: encodeDenseClaims(record.claims) }
+    : { t: record.claims.map((claim) => [claim.job, claim.index, claim.attempt]) }),
+  i: record.images,
 });
 
 export function decodeMachine(value: unknown): MachineRecord {
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -58,18 +58,18 @@
 
 const KINDS = ['array', 'gang', 'service'] as const;
 
-export function encodeRequestBatch(r: RequestBatchRecord): unknown {
-  return { s: r.jobs.map(encodeJob), c: r.cancelledIds };
+export function encodeRequestBatch(batch: RequestBatchRecord): unknown {
+  return { s: batch.jobs.map(encodeJob), c: batch.cancelledIds };
 }
 
-export function encodeJob({ spec: s, atMs }: AcceptedJob): unknown[] {
-  const flags = (s.oneZone ? 1 : 0) | (s.scatter ? 2 : 0) | (s.spot ? 4 : 0);
+export function encodeJob({ spec: spec, atMs }: AcceptedJob): unknown[] {
+  const flags = (spec.oneZone ? 1 : 0) | (spec.scatter ? 2 : 0) | (spec.spot ? 4 : 0);
   return [
-    s.id, s.class, s.team, KINDS.indexOf(s.kind), s.priority, s.tasks, s.cores, s.gpus, s.memGb,
-    s.image, s.imageGb, s.types, s.zone, flags, s.estimateS, s.checkpointS, s.saveS, s.deadlineS,
+    spec.id, spec.class, spec.team, KINDS.indexOf(spec.kind), spec.priority, spec.tasks, spec.cores, spec.gpus, spec.memGb,
+    spec.image, spec.imageGb, spec.types, spec.zone, flags, spec.estimateS, spec.checkpointS, spec.saveS, spec.deadlineS,
     atMs,
     // Appended only where there are any: all other jobs are stored as by versions that do not know it.
-    ...(s.awaits.length === 0 ? [] : [s.awaits]),
+    ...(spec.awaits.length === 0 ? [] : [spec.awaits]),
   ]; // prettier-ignore
 }
 
@@ -119,11 +119,11 @@
   tasks?: number;
 }
 
-export const encodeProgress = (p: ProgressRecord): unknown => ({
-  b: p.bits,
-  a: Math.round(p.attainedS),
-  ...(p.doneMs === undefined ? {} : { m: Math.round(p.doneMs) }),
-  ...(p.tasks === undefined ? {} : { n: p.tasks }),
+export const encodeProgress = (record: ProgressRecord): unknown => ({
+  b: record.bits,
+  a: Math.round(record.attainedS),
+  ...(record.doneMs === undefined ? {} : { m: Math.round(record.doneMs) }),
+  ...(record.tasks === undefined ? {} : { n: record.tasks }),
 });
 
 export function decodeProgress(value: unknown): ProgressRecord {
@@ -161,7 +161,10 @@
   incarnation: string;
 }
 
-export const encodeLeader = (l: LeaderRecord): unknown => ({ n: l.node, i: l.incarnation });
+export const encodeLeader = (record: LeaderRecord): unknown => ({
+  n: record.node,
+  i: record.incarnation,
+});
 export function decodeLeader(value: unknown): LeaderRecord {
   const o = value as { n: string; i: string };
   return { node: o.n, incarnation: o.i };
@@ -172,9 +175,9 @@
   remainsS: number;
 }
 
-export const encodeAcknowledgement = (a: AcknowledgementRecord): unknown => ({
-  t: a.token,
-  r: a.remainsS,
+export const encodeAcknowledgement = (record: AcknowledgementRecord): unknown => ({
+  t: record.token,
+  r: record.remainsS,
 });
 export function decodeAcknowledgement(value: unknown): AcknowledgementRecord {
   const o = value as { t: number; r: number };
--- a/src/store/replica-sync.ts
+++ b/src/store/replica-sync.ts
@@ -41,9 +41,9 @@
         this.replica.advance(r.revision, r.changes);
         this.freshAt = Math.max(this.freshAt, sentAt);
         await sleep(this.pauseS());
-      } catch (e) {
+      } catch (error) {
         if (this.stopped) return;
-        this.log.debug({ err: String(e) }, 'watch interrupted');
+        this.log.debug({ err: String(error) }, 'watch interrupted');
         await sleep(0.1 + random() * 0.1);
       }
     }
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -137,10 +137,10 @@
 
   /** Changes after some revision at or below `applied`, up to `revision`. */
   advance(revision: number, changes: Change[]): void {
-    for (const c of changes) {
-      if (c.revision <= this.applied) continue;
-      if (c.kind === 'put') this.applyPut(c.key, c.value, c.revision);
-      else this.applyRemoval(c.key, c.revision);
+    for (const change of changes) {
+      if (change.revision <= this.applied) continue;
+      if (change.kind === 'put') this.applyPut(change.key, change.value, change.revision);
+      else this.applyRemoval(change.key, change.revision);
     }
     if (revision > this.applied) this.applied = revision;
   }
@@ -212,9 +212,9 @@
     }
   }
 
-  private applySubmissions(r: records.RequestBatchRecord, revision: number): void {
-    for (const accepted of r.jobs) this.applyAccepted(accepted, revision);
-    for (const id of r.cancelledIds) this.applyCancellation(id, revision);
+  private applySubmissions(batch: records.RequestBatchRecord, revision: number): void {
+    for (const accepted of batch.jobs) this.applyAccepted(accepted, revision);
+    for (const id of batch.cancelledIds) this.applyCancellation(id, revision);
   }
 
   private applyAccepted(accepted: records.AcceptedJob, revision: number): void {
@@ -302,14 +302,19 @@
     if (storedJob.doneAt !== null || storedJob.progress === null) return;
     const old = storedJob.progress.get(key);
     if (old !== undefined && old.revision >= revision) return;
-    const p = records.decodeProgress(value);
+    const record = records.decodeProgress(value);
     const first = isPart ? number : number * this.tasksPerChunk;
     const size = isPart
-      ? (p.tasks ?? 0)
+      ? (record.tasks ?? 0)
       : chunkSize(storedJob.spec.tasks, this.tasksPerChunk, number);
-    const { attainedS } = p;
-    storedJob.progress.set(key, { first, bits: decodeBits(p.bits, size), revision, attainedS });
-    storedJob.doneMs = Math.max(storedJob.doneMs, p.doneMs ?? 0);
+    const { attainedS } = record;
+    storedJob.progress.set(key, {
+      first,
+      bits: decodeBits(record.bits, size),
+      revision,
+      attainedS,
+    });
+    storedJob.doneMs = Math.max(storedJob.doneMs, record.doneMs ?? 0);
     this.sumProgress(storedJob);
   }
 
@@ -335,8 +340,8 @@
   }
 
   private countClaims(record: records.MachineRecord, by: number): void {
-    for (const c of record.claims) {
-      const storedJob = this.jobs.get(c.job);
+    for (const claim of record.claims) {
+      const storedJob = this.jobs.get(claim.job);
       if (storedJob !== undefined) storedJob.claimCount = Math.max(0, storedJob.claimCount + by);
     }
   }
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -152,9 +152,10 @@
         // A failed condition: an attempt that was not answered has been carried out after all.
         stored = true;
         if (!result.ok) this.log.debug({ keys: result.failed }, 'stored by an earlier attempt');
-      } catch (e) {
-        if (e instanceof RequestRejectedError && (e.status === 400 || e.status === 503)) break;
-        if (!(e instanceof RequestRejectedError && e.status === 429)) failures++;
+      } catch (error) {
+        if (error instanceof RequestRejectedError && (error.status === 400 || error.status === 503))
+          break;
+        if (!(error instanceof RequestRejectedError && error.status === 429)) failures++;
         await sleep(0.1 + random() * 0.1);
       }
     }
--- a/src/subsystems/active-subsystems.ts
+++ b/src/subsystems/active-subsystems.ts
@@ -129,8 +129,11 @@
   private guarded<T>(name: string, otherwise: T, ask: () => T): T {
     try {
       return ask();
-    } catch (e) {
-      this.log?.error({ subsystem: name, err: String(e), stack: (e as Error).stack }, 'subsystem');
+    } catch (error) {
+      this.log?.error(
+        { subsystem: name, err: String(error), stack: (error as Error).stack },
+        'subsystem',
+      );
       return otherwise;
     }
   }
--- a/src/subsystems/view-command.ts
+++ b/src/subsystems/view-command.ts
@@ -26,13 +26,13 @@
   if (!ADDRESS.test(address)) throw new CommandError(`${address}: must be HOST:PORT`);
   const client = new HttpClient(endpoint(address), 1);
   try {
-    const r = await client.request('GET', `/subsystems/${subsystem}`, undefined, ANSWER_S);
-    if (r.status === 404) throw new CommandError(`${address}: ${title} switched off there`);
-    if (r.status !== 200) throw new CommandError(`${address}: answered ${r.status}`);
-    return v.parse(schema, JSON.parse(r.body.toString('utf8')));
-  } catch (e) {
-    if (e instanceof CommandError) throw e;
-    throw new CommandError(`${address}: ${(e as Error).message}`);
+    const response = await client.request('GET', `/subsystems/${subsystem}`, undefined, ANSWER_S);
+    if (response.status === 404) throw new CommandError(`${address}: ${title} switched off there`);
+    if (response.status !== 200) throw new CommandError(`${address}: answered ${response.status}`);
+    return v.parse(schema, JSON.parse(response.body.toString('utf8')));
+  } catch (error) {
+    if (error instanceof CommandError) throw error;
+    throw new CommandError(`${address}: ${(error as Error).message}`);
   } finally {
     client.close();
   }
--- a/src/warm-pools/bill.ts
+++ b/src/warm-pools/bill.ts
@@ -80,14 +80,14 @@
 const dayKey = ({ pool, team, burstMs }: Pick<Slot, 'pool' | 'team' | 'burstMs'>): string =>
   `${BILL_PREFIX}${pool}/${dayOf(burstMs)}/${encodeURIComponent(team)}`;
 
-function encodeDay(d: StoredDay): unknown {
+function encodeDay(day: StoredDay): unknown {
   return {
-    n: [d.slots, d.used, d.lost],
-    s: d.machineS,
-    m: d.money,
-    u: d.uncertainS,
-    b: d.throughMs,
-    c: d.merges,
+    n: [day.slots, day.used, day.lost],
+    s: day.machineS,
+    m: day.money,
+    u: day.uncertainS,
+    b: day.throughMs,
+    c: day.merges,
   };
 }
 
--- a/src/warm-pools/burst-schedule.ts
+++ b/src/warm-pools/burst-schedule.ts
@@ -27,8 +27,8 @@
       this.cron = new Cron(expression, { timezone: timeZone, paused: true });
       // The time zone is looked up only here.
       this.cron.nextRun(new Date(0));
-    } catch (e) {
-      throw new ScheduleError(`${expression}, ${timeZone}: ${(e as Error).message}`);
+    } catch (error) {
+      throw new ScheduleError(`${expression}, ${timeZone}: ${(error as Error).message}`);
     }
   }
 
--- a/src/warm-pools/check.ts
+++ b/src/warm-pools/check.ts
@@ -32,9 +32,9 @@
     if (problem !== null) return at(problem.key, problem.problem);
     try {
       new BurstSchedule(pool.schedule, pool.timeZone).check(nowMs, pool.holdS);
-    } catch (e) {
-      if (e instanceof ScheduleError) return at('schedule', e.message);
-      throw e;
+    } catch (error) {
+      if (error instanceof ScheduleError) return at('schedule', error.message);
+      throw error;
     }
   }
   return null;
--- a/src/warm-pools/model-server-loader.ts
+++ b/src/warm-pools/model-server-loader.ts
@@ -110,12 +110,12 @@
     model.askedAt = clock.now();
     try {
       const body = JSON.stringify({ model: image, size_gb: imageGb, token });
-      const r = await client.request('POST', '/models/load', body, timeoutS);
-      if (r.status !== 200) throw new Error(`model server answered ${r.status}`);
-      take(model, v.parse(answer, JSON.parse(r.body.toString('utf8'))).state);
-    } catch (e) {
+      const response = await client.request('POST', '/models/load', body, timeoutS);
+      if (response.status !== 200) throw new Error(`model server answered ${response.status}`);
+      take(model, v.parse(answer, JSON.parse(response.body.toString('utf8'))).state);
+    } catch (error) {
       // Silence says nothing about a model that was ready: the machine's own reports decide.
-      log.debug({ machine, image, err: String(e) }, 'model server');
+      log.debug({ machine, image, err: String(error) }, 'model server');
     } finally {
       model.asking = false;
     }
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -225,7 +225,7 @@
     const room = bestRoom(
       pool,
       view.rooms(),
-      (r) => this.mayAdopt(r.id) && rooms.hasRoomFor(pool.shape, r),
+      (capacity) => this.mayAdopt(capacity.id) && rooms.hasRoomFor(pool.shape, capacity),
     );
     if (room === null) return false;
     const place = this.place(entry.current, room.id, room.type);
--- a/src/warm-pools/slot-rooms.ts
+++ b/src/warm-pools/slot-rooms.ts
@@ -41,14 +41,14 @@
 /** Tasks with a pool's model that a machine holds. */
 export function modelTasks(view: TermView, m: MachineView, pool: PoolDeclaration): ModelTask[] {
   const tasks: ModelTask[] = [];
-  for (const a of m.attempts.values()) {
-    if (!occupiesCapacity(a) || a.stopRequest !== null) continue;
-    const spec = view.spec(a.job);
+  for (const attempt of m.attempts.values()) {
+    if (!occupiesCapacity(attempt) || attempt.stopRequest !== null) continue;
+    const spec = view.spec(attempt.job);
     if (spec === null || !isFor(pool, spec)) continue;
     tasks.push({
-      name: `${a.job}/${a.index}#${a.number}`,
-      isStored: a.state !== 'claiming',
-      placedAt: a.createdAt,
+      name: `${attempt.job}/${attempt.index}#${attempt.number}`,
+      isStored: attempt.state !== 'claiming',
+      placedAt: attempt.createdAt,
     });
   }
   return tasks;
--- a/src/warm-pools/slot-watch.ts
+++ b/src/warm-pools/slot-watch.ts
@@ -217,8 +217,8 @@
   memGb: number;
 } {
   const used = { cores: 0, gpus: 0, memGb: 0 };
-  for (const a of m.attempts.values()) {
-    const spec = occupiesCapacity(a) ? view.spec(a.job) : null;
+  for (const attempt of m.attempts.values()) {
+    const spec = occupiesCapacity(attempt) ? view.spec(attempt.job) : null;
     if (spec !== null) putBack(spec, used);
   }
   return {
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -88,8 +88,14 @@
   count: number;
 }
 
-export const encodeRent = (r: RentRequest): string =>
-  JSON.stringify({ hire: r.name, casting: r.type, yard: r.zone, loaner: r.spot, number: r.count });
+export const encodeRent = (request: RentRequest): string =>
+  JSON.stringify({
+    hire: request.name,
+    casting: request.type,
+    yard: request.zone,
+    loaner: request.spot,
+    number: request.count,
+  });
 
 export const encodeReturn = (ids: string[]): string => JSON.stringify({ benches: ids });
 
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -35,11 +35,11 @@
 
 export const encodeTransaction = (guards: Precondition[], ops: Operation[]): string =>
   JSON.stringify({
-    guards: guards.map((g) => ({ path: g.key, mark: g.revision })),
-    apply: ops.map((o) => {
-      if ('remove' in o) return { remove: o.remove };
-      const put: Record<string, unknown> = { put: o.put, data: o.value };
-      if (o.lease !== undefined) put.loan = o.lease;
+    guards: guards.map((precondition) => ({ path: precondition.key, mark: precondition.revision })),
+    apply: ops.map((operation) => {
+      if ('remove' in operation) return { remove: operation.remove };
+      const put: Record<string, unknown> = { put: operation.put, data: operation.value };
+      if (operation.lease !== undefined) put.loan = operation.lease;
       return put;
     }),
   });
--- a/src/wire/last-heartbeat.ts
+++ b/src/wire/last-heartbeat.ts
@@ -30,7 +30,7 @@
   private memory: Buffer = Buffer.alloc(0);
 
   /** Keeps a report to compare with, unless it is too long. */
-  keep(report: Heartbeat, body: Buffer): void {
+  keep(heartbeat: Heartbeat, body: Buffer): void {
     this.kept = null;
     const { length } = body;
     if (length > MAX_KEPT_BYTES) return;
@@ -38,7 +38,7 @@
       this.memory = Buffer.allocUnsafeSlow(Math.ceil(length / STEP_BYTES) * STEP_BYTES);
     }
     body.copy(this.memory);
-    this.kept = { report, body: this.memory.subarray(0, length), sequence: null };
+    this.kept = { report: heartbeat, body: this.memory.subarray(0, length), sequence: null };
   }
 
   /** The report in a body that differs from the one kept in the sequence number alone; null: parse it. */
@@ -67,7 +67,7 @@
   }
 
   /** Whether a report was got from the one kept by `repeat`. */
-  wasDecodedFrom(report: Heartbeat): boolean {
-    return this.kept?.report.tasks === report.tasks;
+  wasDecodedFrom(heartbeat: Heartbeat): boolean {
+    return this.kept?.report.tasks === heartbeat.tasks;
   }
 }
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -116,22 +116,22 @@
   let raw: unknown;
   try {
     raw = JSON.parse(body.toString('utf8'));
-  } catch (e) {
-    if (e instanceof SyntaxError) throw new BadMessage(e.message);
-    throw e;
+  } catch (error) {
+    if (error instanceof SyntaxError) throw new BadMessage(error.message);
+    throw error;
   }
   return parseHeartbeat(raw);
 }
 
 const COMMAND_VERBS = { start: 'start', stop: 'kill', forget: 'reap' } as const;
 
-function encodeCommand(c: Command): Record<string, unknown> {
+function encodeCommand(command: Command): Record<string, unknown> {
   const o: Record<string, unknown> = {
-    verb: COMMAND_VERBS[c.kind],
-    piece: `${c.job}/${c.index}`,
-    pour: c.attempt,
+    verb: COMMAND_VERBS[command.kind],
+    piece: `${command.job}/${command.index}`,
+    pour: command.attempt,
   };
-  if (c.kind === 'stop') o.cooling_s = c.graceS;
+  if (command.kind === 'stop') o.cooling_s = command.graceS;
   return o;
 }
 
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -109,21 +109,23 @@
 }
 
 /** The one function through which an attempt changes its state. False: not a change. */
-export function advanceAttempt(a: Attempt, to: AttemptState, now: number): boolean {
-  if (a.state === to) return false;
-  if (!TRANSITIONS[a.state].includes(to)) throw new Error(`attempt: ${a.state} -> ${to}`);
-  a.state = to;
-  if (to === 'running' && a.startedAt === null) a.startedAt = now;
-  if ((to === 'ended' || to === 'gone') && a.endedAt === null) a.endedAt = now;
+export function advanceAttempt(attempt: Attempt, to: AttemptState, now: number): boolean {
+  if (attempt.state === to) return false;
+  if (!TRANSITIONS[attempt.state].includes(to))
+    throw new Error(`attempt: ${attempt.state} -> ${to}`);
+  attempt.state = to;
+  if (to === 'running' && attempt.startedAt === null) attempt.startedAt = now;
+  if ((to === 'ended' || to === 'gone') && attempt.endedAt === null) attempt.endedAt = now;
   return true;
 }
 
 /** Whether it holds room on its machine, in its zone and in its team's limit. */
-export const occupiesCapacity = (a: Attempt): boolean => a.state !== 'ended' && a.state !== 'gone';
+export const occupiesCapacity = (attempt: Attempt): boolean =>
+  attempt.state !== 'ended' && attempt.state !== 'gone';
 
 /** Whether the worker may know of it, so that it has to be stopped by command. */
-export const mayBeOnMachine = (a: Attempt): boolean =>
-  occupiesCapacity(a) && a.state !== 'claiming' && a.state !== 'claimed';
+export const mayBeOnMachine = (attempt: Attempt): boolean =>
+  occupiesCapacity(attempt) && attempt.state !== 'claiming' && attempt.state !== 'claimed';
 
 export const attemptKey = (job: string, index: number, number: number): string =>
   `${job}/${index}#${number}`;
