--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -130,17 +130,18 @@
 
   /** Whether an unanswered start that may still arrive keeps a task from ending or being forgotten. */
   isBlockedByUnansweredStart(): boolean {
-    for (const a of this.attempts.values()) {
-      if (a.unansweredToken === null || a.sendingDirectly) continue;
-      if (a.stopRequest !== null || a.state === 'ended') return true;
+    for (const attempt of this.attempts.values()) {
+      if (attempt.unansweredToken === null || attempt.sendingDirectly) continue;
+      if (attempt.stopRequest !== null || attempt.state === 'ended') return true;
     }
     return false;
   }
 
   /** It has shown its token: starts that were sent with a lower one are not carried out any more. */
   private clearUnansweredStarts(): void {
-    for (const a of this.attempts.values()) {
-      if (a.unansweredToken !== null && a.unansweredToken < this.token) a.unansweredToken = null;
+    for (const attempt of this.attempts.values()) {
+      if (attempt.unansweredToken !== null && attempt.unansweredToken < this.token)
+        attempt.unansweredToken = null;
     }
   }
 
@@ -153,9 +154,12 @@
    * Whether a check-in at least as new has come by itself before. Then it is a late copy: the worker
    * has long stopped waiting for its answer, which renews nothing.
    */
-  isRepeated(r: Heartbeat): boolean {
+  isRepeated(heartbeat: Heartbeat): boolean {
     const { session, seq } = this.newestHeartbeat;
-    return r.agentEpoch < session || (r.agentEpoch === session && r.sequence <= seq);
+    return (
+      heartbeat.agentEpoch < session ||
+      (heartbeat.agentEpoch === session && heartbeat.sequence <= seq)
+    );
   }
 
   /** A 200 to a check-in is about to be sent: it renews the lease, counted from the sending. */
@@ -168,8 +172,8 @@
    * check-ins prove that a start has not been carried out: one that is answered with it is over
    * before the next is sent.
    */
-  applyHeartbeat(r: Heartbeat, checkin: boolean, now: number): HeartbeatChanges {
-    const c: HeartbeatChanges = {
+  applyHeartbeat(heartbeat: Heartbeat, checkin: boolean, now: number): HeartbeatChanges {
+    const changes: HeartbeatChanges = {
       exited: [],
       changed: [],
       unclaimed: [],
@@ -177,116 +181,121 @@
       agentRestarted: false,
       stale: false,
     };
-    if (checkin && !this.isRepeated(r)) {
-      this.newestHeartbeat = { session: r.agentEpoch, seq: r.sequence };
+    if (checkin && !this.isRepeated(heartbeat)) {
+      this.newestHeartbeat = { session: heartbeat.agentEpoch, seq: heartbeat.sequence };
       this.heartbeatAt = now;
     }
     if (
-      r.agentEpoch < this.agentEpoch ||
-      (r.agentEpoch === this.agentEpoch && r.sequence <= this.sequence)
+      heartbeat.agentEpoch < this.agentEpoch ||
+      (heartbeat.agentEpoch === this.agentEpoch && heartbeat.sequence <= this.sequence)
     ) {
       // A late copy, or overtaken by the answer to a direct message. It proves nothing new.
-      c.stale = true;
-      return c;
+      changes.stale = true;
+      return changes;
     }
-    if (r.agentEpoch > this.agentEpoch) {
-      c.agentRestarted = this.agentEpoch !== 0;
+    if (heartbeat.agentEpoch > this.agentEpoch) {
+      changes.agentRestarted = this.agentEpoch !== 0;
       // Shown by the answer to a direct command perhaps, which renews nothing: but a session begins
       // with a lease of its own, and what is started in it may be there until that has run out.
       this.leaseRenewed(now);
-      this.agentEpoch = r.agentEpoch;
-      for (const a of [...this.attempts.values()]) {
+      this.agentEpoch = heartbeat.agentEpoch;
+      for (const attempt of [...this.attempts.values()]) {
         // A session that has moved on takes everything with it, late messages included.
-        if (a.agentEpoch !== null && a.agentEpoch < r.agentEpoch && a.state !== 'claiming') {
-          this.endAttempt(a, now, c);
+        if (
+          attempt.agentEpoch !== null &&
+          attempt.agentEpoch < heartbeat.agentEpoch &&
+          attempt.state !== 'claiming'
+        ) {
+          this.endAttempt(attempt, now, changes);
         }
       }
     }
-    this.sequence = r.sequence;
+    this.sequence = heartbeat.sequence;
     this.lastSeenAt = now;
     this.firstSeenAt ??= now;
-    this.addr = r.addr;
-    this.type = r.type;
-    this.zone = r.zone;
-    this.spot = r.spot;
-    if (r.reclaimNoticeS !== null) {
-      const at = now + r.reclaimNoticeS;
+    this.addr = heartbeat.addr;
+    this.type = heartbeat.type;
+    this.zone = heartbeat.zone;
+    this.spot = heartbeat.spot;
+    if (heartbeat.reclaimNoticeS !== null) {
+      const at = now + heartbeat.reclaimNoticeS;
       this.reclaimedAt = this.reclaimedAt === null ? at : Math.min(this.reclaimedAt, at);
     }
     if (this.state === 'silent') this.changeState('fencing');
-    if (r.token !== this.token) {
+    if (heartbeat.token !== this.token) {
       // Not fenced: an older leader's commands may still be carried out after this report.
       this.changeState('fencing');
-      return c;
+      return changes;
     }
     this.changeState('ready');
     this.clearUnansweredStarts();
-    if (checkin) this.fencedSequence = r.sequence;
-    this.reconcileTasks(r.tasks, checkin, now, c);
-    return c;
+    if (checkin) this.fencedSequence = heartbeat.sequence;
+    this.reconcileTasks(heartbeat.tasks, checkin, now, changes);
+    return changes;
   }
 
   private reconcileTasks(
     tasks: Heartbeat['tasks'],
     checkin: boolean,
     now: number,
-    c: HeartbeatChanges,
+    changes: HeartbeatChanges,
   ): void {
     const shown = new Set<string>();
-    for (const t of tasks) {
-      const key = attemptKey(t.job, t.index, t.attempt);
+    for (const task of tasks) {
+      const key = attemptKey(task.job, task.index, task.attempt);
       shown.add(key);
-      let a = this.attempts.get(key);
-      if (a === undefined) {
-        a = makeAttempt(t.job, t.index, t.attempt, this.id, 'inherited', now);
-        a.agentEpoch = this.agentEpoch;
-        this.attempts.set(key, a);
+      let attempt = this.attempts.get(key);
+      if (attempt === undefined) {
+        attempt = makeAttempt(task.job, task.index, task.attempt, this.id, 'inherited', now);
+        attempt.agentEpoch = this.agentEpoch;
+        this.attempts.set(key, attempt);
         this.markChanged();
-        c.unclaimed.push(a);
+        changes.unclaimed.push(attempt);
       }
-      a.agentEpoch = this.agentEpoch;
-      a.cause = t.cause;
-      a.saved = t.saved;
-      if (a.state === 'claiming' || a.state === 'gone') continue;
-      if (a.state === 'ended' && t.state !== 'ended') continue;
-      if (advanceAttempt(a, t.state, now)) {
+      attempt.agentEpoch = this.agentEpoch;
+      attempt.cause = task.cause;
+      attempt.saved = task.saved;
+      if (attempt.state === 'claiming' || attempt.state === 'gone') continue;
+      if (attempt.state === 'ended' && task.state !== 'ended') continue;
+      if (advanceAttempt(attempt, task.state, now)) {
         this.markChanged();
-        (t.state === 'ended' ? c.exited : c.changed).push(a);
+        (task.state === 'ended' ? changes.exited : changes.changed).push(attempt);
       }
     }
-    for (const [key, a] of [...this.attempts]) {
+    for (const [key, attempt] of [...this.attempts]) {
       if (shown.has(key)) continue;
-      switch (a.state) {
+      switch (attempt.state) {
         case 'claiming':
         case 'claimed':
         case 'gone':
           break;
         case 'sent':
-          if (!checkin || a.sendingDirectly || a.unansweredToken !== null) break;
-          if (a.sentInHeartbeat !== null && this.fencedSequence <= a.sentInHeartbeat) break;
+          if (!checkin || attempt.sendingDirectly || attempt.unansweredToken !== null) break;
+          if (attempt.sentInHeartbeat !== null && this.fencedSequence <= attempt.sentInHeartbeat)
+            break;
           // The answer that carried the start is over and it is not there: it never will be.
-          advanceAttempt(a, 'claimed', now);
-          a.rejectedStarts++;
-          c.rejectedStarts++;
-          c.changed.push(a);
+          advanceAttempt(attempt, 'claimed', now);
+          attempt.rejectedStarts++;
+          changes.rejectedStarts++;
+          changes.changed.push(attempt);
           break;
         default:
-          this.endAttempt(a, now, c);
+          this.endAttempt(attempt, now, changes);
       }
     }
   }
 
-  private endAttempt(a: Attempt, now: number, c: HeartbeatChanges): void {
-    const before = a.state;
-    if (!advanceAttempt(a, 'gone', now)) return;
+  private endAttempt(attempt: Attempt, now: number, changes: HeartbeatChanges): void {
+    const before = attempt.state;
+    if (!advanceAttempt(attempt, 'gone', now)) return;
     this.markChanged();
-    this.attempts.delete(attemptKey(a.job, a.index, a.number));
-    if (before !== 'ended') c.exited.push(a);
+    this.attempts.delete(attemptKey(attempt.job, attempt.index, attempt.number));
+    if (before !== 'ended') changes.exited.push(attempt);
   }
 
   /** Everything on it is gone: the lease has run out for certain, or the cloud has confirmed it. */
   endAllAttempts(now: number): Attempt[] {
-    const c: HeartbeatChanges = {
+    const changes: HeartbeatChanges = {
       exited: [],
       changed: [],
       unclaimed: [],
@@ -294,82 +303,96 @@
       agentRestarted: false,
       stale: false,
     };
-    for (const a of [...this.attempts.values()]) this.endAttempt(a, now, c);
-    return c.exited;
+    for (const attempt of [...this.attempts.values()]) this.endAttempt(attempt, now, changes);
+    return changes.exited;
   }
 
   /** A claim that was never sent is withdrawn. */
-  withdrawClaim(a: Attempt, now: number): void {
-    advanceAttempt(a, 'gone', now);
+  withdrawClaim(attempt: Attempt, now: number): void {
+    advanceAttempt(attempt, 'gone', now);
     this.markChanged();
-    this.attempts.delete(attemptKey(a.job, a.index, a.number));
+    this.attempts.delete(attemptKey(attempt.job, attempt.index, attempt.number));
   }
 
-  addClaim(a: Attempt): void {
+  addClaim(attempt: Attempt): void {
     this.markChanged();
-    this.attempts.set(attemptKey(a.job, a.index, a.number), a);
+    this.attempts.set(attemptKey(attempt.job, attempt.index, attempt.number), attempt);
   }
 
   /** The claims that its stored record must name: everything that may be or may come on it. */
   claims(): Attempt[] {
-    return [...this.attempts.values()].filter((a) => a.state !== 'gone');
+    return [...this.attempts.values()].filter((attempt) => attempt.state !== 'gone');
   }
 
   /**
    * The commands due now. Forgetting goes first, so that a task may come back to its machine; then
    * stops, then starts.
    */
-  dueCommands(now: number, mayStart: (a: Attempt) => boolean, repeatStops: boolean): Command[] {
+  dueCommands(
+    now: number,
+    mayStart: (attempt: Attempt) => boolean,
+    repeatStops: boolean,
+  ): Command[] {
     const forget: Command[] = [];
     const stops: Command[] = [];
     const starts: Command[] = [];
     const forgotten = new Set<string>();
-    for (const a of this.attempts.values()) {
-      const { job, index, number: attempt } = a;
-      if (a.state === 'ended') {
+    for (const each of this.attempts.values()) {
+      const { job, index, number: attempt } = each;
+      if (each.state === 'ended') {
         // A start that may still arrive would begin anew what has been forgotten.
-        if (a.settled && a.unansweredToken === null && !a.sendingDirectly) {
+        if (each.settled && each.unansweredToken === null && !each.sendingDirectly) {
           forget.push({ kind: 'forget', job, index, attempt });
           forgotten.add(`${job}/${index}`);
         }
-      } else if (a.stopRequest !== null) {
-        if (mayBeOnMachine(a) && (repeatStops || a.stopRequest.sentAt === null)) {
-          stops.push({ kind: 'stop', job, index, attempt, graceS: a.stopRequest.graceS });
+      } else if (each.stopRequest !== null) {
+        if (mayBeOnMachine(each) && (repeatStops || each.stopRequest.sentAt === null)) {
+          stops.push({ kind: 'stop', job, index, attempt, graceS: each.stopRequest.graceS });
         }
       }
     }
-    for (const a of this.attempts.values()) {
+    for (const attempt of this.attempts.values()) {
       const again =
-        a.state === 'sent' && a.unansweredToken !== null && !a.sendingDirectly && repeatStops;
-      if (a.stopRequest !== null || (a.state !== 'claimed' && !again)) continue;
-      if (a.sendingDirectly || !mayStart(a)) continue;
-      if (this.hasOtherAttempt(a) && !forgotten.has(`${a.job}/${a.index}`)) continue;
-      starts.push({ kind: 'start', job: a.job, index: a.index, attempt: a.number });
+        attempt.state === 'sent' &&
+        attempt.unansweredToken !== null &&
+        !attempt.sendingDirectly &&
+        repeatStops;
+      if (attempt.stopRequest !== null || (attempt.state !== 'claimed' && !again)) continue;
+      if (attempt.sendingDirectly || !mayStart(attempt)) continue;
+      if (this.hasOtherAttempt(attempt) && !forgotten.has(`${attempt.job}/${attempt.index}`))
+        continue;
+      starts.push({
+        kind: 'start',
+        job: attempt.job,
+        index: attempt.index,
+        attempt: attempt.number,
+      });
     }
     return [...forget, ...stops, ...starts].slice(0, MAX_COMMANDS_PER_MESSAGE);
   }
 
-  private hasOtherAttempt(a: Attempt): boolean {
-    for (const b of this.attempts.values()) {
-      if (b !== a && b.index === a.index && b.job === a.job) return true;
+  private hasOtherAttempt(attempt: Attempt): boolean {
+    for (const each of this.attempts.values()) {
+      if (each !== attempt && each.index === attempt.index && each.job === attempt.job) return true;
     }
     return false;
   }
 
   /** Marks what goes out with the answer to a check-in, or straight to the worker. */
   markSent(commands: Command[], via: 'checkin' | 'direct', now: number): void {
-    for (const c of commands) {
-      const a = this.attempts.get(attemptKey(c.job, c.index, c.attempt));
-      if (a === undefined) continue;
-      if (c.kind === 'stop' && a.stopRequest !== null) a.stopRequest.sentAt ??= now;
-      if (c.kind === 'start') {
-        if (a.state === 'claimed') advanceAttempt(a, 'sent', now);
-        a.startSentAt ??= now;
-        a.agentEpoch = this.agentEpoch;
-        if (via === 'checkin') a.sentInHeartbeat = this.fencedSequence;
+    for (const command of commands) {
+      const attempt = this.attempts.get(attemptKey(command.job, command.index, command.attempt));
+      if (attempt === undefined) continue;
+      if (command.kind === 'stop' && attempt.stopRequest !== null)
+        attempt.stopRequest.sentAt ??= now;
+      if (command.kind === 'start') {
+        if (attempt.state === 'claimed') advanceAttempt(attempt, 'sent', now);
+        attempt.startSentAt ??= now;
+        attempt.agentEpoch = this.agentEpoch;
+        if (via === 'checkin') attempt.sentInHeartbeat = this.fencedSequence;
         else {
-          a.sendingDirectly = true;
-          a.sentInHeartbeat = null;
+          attempt.sendingDirectly = true;
+          attempt.sentInHeartbeat = null;
         }
       }
     }
@@ -384,22 +407,22 @@
     /** What the message carried. */
     token = this.token,
   ): void {
-    for (const c of commands) {
-      const a = this.attempts.get(attemptKey(c.job, c.index, c.attempt));
-      if (a === undefined) continue;
-      if (c.kind === 'stop' && how !== 'done' && a.stopRequest !== null)
-        a.stopRequest.sentAt = null;
-      if (c.kind !== 'start') continue;
-      a.sendingDirectly = false;
-      if (how === 'unknown' && a.agentEpoch === session) a.unansweredToken = token;
-      if (how === 'refused' && a.state === 'sent' && a.unansweredToken === null) {
-        advanceAttempt(a, 'claimed', now);
+    for (const command of commands) {
+      const attempt = this.attempts.get(attemptKey(command.job, command.index, command.attempt));
+      if (attempt === undefined) continue;
+      if (command.kind === 'stop' && how !== 'done' && attempt.stopRequest !== null)
+        attempt.stopRequest.sentAt = null;
+      if (command.kind !== 'start') continue;
+      attempt.sendingDirectly = false;
+      if (how === 'unknown' && attempt.agentEpoch === session) attempt.unansweredToken = token;
+      if (how === 'refused' && attempt.state === 'sent' && attempt.unansweredToken === null) {
+        advanceAttempt(attempt, 'claimed', now);
       }
     }
   }
 
   hasActiveAttempts(): boolean {
-    for (const a of this.attempts.values()) if (occupiesCapacity(a)) return true;
+    for (const attempt of this.attempts.values()) if (occupiesCapacity(attempt)) return true;
     return false;
   }
 
--- a/test/cluster-lending.test.ts
+++ b/test/cluster-lending.test.ts
@@ -15,8 +15,8 @@
   try {
     const { stdout } = await promisify(execFile)(process.execPath, [MAIN, ...args]);
     return { status: 0, out: stdout };
-  } catch (e) {
-    const { code, stderr } = e as { code: number; stderr: string };
+  } catch (error) {
+    const { code, stderr } = error as { code: number; stderr: string };
     return { status: code, out: stderr };
   }
 }
--- a/test/cluster-warm-pools.test.ts
+++ b/test/cluster-warm-pools.test.ts
@@ -47,11 +47,11 @@
 };
 
 const withModel = (workers: Worker[]): Worker[] =>
-  workers.filter((w) => w.modelServer!.models.get(MODEL)?.state === 'ready');
+  workers.filter((worker) => worker.modelServer!.models.get(MODEL)?.state === 'ready');
 
 /** Replicas that answer now. */
 const answering = (workers: Worker[]): number =>
-  withModel(workers).reduce((sum, w) => sum + w.modelServer!.models.get(MODEL)!.users, 0);
+  withModel(workers).reduce((sum, worker) => sum + worker.modelServer!.models.get(MODEL)!.users, 0);
 
 const MAIN = new URL('../src/main.js', import.meta.url).pathname;
 
@@ -60,8 +60,8 @@
   try {
     const { stdout } = await promisify(execFile)(process.execPath, args);
     return { status: 0, out: stdout };
-  } catch (e) {
-    const { code, stderr } = e as { code: number; stderr: string };
+  } catch (error) {
+    const { code, stderr } = error as { code: number; stderr: string };
     return { status: code, out: stderr };
   }
 }
@@ -161,7 +161,7 @@
       const began = Date.now();
       await until('both answer', () => answering(cluster.workers) === SLOTS);
       assert.ok(Date.now() - began < LOAD_MS, `answered after ${Date.now() - began} ms`);
-      const loads = cluster.workers.filter((w) => w.modelServer!.asked.length > 0);
+      const loads = cluster.workers.filter((worker) => worker.modelServer!.asked.length > 0);
       assert.equal(loads.length, 1);
     } finally {
       cluster.close();
--- a/test/evidence.test.ts
+++ b/test/evidence.test.ts
@@ -19,17 +19,17 @@
   sequence: 1,
   token: TOKEN,
   reclaimNoticeS: null,
-  tasks: tasks.map((t) => ({
-    job: 'j', index: 0, attempt: 50, state: 'running', cause: null, saved: false, ...t,
+  tasks: tasks.map((task) => ({
+    job: 'j', index: 0, attempt: 50, state: 'running', cause: null, saved: false, ...task,
   })), // prettier-ignore
   ...over,
 });
 
 function setup(state: AttemptState): { m: Machine; a: Attempt } {
-  const m = new Machine('m', TOKEN, LEASE, 0);
-  const a = makeAttempt('j', 0, 50, 'm', state, 0);
-  m.addClaim(a);
-  return { m, a };
+  const machine = new Machine('m', TOKEN, LEASE, 0);
+  const attempt = makeAttempt('j', 0, 50, 'm', state, 0);
+  machine.addClaim(attempt);
+  return { m: machine, a: attempt };
 }
 
 /** A start in the answer to check-in 10. */
@@ -38,7 +38,7 @@
   s.m.applyHeartbeat(report({ sequence: 10 }), true, 1);
   const c = s.m.dueCommands(1, () => true, true);
   assert.deepEqual(
-    c.map((x) => x.kind),
+    c.map((command) => command.kind),
     ['start'],
   );
   s.m.markSent(c, 'checkin', 1);
@@ -157,7 +157,7 @@
   m.applyHeartbeat(report({ sequence: 11 }), true, 3);
   assert.equal(a.state, 'sent');
   assert.deepEqual(
-    m.dueCommands(3, () => true, true).map((c) => c.kind),
+    m.dueCommands(3, () => true, true).map((command) => command.kind),
     ['start'],
     'sent again',
   );
@@ -189,25 +189,25 @@
   );
   a.settled = true;
   assert.deepEqual(
-    m.dueCommands(2, () => true, true).map((c) => c.kind),
+    m.dueCommands(2, () => true, true).map((command) => command.kind),
     ['forget', 'start'],
   );
 });
 
 test('a renewed lease moves its end, a late copy never moves it back', () => {
-  const m = new Machine('m', TOKEN, LEASE, 0);
-  m.leaseRenewed(5);
-  const end = m.leaseExpiresAt;
+  const machine = new Machine('m', TOKEN, LEASE, 0);
+  machine.leaseRenewed(5);
+  const end = machine.leaseExpiresAt;
   assert.ok(end > 5 + LEASE);
-  m.leaseRenewed(4);
-  assert.equal(m.leaseExpiresAt, end);
+  machine.leaseRenewed(4);
+  assert.equal(machine.leaseExpiresAt, end);
 });
 
 test('tasks nobody here knows of are told apart', () => {
-  const m = new Machine('m', TOKEN, LEASE, 0);
-  const c = m.applyHeartbeat(report({}, [{ job: 'x' }]), true, 1);
+  const machine = new Machine('m', TOKEN, LEASE, 0);
+  const changes = machine.applyHeartbeat(report({}, [{ job: 'x' }]), true, 1);
   assert.deepEqual(
-    c.unclaimed.map((a) => a.job),
+    changes.unclaimed.map((attempt) => attempt.job),
     ['x'],
   );
 });
--- a/test/large.test.ts
+++ b/test/large.test.ts
@@ -75,19 +75,22 @@
       const body = JSON.stringify({
         bench: host(i), addr: '127.0.0.1:1', casting: 'g8', yard: 'z1', loaner: false, shift: 1,
         tally, hallmark: tokens.get(i) ?? 1, recall_s: null,
-        pieces: claims(i).map((c) => ({ piece: `${c.job}/0`, pour: 1, temper: 'running' })),
+        pieces: claims(i).map((claim) => ({ piece: `${claim.job}/0`, pour: 1, temper: 'running' })),
       }); // prettier-ignore
       const before = node.election.token;
-      const r = await fetch(`http://127.0.0.1:${ports[0]!.bind}/checkin`, { method: 'POST', body });
-      if (r.status === 503) {
+      const response = await fetch(`http://127.0.0.1:${ports[0]!.bind}/checkin`, {
+        method: 'POST',
+        body,
+      });
+      if (response.status === 503) {
         // Beside other load a pass over so many machines takes seconds, and with the stand-ins in the same
         // process the leader's own lease can be renewed too late. Only then may it refuse.
         const isLate = !node.election.isEntitled || node.leader === null;
         assert.ok(isLate || node.election.token !== before, 'refused by a leader that is entitled');
         return false;
       }
-      assert.equal(r.status, 200);
-      const answer = (await r.json()) as { hallmark: number; orders: unknown[] };
+      assert.equal(response.status, 200);
+      const answer = (await response.json()) as { hallmark: number; orders: unknown[] };
       // What runs is kept: nothing on its machine is stopped, nothing is started a second time.
       assert.deepEqual(answer.orders, []);
       assert.ok(answer.hallmark >= (tokens.get(i) ?? 1), 'tokens only rise');
--- a/test/lending-helpers.ts
+++ b/test/lending-helpers.ts
@@ -261,14 +261,14 @@
   }
 
   taskStates(job: string): string[] {
-    return [...this.fleet.workers.values()].flatMap((w) =>
-      [...w.tasks.values()].filter((t) => t.job === job).map((t) => t.state),
+    return [...this.fleet.workers.values()].flatMap((worker) =>
+      [...worker.tasks.values()].filter((task) => task.job === job).map((task) => task.state),
     );
   }
 
   hosts(job: string): string[] {
-    const on = [...this.fleet.workers.values()].filter((w) => w.running(job).length > 0);
-    return on.map((w) => w.id);
+    const on = [...this.fleet.workers.values()].filter((worker) => worker.running(job).length > 0);
+    return on.map((worker) => worker.id);
   }
 
   /** Nothing can be stored for so long, by anybody. */
@@ -290,10 +290,10 @@
   /** One report interval, with a look between each two of its steps. True: stopped by `is`. */
   async step(is: () => boolean = () => false): Promise<boolean> {
     this.fleet.now += REPORT_S;
-    for (const w of this.fleet.workers.values()) w.tick();
+    for (const worker of this.fleet.workers.values()) worker.tick();
     if (this.look(is)) return true;
-    for (const w of [...this.fleet.workers.values()]) {
-      this.checkin(w);
+    for (const worker of [...this.fleet.workers.values()]) {
+      this.checkin(worker);
       if (this.look(is)) return true;
     }
     this.pass();
@@ -332,15 +332,15 @@
       if (gpus > MACHINE_GPUS) this.note(`${machine}: ${gpus} GPUs are lent`);
     }
     const teams = new Map<string, number>();
-    for (const w of this.fleet.workers.values()) {
+    for (const worker of this.fleet.workers.values()) {
       let used = 0;
-      for (const t of w.tasks.values()) {
-        const spec = this.batch.work.get(t.job)?.spec;
-        if (t.state === 'ended' || spec === undefined) continue;
+      for (const task of worker.tasks.values()) {
+        const spec = this.batch.work.get(task.job)?.spec;
+        if (task.state === 'ended' || spec === undefined) continue;
         used += spec.gpus;
         teams.set(spec.team, (teams.get(spec.team) ?? 0) + spec.gpus);
       }
-      if (used > MACHINE_GPUS) this.note(`${w.id}: ${used} GPUs are used`);
+      if (used > MACHINE_GPUS) this.note(`${worker.id}: ${used} GPUs are used`);
     }
     for (const [team, gpus] of teams) {
       const most = this.settings.teams.get(team)!.gpusMax;
@@ -368,14 +368,14 @@
       parts.pass();
       for (let i = 0; i < 5; i++) await parts.store.flush();
       old.tick();
-      for (const m of old.term.machines.values()) this.lateCommands(old, m.id);
+      for (const machine of old.term.machines.values()) this.lateCommands(old, machine.id);
     }
   }
 
   private lateCommands(old: Leader, id: string): void {
-    const m = old.term.machines.get(id)!;
-    const commands = m.dueCommands(this.now, (a) => old.term.mayStart(a), true);
-    this.fleet.workers.get(id)?.direct(m.token, m.agentEpoch, commands);
+    const machine = old.term.machines.get(id)!;
+    const commands = machine.dueCommands(this.now, (attempt) => old.term.mayStart(attempt), true);
+    this.fleet.workers.get(id)?.direct(machine.token, machine.agentEpoch, commands);
   }
 
   /**
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -70,9 +70,9 @@
     Buffer.concat([hello, encodeFrame({ fitness: { latenessS: -1, served: true } })]),
   ]) {
     await new Promise<void>((resolve) => {
-      const s = connect(port, '127.0.0.1', () => s.write(bytes));
-      s.on('error', () => undefined);
-      s.on('close', () => resolve());
+      const socket = connect(port, '127.0.0.1', () => socket.write(bytes));
+      socket.on('error', () => undefined);
+      socket.on('close', () => resolve());
     });
   }
   assert.deepEqual(await client.ask('a', { q: 'report', body: Buffer.from('y'), hop: false }, 2), {
@@ -103,7 +103,7 @@
   ];
   for (const { name, urgent, writes, soon } of cases) {
     const written: Buffer[] = [];
-    const socket = { destroyed: false, write: (b: Buffer) => written.push(b) > 0 };
+    const socket = { destroyed: false, write: (data: Buffer) => written.push(data) > 0 };
     const writer = new FrameWriter(socket, () => null, 0.05);
     urgent.forEach((u, i) => writer.write({ id: i }, u));
     await new Promise((resolve) => setTimeout(resolve, 10));
--- a/test/load-lines.test.ts
+++ b/test/load-lines.test.ts
@@ -14,7 +14,7 @@
     role: () => 'leading',
     overload: { delayS: 0.25, latenessS: 0 },
     requests: { size: 7, refused: { report: 0, cancellation: 0, poll: 0, submission: 0 } },
-    reports: new HeartbeatCounts(),
+    heartbeats: new HeartbeatCounts(),
     machinesLost: () => 0,
     stateTraffic: () => ({ sent: 0, sentBytes: 0, received: 0, receivedBytes: 0 }),
     passes: { count: 0, seconds: 0 },
@@ -22,7 +22,7 @@
   const lines: LoadLine[] = [];
   const log = new LoadLog(sources, fake<Log>({ debug: (line: LoadLine) => lines.push(line) }));
   for (const reports of answered) {
-    sources.reports.answered += reports;
+    sources.heartbeats.answered += reports;
     log.write();
   }
   log.stop();
--- a/test/meeting-helpers.ts
+++ b/test/meeting-helpers.ts
@@ -57,8 +57,11 @@
   }
 
   private apply(guards: Precondition[], ops: Operation[]): CompareAndSwapResult {
-    const failed = guards.filter((g) => (this.items.get(g.key)?.revision ?? 0) !== g.revision);
-    if (failed.length > 0) return { ok: false, failed: failed.map((g) => g.key) };
+    const failed = guards.filter(
+      (precondition) => (this.items.get(precondition.key)?.revision ?? 0) !== precondition.revision,
+    );
+    if (failed.length > 0)
+      return { ok: false, failed: failed.map((precondition) => precondition.key) };
     if (ops.length > 0) this.ledger++;
     for (const op of ops) {
       const revision = this.ledger;
@@ -98,7 +101,7 @@
 
   changes(_prefix: string, after: number): Promise<{ revision: number; changes: Change[] }> {
     if (this.mode === 'refuse') return Promise.reject(new RequestRejectedError(503));
-    const changes = this.log.filter((c) => c.revision > after);
+    const changes = this.log.filter((change) => change.revision > after);
     return Promise.resolve({ revision: this.ledger, changes });
   }
 
@@ -188,7 +191,7 @@
     return {
       machine: this.id, addr: '127.0.0.1:1', type: 'g8', zone: this.zone, spot: false,
       agentEpoch: this.session, sequence: this.seq, token: this.token, reclaimNoticeS: this.noticeS,
-      tasks: [...this.tasks.values()].map((t) => ({ ...t })),
+      tasks: [...this.tasks.values()].map((task) => ({ ...task })),
     }; // prettier-ignore
   }
 
@@ -216,14 +219,14 @@
   }
 
   private execute(orders: Command[]): void {
-    for (const c of orders) {
-      const key = attemptKey(c.job, c.index, c.attempt);
+    for (const command of orders) {
+      const key = attemptKey(command.job, command.index, command.attempt);
       const task = this.tasks.get(key);
-      if (c.kind === 'forget' && task?.state === 'ended') this.tasks.delete(key);
-      if (c.kind === 'stop' && task !== undefined) this.stop(task, c.graceS);
-      if (c.kind !== 'start' || task !== undefined) continue;
-      this.fleet.started(this, c);
-      const { job, index, attempt } = c;
+      if (command.kind === 'forget' && task?.state === 'ended') this.tasks.delete(key);
+      if (command.kind === 'stop' && task !== undefined) this.stop(task, command.graceS);
+      if (command.kind !== 'start' || task !== undefined) continue;
+      this.fleet.started(this, command);
+      const { job, index, attempt } = command;
       this.tasks.set(key, { job, index, attempt, state: 'running', cause: null, saved: false });
     }
   }
@@ -240,7 +243,7 @@
   }
 
   running(job: string): TaskStatus[] {
-    return [...this.tasks.values()].filter((t) => t.job === job && t.state !== 'ended');
+    return [...this.tasks.values()].filter((task) => task.job === job && task.state !== 'ended');
   }
 }
 
@@ -265,19 +268,19 @@
     return new Worker(id, this, zone);
   }
 
-  started(on: Worker, c: Command): void {
-    const name = `${c.job}/${c.index}`;
+  started(on: Worker, command: Command): void {
+    const name = `${command.job}/${command.index}`;
     this.starts.set(name, (this.starts.get(name) ?? 0) + 1);
-    if (this.cancelled.has(c.job)) this.broken.push(`ran_cancelled ${name}`);
+    if (this.cancelled.has(command.job)) this.broken.push(`ran_cancelled ${name}`);
     for (const other of this.workers.values()) {
-      if (other.running(c.job).some((t) => t.index === c.index)) {
+      if (other.running(command.job).some((task) => task.index === command.index)) {
         this.broken.push(`ran_twice ${name}: ${on.id} and ${other.id}`);
       }
     }
   }
 
   running(job: string): number {
-    return [...this.workers.values()].reduce((n, w) => n + w.running(job).length, 0);
+    return [...this.workers.values()].reduce((n, worker) => n + worker.running(job).length, 0);
   }
 }
 
@@ -286,7 +289,7 @@
   schedule(): void;
   pass(): void;
   sweep(): void;
-  forget(m: Machine): void;
+  forget(machine: Machine): void;
   store: { flush(): Promise<boolean> };
   scheduler: Scheduler;
   capacity: CapacityManager;
@@ -411,15 +414,15 @@
 
   /** A direct command goes out; the caller says what becomes of it. */
   sendDirect(id: string): { arrive(): void; unanswered(): void } {
-    const m = this.machine(id);
+    const machine = this.machine(id);
     const worker = this.fleet.workers.get(id)!;
-    const commands = m.dueCommands(this.now, (a) => this.term.mayStart(a), false);
-    const { agentEpoch } = m;
+    const commands = machine.dueCommands(this.now, (attempt) => this.term.mayStart(attempt), false);
+    const { agentEpoch } = machine;
     const { token } = this;
-    m.markSent(commands, 'direct', this.now);
+    machine.markSent(commands, 'direct', this.now);
     return {
       arrive: () => void worker.direct(token, agentEpoch, commands),
-      unanswered: () => m.directCommandsEnded(commands, 'unknown', agentEpoch, this.now),
+      unanswered: () => machine.directCommandsEnded(commands, 'unknown', agentEpoch, this.now),
     };
   }
 
@@ -445,9 +448,9 @@
     const { report_s } = this.settings.workers;
     for (let left = seconds; left > 1e-9; left -= report_s) {
       this.fleet.now += report_s;
-      for (const w of this.fleet.workers.values()) {
-        w.tick();
-        this.checkin(w);
+      for (const worker of this.fleet.workers.values()) {
+        worker.tick();
+        this.checkin(worker);
       }
       this.pass();
       await this.flush();
--- a/test/meeting-largest.test.ts
+++ b/test/meeting-largest.test.ts
@@ -9,29 +9,29 @@
 const RUN_S = 20;
 
 /** Small tasks end after their time. */
-function endSmall(w: World, began: Map<string, number>): void {
-  for (const worker of w.fleet.workers.values()) {
+function endSmall(world: World, began: Map<string, number>): void {
+  for (const worker of world.fleet.workers.values()) {
     for (const task of worker.tasks.values()) {
       if (task.job === GANG || task.state !== 'running') continue;
       const key = `${worker.id} ${task.job}/${task.index}`;
-      const at = began.get(key) ?? w.now;
+      const at = began.get(key) ?? world.now;
       began.set(key, at);
-      if (w.now - at >= RUN_S) worker.end(task, 'done');
+      if (world.now - at >= RUN_S) worker.end(task, 'done');
     }
   }
 }
 
 test('a gang of whole machines begins beside a stream of small work that fills all of them', async () => {
-  const w = new World(100);
-  for (const id of ['a', 'b', 'c', 'd']) w.fleet.add(id);
-  await w.run(1);
+  const world = new World(100);
+  for (const id of ['a', 'b', 'c', 'd']) world.fleet.add(id);
+  await world.run(1);
   const began = new Map<string, number>();
-  for (let s = 0; s < BEGIN_S + 30 && w.fleet.running(GANG) < 2; s++) {
+  for (let s = 0; s < BEGIN_S + 30 && world.fleet.running(GANG) < 2; s++) {
     // Tasks of 20 s for 60 GPUs at a time, where there are 32.
-    if (s % 4 === 0) w.job({ id: `wk-${1000 + s}`, tasks: 12, estimateS: RUN_S });
-    if (s === 30) w.job({ id: GANG, kind: 'gang', tasks: 2, gpus: 8, cores: 8, estimateS: 60 });
-    await w.run(1);
-    endSmall(w, began);
+    if (s % 4 === 0) world.job({ id: `wk-${1000 + s}`, tasks: 12, estimateS: RUN_S });
+    if (s === 30) world.job({ id: GANG, kind: 'gang', tasks: 2, gpus: 8, cores: 8, estimateS: 60 });
+    await world.run(1);
+    endSmall(world, began);
   }
-  assert.equal(w.fleet.running(GANG), 2);
+  assert.equal(world.fleet.running(GANG), 2);
 });
--- a/test/meeting-leases.test.ts
+++ b/test/meeting-leases.test.ts
@@ -27,65 +27,65 @@
     ],
   ]; // prettier-ignore
   for (const [name, heard, then, moves] of cases) {
-    const w = new World();
-    const worker = w.fleet.add('a');
+    const world = new World();
+    const worker = world.fleet.add('a');
     const report = (s: Seen): Heartbeat => ({
       ...worker.report(),
-      token: w.token,
+      token: world.token,
       agentEpoch: s.session,
       sequence: s.seq,
     });
     for (const s of heard) {
-      if (s.direct === true) w.machine('a').applyHeartbeat(report(s), false, w.now);
-      else w.leader.answerHeartbeat(report(s));
+      if (s.direct === true) world.machine('a').applyHeartbeat(report(s), false, world.now);
+      else world.leader.answerHeartbeat(report(s));
     }
-    const before = w.machine('a').leaseExpiresAt;
-    w.fleet.now += 1;
-    w.leader.answerHeartbeat(report(then));
-    assert.equal(w.machine('a').leaseExpiresAt > before, moves, name);
+    const before = world.machine('a').leaseExpiresAt;
+    world.fleet.now += 1;
+    world.leader.answerHeartbeat(report(then));
+    assert.equal(world.machine('a').leaseExpiresAt > before, moves, name);
   }
 });
 
 test('a session first shown by the answer to a direct command has its whole lease', () => {
   const lease = 10;
-  const m = new Machine('m', 5, lease, 0);
-  const report: Heartbeat = {
+  const machine = new Machine('m', 5, lease, 0);
+  const heartbeat: Heartbeat = {
     machine: 'm', addr: 'a:1', type: 'g8', zone: 'z1', spot: false, agentEpoch: 1, sequence: 1, token: 5,
     reclaimNoticeS: null, tasks: [],
   }; // prettier-ignore
-  m.applyHeartbeat(report, true, 0);
-  m.leaseRenewed(0);
+  machine.applyHeartbeat(heartbeat, true, 0);
+  machine.leaseRenewed(0);
   const at = lease + 0.1;
-  m.applyHeartbeat({ ...report, agentEpoch: 2, sequence: 1 }, false, at);
-  assert.ok(m.leaseExpiresAt >= at + lease, 'the worker began it no later than now');
+  machine.applyHeartbeat({ ...heartbeat, agentEpoch: 2, sequence: 1 }, false, at);
+  assert.ok(machine.leaseExpiresAt >= at + lease, 'the worker began it no later than now');
 });
 
 test('a machine that reaches no controller gets nothing new, though direct commands reach it', async () => {
-  const w = new World();
-  const a = w.fleet.add('a');
-  await w.run(1);
-  a.mute = true;
+  const world = new World();
+  const worker = world.fleet.add('a');
+  await world.run(1);
+  worker.mute = true;
   for (let i = 0; i < 8; i++) {
-    w.fleet.now += w.settings.workers.report_s;
-    w.machine('a').applyHeartbeat(a.report(), false, w.now);
+    world.fleet.now += world.settings.workers.report_s;
+    world.machine('a').applyHeartbeat(worker.report(), false, world.now);
   }
-  w.job({ id: JOB });
-  w.pass();
-  assert.deepEqual(w.machine('a').activeAttempts(), []);
+  world.job({ id: JOB });
+  world.pass();
+  assert.deepEqual(world.machine('a').activeAttempts(), []);
 });
 
 test('a late copy of a report makes no machine that was returned come back', async () => {
-  const w = new World();
-  const a = w.fleet.add('a');
-  await w.run(1);
-  const copy = a.report();
-  w.checkin(a);
-  w.fleet.workers.delete('a');
-  w.parts.capacity.returned(['a']);
-  w.leader.answerHeartbeat(copy);
-  w.leader.answerHeartbeat(copy);
-  w.job({ id: JOB });
-  w.pass();
-  await w.flush();
-  assert.equal(w.term.jobs.get(JOB)!.holdingCount, 0);
+  const world = new World();
+  const worker = world.fleet.add('a');
+  await world.run(1);
+  const copy = worker.report();
+  world.checkin(worker);
+  world.fleet.workers.delete('a');
+  world.parts.capacity.returned(['a']);
+  world.leader.answerHeartbeat(copy);
+  world.leader.answerHeartbeat(copy);
+  world.job({ id: JOB });
+  world.pass();
+  await world.flush();
+  assert.equal(world.term.jobs.get(JOB)!.holdingCount, 0);
 });
--- a/test/meeting-limits.test.ts
+++ b/test/meeting-limits.test.ts
@@ -31,28 +31,28 @@
 });
 
 test('however small the tasks, a machine gets no more than its record can name', async () => {
-  const w = new World();
-  w.fleet.add('a');
-  await w.run(1);
-  w.job({ id: JOB, tasks: 1000, cores: 0.001, gpus: 0, memGb: 0 });
-  await w.run(1);
-  const record = JSON.stringify(w.store.value(records.machineKey('a')));
-  assert.ok(record.length <= w.store.valueBytes, `${record.length} bytes`);
+  const world = new World();
+  world.fleet.add('a');
+  await world.run(1);
+  world.job({ id: JOB, tasks: 1000, cores: 0.001, gpus: 0, memGb: 0 });
+  await world.run(1);
+  const record = JSON.stringify(world.store.value(records.machineKey('a')));
+  assert.ok(record.length <= world.store.valueBytes, `${record.length} bytes`);
 });
 
 test('a machine that reports at last is not returned as one that never came', async () => {
-  const w = new World();
+  const world = new World();
   const ageS = 1000;
-  await w.run(w.settings.workers.lease_s * 4);
+  await world.run(world.settings.workers.lease_s * 4);
   const listed = {
     id: 'a', addr: '', type: 'g8', zone: 'z1', spot: false, state: 'booting' as const, ageS,
   }; // prettier-ignore
-  w.parts.capacity.listed([listed]);
-  assert.deepEqual(w.parts.capacity.toReturn(), ['a']);
+  world.parts.capacity.listed([listed]);
+  assert.deepEqual(world.parts.capacity.toReturn(), ['a']);
   // The cloud didn't answer; before it is asked again the machine is there, and has work.
-  w.fleet.add('a');
-  w.job({ id: JOB });
-  await w.run(2);
-  assert.equal(w.fleet.running(JOB), 1);
-  assert.deepEqual(w.parts.capacity.toReturn(), []);
+  world.fleet.add('a');
+  world.job({ id: JOB });
+  await world.run(2);
+  assert.equal(world.fleet.running(JOB), 1);
+  assert.deepEqual(world.parts.capacity.toReturn(), []);
 });
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -79,7 +79,7 @@
     const worker = this.pick([...w.fleet.workers.values()]);
     if (this.chance(0.02)) worker.deaf = !worker.deaf;
     if (this.chance(0.02)) worker.mute = !worker.mute;
-    const live = [...w.term.jobs.values()].filter((j) => j.holdingCount > 0);
+    const live = [...w.term.jobs.values()].filter((job) => job.holdingCount > 0);
     if (this.chance(0.01) && live.length > 0) {
       const job = this.pick(live);
       w.term.stopTask(job, this.pick([...job.holding()]));
@@ -110,9 +110,12 @@
 
   private endGang(job: Job, { job: id, attempt }: TaskStatus): void {
     const workers = [...this.w.fleet.workers.values()];
-    const mates = workers.flatMap((x) => x.running(id).filter((t) => t.attempt === attempt));
+    const mates = workers.flatMap((worker) =>
+      worker.running(id).filter((task) => task.attempt === attempt),
+    );
     const whole = mates.length === job.tasks;
-    for (const x of workers) for (const t of mates) x.end(t, whole ? 'done' : 'peers');
+    for (const worker of workers)
+      for (const task of mates) worker.end(task, whole ? 'done' : 'peers');
   }
 
   private reports(troubles: boolean): void {
@@ -129,26 +132,26 @@
   }
 
   /** Direct commands: answered, unanswered, late or lost. */
-  private direct(m: Machine, troubles: boolean): void {
+  private direct(machine: Machine, troubles: boolean): void {
     const { w } = this;
-    const worker = w.fleet.workers.get(m.id)!;
-    const commands = m.dueCommands(w.now, (a) => w.term.mayStart(a), false);
-    if (commands.every((c) => c.kind === 'forget')) return;
-    const { agentEpoch } = m;
+    const worker = w.fleet.workers.get(machine.id)!;
+    const commands = machine.dueCommands(w.now, (attempt) => w.term.mayStart(attempt), false);
+    if (commands.every((command) => command.kind === 'forget')) return;
+    const { agentEpoch } = machine;
     const { token } = w;
-    m.markSent(commands, 'direct', w.now);
+    machine.markSent(commands, 'direct', w.now);
     const how = worker.deaf ? 'lost' : troubles ? this.random() : 'answered';
     if (how === 'lost' || Number(how) > 0.85) {
-      m.directCommandsEnded(commands, 'unknown', agentEpoch, w.now);
+      machine.directCommandsEnded(commands, 'unknown', agentEpoch, w.now);
     } else if (Number(how) > 0.7) {
       this.delay(this.random() * 8, () => void worker.direct(token, agentEpoch, commands));
-      m.directCommandsEnded(commands, 'unknown', agentEpoch, w.now);
+      machine.directCommandsEnded(commands, 'unknown', agentEpoch, w.now);
     } else {
-      const report = worker.direct(token, agentEpoch, commands);
-      const answered = Number(how) > 0.6 ? 'unknown' : report === null ? 'refused' : 'done';
-      m.directCommandsEnded(commands, answered, agentEpoch, w.now);
+      const heartbeat = worker.direct(token, agentEpoch, commands);
+      const answered = Number(how) > 0.6 ? 'unknown' : heartbeat === null ? 'refused' : 'done';
+      machine.directCommandsEnded(commands, answered, agentEpoch, w.now);
       if (answered === 'unknown') return;
-      w.term.digest(m, m.applyHeartbeat(report ?? worker.report(), false, w.now));
+      w.term.digest(machine, machine.applyHeartbeat(heartbeat ?? worker.report(), false, w.now));
     }
   }
 
@@ -161,8 +164,8 @@
     if (this.chance(0.2)) w.store.deliver();
     for (const id of [...w.term.urgent]) {
       w.term.urgent.delete(id);
-      const m = w.term.machines.get(id);
-      if (m?.state === 'ready') this.direct(m, troubles);
+      const machine = w.term.machines.get(id);
+      if (machine?.state === 'ready') this.direct(machine, troubles);
     }
     w.leader.tick();
   }
@@ -187,7 +190,7 @@
   }
 
   endTroubles(): void {
-    for (const x of this.w.fleet.workers.values()) x.deaf = x.mute = false;
+    for (const worker of this.w.fleet.workers.values()) worker.deaf = worker.mute = false;
   }
 
   /** What is not as it must be in the end. */
--- a/test/meeting-records.test.ts
+++ b/test/meeting-records.test.ts
@@ -11,8 +11,8 @@
   store.put(records.progressKey(JOB, 0), records.encodeProgress({ bits: null, attainedS: 1 }));
 
 type Event = (store: MemoryStore) => number;
-const accepted: Event = (s) => s.accept({ id: JOB });
-const cancelled: Event = (s) => s.cancel(JOB);
+const accepted: Event = (store) => store.accept({ id: JOB });
+const cancelled: Event = (store) => store.cancel(JOB);
 
 test('a fresh listing tells the same of a job as the stream of changes', () => {
   const cases: [string, Event[], string][] = [
@@ -59,26 +59,26 @@
 
 test('the record of a job that is done is never written again', async () => {
   // A gang over two machines: its end is stored late, after the other machine's report.
-  const w = new World();
+  const world = new World();
   const ids = ['a', 'b'];
-  for (const id of ids) w.fleet.add(id);
-  w.job({ id: JOB, kind: 'gang', tasks: 2, gpus: 8, cores: 8 });
-  await w.run(2);
-  assert.equal(w.fleet.running(JOB), 2);
-  const [a, b] = ids.map((id) => w.fleet.workers.get(id)!);
-  await w.run(10);
-  a!.end(a!.running(JOB)[0]!, 'done');
-  w.checkin(a!);
-  await w.flushOnceAs('hold back');
+  for (const id of ids) world.fleet.add(id);
+  world.job({ id: JOB, kind: 'gang', tasks: 2, gpus: 8, cores: 8 });
+  await world.run(2);
+  assert.equal(world.fleet.running(JOB), 2);
+  const [worker, b] = ids.map((id) => world.fleet.workers.get(id)!);
+  await world.run(10);
+  worker!.end(worker!.running(JOB)[0]!, 'done');
+  world.checkin(worker!);
+  await world.flushOnceAs('hold back');
   b!.end(b!.running(JOB)[0]!, 'done');
-  w.checkin(b!);
-  w.store.deliver();
-  const first = w.store.revision(records.progressKey(JOB, 0));
+  world.checkin(b!);
+  world.store.deliver();
+  const first = world.store.revision(records.progressKey(JOB, 0));
   assert.ok(first > 0);
-  w.store.cancel(JOB);
-  await w.flush();
-  assert.equal(w.store.revision(records.progressKey(JOB, 0)), first);
-  assert.equal(outcome(w.store.listed().jobs.get(JOB)!), 'done');
+  world.store.cancel(JOB);
+  await world.flush();
+  assert.equal(world.store.revision(records.progressKey(JOB, 0)), first);
+  assert.equal(outcome(world.store.listed().jobs.get(JOB)!), 'done');
 });
 
 test('the record of a machine that reports again is not removed by an earlier removal', async () => {
@@ -88,26 +88,26 @@
     ['hold back', true],
   ] as const;
   for (const [mode, underWay] of lost) {
-    const w = new World();
-    const a = w.fleet.add('a');
-    w.job({ id: JOB, tasks: 2 });
-    await w.run(2);
+    const world = new World();
+    const worker = world.fleet.add('a');
+    world.job({ id: JOB, tasks: 2 });
+    await world.run(2);
     // Its lease ran out long ago; it comes back with a new session.
-    w.term.lose(w.machine('a'));
-    w.parts.forget(w.machine('a'));
-    a.tasks.clear();
-    a.session++;
-    w.store.mode = mode;
-    const flushed = underWay ? w.parts.store.flush() : Promise.resolve(false);
-    w.checkin(a);
+    world.term.lose(world.machine('a'));
+    world.parts.forget(world.machine('a'));
+    worker.tasks.clear();
+    worker.session++;
+    world.store.mode = mode;
+    const flushed = underWay ? world.parts.store.flush() : Promise.resolve(false);
+    world.checkin(worker);
     await flushed;
-    w.store.mode = 'serve';
-    await w.run(2);
-    w.store.deliver();
-    await w.run(2);
-    const record = w.store.value(records.machineKey('a'));
+    world.store.mode = 'serve';
+    await world.run(2);
+    world.store.deliver();
+    await world.run(2);
+    const record = world.store.value(records.machineKey('a'));
     assert.ok(record !== undefined, mode);
     assert.equal(records.decodeMachine(record).claims.length, 2, mode);
-    assert.equal(w.fleet.running(JOB), 2, mode);
+    assert.equal(world.fleet.running(JOB), 2, mode);
   }
 });
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -10,11 +10,11 @@
 const PATIENCE_S = 90;
 
 /** A job is placed on a known machine and stored; its start is still to be sent. */
-async function place(w: World, over: Parameters<World['job']>[0]): Promise<void> {
-  await w.run(1);
-  w.job(over);
-  w.pass();
-  await w.flush();
+async function place(world: World, over: Parameters<World['job']>[0]): Promise<void> {
+  await world.run(1);
+  world.job(over);
+  world.pass();
+  await world.flush();
 }
 
 test('a direct start that never arrived keeps its task from nothing once it was told to stop', async () => {
@@ -24,30 +24,30 @@
     ['gang', { id: JOB, kind: 'gang', tasks: 2 }],
   ];
   for (const [name, over] of cases) {
-    const w = new World();
-    w.fleet.add('a');
-    await place(w, over);
-    w.sendDirect('a').unanswered();
-    assert.equal(w.fleet.running(JOB), 0, name);
-    const job = w.term.jobs.get(JOB)!;
-    w.term.stopTask(job, [...job.holding()][0]!);
-    w.fleet.add('b');
-    await w.run(PATIENCE_S);
-    assert.equal(w.fleet.running(JOB), job.spec.tasks, name);
-    assert.deepEqual(w.fleet.broken, [], name);
+    const world = new World();
+    world.fleet.add('a');
+    await place(world, over);
+    world.sendDirect('a').unanswered();
+    assert.equal(world.fleet.running(JOB), 0, name);
+    const job = world.term.jobs.get(JOB)!;
+    world.term.stopTask(job, [...job.holding()][0]!);
+    world.fleet.add('b');
+    await world.run(PATIENCE_S);
+    assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
+    assert.deepEqual(world.fleet.broken, [], name);
   }
 });
 
 test('a direct start that never arrived takes nothing of its team once its job is cancelled', async () => {
-  const w = new World(1);
-  w.fleet.add('a');
-  await place(w, { id: JOB });
-  w.sendDirect('a').unanswered();
-  w.cancel(JOB);
-  w.job({ id: OTHER });
-  await w.run(PATIENCE_S);
-  assert.equal(w.fleet.running(OTHER), 1);
-  assert.deepEqual(w.fleet.broken, []);
+  const world = new World(1);
+  world.fleet.add('a');
+  await place(world, { id: JOB });
+  world.sendDirect('a').unanswered();
+  world.cancel(JOB);
+  world.job({ id: OTHER });
+  await world.run(PATIENCE_S);
+  assert.equal(world.fleet.running(OTHER), 1);
+  assert.deepEqual(world.fleet.broken, []);
 });
 
 test('a task whose start was unanswered comes back, whatever the machine where it ended', async () => {
@@ -56,93 +56,93 @@
     ['gang', { id: JOB, kind: 'gang', tasks: 2 }],
   ];
   for (const [name, over] of cases) {
-    const w = new World();
-    const a = w.fleet.add('a');
-    await place(w, over);
-    const command = w.sendDirect('a');
+    const world = new World();
+    const worker = world.fleet.add('a');
+    await place(world, over);
+    const command = world.sendDirect('a');
     command.unanswered();
     command.arrive();
-    assert.ok(a.running(JOB).length > 0, name);
-    await w.run(1);
-    const job = w.term.jobs.get(JOB)!;
-    assert.equal(w.fleet.running(JOB), job.spec.tasks, name);
+    assert.ok(worker.running(JOB).length > 0, name);
+    await world.run(1);
+    const job = world.term.jobs.get(JOB)!;
+    assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
     // Preempted, say. There is room on another machine, but its image is here.
-    w.fleet.add('b');
-    w.term.stopTask(job, [...job.holding()][0]!);
-    await w.run(PATIENCE_S);
-    assert.equal(w.fleet.running(JOB), job.spec.tasks, name);
-    assert.deepEqual(w.fleet.broken, [], name);
+    world.fleet.add('b');
+    world.term.stopTask(job, [...job.holding()][0]!);
+    await world.run(PATIENCE_S);
+    assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
+    assert.deepEqual(world.fleet.broken, [], name);
   }
 });
 
 test('a machine that is being returned when the leader ends is returned by the next', async () => {
-  const w = new World();
-  const a = w.fleet.add('a');
-  w.job({ id: JOB });
-  await w.run(2);
-  a.end(a.running(JOB)[0]!, 'done');
-  await w.run(PATIENCE_S);
-  w.machine('a').changeState('returning');
-  w.term.dirtyMachines.add('a');
-  await w.flush();
-  const record = w.store.value(records.machineKey('a'));
+  const world = new World();
+  const worker = world.fleet.add('a');
+  world.job({ id: JOB });
+  await world.run(2);
+  worker.end(worker.running(JOB)[0]!, 'done');
+  await world.run(PATIENCE_S);
+  world.machine('a').changeState('returning');
+  world.term.dirtyMachines.add('a');
+  await world.flush();
+  const record = world.store.value(records.machineKey('a'));
   assert.ok(records.decodeMachine(record).returning);
-  w.takeOver();
-  await w.run(2);
-  assert.deepEqual(w.parts.capacity.toReturn(), ['a']);
+  world.takeOver();
+  await world.run(2);
+  assert.deepEqual(world.parts.capacity.toReturn(), ['a']);
 });
 
 test('a service that ran well is not doubted because replicas failed on a few faulty machines', async () => {
-  const w = new World();
+  const world = new World();
   const ids = ['a', 'b', 'c', 'd', 'e'];
-  for (const id of ids) w.fleet.add(id);
-  w.job({ id: JOB, kind: 'service', tasks: 5, gpus: 8, cores: 8 });
-  await w.run(5);
-  assert.equal(w.fleet.running(JOB), 5);
-  await w.run(w.settings.workers.lease_s * 10);
+  for (const id of ids) world.fleet.add(id);
+  world.job({ id: JOB, kind: 'service', tasks: 5, gpus: 8, cores: 8 });
+  await world.run(5);
+  assert.equal(world.fleet.running(JOB), 5);
+  await world.run(world.settings.workers.lease_s * 10);
   for (const id of ['a', 'b', 'c']) {
-    const worker = w.fleet.workers.get(id)!;
+    const worker = world.fleet.workers.get(id)!;
     worker.end(worker.running(JOB)[0]!, 'error');
   }
-  await w.run(PATIENCE_S);
-  assert.equal(w.fleet.running(JOB), 5);
+  await world.run(PATIENCE_S);
+  assert.equal(world.fleet.running(JOB), 5);
 });
 
 test('an array with a mistake puts no machine aside', async () => {
   // It fails on every machine, several tasks at once, until its user cancels it.
   for (const jobs of [1, 3]) {
-    const w = new World();
-    const a = w.fleet.add('a');
-    w.job({ id: 'wk-000009', kind: 'service', tasks: 1 });
-    await w.run(2);
+    const world = new World();
+    const worker = world.fleet.add('a');
+    world.job({ id: 'wk-000009', kind: 'service', tasks: 1 });
+    await world.run(2);
     for (let i = 0; i < jobs; i++) {
       const id = `wk-10000${i}`;
-      w.job({ id, tasks: jobs === 1 ? 4 : 1 });
+      world.job({ id, tasks: jobs === 1 ? 4 : 1 });
       for (let s = 0; s < 5; s++) {
-        await w.run(0.2);
-        for (const t of a.running(id)) a.end(t, 'error');
+        await world.run(0.2);
+        for (const task of worker.running(id)) worker.end(task, 'error');
       }
-      w.cancel(id);
-      await w.run(w.settings.workers.lease_s * 2);
+      world.cancel(id);
+      await world.run(world.settings.workers.lease_s * 2);
     }
-    assert.equal(w.machine('a').quarantined, false, `${jobs} jobs`);
-    w.job({ id: JOB });
-    await w.run(PATIENCE_S);
-    assert.equal(w.fleet.running(JOB), 1, `${jobs} jobs`);
+    assert.equal(world.machine('a').quarantined, false, `${jobs} jobs`);
+    world.job({ id: JOB });
+    await world.run(PATIENCE_S);
+    assert.equal(world.fleet.running(JOB), 1, `${jobs} jobs`);
   }
 });
 
 test('room is not held for long work that may not start: its team is at its limit', async () => {
-  const w = new World(1);
-  w.settings.teams.set('u', { name: 'u', cores: 0, coresMax: 0, gpus: 0, gpusMax: 100 });
-  w.fleet.add('a');
-  await w.run(1);
+  const world = new World(1);
+  world.settings.teams.set('u', { name: 'u', cores: 0, coresMax: 0, gpus: 0, gpusMax: 100 });
+  world.fleet.add('a');
+  await world.run(1);
   // Jobs that fit no machine make what is long stand out.
-  for (let i = 1; i <= 3; i++) w.job({ id: `wk-00001${i}`, gpus: 9, estimateS: 10 });
-  w.job({ id: JOB, tasks: 40, estimateS: 10_000 });
-  await w.run(2);
-  assert.equal(w.fleet.running(JOB), 1);
-  w.job({ id: OTHER, tasks: 7, team: 'u', estimateS: 10 });
-  await w.run(PATIENCE_S);
-  assert.equal(w.fleet.running(OTHER), 7);
+  for (let i = 1; i <= 3; i++) world.job({ id: `wk-00001${i}`, gpus: 9, estimateS: 10 });
+  world.job({ id: JOB, tasks: 40, estimateS: 10_000 });
+  await world.run(2);
+  assert.equal(world.fleet.running(JOB), 1);
+  world.job({ id: OTHER, tasks: 7, team: 'u', estimateS: 10 });
+  await world.run(PATIENCE_S);
+  assert.equal(world.fleet.running(OTHER), 7);
 });
--- a/test/pass-helpers.ts
+++ b/test/pass-helpers.ts
@@ -75,13 +75,13 @@
     const { demand, rooms } = this.scheduler.pass();
     this.capacity.demand = demand;
     this.capacity.rooms = rooms;
-    return this.capacity.wanted().reduce((n, w) => n + w.count, 0);
+    return this.capacity.wanted().reduce((n, wanted) => n + wanted.count, 0);
   }
 
   job(over: Partial<JobSpec>): void {
-    const s = spec(over);
+    const jobSpec = spec(over);
     const value = records.encodeRequestBatch({
-      jobs: [{ spec: s, atMs: this.now * 1000 }],
+      jobs: [{ spec: jobSpec, atMs: this.now * 1000 }],
       cancelledIds: [],
     });
     this.replica.applyListed({
@@ -89,14 +89,14 @@
       value,
       revision: this.revision++,
     });
-    this.term.addJob(this.replica.jobs.get(s.id)!);
+    this.term.addJob(this.replica.jobs.get(jobSpec.id)!);
   }
 
   private seq = 0;
 
   report(id: string, tasks: TaskStatus[]): void {
-    const m = this.term.machine(id);
-    const changes = m.applyHeartbeat(
+    const machine = this.term.machine(id);
+    const changes = machine.applyHeartbeat(
       {
         machine: id, addr: '127.0.0.1:1', type: 'g8', zone: 'z1', spot: false, agentEpoch: 1,
         sequence: ++this.seq, token: TOKEN, reclaimNoticeS: null, tasks,
@@ -104,19 +104,19 @@
       true,
       this.now,
     ); // prettier-ignore
-    this.term.digest(m, changes);
+    this.term.digest(machine, changes);
   }
 
   /** What is claimed is stored, started and running; `ended`: what was to stop has saved. */
   settle(id: string, ended: boolean): void {
-    const m = this.term.machines.get(id)!;
-    for (const a of m.attempts.values()) this.term.stored(a);
-    const tasks = [...m.attempts.values()].map((a): TaskStatus => ({
-      job: a.job,
-      index: a.index,
-      attempt: a.number,
-      state: a.stopRequest !== null ? (ended ? 'ended' : 'saving') : 'running',
-      cause: a.stopRequest !== null && ended ? 'stopped' : null,
+    const machine = this.term.machines.get(id)!;
+    for (const attempt of machine.attempts.values()) this.term.stored(attempt);
+    const tasks = [...machine.attempts.values()].map((attempt): TaskStatus => ({
+      job: attempt.job,
+      index: attempt.index,
+      attempt: attempt.number,
+      state: attempt.stopRequest !== null ? (ended ? 'ended' : 'saving') : 'running',
+      cause: attempt.stopRequest !== null && ended ? 'stopped' : null,
       saved: true,
     }));
     this.report(id, tasks);
@@ -128,7 +128,9 @@
   }
 
   on(id: string, job: string): number {
-    const m: Machine = this.term.machines.get(id)!;
-    return m.activeAttempts().filter((a) => a.job === job && a.stopRequest === null).length;
+    const machine: Machine = this.term.machines.get(id)!;
+    return machine
+      .activeAttempts()
+      .filter((attempt) => attempt.job === job && attempt.stopRequest === null).length;
   }
 }
--- a/test/pipeline-leader.test.ts
+++ b/test/pipeline-leader.test.ts
@@ -10,205 +10,208 @@
 /** One machine of the stand-in has so many. */
 const MACHINE_GPUS = 8;
 
-function world(machines: string[], gpusMax = 100): World {
-  const w = new World(gpusMax);
-  for (const id of machines) w.fleet.add(id);
-  return w;
+function worldWith(machines: string[], gpusMax = 100): World {
+  const world = new World(gpusMax);
+  for (const id of machines) world.fleet.add(id);
+  return world;
 }
 
-function finish(w: World, job: string): void {
-  for (const worker of w.fleet.workers.values()) {
+function finish(world: World, job: string): void {
+  for (const worker of world.fleet.workers.values()) {
     for (const task of worker.running(job)) worker.end(task, 'done');
   }
 }
 
 test('a job that waits holds nothing: no limit, no guarantee, no machine, no start', async () => {
-  const w = world(['a'], MACHINE_GPUS);
-  w.job({ id: FIRST, tasks: 1 });
-  w.job({ id: SECOND, tasks: MACHINE_GPUS, gpus: 1, priority: 0, awaits: [FIRST] });
-  w.job({ id: OTHER, tasks: MACHINE_GPUS - 1, priority: 3 });
-  await w.run(3);
+  const world = worldWith(['a'], MACHINE_GPUS);
+  world.job({ id: FIRST, tasks: 1 });
+  world.job({ id: SECOND, tasks: MACHINE_GPUS, gpus: 1, priority: 0, awaits: [FIRST] });
+  world.job({ id: OTHER, tasks: MACHINE_GPUS - 1, priority: 3 });
+  await world.run(3);
   assert.deepEqual(
-    [w.fleet.running(FIRST), w.fleet.running(SECOND), w.fleet.running(OTHER)],
+    [world.fleet.running(FIRST), world.fleet.running(SECOND), world.fleet.running(OTHER)],
     [1, 0, 7],
   );
-  assert.ok(!w.term.jobs.has(SECOND));
-  assert.equal(w.parts.capacity.demand.length, 0, 'nothing is rented for it');
+  assert.ok(!world.term.jobs.has(SECOND));
+  assert.equal(world.parts.capacity.demand.length, 0, 'nothing is rented for it');
   // The same for a leader that takes over, whatever it lists first.
-  w.takeOver();
-  await w.run(3);
-  assert.deepEqual([w.term.jobs.has(SECOND), w.fleet.running(SECOND)], [false, 0]);
-  finish(w, FIRST);
-  await w.run(4);
-  assert.ok(w.fleet.running(SECOND) > 0, 'and it starts when it may');
+  world.takeOver();
+  await world.run(3);
+  assert.deepEqual([world.term.jobs.has(SECOND), world.fleet.running(SECOND)], [false, 0]);
+  finish(world, FIRST);
+  await world.run(4);
+  assert.ok(world.fleet.running(SECOND) > 0, 'and it starts when it may');
 });
 
 test('a task starts only when the store shows what it needs as done, not when this leader believes so', async () => {
-  const w = world(['a']);
-  w.job({ id: FIRST });
-  w.job({ id: SECOND, awaits: [FIRST] });
-  await w.run(2);
-  finish(w, FIRST);
+  const world = worldWith(['a']);
+  world.job({ id: FIRST });
+  world.job({ id: SECOND, awaits: [FIRST] });
+  await world.run(2);
+  finish(world, FIRST);
   // The worker says it is done; the record is not stored, and another controller cancels the job first.
-  w.writing = false;
-  await w.run(2);
-  assert.equal(w.fleet.running(SECOND), 0, 'done, but not stored');
-  w.writing = true;
-  w.cancel(FIRST);
-  await w.run(3);
-  assert.equal(w.fleet.running(SECOND), 0, 'the older one counts');
-  w.takeOver();
-  await w.run(3);
-  assert.equal(w.fleet.starts.get(`${SECOND}/0`), undefined);
-  assert.deepEqual(w.fleet.broken, []);
+  world.writing = false;
+  await world.run(2);
+  assert.equal(world.fleet.running(SECOND), 0, 'done, but not stored');
+  world.writing = true;
+  world.cancel(FIRST);
+  await world.run(3);
+  assert.equal(world.fleet.running(SECOND), 0, 'the older one counts');
+  world.takeOver();
+  await world.run(3);
+  assert.equal(world.fleet.starts.get(`${SECOND}/0`), undefined);
+  assert.deepEqual(world.fleet.broken, []);
 });
 
 test('an older cancellation that is carried out late, beside the end of the job, is waited for', async () => {
-  const w = world(['a']);
-  w.job({ id: FIRST });
-  w.job({ id: SECOND, awaits: [FIRST] });
-  await w.run(2);
+  const world = worldWith(['a']);
+  world.job({ id: FIRST });
+  world.job({ id: SECOND, awaits: [FIRST] });
+  await world.run(2);
   // This leader's copy ends before the cancellation; its own commit of the end succeeds after it.
-  w.store.cancel(FIRST);
-  finish(w, FIRST);
-  w.checkin(w.fleet.workers.get('a')!);
-  w.term.requestPass();
-  await w.parts.store.flush();
-  w.parts.pass();
-  await w.parts.store.flush();
-  w.checkin(w.fleet.workers.get('a')!);
-  assert.equal(w.fleet.starts.get(`${SECOND}/0`), undefined);
-  await w.run(3);
-  assert.equal(w.fleet.starts.get(`${SECOND}/0`), undefined);
+  world.store.cancel(FIRST);
+  finish(world, FIRST);
+  world.checkin(world.fleet.workers.get('a')!);
+  world.term.requestPass();
+  await world.parts.store.flush();
+  world.parts.pass();
+  await world.parts.store.flush();
+  world.checkin(world.fleet.workers.get('a')!);
+  assert.equal(world.fleet.starts.get(`${SECOND}/0`), undefined);
+  await world.run(3);
+  assert.equal(world.fleet.starts.get(`${SECOND}/0`), undefined);
 });
 
 test('what came before a cancellation goes on, and the cancelled ones release their place', async () => {
-  const w = world(['a'], MACHINE_GPUS);
-  w.job({ id: FIRST });
-  w.job({ id: SECOND, tasks: 4, awaits: [FIRST] });
-  w.job({ id: THIRD, awaits: [SECOND] });
-  await w.run(2);
-  finish(w, FIRST);
-  await w.run(3);
-  assert.equal(w.fleet.running(SECOND), 4);
-  w.cancel(SECOND);
-  await w.run(3);
-  assert.deepEqual([w.fleet.running(SECOND), w.fleet.running(THIRD)], [0, 0]);
-  w.job({ id: OTHER, tasks: MACHINE_GPUS });
-  await w.run(3);
-  assert.equal(w.fleet.running(OTHER), MACHINE_GPUS);
-  assert.deepEqual(w.fleet.broken, []);
+  const world = worldWith(['a'], MACHINE_GPUS);
+  world.job({ id: FIRST });
+  world.job({ id: SECOND, tasks: 4, awaits: [FIRST] });
+  world.job({ id: THIRD, awaits: [SECOND] });
+  await world.run(2);
+  finish(world, FIRST);
+  await world.run(3);
+  assert.equal(world.fleet.running(SECOND), 4);
+  world.cancel(SECOND);
+  await world.run(3);
+  assert.deepEqual([world.fleet.running(SECOND), world.fleet.running(THIRD)], [0, 0]);
+  world.job({ id: OTHER, tasks: MACHINE_GPUS });
+  await world.run(3);
+  assert.equal(world.fleet.running(OTHER), MACHINE_GPUS);
+  assert.deepEqual(world.fleet.broken, []);
 });
 
 test('a job has the priority of the most important one that needs it, as long as that one does', async () => {
-  const w = world(['a']);
-  w.job({ id: FIRST, tasks: 2, priority: 3 });
-  await w.run(2);
-  const priority = (): number => w.term.jobs.get(FIRST)!.spec.priority;
+  const world = worldWith(['a']);
+  world.job({ id: FIRST, tasks: 2, priority: 3 });
+  await world.run(2);
+  const priority = (): number => world.term.jobs.get(FIRST)!.spec.priority;
   assert.equal(priority(), 3);
-  w.job({ id: SECOND, priority: 2, awaits: [FIRST] });
-  await w.run(1);
+  world.job({ id: SECOND, priority: 2, awaits: [FIRST] });
+  await world.run(1);
   assert.equal(priority(), 2);
   // Named late, and through another one.
-  w.job({ id: THIRD, priority: 0, awaits: [SECOND] });
-  await w.run(1);
+  world.job({ id: THIRD, priority: 0, awaits: [SECOND] });
+  await world.run(1);
   assert.equal(priority(), 0);
-  w.takeOver();
-  await w.run(1);
+  world.takeOver();
+  await world.run(1);
   assert.equal(priority(), 0, 'at a new leader too');
-  w.cancel(THIRD);
-  await w.run(1);
+  world.cancel(THIRD);
+  await world.run(1);
   assert.equal(priority(), 2);
 });
 
 test('with a deadline that is far off a job keeps its own priority until the time left is short', async () => {
-  const w = world(['a']);
-  w.job({ id: FIRST, priority: 3, estimateS: 10 });
-  w.job({ id: SECOND, priority: 1, estimateS: 20, deadlineS: 60, awaits: [FIRST] });
-  await w.run(2);
+  const world = worldWith(['a']);
+  world.job({ id: FIRST, priority: 3, estimateS: 10 });
+  world.job({ id: SECOND, priority: 1, estimateS: 20, deadlineS: 60, awaits: [FIRST] });
+  await world.run(2);
   // It has to be done 40 s after its submission: it is urgent as soon as its 10 s, taken half as long
   // again, and a boot of 1 s do not fit into what is left.
-  const priority = (): number => w.term.jobs.get(FIRST)!.spec.priority;
+  const priority = (): number => world.term.jobs.get(FIRST)!.spec.priority;
   assert.equal(priority(), 3);
-  await w.run(20);
+  await world.run(20);
   assert.equal(priority(), 3);
-  await w.run(4);
+  await world.run(4);
   assert.equal(priority(), 1);
 });
 
 test('a job that an important one needs may make room for itself, and loses none to lesser work', async () => {
-  const w = world(['a'], MACHINE_GPUS * 2);
-  w.job({ id: OTHER, tasks: MACHINE_GPUS, priority: 2 });
-  await w.run(2);
-  w.job({ id: FIRST, tasks: MACHINE_GPUS, priority: 3 });
-  await w.run(2);
-  assert.deepEqual([w.fleet.running(OTHER), w.fleet.running(FIRST)], [MACHINE_GPUS, 0]);
-  w.job({ id: SECOND, priority: 1, awaits: [FIRST] });
-  await w.run(4);
-  assert.deepEqual([w.fleet.running(OTHER), w.fleet.running(FIRST)], [0, MACHINE_GPUS]);
+  const world = worldWith(['a'], MACHINE_GPUS * 2);
+  world.job({ id: OTHER, tasks: MACHINE_GPUS, priority: 2 });
+  await world.run(2);
+  world.job({ id: FIRST, tasks: MACHINE_GPUS, priority: 3 });
+  await world.run(2);
+  assert.deepEqual([world.fleet.running(OTHER), world.fleet.running(FIRST)], [MACHINE_GPUS, 0]);
+  world.job({ id: SECOND, priority: 1, awaits: [FIRST] });
+  await world.run(4);
+  assert.deepEqual([world.fleet.running(OTHER), world.fleet.running(FIRST)], [0, MACHINE_GPUS]);
 });
 
 test('times count from the moment when a job may start, deadlines aside', async () => {
-  const w = world(['a']);
-  w.job({ id: FIRST });
-  w.job({ id: SECOND, awaits: [FIRST] });
-  await w.run(20);
-  finish(w, FIRST);
-  await w.run(1);
-  const ageS = (): number => w.now - w.term.jobs.get(SECOND)!.readySince;
+  const world = worldWith(['a']);
+  world.job({ id: FIRST });
+  world.job({ id: SECOND, awaits: [FIRST] });
+  await world.run(20);
+  finish(world, FIRST);
+  await world.run(1);
+  const ageS = (): number => world.now - world.term.jobs.get(SECOND)!.readySince;
   assert.ok(ageS() <= 1.5, `${ageS()} s`);
   const before = ageS();
-  w.takeOver();
-  await w.run(1);
+  world.takeOver();
+  await world.run(1);
   assert.ok(Math.abs(ageS() - before - 1) <= 0.5, `at a new leader ${ageS()} s after ${before} s`);
 });
 
 test('a machine full of small tasks is not full by the bytes of its record, under the next limits', async () => {
-  const w = world(['a']);
-  w.settings.state.value_kb = 2;
-  w.takeOver();
-  await w.run(1);
+  const world = worldWith(['a']);
+  world.settings.state.value_kb = 2;
+  world.takeOver();
+  await world.run(1);
   const small = { cores: 0.1, gpus: 0, memGb: 0 };
-  for (let i = 0; i < 8; i++) w.job({ id: `wk-${1000 + i}`, tasks: 10, ...small });
-  await w.run(4);
-  const running = [...Array(8).keys()].map((i) => w.fleet.running(`wk-${1000 + i}`));
+  for (let i = 0; i < 8; i++) world.job({ id: `wk-${1000 + i}`, tasks: 10, ...small });
+  await world.run(4);
+  const running = [...Array(8).keys()].map((i) => world.fleet.running(`wk-${1000 + i}`));
   assert.deepEqual(running, Array(8).fill(10));
-  const record = JSON.stringify(w.store.value('ps/m/a'));
+  const record = JSON.stringify(world.store.value('ps/m/a'));
   assert.ok(record.length <= 2048, `${record.length} bytes`);
-  w.takeOver();
-  await w.run(4);
-  assert.deepEqual([...w.fleet.starts.values()], Array(80).fill(1), 'none is started twice');
-  assert.deepEqual(w.fleet.broken, []);
+  world.takeOver();
+  await world.run(4);
+  assert.deepEqual([...world.fleet.starts.values()], Array(80).fill(1), 'none is started twice');
+  assert.deepEqual(world.fleet.broken, []);
 });
 
 test('machine types that do not fit into a value are not stored, and keep nothing else from being stored', async () => {
-  const w = world(['a']);
-  w.settings.state.value_kb = 2;
-  w.takeOver();
-  const before = w.store.revision('ps/t');
-  const types = [...w.term.types.values()];
+  const world = worldWith(['a']);
+  world.settings.state.value_kb = 2;
+  world.takeOver();
+  const before = world.store.revision('ps/t');
+  const types = [...world.term.types.values()];
   const more = Array.from({ length: 30 }, (_, i) => ({ ...types[0]!, name: `type-${i}` }));
-  w.leader.onTypes([...types, ...more]);
-  w.job({ id: FIRST });
-  await w.run(2);
-  assert.equal(w.store.revision('ps/t'), before);
-  assert.equal(w.fleet.running(FIRST), 1);
-  w.leader.onTypes([...types, more[0]!]);
-  await w.run(1);
-  assert.ok(w.store.revision('ps/t') > before, 'those that fit are');
+  world.leader.onTypes([...types, ...more]);
+  world.job({ id: FIRST });
+  await world.run(2);
+  assert.equal(world.store.revision('ps/t'), before);
+  assert.equal(world.fleet.running(FIRST), 1);
+  world.leader.onTypes([...types, more[0]!]);
+  await world.run(1);
+  assert.ok(world.store.revision('ps/t') > before, 'those that fit are');
 });
 
 test('beside an old controller a machine gets no more claims than the plain form of its record can name', async () => {
-  const w = world(['a']);
-  w.settings.state.value_kb = 2;
-  w.takeOver();
-  w.term.deps.denseRecords = () => false;
-  await w.run(1);
+  const world = worldWith(['a']);
+  world.settings.state.value_kb = 2;
+  world.takeOver();
+  world.term.deps.denseRecords = () => false;
+  await world.run(1);
   const small = { cores: 0.05, gpus: 0, memGb: 0 };
-  for (let i = 0; i < 8; i++) w.job({ id: `wk-${1000 + i}`, tasks: 20, ...small });
-  await w.run(6);
-  const running = [...Array(8).keys()].reduce((n, i) => n + w.fleet.running(`wk-${1000 + i}`), 0);
+  for (let i = 0; i < 8; i++) world.job({ id: `wk-${1000 + i}`, tasks: 20, ...small });
+  await world.run(6);
+  const running = [...Array(8).keys()].reduce(
+    (n, i) => n + world.fleet.running(`wk-${1000 + i}`),
+    0,
+  );
   assert.ok(running > 40 && running < 160, `${running} tasks run`);
-  const record = JSON.stringify(w.store.value('ps/m/a'));
+  const record = JSON.stringify(world.store.value('ps/m/a'));
   assert.ok(record.length <= 2048 && record.includes('"t":'), `${record.length} bytes`);
 });
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -222,7 +222,7 @@
     );
     const again = listed([...changes, cancel(idOf(0), many + 2)], many + 2);
     assert.ok(
-      [...again.replica.jobs.values()].every((f) => outcome(f) === 'cancelled'),
+      [...again.replica.jobs.values()].every((storedJob) => outcome(storedJob) === 'cancelled'),
       name,
     );
   }
--- a/test/pool-helpers.ts
+++ b/test/pool-helpers.ts
@@ -222,7 +222,7 @@
   /** Machines on which tasks of a job run. */
   hosts(id: string): string[] {
     return [...this.fleet.workers.values()]
-      .filter((w) => w.running(id).length > 0)
-      .map((w) => w.id);
+      .filter((worker) => worker.running(id).length > 0)
+      .map((worker) => worker.id);
   }
 }
--- a/test/program.test.ts
+++ b/test/program.test.ts
@@ -58,11 +58,11 @@
     stdio: ['ignore', 'ignore', 'pipe'],
   });
   let err = '';
-  p.stderr.on('data', (d: Buffer) => (err += d.toString()));
+  p.stderr.on('data', (data: Buffer) => (err += data.toString()));
   const end = new Promise((r) => p.on('close', r));
   const answers = async (): Promise<boolean> => {
-    const r = await fetch(`http://127.0.0.1:${ports[0]!.bind}/metrics`).catch(() => null);
-    return r?.status === 200;
+    const response = await fetch(`http://127.0.0.1:${ports[0]!.bind}/metrics`).catch(() => null);
+    return response?.status === 200;
   };
   await until('answers', answers);
   // A code cache that V8 refuses would be told first. An idle program has next to no samples of its
@@ -87,7 +87,7 @@
   const run = (args: string[]) => {
     const p = spawn(process.execPath, [MAIN, ...args], { stdio: ['ignore', 'ignore', 'pipe'] });
     let err = '';
-    p.stderr.on('data', (d: Buffer) => (err += d.toString()));
+    p.stderr.on('data', (data: Buffer) => (err += data.toString()));
     const end = new Promise<number | null>((r) => p.on('close', r));
     return { p, end, err: () => err };
   };
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -44,32 +44,32 @@
     const listed = [...changes].sort((a, b) => (a.key < b.key ? -1 : 1));
     const orders = [changes, [...changes].reverse(), listed];
     for (const order of orders) {
-      const r = new Replica(8192);
-      for (const c of order) r.applyListed(c);
-      assert.equal(outcome(r.jobs.get('wk-000001')!), want, name);
+      const replica = new Replica(8192);
+      for (const c of order) replica.applyListed(c);
+      assert.equal(outcome(replica.jobs.get('wk-000001')!), want, name);
     }
   }
 });
 
 test('a job accepted twice is one job, garbage is dropped, old changes change nothing', () => {
-  const r = new Replica(8192);
-  r.advance(9, [job(7), job(8), put(`${records.JOBS}x`, { s: 5 }, 9)]);
-  assert.equal(r.jobs.size, 1);
-  assert.equal(r.malformedRecords, 1);
-  r.advance(9, [cancel(3)]);
-  assert.equal(outcome(r.jobs.get('wk-000001')!), 'open');
-  assert.equal(r.applied, 9);
+  const replica = new Replica(8192);
+  replica.advance(9, [job(7), job(8), put(`${records.JOBS}x`, { s: 5 }, 9)]);
+  assert.equal(replica.jobs.size, 1);
+  assert.equal(replica.malformedRecords, 1);
+  replica.advance(9, [cancel(3)]);
+  assert.equal(outcome(replica.jobs.get('wk-000001')!), 'open');
+  assert.equal(replica.applied, 9);
 });
 
 test('records survive their way through the store', () => {
   const a = accepted({ types: ['g8'], zone: 'z1', oneZone: true, spot: true, deadlineS: 7 });
   const through = <T>(x: T): T => JSON.parse(JSON.stringify(x)) as T;
   assert.deepEqual(records.decodeJob(through(records.encodeJob(a))), a);
-  const m: records.MachineRecord = {
+  const record: records.MachineRecord = {
     owner: 'n', term: 4, addr: 'a:1', type: 'g8', zone: 'z', spot: true, returning: false,
     claims: [{ job: 'wk-000001', index: 3, attempt: 9 }], images: [['i', 4]],
   }; // prettier-ignore
-  assert.deepEqual(records.decodeMachine(through(records.encodeMachine(m))), m);
+  assert.deepEqual(records.decodeMachine(through(records.encodeMachine(record))), record);
   const bits = new BitSet(20);
   for (const i of [0, 7, 8, 19]) bits.add(i);
   const back = BitSet.decode(20, bits.encode());
@@ -80,8 +80,8 @@
 });
 
 test('the largest array fits into the values of the state service', () => {
-  const r = new Replica(8192);
-  r.applyListed(
+  const replica = new Replica(8192);
+  replica.applyListed(
     put(
       `${records.JOBS}a`,
       records.encodeRequestBatch({ jobs: [accepted({ tasks: 100_000 })], cancelledIds: [] }),
@@ -89,8 +89,8 @@
     ),
   );
   const live = new LiveJob(
-    r.jobs.get('wk-000001')!,
-    { kind: 'chunks', tasksEach: r.chunkTasks },
+    replica.jobs.get('wk-000001')!,
+    { kind: 'chunks', tasksEach: replica.chunkTasks },
     0,
     5,
   );
@@ -101,30 +101,30 @@
 });
 
 test('the life of a task: wanted, claimed, lost, wanted again, done, stored', () => {
-  const r = new Replica(8192);
-  r.applyListed(job(1));
+  const replica = new Replica(8192);
+  replica.applyListed(job(1));
   const live = new LiveJob(
-    r.jobs.get('wk-000001')!,
-    { kind: 'chunks', tasksEach: r.chunkTasks },
+    replica.jobs.get('wk-000001')!,
+    { kind: 'chunks', tasksEach: replica.chunkTasks },
     0,
     5,
   );
   assert.deepEqual(live.pending(0, 9), [0, 1]);
-  const a = makeAttempt('wk-000001', 0, live.nextNumber(0, 50), 'm', 'claiming', 0);
-  live.claimed(a);
+  const attempt = makeAttempt('wk-000001', 0, live.nextNumber(0, 50), 'm', 'claiming', 0);
+  live.claimed(attempt);
   assert.deepEqual(live.pending(0, 9), [1]);
-  a.state = 'gone';
-  live.release(a);
+  attempt.state = 'gone';
+  live.release(attempt);
   assert.deepEqual(live.pending(0, 9), [0, 1]);
   assert.equal(live.nextNumber(0, 50), 51, 'numbers of attempts never recur');
   live.postpone(0, 0, 1, 10);
   assert.deepEqual(live.pending(0.5, 9), [1], 'not at once after a failure');
   assert.deepEqual(live.pending(2, 9), [0, 1]);
   live.markDone(0, 3);
-  live.awaiting.push(a);
+  live.awaiting.push(attempt);
   const fresh = live.progress.unstored(0);
   live.markDone(1, 3);
-  assert.deepEqual(live.storedTasks(0, fresh, 4), [a], 'settled by the record that names it');
+  assert.deepEqual(live.storedTasks(0, fresh, 4), [attempt], 'settled by the record that names it');
   assert.ok(live.progress.dirty.has(0), 'what was done meanwhile is written next');
   assert.ok(live.finished);
 });
@@ -150,14 +150,14 @@
     ['no longer on it', [job(1), claim(2, 2), cancel(3), claim(4, 0)], 10, 'cancelled', true],
   ];
   for (const [name, changes, before, out, trimmed] of cases) {
-    const r = new Replica(8192);
-    r.advance(9, changes);
-    r.compactFinished(before);
-    const storedJob = r.jobs.get('wk-000001')!;
+    const replica = new Replica(8192);
+    replica.advance(9, changes);
+    replica.compactFinished(before);
+    const storedJob = replica.jobs.get('wk-000001')!;
     assert.equal(specOf(storedJob) === null, trimmed, name);
     assert.equal(storedJob.spec.tasks, 2, name);
     // What comes late, or again, changes nothing.
-    r.advance(12, [job(10), cancel(11), done(12)]);
+    replica.advance(12, [job(10), cancel(11), done(12)]);
     if (out !== 'open') assert.equal(outcome(storedJob), out, name);
   }
 });
--- a/test/report-bytes.test.ts
+++ b/test/report-bytes.test.ts
@@ -23,9 +23,9 @@
 function parsed(body: Buffer): Heartbeat | null {
   try {
     return decodeHeartbeat(body);
-  } catch (e) {
-    if (e instanceof BadMessage) return null;
-    throw e;
+  } catch (error) {
+    if (error instanceof BadMessage) return null;
+    throw error;
   }
 }
 
@@ -63,19 +63,25 @@
 
 /** What a leader knows of its machines. */
 const known = ({ term }: World): unknown =>
-  [...term.machines.values()].map((m) => [
+  [...term.machines.values()].map((machine) => [
     ...[
-      m.id,
-      m.state,
-      m.agentEpoch,
-      m.sequence,
-      m.fencedSequence,
-      m.token,
-      m.reclaimedAt,
-      m.leaseExpiresAt,
-      m.addr,
+      machine.id,
+      machine.state,
+      machine.agentEpoch,
+      machine.sequence,
+      machine.fencedSequence,
+      machine.token,
+      machine.reclaimedAt,
+      machine.leaseExpiresAt,
+      machine.addr,
     ],
-    ...[...m.attempts].map(([key, a]) => [key, a.state, a.cause, a.saved, a.agentEpoch]),
+    ...[...machine.attempts].map(([key, attempt]) => [
+      key,
+      attempt.state,
+      attempt.cause,
+      attempt.saved,
+      attempt.agentEpoch,
+    ]),
   ]);
 
 const pick = <T>(list: readonly T[]): T => list[Math.floor(random() * list.length)]!;
@@ -121,7 +127,7 @@
 test('a report gets the same verdict straight, passed on and without any shortcut', async () => {
   seedRandom(20);
   const [straight, passedOn, plain] = [new World(), new World(), new World()];
-  const leads = (w: World): HeartbeatHandler => controller({ leader: () => w.leader });
+  const leads = (world: World): HeartbeatHandler => controller({ leader: () => world.leader });
   const [direct, leader] = [leads(straight), leads(passedOn)];
   const ask: Ask = async (_to, question) => {
     const [q] = new FrameReader().push(encodeFrame(question)) as [{ body: Buffer; hop: boolean }];
@@ -135,27 +141,28 @@
     const kind = random();
     const body = kind < 0.4 ? Buffer.from(text) : kind < 0.5 && i > 1 ? pick(sent) : mutated(text);
     sent.push(body);
-    for (const w of [straight, passedOn, plain]) w.fleet.now += 0.01;
-    const report = parsed(body);
+    for (const world of [straight, passedOn, plain]) world.fleet.now += 0.01;
+    const heartbeat = parsed(body);
     const scanned = scanHeartbeat(body);
     const last =
-      report && straight.term.machines.get(report.machine)?.lastHeartbeat.decodeRepetition(body);
-    if (report === null) count.malformed++;
+      heartbeat &&
+      straight.term.machines.get(heartbeat.machine)?.lastHeartbeat.decodeRepetition(body);
+    if (heartbeat === null) count.malformed++;
     else count.good++;
-    if (report !== null && scanned !== null) {
+    if (heartbeat !== null && scanned !== null) {
       const { machine, zone, token, sequenceStart, sequenceEnd } = scanned;
       const digits = body.toString('latin1', sequenceStart, sequenceEnd);
       const seen = { machine, zone, token, sequence: Number(digits) };
-      assert.deepEqual({ ...report, ...seen }, report, body.toString());
+      assert.deepEqual({ ...heartbeat, ...seen }, heartbeat, body.toString());
       count.scanned++;
     }
     if (last) {
-      assert.deepEqual(last, report, body.toString());
+      assert.deepEqual(last, heartbeat, body.toString());
       count.repeated++;
     }
     const want: Reply =
-      report === null ? { status: 400, body: '{}' } : plain.leader.answerHeartbeat(report);
-    const answer = (r: Reply): unknown => [r.status, r.body];
+      heartbeat === null ? { status: 400, body: '{}' } : plain.leader.answerHeartbeat(heartbeat);
+    const answer = (reply: Reply): unknown => [reply.status, reply.body];
     assert.deepEqual(answer(await direct.handle(body)), answer(want), body.toString());
     const onward = await follower.handle(body);
     // A leader's 503 is no verdict: the follower may renew in its place then.
@@ -214,9 +221,9 @@
     ['nobody answers', controller({ election: { outage: { mayRenewLeases: () => false } } }), 421],
     ['the leader found it', controller({}, judged), 400],
   ];
-  for (const [name, reports, status] of cases) {
-    assert.equal((await reports.handle(bad)).status, 400, name);
-    assert.equal((await reports.handle(good)).status, status, name);
+  for (const [name, heartbeats, status] of cases) {
+    assert.equal((await heartbeats.handle(bad)).status, 400, name);
+    assert.equal((await heartbeats.handle(good)).status, status, name);
   }
   const { leader } = new World();
   assert.equal(
@@ -252,27 +259,31 @@
     ['cut short', (t) => bodyOf(t, 9).slice(0, -1), [false, 400, 8, false]],
   ]; // prettier-ignore
   for (const [name, text, want] of cases) {
-    const w = new World();
-    const reports = controller({ leader: () => w.leader });
+    const world = new World();
+    const heartbeats = controller({ leader: () => world.leader });
     // The second shows the token to a machine that is known by now.
-    for (const tally of [1, 8]) void reports.handle(Buffer.from(bodyOf(w.token, tally)));
-    w.fleet.now = 1;
-    const m = w.machine('m');
-    const { leaseExpiresAt } = m;
-    const body = Buffer.from(text(w.token));
-    const repeated = m.lastHeartbeat.decodeRepetition(body) !== null;
-    const { status } = reports.handle(body) as Reply;
-    assert.deepEqual([repeated, status, m.sequence, m.leaseExpiresAt > leaseExpiresAt], want, name);
+    for (const tally of [1, 8]) void heartbeats.handle(Buffer.from(bodyOf(world.token, tally)));
+    world.fleet.now = 1;
+    const machine = world.machine('m');
+    const { leaseExpiresAt } = machine;
+    const body = Buffer.from(text(world.token));
+    const repeated = machine.lastHeartbeat.decodeRepetition(body) !== null;
+    const { status } = heartbeats.handle(body) as Reply;
+    assert.deepEqual(
+      [repeated, status, machine.sequence, machine.leaseExpiresAt > leaseExpiresAt],
+      want,
+      name,
+    );
     // A late copy takes no newer one's place.
-    if (m.sequence === 8)
+    if (machine.sequence === 8)
       assert.equal(
-        m.lastHeartbeat.decodeRepetition(Buffer.from(bodyOf(w.token, 10)))?.sequence,
+        machine.lastHeartbeat.decodeRepetition(Buffer.from(bodyOf(world.token, 10)))?.sequence,
         10,
       );
     // What came in another form is compared with from then on, if it was newer.
-    if (status === 200 && m.sequence === 9) {
+    if (status === 200 && machine.sequence === 9) {
       assert.equal(
-        m.lastHeartbeat.decodeRepetition(body)?.sequence,
+        machine.lastHeartbeat.decodeRepetition(body)?.sequence,
         name === 'an exponent' ? undefined : 9,
         name,
       );
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -61,11 +61,11 @@
       clock: { now: () => now },
       log: silentLog(),
     });
-    const reports = new HeartbeatHandler(parts);
-    assert.equal((await reports.handle(report)).status, status, name);
+    const heartbeats = new HeartbeatHandler(parts);
+    assert.equal((await heartbeats.handle(report)).status, status, name);
     // Only what the leader itself was asked tells how long it lets others wait.
     const asksLeader = seen.some((way) => !way.endsWith('hop'));
-    assert.equal(reports.forwardingDelay.meanS !== undefined, asksLeader, `${name}: wait noted`);
+    assert.equal(heartbeats.forwardingDelay.meanS !== undefined, asksLeader, `${name}: wait noted`);
     assert.deepEqual(more.length > 0 ? seen.slice(0, 2) : seen, asked, name);
     // Reports came every 2.5 s, and their answers after the worker had gone elsewhere.
     assert.ok(now < ANSWER_WAIT_S, `${name}: ${now} s`);
--- a/test/sched.test.ts
+++ b/test/sched.test.ts
@@ -37,7 +37,7 @@
   successors: [],
   ...over,
 });
-const p = DEFAULT_POLICY;
+const policy = DEFAULT_POLICY;
 
 test('remaining time follows what was attained', () => {
   const cases: [string, object, number][] = [
@@ -48,7 +48,7 @@
     // bring no progress.
     ['failed runs only lengthen it', { attainedS: 9 }, 1000],
   ];
-  for (const [name, over, want] of cases) assert.equal(remaining(ready(over), p), want, name);
+  for (const [name, over, want] of cases) assert.equal(remaining(ready(over), policy), want, name);
 });
 
 test('contribution sums over the jobs that wait', () => {
@@ -56,24 +56,27 @@
     { workS: 3, depth: 1 },
     { workS: 4, depth: 2 },
   ];
-  assert.equal(contribution(ready({ successors }), { ...p, omega: [1, 10, 100] }), 7 + 30 + 200);
+  assert.equal(
+    contribution(ready({ successors }), { ...policy, omega: [1, 10, 100] }),
+    7 + 30 + 200,
+  );
 });
 
 test('the sum ranks short work first and heavy work of long pipelines up', () => {
   const r = [ready({ unfinishedS: 10 }), ready({ unfinishedS: 100 }), ready({ unfinishedS: 1000 })];
-  const [a, b, c] = scores(r, [false, false, false], p);
+  const [a, b, c] = scores(r, [false, false, false], policy);
   assert.ok(a! > b! && b! > c!);
-  const boosted = scores(r, [false, false, true], p);
+  const boosted = scores(r, [false, false, true], policy);
   assert.ok(boosted[2]! > boosted[1]!);
 });
 
 test('long is above mean and spread, and does not swing with a burst of alike work', () => {
   assert.equal(longThreshold([2, 4], 1), 4);
   const marks = new LongMarks();
-  marks.update([10, 10, 10, 100], p, 0);
+  marks.update([10, 10, 10, 100], policy, 0);
   assert.ok(marks.isLong(100, false));
   const alike = [...Array<number>(50).fill(10), 100];
-  marks.update(alike, p, 0.1);
+  marks.update(alike, policy, 0.1);
   assert.ok(!marks.isLong(40, false), 'the threshold follows slowly');
   assert.ok(marks.isLong(60, true), 'what is long stays so until well below');
 });
@@ -119,7 +122,8 @@
     ['spot not allowed', {}, { spot: true }, false],
     ['spot allowed', { spot: true }, { spot: true }, true],
   ];
-  for (const [name, s, r, want] of cases) assert.equal(allowed(spec(s), room(r)), want, name);
+  for (const [name, jobSpec, capacity, want] of cases)
+    assert.equal(allowed(spec(jobSpec), room(capacity)), want, name);
   const zones = new Map([['z1', 2]]);
   assert.ok(!zoneAllowed(spec({ oneZone: true }), 'z2', zones));
   assert.ok(zoneAllowed(spec({ oneZone: true }), 'z1', zones));
@@ -154,13 +158,13 @@
   const free = { zones: new Map() };
   assert.equal(placeGang({ ...gang, oneZone: true }, rooms, free, w), null);
   assert.deepEqual(
-    rooms.map((r) => r.gpus),
+    rooms.map((capacity) => capacity.gpus),
     [2, 1],
     'nothing is taken in vain',
   );
   assert.equal(placeGang(gang, rooms, free, w)?.length, 3);
   assert.deepEqual(
-    rooms.map((r) => r.gpus),
+    rooms.map((capacity) => capacity.gpus),
     [0, 0],
   );
 });
@@ -191,7 +195,7 @@
   );
   assert.equal(e?.machine, 'y');
   assert.deepEqual(
-    e?.victims.map((x) => x.id),
+    e?.victims.map((victim) => victim.id),
     ['c'],
     'b is not needed beside c',
   );
@@ -200,13 +204,13 @@
 });
 
 test('team limits and guarantees', () => {
-  const u = new Usages(settings().teams);
-  assert.equal(u.room(spec({ gpus: 5 })), 2);
-  u.add(spec({ gpus: 5 }), 1);
-  assert.ok(u.allows(spec({ gpus: 7 }), 1));
-  assert.ok(!u.allows(spec({ gpus: 4 }), 2));
-  assert.ok(!u.withinGuarantee('t'));
-  assert.ok(!u.allows(spec({ team: 'x' }), 1));
+  const usages = new Usages(settings().teams);
+  assert.equal(usages.room(spec({ gpus: 5 })), 2);
+  usages.add(spec({ gpus: 5 }), 1);
+  assert.ok(usages.allows(spec({ gpus: 7 }), 1));
+  assert.ok(!usages.allows(spec({ gpus: 4 }), 2));
+  assert.ok(!usages.withinGuarantee('t'));
+  assert.ok(!usages.allows(spec({ team: 'x' }), 1));
   const decimals = new Usages(settings().teams);
   for (let i = 0; i < 119; i++) decimals.add(spec({ gpus: 0.1 }), 1);
   assert.equal(decimals.room(spec({ gpus: 0.1 })), 1, 'rounding does not decide');
@@ -219,7 +223,7 @@
     short = (_t: string, _z: string, _s: boolean) => false,
   ) =>
     planRent({
-      demand: demand.map((d) => ({ spec: spec(), tasks: 1, zones: new Map(), ...d })),
+      demand: demand.map((demand) => ({ spec: spec(), tasks: 1, zones: new Map(), ...demand })),
       rooms,
       types: [g8],
       zones: ['z1', 'z2'],
@@ -228,14 +232,14 @@
       weights: w,
       most: 50,
     });
-  const total = (x: ReturnType<typeof plan>) => x.reduce((n, y) => n + y.count, 0);
+  const total = (x: ReturnType<typeof plan>) => x.reduce((n, wanted) => n + wanted.count, 0);
   assert.equal(total(plan([{ tasks: 17 }])), 3);
   assert.equal(total(plan([{ tasks: 9 }], [room({ id: 'coming' })])), 1);
   assert.equal(plan([{ spec: spec({ spot: true }) }])[0]?.spot, true);
   assert.equal(plan([{ spec: spec({ spot: true }) }], [], (_t, _z, s) => s)[0]?.spot, false);
   assert.equal(total(plan([{ tasks: 5 }], [], () => true)), 0);
   const zones = plan([{ spec: spec({ scatter: true, gpus: 8, tasks: 4 }), tasks: 4 }]).map(
-    (x) => x.count,
+    (wanted) => wanted.count,
   );
   assert.deepEqual(zones, [2, 2]);
 });
@@ -295,8 +299,8 @@
     assert.equal(chooseVacated([candidate], rooms, () => may, w) !== null, want, name);
     // Rooms of a class have their methods from its prototype; spreads once lost them, and with that
     // every tick of the leader ended early.
-    const classy = rooms.map((r) =>
-      Object.assign(Object.create(r) as FreeCapacity, { cores: r.cores }),
+    const classy = rooms.map((capacity) =>
+      Object.assign(Object.create(capacity) as FreeCapacity, { cores: capacity.cores }),
     );
     assert.equal(chooseVacated([candidate], classy, () => may, w) !== null, want, name);
   }
--- a/test/script.test.ts
+++ b/test/script.test.ts
@@ -4,8 +4,13 @@
 import { loadScript, runScript, ScriptError } from '../src/operator/script.js';
 
 test('a script overrides factors, by computing them too', () => {
-  const p = runScript('eta = 1 + 0.5\nomega = {1, 2, 3}\nlocal x = math.max(2, 3)\nepsilon = x');
-  assert.deepEqual([p.eta, p.omega, p.epsilonS, p.rho], [1.5, [1, 2, 3], 3, 0.2]);
+  const policy = runScript(
+    'eta = 1 + 0.5\nomega = {1, 2, 3}\nlocal x = math.max(2, 3)\nepsilon = x',
+  );
+  assert.deepEqual(
+    [policy.eta, policy.omega, policy.epsilonS, policy.rho],
+    [1.5, [1, 2, 3], 3, 0.2],
+  );
 });
 
 test('what a script may not do is refused with its line', () => {
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -87,10 +87,10 @@
 test('malformed HTTP is answered with 400 and close, and the node lives', async () => {
   for (const bytes of ['x\r\n\r\n', 'GET /ready HTTP/1.1\r\n\r\nGET /ready HTTP/1.1\r\n\r\n']) {
     const got = await new Promise<string>((resolve) => {
-      const s = connect(cluster.ports[0]!.bind, '127.0.0.1', () => s.write(bytes));
+      const socket = connect(cluster.ports[0]!.bind, '127.0.0.1', () => socket.write(bytes));
       let text = '';
-      s.on('data', (d) => (text += d.toString()));
-      s.on('close', () => resolve(text));
+      socket.on('data', (d) => (text += d.toString()));
+      socket.on('close', () => resolve(text));
     });
     assert.match(got, /^HTTP\/1\.1 400 /);
   }
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -4,10 +4,10 @@
 import { settingsText } from './helpers.js';
 
 test('a platform file is read, unknown fields are ignored', () => {
-  const s = parseSettings(settingsText());
-  assert.equal(s.node, 'n-0');
-  assert.equal(s.workers.lease_s, 2);
-  assert.equal(s.teams.get('t')?.gpusMax, 12);
+  const settings = parseSettings(settingsText());
+  assert.equal(settings.node, 'n-0');
+  assert.equal(settings.workers.lease_s, 2);
+  assert.equal(settings.teams.get('t')?.gpusMax, 12);
 });
 
 test('of present and next limits the smaller ones count; progress stays divided as it is stored', () => {
@@ -19,9 +19,9 @@
     ['larger ones', 'value_kb = 16.0\ntxn_ops = 20', {}],
   ]; // prettier-ignore
   for (const [name, next, smaller] of cases) {
-    const s = parseSettings(settingsText(0, undefined, 3, 4, 2, undefined, 6, next));
-    assert.deepEqual(s.state, { ...present, ...smaller }, name);
-    assert.equal(s.progressValueKb, 8, name);
+    const settings = parseSettings(settingsText(0, undefined, 3, 4, 2, undefined, 6, next));
+    assert.deepEqual(settings.state, { ...present, ...smaller }, name);
+    assert.equal(settings.progressValueKb, 8, name);
   }
 });
 
--- a/test/standins/process-cluster.ts
+++ b/test/standins/process-cluster.ts
@@ -101,7 +101,7 @@
     const url = `http://127.0.0.1:${this.ports[index]!.bind}/ready`;
     const isReady = (): Promise<boolean> =>
       fetch(url).then(
-        (r) => r.ok,
+        (response) => response.ok,
         () => false,
       );
     await until(`controller ${index} is ready`, isReady);
@@ -110,10 +110,10 @@
   /** What a controller answers to a GET; null: nothing, or no JSON. */
   async ask(index: number, path: string): Promise<Record<string, unknown> | null> {
     try {
-      const r = await fetch(`http://127.0.0.1:${this.ports[index]!.bind}${path}`, {
+      const response = await fetch(`http://127.0.0.1:${this.ports[index]!.bind}${path}`, {
         signal: AbortSignal.timeout(1000),
       });
-      return (await r.json()) as Record<string, unknown>;
+      return (await response.json()) as Record<string, unknown>;
     } catch {
       return null;
     }
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -145,7 +145,7 @@
   private disturbedCommit(body: Json): Answer | null {
     const apply = body.apply as Operation[];
     const touches = (prefix: string): boolean =>
-      apply.some((o) => (o.put ?? o.remove!).startsWith(prefix));
+      apply.some((operation) => (operation.put ?? operation.remove!).startsWith(prefix));
     const trouble = this.troubles.find((t) => t.left > 0 && touches(t.prefix));
     if (trouble === undefined) return this.commit(body);
     trouble.left--;
@@ -171,13 +171,17 @@
       .filter((g) => (this.keys.get(g.path)?.mark ?? 0) !== g.mark)
       .map((g) => g.path);
     if (failed.length > 0) return [409, { failed, ledger: this.ledger }];
-    if (apply.some((o) => o.loan !== undefined && !this.loans.has(o.loan))) {
+    if (
+      apply.some((operation) => operation.loan !== undefined && !this.loans.has(operation.loan))
+    ) {
       return [400, { error: 'no such lease' }];
     }
     const { valueBytes, operations } = this.limits;
     const largest = Math.max(
       0,
-      ...apply.map((o) => (o.put === undefined ? 0 : JSON.stringify(o.data).length)),
+      ...apply.map((operation) =>
+        operation.put === undefined ? 0 : JSON.stringify(operation.data).length,
+      ),
     );
     const bytes = JSON.stringify(body).length;
     if (apply.length > operations || bytes > TRANSACTION_BYTES || largest > valueBytes) {
--- a/test/subsystems.test.ts
+++ b/test/subsystems.test.ts
@@ -28,8 +28,8 @@
   return active;
 }
 
-const report = (b: Bench, ...ids: string[]): void => {
-  for (const id of ids) b.report(id, []);
+const report = (bench: Bench, ...ids: string[]): void => {
+  for (const id of ids) bench.report(id, []);
 };
 
 test('a gang that waits for long has no machine reserved for it that is kept', () => {
@@ -37,25 +37,25 @@
     [keeping(), false],
     [NO_SUBSYSTEMS, true],
   ] as const) {
-    const b = new Bench(100, 0, subsystems);
-    report(b, 'm1');
+    const bench = new Bench(100, 0, subsystems);
+    report(bench, 'm1');
     // Half of it is taken by a task that will end.
     if (!subsystems.any) {
-      b.job({ id: 'wk-1', gpus: 4, cores: 4 });
-      b.pass();
-      b.settle('m1', false);
+      bench.job({ id: 'wk-1', gpus: 4, cores: 4 });
+      bench.pass();
+      bench.settle('m1', false);
     }
-    b.job({ id: 'wk-2', kind: 'gang', tasks: 1, gpus: 8, cores: 8, oneZone: true });
-    b.job({ id: 'wk-3', gpus: 1 });
-    b.now += LEASE_S * 10;
-    b.report('m1', subsystems.any ? [] : [
-      { job: 'wk-1', index: 0, attempt: b.term.machines.get('m1')!.activeAttempts()[0]!.number, state: 'running', cause: null, saved: false },
+    bench.job({ id: 'wk-2', kind: 'gang', tasks: 1, gpus: 8, cores: 8, oneZone: true });
+    bench.job({ id: 'wk-3', gpus: 1 });
+    bench.now += LEASE_S * 10;
+    bench.report('m1', subsystems.any ? [] : [
+      { job: 'wk-1', index: 0, attempt: bench.term.machines.get('m1')!.activeAttempts()[0]!.number, state: 'running', cause: null, saved: false },
     ]); // prettier-ignore
-    b.pass();
-    const { reservations } = b.scheduler as unknown as { reservations: GangReservations };
-    const other = b.term.jobs.get('wk-3')!;
+    bench.pass();
+    const { reservations } = bench.scheduler as unknown as { reservations: GangReservations };
+    const other = bench.term.jobs.get('wk-3')!;
     assert.equal(reservations.isReservedFrom(other, 'm1'), reserved);
-    assert.equal(b.on('m1', 'wk-2'), 0);
+    assert.equal(bench.on('m1', 'wk-2'), 0);
   }
 });
 
@@ -64,13 +64,13 @@
     [keeping(), 1],
     [NO_SUBSYSTEMS, 0],
   ] as const) {
-    const b = new Bench(100, 0, subsystems);
-    report(b, 'm1');
-    b.job({ id: 'wk-1', gpus: 8, cores: 8, zone: 'z1' });
-    const { demand, rooms } = b.scheduler.pass();
-    b.capacity.demand = demand;
-    b.capacity.rooms = rooms;
-    const wanted = b.capacity.wanted().filter(({ zone }) => zone === 'z1');
+    const bench = new Bench(100, 0, subsystems);
+    report(bench, 'm1');
+    bench.job({ id: 'wk-1', gpus: 8, cores: 8, zone: 'z1' });
+    const { demand, rooms } = bench.scheduler.pass();
+    bench.capacity.demand = demand;
+    bench.capacity.rooms = rooms;
+    const wanted = bench.capacity.wanted().filter(({ zone }) => zone === 'z1');
     assert.equal(wanted.length, count);
   }
 });
@@ -81,29 +81,29 @@
     [keeping(), false],
     [NO_SUBSYSTEMS, true],
   ] as const) {
-    const b = new Bench(100, 0, subsystems);
+    const bench = new Bench(100, 0, subsystems);
     // With the only room for a replica that moves.
-    report(b, 'm1');
-    b.job({ id: 'wk-1', class: 'own', kind: 'service', gpus: 4, cores: 4, priority: 0 });
-    b.pass();
-    b.settle('m1', false);
+    report(bench, 'm1');
+    bench.job({ id: 'wk-1', class: 'own', kind: 'service', gpus: 4, cores: 4, priority: 0 });
+    bench.pass();
+    bench.settle('m1', false);
     // Not heard for a moment: the others are placed elsewhere.
-    b.now += LEASE_S;
+    bench.now += LEASE_S;
     for (const id of ids) {
-      report(b, id);
-      b.job({
+      report(bench, id);
+      bench.job({
         id: `wk-${id.slice(1)}`,
         kind: 'service',
         gpus: id === 'm2' ? 3 : 7,
         cores: 3,
         priority: 0,
       });
-      b.pass();
-      b.settle(id, false);
+      bench.pass();
+      bench.settle(id, false);
     }
-    b.now += LEASE_S * 10;
-    for (const id of ['m1', ...ids]) b.settle(id, false);
-    const { rooms } = b.scheduler.pass();
-    assert.equal(b.scheduler.vacate(rooms) !== null, isEmptied);
+    bench.now += LEASE_S * 10;
+    for (const id of ['m1', ...ids]) bench.settle(id, false);
+    const { rooms } = bench.scheduler.pass();
+    assert.equal(bench.scheduler.vacate(rooms) !== null, isEmptied);
   }
 });
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -161,7 +161,7 @@
   return {
     report: [
       parsed.machine, parsed.addr, parsed.type, parsed.zone, parsed.spot, parsed.agentEpoch,
-      parsed.sequence, parsed.token, parsed.reclaimNoticeS, parsed.tasks.map((t) => Object.values(t)),
+      parsed.sequence, parsed.token, parsed.reclaimNoticeS, parsed.tasks.map((task) => Object.values(task)),
     ],
     malformed: broken.map((raw) => outcomeOf(() => workers.parseHeartbeat(raw))),
     garbage: outcomeOf(() => workers.decodeHeartbeat(Buffer.from('{'))),
@@ -258,7 +258,7 @@
     hello,
     fitness,
     ...QUESTIONS.map((q, i) => ({ id: i + 1, q })),
-    ...Object.values(ANSWERS).map((a, i) => ({ id: i + 1, a })),
+    ...Object.values(ANSWERS).map((answer, i) => ({ id: i + 1, a: answer })),
   ].map(encodeFrame);
   const reread = (frame: Buffer): unknown => new FrameReader().push(frame)[0];
   const [, , ...rest] = frames;
--- a/test/unplaced-requests.test.ts
+++ b/test/unplaced-requests.test.ts
@@ -87,10 +87,17 @@
     }); // prettier-ignore
     bench.now += 0.1;
     const { demand } = bench.scheduler.pass();
-    seen.push(demand.map((d) => [d.spec.id, d.tasks]));
+    seen.push(demand.map((demand) => [demand.spec.id, demand.tasks]));
     for (const id of MACHINES) {
       const held = bench.term.machines.get(id)!.activeAttempts();
-      seen.push(held.map((a) => [a.job, a.index, a.number, a.stopRequest !== null]));
+      seen.push(
+        held.map((attempt) => [
+          attempt.job,
+          attempt.index,
+          attempt.number,
+          attempt.stopRequest !== null,
+        ]),
+      );
       if (i % 3 === 0) bench.settle(id, i % 2 === 0);
     }
   }
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -14,9 +14,9 @@
   Buffer.from(JSON.stringify({ ...valid, ...change }));
 
 test('a submission is read into internal terms', () => {
-  const s = parseSubmission(body({ extra: 1, yard: undefined }));
+  const spec = parseSubmission(body({ extra: 1, yard: undefined }));
   assert.deepEqual(
-    [s.id, s.kind, s.priority, s.tasks, s.zone, s.spot, s.deadlineS],
+    [spec.id, spec.kind, spec.priority, spec.tasks, spec.zone, spec.spot, spec.deadlineS],
     ['wk-000412', 'gang', 1, 2, null, true, 900],
   );
 });
@@ -40,7 +40,7 @@
     ['flag as a number', body({ scatter: 1 })],
     ['types as a word', body({ castings: 'g8' })],
   ];
-  for (const [name, b] of cases) assert.throws(() => parseSubmission(b), BadMessage, name);
+  for (const [name, data] of cases) assert.throws(() => parseSubmission(data), BadMessage, name);
 });
 
 test('what can never run is told', () => {
