--- a/src/api/request-forwarder.ts
+++ b/src/api/request-forwarder.ts
@@ -4,7 +4,7 @@
 import type { KeyValueStoreClient } from '../store/client.js';
 import type { ReplicaSync } from '../store/replica-sync.js';
 import { mayAwait, SUBMIT_WAIT_S } from '../wire/users.js';
-import type { Users } from './users.js';
+import type { Users } from './user-api.js';
 
 /** What a user asks for, in a form that can be passed on to another controller. */
 export type UserRequest =
--- a/src/cancellation/notices.ts
+++ b/src/cancellation/cancellation-broadcast.ts
@@ -4,7 +4,7 @@
 import type { Settings } from '../config/settings.js';
 import { outcome } from '../store/stored-job.js';
 import type { Replica } from '../store/replica.js';
-import { TELL_WAIT_S } from './confirmation.js';
+import { TELL_WAIT_S } from './cancellation-quorum.js';
 
 /**
  * Cancellations are remembered until the store shows the end of their jobs, and otherwise for so many
--- a/src/cloud/arrivals.ts
+++ b/src/cloud/demand-forecast.ts
@@ -1,6 +1,6 @@
 import { fits, type JobSpec, type MachineType } from '../jobs/types.js';
-import type { HotImage } from '../scheduler/place.js';
-import { warmTarget, type Arrival } from './warm.js';
+import type { HotImage } from '../scheduler/bin-packing.js';
+import { warmTarget, type Arrival } from './warm-capacity.js';
 
 /** Windows of observation, in boots of the slowest machine type. */
 const HOT_BOOTS = 12;
--- a/src/cloud/fleet.ts
+++ b/src/cloud/provisioner.ts
@@ -5,7 +5,7 @@
 import { RENT_MAX, RETURN_MAX, type ListedMachine, type RentRequest } from '../wire/cloud.js';
 import type { CloudClient } from './client.js';
 import type { StoredRent } from '../subsystems/subsystem.js';
-import type { Wanted } from './plan.js';
+import type { Wanted } from './scale-out-plan.js';
 
 /** A machine that is rented but has not reported yet. */
 export interface Coming {
--- a/src/cloud/plan.ts
+++ b/src/cloud/scale-out-plan.ts
@@ -7,7 +7,7 @@
   zoneAllowed,
   type FreeCapacity,
   type Weights,
-} from '../scheduler/place.js';
+} from '../scheduler/bin-packing.js';
 
 /** Tasks that found no room, in the order in which they are wanted. */
 export interface Demand {
--- a/src/controller/http-requests.ts
+++ b/src/controller/http-router.ts
@@ -3,7 +3,7 @@
 import type { RequestForwarder, UserRequest } from '../api/request-forwarder.js';
 import type { RequestQueue } from '../admission/request-queue.js';
 import type { Clock } from '../clock.js';
-import type { Costs } from '../costs.js';
+import type { Costs } from '../latency-histograms.js';
 import type { HeartbeatHandler } from '../heartbeat/heartbeat-handler.js';
 import type { Message } from '../http/parser.js';
 import type { Reply } from '../http/server.js';
--- a/src/controller/load-log.ts
+++ b/src/controller/load-log.ts
@@ -2,7 +2,7 @@
 import type { Overload } from '../admission/overload.js';
 import type { RequestQueue } from '../admission/request-queue.js';
 import type { Clock } from '../clock.js';
-import type { WorkTotal } from '../costs.js';
+import type { WorkTotal } from '../latency-histograms.js';
 import type { HeartbeatCounts } from '../heartbeat/heartbeat-counts.js';
 import type { Traffic } from '../http/client.js';
 import type { Log } from '../log.js';
--- a/src/controller/peer-answers.ts
+++ b/src/controller/peer-question-handler.ts
@@ -1,7 +1,7 @@
-import type { CancellationNotices } from '../cancellation/notices.js';
+import type { CancellationNotices } from '../cancellation/cancellation-broadcast.js';
 import type { RequestForwarder } from '../api/request-forwarder.js';
 import type { RequestQueue } from '../admission/request-queue.js';
-import type { Costs } from '../costs.js';
+import type { Costs } from '../latency-histograms.js';
 import type { HeartbeatHandler } from '../heartbeat/heartbeat-handler.js';
 import type { Election } from '../leadership/election.js';
 import type { LeaderAcknowledgements } from '../leadership/leader-acknowledgements.js';
--- a/src/leader/attempt-stops.ts
+++ b/src/leader/attempts/attempt-stopper.ts
@@ -1,9 +1,9 @@
 /** Ending attempts: withdrawn while their start was never sent, told to stop otherwise. */
 
-import type { LiveJob } from '../jobs/live.js';
-import { occupiesCapacity, mayBeOnMachine, type Attempt } from '../workers/attempt.js';
-import type { Machine } from '../workers/machine.js';
-import type { TermState } from './term-state.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import { occupiesCapacity, mayBeOnMachine, type Attempt } from '../../workers/attempt.js';
+import type { Machine } from '../../workers/machine.js';
+import type { TermState } from '../term/term-state.js';
 
 /** A task is given a little longer than its saving takes: the worker compares the two. */
 const GRACE_PER_SAVE = 1.1;
--- a/src/leader/direct.ts
+++ b/src/leader/attempts/command-dispatcher.ts
@@ -1,8 +1,8 @@
-import { endpoint } from '../config/endpoint.js';
-import { HttpClient, NoResponse } from '../http/client.js';
-import { encodeDirectCommands, parseHeartbeat } from '../wire/workers.js';
-import type { Machine } from '../workers/machine.js';
-import type { Term } from './term.js';
+import { endpoint } from '../../config/endpoint.js';
+import { HttpClient, NoResponse } from '../../http/client.js';
+import { encodeDirectCommands, parseHeartbeat } from '../../wire/workers.js';
+import type { Machine } from '../../workers/machine.js';
+import type { Term } from '../term/term.js';
 
 /**
  * Of the sockets, those for direct commands. A connection to every machine, beside one from each, is more
--- a/src/leader/fencing.ts
+++ b/src/leader/attempts/fencing.ts
@@ -1,6 +1,6 @@
 /** Fencing of machines by revisions of this term's own commits. */
 
-import type { TermState } from './term-state.js';
+import type { TermState } from '../term/term-state.js';
 
 /**
  * Fences machines anew whose direct starts were never answered, once one of those keeps something
--- a/src/leader/report-digest.ts
+++ b/src/leader/attempts/heartbeat-reconciler.ts
@@ -1,11 +1,11 @@
 /** Taking in what reports showed: tasks found, running, ended or gone. */
 
-import type { LiveJob } from '../jobs/live.js';
-import { occupiesCapacity, type Attempt } from '../workers/attempt.js';
-import type { HeartbeatChanges, Machine } from '../workers/machine.js';
-import type { AttemptStops } from './attempt-stops.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import { occupiesCapacity, type Attempt } from '../../workers/attempt.js';
+import type { HeartbeatChanges, Machine } from '../../workers/machine.js';
+import type { AttemptStops } from './attempt-stopper.js';
 import type { MachineHealth } from './machine-health.js';
-import type { TermState } from './term-state.js';
+import type { TermState } from '../term/term-state.js';
 
 /** Nothing new goes to a machine that is told in vain for so many report intervals, at first. */
 const MISSED_SHUN_REPORTS = 2;
--- a/src/leader/lease-expiry.ts
+++ b/src/leader/attempts/lease-expiry.ts
@@ -1,8 +1,8 @@
 /** Leases of machines that have run out for certain. */
 
-import type { Machine } from '../workers/machine.js';
-import type { ReportDigest } from './report-digest.js';
-import type { TermState } from './term-state.js';
+import type { Machine } from '../../workers/machine.js';
+import type { ReportDigest } from './heartbeat-reconciler.js';
+import type { TermState } from '../term/term-state.js';
 
 /** Gives up what was on machines once nobody can have renewed their leases. */
 export class LeaseExpiry {
--- a/src/leader/machine-health.ts
+++ b/src/leader/attempts/machine-health.ts
@@ -1,10 +1,10 @@
-import { outcome } from '../store/stored-job.js';
-import type { Replica } from '../store/replica.js';
-import type { Clock } from '../clock.js';
-import type { LiveJob } from '../jobs/live.js';
-import type { Log } from '../log.js';
-import type { Attempt } from '../workers/attempt.js';
-import type { Machine } from '../workers/machine.js';
+import { outcome } from '../../store/stored-job.js';
+import type { Replica } from '../../store/replica.js';
+import type { Clock } from '../../clock.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { Log } from '../../log.js';
+import type { Attempt } from '../../workers/attempt.js';
+import type { Machine } from '../../workers/machine.js';
 
 /** A job that fails on so many machines says nothing of them. */
 const SUSPECT_JOB_MACHINES = 3;
--- a/src/leader/start-permission.ts
+++ b/src/leader/attempts/start-permission.ts
@@ -1,8 +1,8 @@
 /** Whether a claimed attempt may be started. */
 
-import type { LiveJob } from '../jobs/live.js';
-import type { Attempt } from '../workers/attempt.js';
-import type { TermState } from './term-state.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { Attempt } from '../../workers/attempt.js';
+import type { TermState } from '../term/term-state.js';
 
 /** Its job is open and ready, its task not done, its machine ready; of a gang, every claim is stored. */
 export function mayStart(state: TermState, attempt: Attempt): boolean {
--- a/src/leader/capacity.ts
+++ b/src/leader/capacity/capacity-manager.ts
@@ -1,21 +1,21 @@
 /** The fleet of a term: what its parts plan, and what the cloud says. */
 
-import type { Arrivals } from '../cloud/arrivals.js';
-import type { CloudClient } from '../cloud/client.js';
-import { Fleet, type FleetHost } from '../cloud/fleet.js';
-import type { Demand, Wanted } from '../cloud/plan.js';
-import type { MachineType } from '../jobs/types.js';
-import type { FreeCapacity } from '../scheduler/place.js';
-import type { Usages } from '../scheduler/quota.js';
-import type { ListedMachine } from '../wire/cloud.js';
-import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import type { StoredRent } from '../subsystems/subsystem.js';
-import type { Machine } from '../workers/machine.js';
+import type { Arrivals } from '../../cloud/demand-forecast.js';
+import type { CloudClient } from '../../cloud/client.js';
+import { Fleet, type FleetHost } from '../../cloud/provisioner.js';
+import type { Demand, Wanted } from '../../cloud/scale-out-plan.js';
+import type { MachineType } from '../../jobs/types.js';
+import type { FreeCapacity } from '../../scheduler/bin-packing.js';
+import type { Usages } from '../../scheduler/quota.js';
+import type { ListedMachine } from '../../wire/cloud.js';
+import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../../subsystems/active-subsystems.js';
+import type { StoredRent } from '../../subsystems/subsystem.js';
+import type { Machine } from '../../workers/machine.js';
 import { Consolidation } from './consolidation.js';
-import { RentPlanner, type PassRemains } from './rent-planner.js';
-import { ReturnPlanner } from './return-planner.js';
-import type { Scheduler } from './scheduler.js';
-import type { Term } from './term.js';
+import { RentPlanner, type PassRemains } from './scale-out-planner.js';
+import { ReturnPlanner } from './scale-in-planner.js';
+import type { Scheduler } from '../scheduling/scheduler.js';
+import type { Term } from '../term/term.js';
 import { WarmReserve } from './warm-reserve.js';
 
 export interface CapacityOptions {
--- a/src/leader/consolidation.ts
+++ b/src/leader/capacity/consolidation.ts
@@ -1,10 +1,10 @@
 /** Emptying machines while more is free than is needed. */
 
-import type { FreeCapacity } from '../scheduler/place.js';
+import type { FreeCapacity } from '../../scheduler/bin-packing.js';
 import { freeMachines } from './free-capacity.js';
-import type { PassRemains } from './rent-planner.js';
-import { MUCH_SURPLUS } from './return-planner.js';
-import type { Term } from './term.js';
+import type { PassRemains } from './scale-out-planner.js';
+import { MUCH_SURPLUS } from './scale-in-planner.js';
+import type { Term } from '../term/term.js';
 import type { WarmReserve } from './warm-reserve.js';
 
 /** Right after a change of leader the picture is not whole: for so many leases. */
--- a/src/leader/free-capacity.ts
+++ b/src/leader/capacity/free-capacity.ts
@@ -1,11 +1,16 @@
 /** What is free on each machine of a term, kept up to date at little cost. */
 
-import type { JobSpec, MachineType, Size } from '../jobs/types.js';
-import { freeShare, putBack, type HotImage, type FreeCapacity } from '../scheduler/place.js';
-import { Usages } from '../scheduler/quota.js';
-import { occupiesCapacity } from '../workers/attempt.js';
-import type { Machine } from '../workers/machine.js';
-import type { Term } from './term.js';
+import type { JobSpec, MachineType, Size } from '../../jobs/types.js';
+import {
+  freeShare,
+  putBack,
+  type HotImage,
+  type FreeCapacity,
+} from '../../scheduler/bin-packing.js';
+import { Usages } from '../../scheduler/quota.js';
+import { occupiesCapacity } from '../../workers/attempt.js';
+import type { Machine } from '../../workers/machine.js';
+import type { Term } from '../term/term.js';
 
 /** What does not change within a pass about a machine; shared by all copies of its free capacity. */
 interface MachineFacts {
--- a/src/leader/return-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -1,12 +1,12 @@
 /** What to give back: empty machines that are not needed, and machines that failed or never came. */
 
-import type { MachineType } from '../jobs/types.js';
-import type { FreeCapacity } from '../scheduler/place.js';
-import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import { MIN_CHARGE_S, type ListedMachine } from '../wire/cloud.js';
-import type { Machine } from '../workers/machine.js';
+import type { MachineType } from '../../jobs/types.js';
+import type { FreeCapacity } from '../../scheduler/bin-packing.js';
+import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../../subsystems/active-subsystems.js';
+import { MIN_CHARGE_S, type ListedMachine } from '../../wire/cloud.js';
+import type { Machine } from '../../workers/machine.js';
 import { freeMachines } from './free-capacity.js';
-import type { Term } from './term.js';
+import type { Term } from '../term/term.js';
 import type { WarmReserve } from './warm-reserve.js';
 
 /** Given back after so many boots: a machine still booting, and one that runs but does not report. */
--- a/src/leader/rent-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -1,16 +1,16 @@
 /** What to rent: machines for work that found none, for replicas that are missed, and the warm reserve. */
 
-import { unit } from '../cloud/arrivals.js';
-import type { Fleet } from '../cloud/fleet.js';
-import { comingCapacity, planRent, type Demand, type Wanted } from '../cloud/plan.js';
-import type { LiveJob } from '../jobs/live.js';
-import type { FreeCapacity, Weights } from '../scheduler/place.js';
-import { RENT_MAX } from '../wire/cloud.js';
-import type { ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import { occupiesCapacity } from '../workers/attempt.js';
-import type { Machine } from '../workers/machine.js';
+import { unit } from '../../cloud/demand-forecast.js';
+import type { Fleet } from '../../cloud/provisioner.js';
+import { comingCapacity, planRent, type Demand, type Wanted } from '../../cloud/scale-out-plan.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { FreeCapacity, Weights } from '../../scheduler/bin-packing.js';
+import { RENT_MAX } from '../../wire/cloud.js';
+import type { ActiveSubsystems } from '../../subsystems/active-subsystems.js';
+import { occupiesCapacity } from '../../workers/attempt.js';
+import type { Machine } from '../../workers/machine.js';
 import { freeMachines } from './free-capacity.js';
-import type { Term } from './term.js';
+import type { Term } from '../term/term.js';
 import type { WarmReserve } from './warm-reserve.js';
 
 /** A machine that takes so many boots may never come: not counted on. */
--- a/src/leader/warm-reserve.ts
+++ b/src/leader/capacity/warm-reserve.ts
@@ -1,8 +1,8 @@
 /** Free capacity that is kept for work to come. */
 
-import type { Arrivals } from '../cloud/arrivals.js';
-import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import type { Term } from './term.js';
+import type { Arrivals } from '../../cloud/demand-forecast.js';
+import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../../subsystems/active-subsystems.js';
+import type { Term } from '../term/term.js';
 
 /** How much is kept free, by what arrives. */
 export class WarmReserve {
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -1,4 +1,4 @@
-import { Arrivals } from '../cloud/arrivals.js';
+import { Arrivals } from '../cloud/demand-forecast.js';
 import type { CloudClient } from '../cloud/client.js';
 import type { Reply } from '../http/server.js';
 import type { MachineType } from '../jobs/types.js';
@@ -9,18 +9,18 @@
 import { ActiveSubsystems } from '../subsystems/active-subsystems.js';
 import type { Subsystem, TermView } from '../subsystems/subsystem.js';
 import type { Machine } from '../workers/machine.js';
-import type { Costs } from '../costs.js';
-import { DirectCommands } from './direct.js';
-import { figures } from './figures.js';
+import type { Costs } from '../latency-histograms.js';
+import { DirectCommands } from './attempts/command-dispatcher.js';
+import { figures } from './term/statistics.js';
 import { Overload } from '../admission/overload.js';
-import { PASS_GAP_S, PassPacing } from './pass-pacing.js';
-import { dividePending } from './progress-layout.js';
-import { Scheduler } from './scheduler.js';
-import { SubsystemView } from './subsystem-view.js';
-import { TermStore } from './store.js';
-import { closeJobs, lostForGood } from './sweep.js';
-import { Term, type TermDeps } from './term.js';
-import { CapacityManager } from './capacity.js';
+import { PASS_GAP_S, PassPacing } from './scheduling/cycle-pacing.js';
+import { dividePending } from './writes/progress-layout.js';
+import { Scheduler } from './scheduling/scheduler.js';
+import { SubsystemView } from './term/subsystem-view.js';
+import { TermStore } from './writes/record-writer.js';
+import { closeJobs, lostForGood } from './term/garbage-collection.js';
+import { Term, type TermDeps } from './term/term.js';
+import { CapacityManager } from './capacity/capacity-manager.js';
 
 /** What a leader works with, beside what its term rests on. */
 export interface LeaderServices {
--- a/src/leader/claim-space.ts
+++ b/src/leader/scheduling/claim-limit.ts
@@ -1,12 +1,12 @@
 /** Whether a machine's record can name more claims. */
 
-import type { LiveJob } from '../jobs/live.js';
-import type { FreeCapacity } from '../scheduler/place.js';
-import { bytesWithoutImages, type ClaimForm } from '../store/machine-record.js';
-import { MAX_REPORTED_TASKS } from '../wire/workers.js';
-import type { Machine } from '../workers/machine.js';
-import { machineRecord, machineRecordBytes } from './stored-machine.js';
-import type { Term } from './term.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { FreeCapacity } from '../../scheduler/bin-packing.js';
+import { bytesWithoutImages, type ClaimForm } from '../../store/machine-record.js';
+import { MAX_REPORTED_TASKS } from '../../wire/workers.js';
+import type { Machine } from '../../workers/machine.js';
+import { machineRecord, machineRecordBytes } from '../writes/stored-machine.js';
+import type { Term } from '../term/term.js';
 
 /** A claim takes no more than so many bytes: a job's id, its attempt, the task and what is between. */
 const CLAIM_BYTES = 64;
--- a/src/leader/pass-context.ts
+++ b/src/leader/scheduling/cycle-context.ts
@@ -1,10 +1,10 @@
 /** What the parts of one pass of placing share. */
 
-import type { LiveJob } from '../jobs/live.js';
-import type { FreeCapacity, Weights } from '../scheduler/place.js';
-import type { Usages } from '../scheduler/quota.js';
-import type { Evictions } from './evictions.js';
-import type { Term } from './term.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { FreeCapacity, Weights } from '../../scheduler/bin-packing.js';
+import type { Usages } from '../../scheduler/quota.js';
+import type { Evictions } from './preemptor.js';
+import type { Term } from '../term/term.js';
 import type { UnplacedRequests } from './unplaced-requests.js';
 
 /** Whether a job may use a machine now. */
--- a/src/leader/pass-pacing.ts
+++ b/src/leader/scheduling/cycle-pacing.ts
@@ -1,5 +1,5 @@
-import type { Overload } from '../admission/overload.js';
-import { MIN_HEARTBEAT_GAP_S } from '../wire/workers.js';
+import type { Overload } from '../../admission/overload.js';
+import { MIN_HEARTBEAT_GAP_S } from '../../wire/workers.js';
 
 /** Events come in clusters: passes are at least so far apart, in seconds. */
 export const PASS_GAP_S = MIN_HEARTBEAT_GAP_S / 10;
--- a/src/leader/gang-reservations.ts
+++ b/src/leader/scheduling/gang-reservations.ts
@@ -1,11 +1,11 @@
 /** Machines that are kept free for a gang which has waited for long. */
 
-import type { LiveJob } from '../jobs/live.js';
-import type { Size } from '../jobs/types.js';
-import type { FreeCapacity } from '../scheduler/place.js';
-import type { Usages } from '../scheduler/quota.js';
-import { chooseReservation, type ReservableMachine } from '../scheduler/reservation.js';
-import type { Term } from './term.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { Size } from '../../jobs/types.js';
+import type { FreeCapacity } from '../../scheduler/bin-packing.js';
+import type { Usages } from '../../scheduler/quota.js';
+import { chooseReservation, type ReservableMachine } from '../../scheduler/reservation.js';
+import type { Term } from '../term/term.js';
 
 /** A gang that has waited for so many leases gets machines reserved. */
 const RESERVE_LEASES = 3;
--- a/src/leader/job-placement.ts
+++ b/src/leader/scheduling/job-placement.ts
@@ -1,7 +1,7 @@
 /** Placing the tasks of one job within a pass. */
 
-import type { LiveJob } from '../jobs/live.js';
-import type { Waits } from '../scheduler/objectives.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { Waits } from '../../scheduler/service-level-objectives.js';
 import {
   bestFit,
   freeShare,
@@ -10,14 +10,14 @@
   type FreeCapacity,
   type Weights,
   type Where,
-} from '../scheduler/place.js';
-import { makeAttempt } from '../workers/attempt.js';
-import type { Machine } from '../workers/machine.js';
-import { COMMAND_S, type Evictions } from './evictions.js';
+} from '../../scheduler/bin-packing.js';
+import { makeAttempt } from '../../workers/attempt.js';
+import type { Machine } from '../../workers/machine.js';
+import { COMMAND_S, type Evictions } from './preemptor.js';
 import { besideLongWork, type SharedUse } from './long-work-share.js';
 import type { MachineEligibility } from './machine-eligibility.js';
-import { zonesOf, type JobOutcome, type PassContext } from './pass-context.js';
-import type { Term } from './term.js';
+import { zonesOf, type JobOutcome, type PassContext } from './cycle-context.js';
+import type { Term } from '../term/term.js';
 
 /** A job that has failed on so many machines and never succeeded is doubted, not the machines. */
 const SUSPECT_MACHINES = 3;
--- a/src/leader/queue.ts
+++ b/src/leader/scheduling/job-queue.ts
@@ -1,8 +1,8 @@
-import type { LiveJob } from '../jobs/live.js';
-import { Outlooks, type Outlook } from '../pipelines/outlook.js';
-import { within } from '../jobs/types.js';
-import { LongMarks, compareJobs, remaining, scores, type Ready } from '../scheduler/rank.js';
-import type { Term } from './term.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import { Outlooks, type Outlook } from '../../pipelines/downstream-path.js';
+import { within } from '../../jobs/types.js';
+import { LongMarks, compareJobs, remaining, scores, type Ready } from '../../scheduler/ranking.js';
+import type { Term } from '../term/term.js';
 
 /** As the ranking sees a job without others after it: a pipeline of its own. */
 const alone = (job: LiveJob): Ready => ({
--- a/src/leader/long-work-share.ts
+++ b/src/leader/scheduling/long-work-share.ts
@@ -1,12 +1,12 @@
 /** The share of each machine type that short work leaves to long work while that waits. */
 
-import { unit } from '../cloud/arrivals.js';
-import type { LiveJob } from '../jobs/live.js';
-import type { Size } from '../jobs/types.js';
-import { reserved, type FreeCapacity } from '../scheduler/place.js';
-import type { Usages } from '../scheduler/quota.js';
-import type { LongWorkShares, MayUse, PassContext } from './pass-context.js';
-import type { Term } from './term.js';
+import { unit } from '../../cloud/demand-forecast.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { Size } from '../../jobs/types.js';
+import { reserved, type FreeCapacity } from '../../scheduler/bin-packing.js';
+import type { Usages } from '../../scheduler/quota.js';
+import type { LongWorkShares, MayUse, PassContext } from './cycle-context.js';
+import type { Term } from '../term/term.js';
 
 const NOTHING_TO_COUNT = (): void => undefined;
 
--- a/src/leader/machine-eligibility.ts
+++ b/src/leader/scheduling/machine-eligibility.ts
@@ -1,15 +1,15 @@
 /** Which machines a job may use, apart from whether it fits there. */
 
-import type { LiveJob } from '../jobs/live.js';
-import type { JobSpec } from '../jobs/types.js';
-import { freeShare, type FreeCapacity } from '../scheduler/place.js';
-import type { ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import type { Machine } from '../workers/machine.js';
-import { ClaimSpace } from './claim-space.js';
-import { freeMachines, type FreeCapacityIndex } from './free-capacity.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { JobSpec } from '../../jobs/types.js';
+import { freeShare, type FreeCapacity } from '../../scheduler/bin-packing.js';
+import type { ActiveSubsystems } from '../../subsystems/active-subsystems.js';
+import type { Machine } from '../../workers/machine.js';
+import { ClaimSpace } from './claim-limit.js';
+import { freeMachines, type FreeCapacityIndex } from '../capacity/free-capacity.js';
 import type { GangReservations } from './gang-reservations.js';
-import type { MayUse } from './pass-context.js';
-import type { Term } from './term.js';
+import type { MayUse } from './cycle-context.js';
+import type { Term } from '../term/term.js';
 
 /** A machine that has not reported for so many intervals gets nothing new. */
 const HEARD_REPORTS = 2.5;
--- a/src/leader/eviction-slots.ts
+++ b/src/leader/scheduling/preemption-candidates.ts
@@ -1,12 +1,12 @@
 /** What could be stopped on a machine, and what is being stopped there already. */
 
-import type { LiveJob } from '../jobs/live.js';
-import type { Size } from '../jobs/types.js';
-import { putBack, type FreeCapacity } from '../scheduler/place.js';
-import type { Victim } from '../scheduler/preempt.js';
-import type { ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import { occupiesCapacity, type Attempt } from '../workers/attempt.js';
-import type { Term } from './term.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { Size } from '../../jobs/types.js';
+import { putBack, type FreeCapacity } from '../../scheduler/bin-packing.js';
+import type { Victim } from '../../scheduler/preemption.js';
+import type { ActiveSubsystems } from '../../subsystems/active-subsystems.js';
+import { occupiesCapacity, type Attempt } from '../../workers/attempt.js';
+import type { Term } from '../term/term.js';
 
 /** A task that may be stopped, as far as its state goes. */
 export interface HeldVictim extends Victim {
--- a/src/leader/evictions.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -1,14 +1,20 @@
-import type { LiveJob } from '../jobs/live.js';
-import { fits } from '../jobs/types.js';
-import { allowed, putBack, take, zoneAllowed, type FreeCapacity } from '../scheduler/place.js';
-import { haste, type Haste, type Waits } from '../scheduler/objectives.js';
-import { cheapestEviction, type Occupied } from '../scheduler/preempt.js';
-import type { Usages } from '../scheduler/quota.js';
-import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import { MIN_HEARTBEAT_GAP_S } from '../wire/workers.js';
-import { occupiesCapacity } from '../workers/attempt.js';
-import { evictionSlot, type EvictionSlot, type HeldVictim } from './eviction-slots.js';
-import type { Term } from './term.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import { fits } from '../../jobs/types.js';
+import {
+  allowed,
+  putBack,
+  take,
+  zoneAllowed,
+  type FreeCapacity,
+} from '../../scheduler/bin-packing.js';
+import { haste, type Haste, type Waits } from '../../scheduler/service-level-objectives.js';
+import { cheapestEviction, type Occupied } from '../../scheduler/preemption.js';
+import type { Usages } from '../../scheduler/quota.js';
+import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../../subsystems/active-subsystems.js';
+import { MIN_HEARTBEAT_GAP_S } from '../../wire/workers.js';
+import { occupiesCapacity } from '../../workers/attempt.js';
+import { evictionSlot, type EvictionSlot, type HeldVictim } from './preemption-candidates.js';
+import type { Term } from '../term/term.js';
 
 interface Open extends Occupied {
   slot: EvictionSlot;
--- a/src/leader/moves.ts
+++ b/src/leader/scheduling/replica-migrations.ts
@@ -1,13 +1,19 @@
-import type { JobSpec } from '../jobs/types.js';
-import { fits } from '../jobs/types.js';
-import { bestFit, take, zoneAllowed, type FreeCapacity, type Weights } from '../scheduler/place.js';
-import type { Usages } from '../scheduler/quota.js';
-import { chooseVacated, type Candidate } from '../scheduler/vacate.js';
-import { parseTaskName } from '../wire/workers.js';
-import type { LiveJob } from '../jobs/live.js';
-import type { Attempt } from '../workers/attempt.js';
-import type { Machine } from '../workers/machine.js';
-import type { Term } from './term.js';
+import type { JobSpec } from '../../jobs/types.js';
+import { fits } from '../../jobs/types.js';
+import {
+  bestFit,
+  take,
+  zoneAllowed,
+  type FreeCapacity,
+  type Weights,
+} from '../../scheduler/bin-packing.js';
+import type { Usages } from '../../scheduler/quota.js';
+import { chooseVacated, type Candidate } from '../../scheduler/drain-selection.js';
+import { parseTaskName } from '../../wire/workers.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { Attempt } from '../../workers/attempt.js';
+import type { Machine } from '../../workers/machine.js';
+import type { Term } from '../term/term.js';
 
 /** Of a class's replicas, the share that may move within `MOVE_LEASES` leases. */
 const MOVE_SHARE = 0.12;
--- a/src/leader/scheduler.ts
+++ b/src/leader/scheduling/scheduler.ts
@@ -1,27 +1,27 @@
 /** Passes of placing over a term. */
 
-import type { Arrivals } from '../cloud/arrivals.js';
-import type { Demand } from '../cloud/plan.js';
-import type { LiveJob } from '../jobs/live.js';
-import type { JobSpec } from '../jobs/types.js';
-import { leavesSoon, Waits } from '../scheduler/objectives.js';
-import type { FreeCapacity, Weights } from '../scheduler/place.js';
-import type { Usages } from '../scheduler/quota.js';
-import { specOf } from '../store/stored-job.js';
-import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import { MIN_HEARTBEAT_GAP_S } from '../wire/workers.js';
-import type { Attempt } from '../workers/attempt.js';
-import type { Machine } from '../workers/machine.js';
-import { Evictions } from './evictions.js';
-import { FreeCapacityIndex } from './free-capacity.js';
+import type { Arrivals } from '../../cloud/demand-forecast.js';
+import type { Demand } from '../../cloud/scale-out-plan.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { JobSpec } from '../../jobs/types.js';
+import { leavesSoon, Waits } from '../../scheduler/service-level-objectives.js';
+import type { FreeCapacity, Weights } from '../../scheduler/bin-packing.js';
+import type { Usages } from '../../scheduler/quota.js';
+import { specOf } from '../../store/stored-job.js';
+import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../../subsystems/active-subsystems.js';
+import { MIN_HEARTBEAT_GAP_S } from '../../wire/workers.js';
+import type { Attempt } from '../../workers/attempt.js';
+import type { Machine } from '../../workers/machine.js';
+import { Evictions } from './preemptor.js';
+import { FreeCapacityIndex } from '../capacity/free-capacity.js';
 import { GangReservations } from './gang-reservations.js';
 import { JobPlacement } from './job-placement.js';
 import { longWorkShares } from './long-work-share.js';
 import { isUsable, MachineEligibility } from './machine-eligibility.js';
-import { Moves } from './moves.js';
-import { zonesOf, type PassContext } from './pass-context.js';
-import { Queue } from './queue.js';
-import type { Term } from './term.js';
+import { Moves } from './replica-migrations.js';
+import { zonesOf, type PassContext } from './cycle-context.js';
+import { Queue } from './job-queue.js';
+import type { Term } from '../term/term.js';
 import { UnplacedRequests } from './unplaced-requests.js';
 
 /**
--- a/src/leader/unplaced-requests.ts
+++ b/src/leader/scheduling/unplaced-requests.ts
@@ -1,7 +1,7 @@
 /** Requests that found no capacity earlier in a pass. */
 
-import type { LiveJob } from '../jobs/live.js';
-import { fits, type Size } from '../jobs/types.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import { fits, type Size } from '../../jobs/types.js';
 
 /**
  * What found no capacity in this pass, so that what asks for as much or more is not looked for again.
--- a/src/leader/inheritance.ts
+++ b/src/leader/term/failover.ts
@@ -1,10 +1,10 @@
 /** What a new term takes over from the store. */
 
-import { isReady, type StoredJob } from '../store/stored-job.js';
-import type { Replica, StoredMachine } from '../store/replica.js';
-import { makeAttempt } from '../workers/attempt.js';
-import { Machine } from '../workers/machine.js';
-import type { AttemptStops } from './attempt-stops.js';
+import { isReady, type StoredJob } from '../../store/stored-job.js';
+import type { Replica, StoredMachine } from '../../store/replica.js';
+import { makeAttempt } from '../../workers/attempt.js';
+import { Machine } from '../../workers/machine.js';
+import type { AttemptStops } from '../attempts/attempt-stopper.js';
 import type { TermState } from './term-state.js';
 
 /**
--- a/src/leader/sweep.ts
+++ b/src/leader/term/garbage-collection.ts
@@ -1,6 +1,6 @@
 /** What a term need not remember any more. */
 
-import type { Machine } from '../workers/machine.js';
+import type { Machine } from '../../workers/machine.js';
 import type { Term } from './term.js';
 
 /** Records of machines that are silent and gone from the cloud's list are dropped after it. */
--- a/src/leader/figures.ts
+++ b/src/leader/term/statistics.ts
@@ -1,7 +1,7 @@
 /** Figures of a term, for the status and the log. */
 
-import { occupiesCapacity } from '../workers/attempt.js';
-import type { CapacityManager } from './capacity.js';
+import { occupiesCapacity } from '../../workers/attempt.js';
+import type { CapacityManager } from '../capacity/capacity-manager.js';
 import type { Term } from './term.js';
 
 /** Counts of machines and attempts by state, of open jobs and of tasks that found no place. */
--- a/src/leader/subsystem-view.ts
+++ b/src/leader/term/subsystem-view.ts
@@ -1,11 +1,11 @@
 /** A term as one of its subsystems sees it. */
 
-import type { JobSpec, MachineType } from '../jobs/types.js';
-import type { Log } from '../log.js';
-import type { Settings } from '../config/settings.js';
-import type { FreeCapacity } from '../scheduler/place.js';
-import { Outlooks } from '../pipelines/outlook.js';
-import { specOf } from '../store/stored-job.js';
+import type { JobSpec, MachineType } from '../../jobs/types.js';
+import type { Log } from '../../log.js';
+import type { Settings } from '../../config/settings.js';
+import type { FreeCapacity } from '../../scheduler/bin-packing.js';
+import { Outlooks } from '../../pipelines/downstream-path.js';
+import { specOf } from '../../store/stored-job.js';
 import type {
   AttemptView,
   LiveJobView,
@@ -14,9 +14,9 @@
   ReplicaMove,
   TeamUsage,
   TermView,
-} from '../subsystems/subsystem.js';
-import { occupiesCapacity, type Attempt } from '../workers/attempt.js';
-import type { CapacityManager } from './capacity.js';
+} from '../../subsystems/subsystem.js';
+import { occupiesCapacity, type Attempt } from '../../workers/attempt.js';
+import type { CapacityManager } from '../capacity/capacity-manager.js';
 import type { Term } from './term.js';
 
 export interface SubsystemViewOptions {
--- a/src/leader/term-state.ts
+++ b/src/leader/term/term-state.ts
@@ -1,14 +1,14 @@
 /** What a term of leadership knows: machines, jobs, and what of it is still to be stored. */
 
-import type { Clock } from '../clock.js';
-import type { Settings } from '../config/settings.js';
-import type { LiveJob } from '../jobs/live.js';
-import type { MachineType } from '../jobs/types.js';
-import type { Log } from '../log.js';
-import type { Policy } from '../operator/policy.js';
-import { FetchTimes } from '../scheduler/fetches.js';
-import type { Replica } from '../store/replica.js';
-import { Machine } from '../workers/machine.js';
+import type { Clock } from '../../clock.js';
+import type { Settings } from '../../config/settings.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { MachineType } from '../../jobs/types.js';
+import type { Log } from '../../log.js';
+import type { Policy } from '../../operator/policy.js';
+import { FetchTimes } from '../../scheduler/fetch-times.js';
+import type { Replica } from '../../store/replica.js';
+import { Machine } from '../../workers/machine.js';
 
 export interface TermDeps {
   settings: Settings;
--- a/src/leader/term.ts
+++ b/src/leader/term/term.ts
@@ -1,17 +1,17 @@
 /** A term of leadership, put together of its parts. */
 
-import { LiveJob } from '../jobs/live.js';
-import type { StoredJob } from '../store/stored-job.js';
-import { advanceAttempt, type Attempt } from '../workers/attempt.js';
-import type { HeartbeatChanges, Machine } from '../workers/machine.js';
-import { AttemptStops } from './attempt-stops.js';
-import { fenceUnanswered, isLaterToken } from './fencing.js';
-import { inheritMachine, openJobs } from './inheritance.js';
-import { LeaseExpiry } from './lease-expiry.js';
-import { MachineHealth } from './machine-health.js';
-import { progressLayout } from './progress-layout.js';
-import { ReportDigest } from './report-digest.js';
-import { mayStart } from './start-permission.js';
+import { LiveJob } from '../../jobs/live-job.js';
+import type { StoredJob } from '../../store/stored-job.js';
+import { advanceAttempt, type Attempt } from '../../workers/attempt.js';
+import type { HeartbeatChanges, Machine } from '../../workers/machine.js';
+import { AttemptStops } from '../attempts/attempt-stopper.js';
+import { fenceUnanswered, isLaterToken } from '../attempts/fencing.js';
+import { inheritMachine, openJobs } from './failover.js';
+import { LeaseExpiry } from '../attempts/lease-expiry.js';
+import { MachineHealth } from '../attempts/machine-health.js';
+import { progressLayout } from '../writes/progress-layout.js';
+import { ReportDigest } from '../attempts/heartbeat-reconciler.js';
+import { mayStart } from '../attempts/start-permission.js';
 import { TermState, type TermDeps } from './term-state.js';
 
 export type { TermDeps } from './term-state.js';
--- a/src/leader/due-writes.ts
+++ b/src/leader/writes/due-writes.ts
@@ -1,11 +1,11 @@
 /** What of a term is to be written now, and in which order. */
 
-import type { Clock } from '../clock.js';
-import type { LiveJob } from '../jobs/live.js';
-import type { Machine } from '../workers/machine.js';
-import type { ActiveSubsystems } from '../subsystems/active-subsystems.js';
+import type { Clock } from '../../clock.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import type { Machine } from '../../workers/machine.js';
+import type { ActiveSubsystems } from '../../subsystems/active-subsystems.js';
 import type { RecordWrites, Write } from './record-writes.js';
-import type { Term } from './term.js';
+import type { Term } from '../term/term.js';
 
 /** 0 to 3: claims of that priority; the ends of jobs go with the highest. */
 const ENDS = 0;
--- a/src/leader/progress-layout.ts
+++ b/src/leader/writes/progress-layout.ts
@@ -1,8 +1,8 @@
 /** How the progress of a term's jobs is divided into records. */
 
-import type { ProgressLayout } from '../jobs/progress.js';
-import { chunkBytes, chunkTasks } from '../jobs/chunks.js';
-import type { TermState } from './term-state.js';
+import type { ProgressLayout } from '../../jobs/progress.js';
+import { chunkBytes, chunkTasks } from '../../jobs/chunks.js';
+import type { TermState } from '../term/term-state.js';
 
 /** The layout for a job with so many tasks. */
 export function progressLayout({ deps }: Pick<TermState, 'deps'>, tasks: number): ProgressLayout {
--- a/src/leader/store.ts
+++ b/src/leader/writes/record-writer.ts
@@ -1,15 +1,15 @@
 /** The writer of a term: batches, commits, and what to do when one is refused or not answered. */
 
-import { random } from '../random.js';
-import { Pause, sleep, type Clock } from '../clock.js';
-import type { Log } from '../log.js';
-import { RequestRejectedError, type KeyValueStoreClient } from '../store/client.js';
-import * as records from '../store/records.js';
-import type { ActiveSubsystems } from '../subsystems/active-subsystems.js';
-import type { Precondition } from '../wire/key-value-store.js';
+import { random } from '../../random.js';
+import { Pause, sleep, type Clock } from '../../clock.js';
+import type { Log } from '../../log.js';
+import { RequestRejectedError, type KeyValueStoreClient } from '../../store/client.js';
+import * as records from '../../store/records.js';
+import type { ActiveSubsystems } from '../../subsystems/active-subsystems.js';
+import type { Precondition } from '../../wire/key-value-store.js';
 import { DueWrites, LATER } from './due-writes.js';
 import { RecordWrites, type Write } from './record-writes.js';
-import type { Term } from './term.js';
+import type { Term } from '../term/term.js';
 
 /** Of a request's body, what a batch may take. */
 const TXN_BYTES = 60 * 1024;
--- a/src/leader/record-writes.ts
+++ b/src/leader/writes/record-writes.ts
@@ -1,14 +1,14 @@
 /** Writes of single records of a term: what goes into a commit, and what its outcome means. */
 
-import type { Clock } from '../clock.js';
-import type { LiveJob } from '../jobs/live.js';
-import * as records from '../store/records.js';
-import type { NamedWrite } from '../subsystems/active-subsystems.js';
-import type { OwnedChange } from '../subsystems/subsystem.js';
-import type { KeyValue, Operation } from '../wire/key-value-store.js';
-import type { Machine } from '../workers/machine.js';
+import type { Clock } from '../../clock.js';
+import type { LiveJob } from '../../jobs/live-job.js';
+import * as records from '../../store/records.js';
+import type { NamedWrite } from '../../subsystems/active-subsystems.js';
+import type { OwnedChange } from '../../subsystems/subsystem.js';
+import type { KeyValue, Operation } from '../../wire/key-value-store.js';
+import type { Machine } from '../../workers/machine.js';
 import { machineRecord, machineRecordBytes } from './stored-machine.js';
-import type { Term } from './term.js';
+import type { Term } from '../term/term.js';
 
 /** What a write takes in a request beside its value and its key, which is there twice; in bytes. */
 const FRAME_BYTES = 100;
--- a/src/leader/stored-machine.ts
+++ b/src/leader/writes/stored-machine.ts
@@ -1,9 +1,9 @@
 /** What is stored of a machine of a term. */
 
-import type { Settings } from '../config/settings.js';
-import type { MachineRecord } from '../store/machine-record.js';
-import type { Machine } from '../workers/machine.js';
-import type { TermState } from './term-state.js';
+import type { Settings } from '../../config/settings.js';
+import type { MachineRecord } from '../../store/machine-record.js';
+import type { Machine } from '../../workers/machine.js';
+import type { TermState } from '../term/term-state.js';
 
 /** Images that a machine's record names, at most: those used last. */
 const IMAGES_MAX = 32;
--- a/src/lending/lending-term.ts
+++ b/src/lending/lending-term.ts
@@ -1,7 +1,7 @@
 /** Lending in one term of leadership. */
 
 import type { JobSpec } from '../jobs/types.js';
-import type { FreeCapacity } from '../scheduler/place.js';
+import type { FreeCapacity } from '../scheduler/bin-packing.js';
 import type {
   EvictionRules,
   OwnedWrite,
--- a/src/lending/return-holds.ts
+++ b/src/lending/return-holds.ts
@@ -1,7 +1,7 @@
 /** Room that came back for a lender is not taken by work that is no more important. */
 
 import { fits, type JobSpec } from '../jobs/types.js';
-import { allowed, type FreeCapacity } from '../scheduler/place.js';
+import { allowed, type FreeCapacity } from '../scheduler/bin-packing.js';
 import type { TermView } from '../subsystems/subsystem.js';
 import type { Loan } from './loan.js';
 import { isAtLimit } from './lender-work.js';
--- a/src/pipelines/outlook.ts
+++ b/src/pipelines/downstream-path.ts
@@ -1,5 +1,5 @@
 import type { JobSpec, Priority } from '../jobs/types.js';
-import type { Successor } from '../scheduler/rank.js';
+import type { Successor } from '../scheduler/ranking.js';
 import type { StoredJob } from '../store/stored-job.js';
 import type { DependencyGraph } from './dependency-graph.js';
 
--- a/src/scheduler/vacate.ts
+++ b/src/scheduler/drain-selection.ts
@@ -5,7 +5,7 @@
   take,
   type FreeCapacity,
   type Weights,
-} from './place.js';
+} from './bin-packing.js';
 import type { JobSpec } from '../jobs/types.js';
 
 /**
--- a/src/scheduler/preempt.ts
+++ b/src/scheduler/preemption.ts
@@ -1,5 +1,5 @@
 import { fits, type JobSpec, type Size } from '../jobs/types.js';
-import { allowed, zoneAllowed } from './place.js';
+import { allowed, zoneAllowed } from './bin-packing.js';
 
 export interface Victim extends Size {
   id: string;
--- a/src/scheduler/reservation.ts
+++ b/src/scheduler/reservation.ts
@@ -1,5 +1,5 @@
 import { fits, scatterCap, type JobSpec, type Size } from '../jobs/types.js';
-import { allowed, freeShare, type FreeCapacity } from './place.js';
+import { allowed, freeShare, type FreeCapacity } from './bin-packing.js';
 
 /**
  * A reservation for a gang that has waited long: as in backfill scheduling, the machines on which it can
--- a/src/subsystems/active-subsystems.ts
+++ b/src/subsystems/active-subsystems.ts
@@ -2,7 +2,7 @@
 
 import type { JobSpec } from '../jobs/types.js';
 import type { Log } from '../log.js';
-import type { FreeCapacity } from '../scheduler/place.js';
+import type { FreeCapacity } from '../scheduler/bin-packing.js';
 import type {
   AttemptView,
   Eviction,
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -6,10 +6,10 @@
  */
 
 import type { Settings } from '../config/settings.js';
-import type { LiveJob } from '../jobs/live.js';
+import type { LiveJob } from '../jobs/live-job.js';
 import type { JobSpec, MachineType } from '../jobs/types.js';
 import type { Log } from '../log.js';
-import type { FreeCapacity } from '../scheduler/place.js';
+import type { FreeCapacity } from '../scheduler/bin-packing.js';
 import type { RentRequest } from '../wire/cloud.js';
 import type { RentResult } from '../cloud/client.js';
 import type { Attempt } from '../workers/attempt.js';
--- a/src/warm-pools/machine-choice.ts
+++ b/src/warm-pools/machine-choice.ts
@@ -1,8 +1,8 @@
 /** Which machines a pool's slots may have, and which they had better. */
 
 import { fits, type MachineType } from '../jobs/types.js';
-import type { FreeCapacity } from '../scheduler/place.js';
-import { freeShare } from '../scheduler/place.js';
+import type { FreeCapacity } from '../scheduler/bin-packing.js';
+import { freeShare } from '../scheduler/bin-packing.js';
 import type { PoolDeclaration, ReplicaShape } from './declaration.js';
 
 /** What is free on a machine is worth so much less than an image that is there. */
--- a/src/warm-pools/slot-rooms.ts
+++ b/src/warm-pools/slot-rooms.ts
@@ -1,7 +1,7 @@
 /** What slots keep of machines, and which tasks may use it. */
 
 import { fits, type JobSpec, type Size } from '../jobs/types.js';
-import { putBack, type FreeCapacity } from '../scheduler/place.js';
+import { putBack, type FreeCapacity } from '../scheduler/bin-packing.js';
 import type { MachineView, TermView } from '../subsystems/subsystem.js';
 import { occupiesCapacity } from '../workers/attempt.js';
 import type { PoolDeclaration, ReplicaShape } from './declaration.js';
--- a/src/warm-pools/slot-watch.ts
+++ b/src/warm-pools/slot-watch.ts
@@ -1,7 +1,7 @@
 /** What becomes of slots that have a machine: warm, used, or lost with it. */
 
 import { fits, type MachineType } from '../jobs/types.js';
-import { putBack, take } from '../scheduler/place.js';
+import { putBack, take } from '../scheduler/bin-packing.js';
 import type { MachineView, TermView } from '../subsystems/subsystem.js';
 import { occupiesCapacity } from '../workers/attempt.js';
 import type { PoolDeclaration } from './declaration.js';
--- a/src/warm-pools/warm-pools-term.ts
+++ b/src/warm-pools/warm-pools-term.ts
@@ -1,7 +1,7 @@
 /** Warm pools in one term of leadership. */
 
 import type { JobSpec } from '../jobs/types.js';
-import type { FreeCapacity } from '../scheduler/place.js';
+import type { FreeCapacity } from '../scheduler/bin-packing.js';
 import type { OwnedWrite, StoredRent, SubsystemTerm, TermView } from '../subsystems/subsystem.js';
 import { Alarms } from './alarms.js';
 import { Bill } from './bill.js';
--- a/test/costs.test.ts
+++ b/test/costs.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Costs } from '../src/costs.js';
+import { Costs } from '../src/latency-histograms.js';
 
 test('figures of costs are in microseconds, whatever is measured', () => {
   const costs = new Costs(() => 0);
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -6,7 +6,7 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { FeaturesError, featuresRecord, parseFeatures } from '../src/features/features-file.js';
-import { Versions } from '../src/controller/versions.js';
+import { Versions } from '../src/controller/controller-versions.js';
 import { silentLog } from '../src/log.js';
 import { FEATURES } from '../src/peers/messages.js';
 import { ActiveSubsystems } from '../src/subsystems/active-subsystems.js';
--- a/test/meeting-helpers.ts
+++ b/test/meeting-helpers.ts
@@ -8,10 +8,10 @@
 import type { JobSpec } from '../src/jobs/types.js';
 import { silentLog } from '../src/log.js';
 import { DEFAULT_POLICY } from '../src/operator/policy.js';
-import { Costs } from '../src/costs.js';
+import { Costs } from '../src/latency-histograms.js';
 import { Leader } from '../src/leader/leader.js';
-import type { Scheduler } from '../src/leader/scheduler.js';
-import type { CapacityManager } from '../src/leader/capacity.js';
+import type { Scheduler } from '../src/leader/scheduling/scheduler.js';
+import type { CapacityManager } from '../src/leader/capacity/capacity-manager.js';
 import type { Subsystem } from '../src/subsystems/subsystem.js';
 import {
   RequestRejectedError,
--- a/test/pass-helpers.ts
+++ b/test/pass-helpers.ts
@@ -1,11 +1,11 @@
-import { Arrivals } from '../src/cloud/arrivals.js';
+import { Arrivals } from '../src/cloud/demand-forecast.js';
 import type { JobSpec } from '../src/jobs/types.js';
 import { silentLog } from '../src/log.js';
 import { DEFAULT_POLICY } from '../src/operator/policy.js';
-import { Scheduler } from '../src/leader/scheduler.js';
+import { Scheduler } from '../src/leader/scheduling/scheduler.js';
 import { NO_SUBSYSTEMS } from '../src/subsystems/active-subsystems.js';
-import { Term } from '../src/leader/term.js';
-import { CapacityManager } from '../src/leader/capacity.js';
+import { Term } from '../src/leader/term/term.js';
+import { CapacityManager } from '../src/leader/capacity/capacity-manager.js';
 import * as records from '../src/store/records.js';
 import { Replica } from '../src/store/replica.js';
 import type { Machine } from '../src/workers/machine.js';
--- a/test/pass-pacing.test.ts
+++ b/test/pass-pacing.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { PASS_GAP_S, PassPacing } from '../src/leader/pass-pacing.js';
+import { PASS_GAP_S, PassPacing } from '../src/leader/scheduling/cycle-pacing.js';
 
 const LEASE_S = 10;
 
--- a/test/pipeline-users.test.ts
+++ b/test/pipeline-users.test.ts
@@ -1,7 +1,7 @@
 /** What users are told of jobs that need other jobs, at any controller. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CancellationConfirmation } from '../src/cancellation/confirmation.js';
+import { CancellationConfirmation } from '../src/cancellation/cancellation-quorum.js';
 import * as records from '../src/store/records.js';
 import { outcome } from '../src/store/stored-job.js';
 import { MemoryStore } from './meeting-helpers.js';
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { Outlooks } from '../src/pipelines/outlook.js';
+import { Outlooks } from '../src/pipelines/downstream-path.js';
 import { outcome, type StoredJob } from '../src/store/stored-job.js';
 import * as records from '../src/store/records.js';
 import { Replica } from '../src/store/replica.js';
--- a/test/pool-helpers.ts
+++ b/test/pool-helpers.ts
@@ -3,7 +3,7 @@
  * the workers of the meeting tests. Time moves by hand, and nothing opens a socket.
  */
 import type { CloudClient, RentResult } from '../src/cloud/client.js';
-import type { Fleet as CloudFleet } from '../src/cloud/fleet.js';
+import type { Fleet as CloudFleet } from '../src/cloud/provisioner.js';
 import { parseFeatures } from '../src/features/features-file.js';
 import type { MachineType } from '../src/jobs/types.js';
 import type { ListedMachine, RentRequest } from '../src/wire/cloud.js';
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BitSet } from '../src/jobs/bit-set.js';
-import { LiveJob } from '../src/jobs/live.js';
+import { LiveJob } from '../src/jobs/live-job.js';
 import * as records from '../src/store/records.js';
 import { outcome, specOf } from '../src/store/stored-job.js';
 import { Replica } from '../src/store/replica.js';
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { ReplyAnswer } from '../src/peers/messages.js';
 import { silentLog } from '../src/log.js';
-import { CancellationNotices } from '../src/cancellation/notices.js';
+import { CancellationNotices } from '../src/cancellation/cancellation-broadcast.js';
 import { ForwardingDelay } from '../src/heartbeat/forwarding-delay.js';
 import { HeartbeatHandler } from '../src/heartbeat/heartbeat-handler.js';
 import type { Replica } from '../src/store/replica.js';
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -3,7 +3,7 @@
 import type { QuestionOf, ReplyAnswer } from '../src/peers/messages.js';
 import type { PeerNetwork } from '../src/peers/peer-network.js';
 import { RequestForwarder } from '../src/api/request-forwarder.js';
-import type { Users } from '../src/api/users.js';
+import type { Users } from '../src/api/user-api.js';
 import type { StoreHealth, KeyValueStoreClient } from '../src/store/client.js';
 import { RequestRejectedError, OutcomeUnknownError } from '../src/store/client.js';
 import type { ReplicaSync } from '../src/store/replica-sync.js';
--- a/test/sched.test.ts
+++ b/test/sched.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
-import { FetchTimes } from '../src/scheduler/fetches.js';
+import { FetchTimes } from '../src/scheduler/fetch-times.js';
 import { test } from 'node:test';
-import { planRent, type Demand } from '../src/cloud/plan.js';
-import { warmTarget } from '../src/cloud/warm.js';
+import { planRent, type Demand } from '../src/cloud/scale-out-plan.js';
+import { warmTarget } from '../src/cloud/warm-capacity.js';
 import type { JobSpec } from '../src/jobs/types.js';
 import { DEFAULT_POLICY } from '../src/operator/policy.js';
 import {
@@ -13,10 +13,10 @@
   reserved,
   zoneAllowed,
   type FreeCapacity,
-} from '../src/scheduler/place.js';
-import { haste, Waits } from '../src/scheduler/objectives.js';
-import { cheapestEviction } from '../src/scheduler/preempt.js';
-import { chooseVacated } from '../src/scheduler/vacate.js';
+} from '../src/scheduler/bin-packing.js';
+import { haste, Waits } from '../src/scheduler/service-level-objectives.js';
+import { cheapestEviction } from '../src/scheduler/preemption.js';
+import { chooseVacated } from '../src/scheduler/drain-selection.js';
 import { Usages } from '../src/scheduler/quota.js';
 import {
   LongMarks,
@@ -25,7 +25,7 @@
   longThreshold,
   remaining,
   scores,
-} from '../src/scheduler/rank.js';
+} from '../src/scheduler/ranking.js';
 import { g8, settings, spec } from './helpers.js';
 
 const ready = (over = {}) => ({
--- a/test/subsystems.test.ts
+++ b/test/subsystems.test.ts
@@ -4,7 +4,7 @@
 import { silentLog } from '../src/log.js';
 import { ActiveSubsystems, NO_SUBSYSTEMS } from '../src/subsystems/active-subsystems.js';
 import type { SubsystemTerm } from '../src/subsystems/subsystem.js';
-import type { GangReservations } from '../src/leader/gang-reservations.js';
+import type { GangReservations } from '../src/leader/scheduling/gang-reservations.js';
 import { settings } from './helpers.js';
 import { Bench } from './pass-helpers.js';
 
--- a/test/unplaced-requests.test.ts
+++ b/test/unplaced-requests.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { xoroshiro128plus, unsafeUniformIntDistribution as draw } from 'pure-rand';
-import { LiveJob } from '../src/jobs/live.js';
+import { LiveJob } from '../src/jobs/live-job.js';
 import type { JobSpec } from '../src/jobs/types.js';
-import { UnplacedRequests } from '../src/leader/unplaced-requests.js';
+import { UnplacedRequests } from '../src/leader/scheduling/unplaced-requests.js';
 import { Replica } from '../src/store/replica.js';
 import * as records from '../src/store/records.js';
 import { Bench } from './pass-helpers.js';
--- a/test/users-helpers.ts
+++ b/test/users-helpers.ts
@@ -1,6 +1,6 @@
 /** A controller's side for users over a state service in memory. */
 import type { Budget } from '../src/clock.js';
-import { Users, type UsersOptions } from '../src/api/users.js';
+import { Users, type UsersOptions } from '../src/api/user-api.js';
 import { silentLog } from '../src/log.js';
 import { ReplicaSync } from '../src/store/replica-sync.js';
 import type { Replica } from '../src/store/replica.js';
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -3,7 +3,7 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { Versions } from '../src/controller/versions.js';
+import { Versions } from '../src/controller/controller-versions.js';
 import { silentLog } from '../src/log.js';
 import { FEATURES, parseHello, PROTOCOL_VERSION } from '../src/peers/messages.js';
 import * as records from '../src/store/records.js';
--- a/test/warm-slots.test.ts
+++ b/test/warm-slots.test.ts
@@ -28,7 +28,7 @@
 import { shareOut } from '../src/warm-pools/slot-rents.js';
 import { SlotTable } from '../src/warm-pools/slot-table.js';
 import type { OwnedRecord, OwnedWrite } from '../src/subsystems/subsystem.js';
-import { comingCapacity } from '../src/cloud/plan.js';
+import { comingCapacity } from '../src/cloud/scale-out-plan.js';
 import type { MachineType } from '../src/jobs/types.js';
 import { g8 } from './helpers.js';
 import { fake } from './support/fake.js';
