--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -410,22 +410,22 @@
         policy: this.policy,
         token,
         incarnation: this.incarnation,
-        denseRecords: () => this.versions.everyoneKnows('pipelines'),
-        entitled: () => this.election.isEntitled && this.election.token === token,
-        keptUntil: () =>
+        allReadDenseRecords: () => this.versions.everyoneKnows('pipelines'),
+        isEntitled: () => this.election.isEntitled && this.election.token === token,
+        othersRenewUntil: () =>
           Math.max(
             this.store.rejectedAt + this.election.outage.substituteS,
             this.acknowledgements.othersRenewUntil(token),
           ),
-        zone: (zone) => this.zoneLeases.zone(zone),
-        prove: () =>
-          void this.replicaSync.sync().then((ok) => ok && this.leader?.term.requestPass()),
-        writing: () => this.election.canWrite && this.election.token === token,
+        zoneRenewal: (zone) => this.zoneLeases.zone(zone),
+        requestProof: () =>
+          void this.replicaSync.sync().then((ok) => ok && this.leader?.term.requestCycle()),
+        canWrite: () => this.election.canWrite && this.election.token === token,
       },
       {
         store: this.store,
         cloud: this.cloud,
-        onLost: () => this.election.wake(),
+        onLeadershipLost: () => this.election.wake(),
         costs: this.costs,
         overload: this.overload,
         subsystems: this.subsystems,
@@ -434,7 +434,8 @@
     void this.acknowledgements.collect(token);
     this.leader.start();
     const { fetched } = this.machineTypes;
-    if (fetched !== null && this.leader.term.types.size === 0) this.leader.onTypes(fetched);
+    if (fetched !== null && this.leader.term.machineTypes.size === 0)
+      this.leader.onMachineTypes(fetched);
   }
 
   private deposed(): void {
@@ -464,7 +465,7 @@
   private knownCancelled(ids: string[]): void {
     for (const id of ids) {
       this.cancellationNotices.noteStored(id);
-      this.leader?.onKnownCancelled(id);
+      this.leader?.onCancellationHeard(id);
     }
   }
 
@@ -484,7 +485,7 @@
       cancellations_heard: this.cancellationNotices.size,
       memory_mb: Math.round(process.memoryUsage.rss() / 1e6),
       heap_mb: Math.round(process.memoryUsage().heapTotal / 1e6),
-      ...this.leader?.figures(),
+      ...this.leader?.statistics(),
       ...this.costs.figures(),
       ...this.requests.figures(),
     };
--- a/src/controller/machine-type-cache.ts
+++ b/src/controller/machine-type-cache.ts
@@ -31,7 +31,7 @@
   /** Null: not known yet. */
   get known(): MachineType[] | null {
     const { leader, replica } = this.options;
-    const types = leader()?.term.types;
+    const types = leader()?.term.machineTypes;
     if (types !== undefined && types.size > 0) return [...types.values()];
     return replica.machineTypes ?? this.fetched;
   }
@@ -46,7 +46,7 @@
       }
       try {
         this.fetched = await cloud.types();
-        leader()?.onTypes(this.fetched);
+        leader()?.onMachineTypes(this.fetched);
         return;
       } catch (error) {
         log.debug({ err: String(error) }, 'machine types not had');
--- a/src/leader/attempts/command-dispatcher.ts
+++ b/src/leader/attempts/command-dispatcher.ts
@@ -10,7 +10,7 @@
  */
 const SOCKETS_SHARE = 0.25;
 /** Direct messages wait for an answer for so many report intervals. */
-const ANSWER_REPORTS = 1.5;
+const ANSWER_TIMEOUT_HEARTBEATS = 1.5;
 
 interface Channel {
   client: HttpClient;
@@ -19,30 +19,30 @@
 }
 
 /** Commands sent straight to workers, when they should not wait for the next check-in. */
-export class DirectCommands {
+export class CommandDispatcher {
   private readonly channels = new Map<string, Channel>();
   private stopped = false;
 
   constructor(
     private readonly term: Term,
-    private readonly again: () => void,
+    private readonly onMoreDue: () => void,
   ) {}
 
-  push(): void {
+  dispatch(): void {
     const { term } = this;
-    for (const id of [...term.urgent]) {
+    for (const id of [...term.machinesToCommand]) {
       const machine = term.machines.get(id);
       if (machine === undefined || machine.state === 'silent' || machine.state === 'unheard') {
-        term.urgent.delete(id);
+        term.machinesToCommand.delete(id);
         continue;
       }
       if (machine.state === 'fencing') continue;
-      void this.tell(machine);
+      void this.sendTo(machine);
     }
   }
 
   /** Null: all are busy, and what there is to say waits for the machine's next check-in. */
-  private channel(machine: Machine): Channel | null {
+  private channelTo(machine: Machine): Channel | null {
     const known = this.channels.get(machine.id);
     this.channels.delete(machine.id);
     if (known?.addr === machine.addr) {
@@ -50,10 +50,10 @@
       return known;
     }
     known?.client.close();
-    if (this.channels.size >= this.term.deps.settings.limits.sockets * SOCKETS_SHARE) {
+    if (this.channels.size >= this.term.context.settings.limits.sockets * SOCKETS_SHARE) {
       const idle = [...this.channels].find(([, channel]) => !channel.busy);
       if (idle === undefined) return null;
-      this.forget(idle[0]);
+      this.closeChannel(idle[0]);
     }
     const made = {
       client: new HttpClient(endpoint(machine.addr), 1, 4),
@@ -64,18 +64,18 @@
     return made;
   }
 
-  private async tell(machine: Machine): Promise<void> {
+  private async sendTo(machine: Machine): Promise<void> {
     const { term } = this;
-    const { deps } = term;
-    const channel = this.channel(machine);
+    const { context } = term;
+    const channel = this.channelTo(machine);
     if (channel === null || channel.busy) return;
     const commands = machine.dueCommands(term.now, (attempt) => term.mayStart(attempt), false);
-    term.urgent.delete(machine.id);
+    term.machinesToCommand.delete(machine.id);
     if (commands.every((command) => command.kind === 'forget')) return;
     const { agentEpoch, token } = machine;
     machine.markSent(commands, 'direct', term.now);
     channel.busy = true;
-    const timeout = deps.settings.workers.report_s * ANSWER_REPORTS;
+    const timeout = context.settings.workers.report_s * ANSWER_TIMEOUT_HEARTBEATS;
     try {
       const body = encodeDirectCommands(token, agentEpoch, commands);
       const response = await channel.client.request('POST', '/do', body, timeout);
@@ -85,7 +85,7 @@
       if (response.status === 200 || response.status === 409) {
         const heartbeat = parseHeartbeat(JSON.parse(response.body.toString('utf8')));
         if (heartbeat.machine === machine.id)
-          term.digest(machine, machine.applyHeartbeat(heartbeat, false, term.now));
+          term.reconcile(machine, machine.applyHeartbeat(heartbeat, false, term.now));
       }
     } catch (error) {
       if (this.stopped) return;
@@ -97,14 +97,17 @@
         term.now,
         token,
       );
-      deps.log.debug({ machine: machine.id, err: String(error) }, 'direct commands not answered');
+      context.log.debug(
+        { machine: machine.id, err: String(error) },
+        'direct commands not answered',
+      );
     } finally {
       channel.busy = false;
     }
-    if (term.urgent.has(machine.id)) this.again();
+    if (term.machinesToCommand.has(machine.id)) this.onMoreDue();
   }
 
-  forget(id: string): void {
+  closeChannel(id: string): void {
     this.channels.get(id)?.client.close();
     this.channels.delete(id);
   }
--- a/src/leader/attempts/fencing.ts
+++ b/src/leader/attempts/fencing.ts
@@ -7,14 +7,14 @@
  * from being done. The record names the new token before a worker sees it: whoever renews leases in
  * this leader's place must be able to give it.
  */
-export function fenceUnanswered(state: TermState): void {
-  for (const machine of state.machines.values()) {
+export function fenceUnanswered(term: TermState): void {
+  for (const machine of term.machines.values()) {
     if (machine.state !== 'ready' || !machine.isBlockedByUnansweredStart()) continue;
-    if (state.latestRevision > machine.token) machine.nextToken = state.latestRevision;
-    state.dirtyMachines.add(machine.id);
+    if (term.latestRevision > machine.token) machine.nextToken = term.latestRevision;
+    term.machinesToWrite.add(machine.id);
   }
 }
 
 /** A later leader's token, as far as can be told: none that this term has given. */
-export const isLaterToken = (state: TermState, token: number): boolean =>
-  token > state.latestRevision;
+export const isLaterToken = (term: TermState, token: number): boolean =>
+  token > term.latestRevision;
--- a/src/leader/attempts/heartbeat-reconciler.ts
+++ b/src/leader/attempts/heartbeat-reconciler.ts
@@ -3,91 +3,92 @@
 import type { LiveJob } from '../../jobs/live-job.js';
 import { occupiesCapacity, type Attempt } from '../../workers/attempt.js';
 import type { HeartbeatChanges, Machine } from '../../workers/machine.js';
-import type { AttemptStops } from './attempt-stopper.js';
+import type { AttemptStopper } from './attempt-stopper.js';
 import type { MachineHealth } from './machine-health.js';
 import type { TermState } from '../term/term-state.js';
 
 /** Nothing new goes to a machine that is told in vain for so many report intervals, at first. */
-const MISSED_SHUN_REPORTS = 2;
+const REJECTED_START_CORDON_HEARTBEATS = 2;
 /** The same for a machine whose worker started anew. */
-const RESTART_SHUN_REPORTS = 1;
+const RESTART_CORDON_HEARTBEATS = 1;
 
 /** Changes jobs by what is seen of their attempts. */
-export class ReportDigest {
+export class HeartbeatReconciler {
   constructor(
-    private readonly state: TermState,
-    private readonly stops: AttemptStops,
+    private readonly term: TermState,
+    private readonly stopper: AttemptStopper,
     private readonly health: MachineHealth,
   ) {}
 
   /** What a report, a lapsed lease or a returned machine has shown. */
-  digest(machine: Machine, changes: HeartbeatChanges): void {
-    const { now } = this.state;
-    for (const attempt of changes.unclaimed) this.foreign(machine, attempt);
+  reconcile(machine: Machine, changes: HeartbeatChanges): void {
+    const { now } = this.term;
+    for (const attempt of changes.unclaimed) this.adoptOrDismiss(machine, attempt);
     for (const attempt of changes.changed) this.noteImage(machine, attempt, now);
     for (const attempt of changes.exited) this.noteImage(machine, attempt, now);
-    for (const attempt of changes.changed) this.moved(machine, attempt, now);
-    for (const attempt of changes.exited) this.over(machine, attempt);
-    const { report_s } = this.state.deps.settings.workers;
+    for (const attempt of changes.changed) this.attemptChanged(machine, attempt, now);
+    for (const attempt of changes.exited) this.attemptExited(machine, attempt);
+    const { report_s } = this.term.context.settings.workers;
     // Its reports come, but what it is told does not arrive.
-    if (changes.rejectedStarts > 0) this.health.shun(machine, report_s * MISSED_SHUN_REPORTS);
-    if (changes.agentRestarted) this.health.shun(machine, report_s * RESTART_SHUN_REPORTS);
-    if (machine.reclaimedAt !== null) this.drain(machine);
-    if (changes.exited.length > 0 || changes.changed.length > 0) this.state.requestPass();
+    if (changes.rejectedStarts > 0)
+      this.health.cordon(machine, report_s * REJECTED_START_CORDON_HEARTBEATS);
+    if (changes.agentRestarted) this.health.cordon(machine, report_s * RESTART_CORDON_HEARTBEATS);
+    if (machine.reclaimedAt !== null) this.evictGracefully(machine);
+    if (changes.exited.length > 0 || changes.changed.length > 0) this.term.requestCycle();
   }
 
   /** An attempt that no claim names: adopted where its task is wanted and nowhere else. */
-  private foreign(machine: Machine, attempt: Attempt): void {
-    const job = this.state.jobs.get(attempt.job);
-    this.state.dirtyMachines.add(machine.id);
+  private adoptOrDismiss(machine: Machine, attempt: Attempt): void {
+    const job = this.term.jobs.get(attempt.job);
+    this.term.machinesToWrite.add(machine.id);
     if (job === undefined || job.phase !== 'open') {
-      this.dismissFound(machine, attempt, 'unwanted task found');
+      this.dismiss(machine, attempt, 'unwanted task found');
       return;
     }
     const others = job.gang ? [...job.holding()].length > 0 : job.live.has(attempt.index);
     if (job.done.has(attempt.index) || others || attempt.index >= job.spec.tasks) {
-      this.dismissFound(machine, attempt, 'second copy of a task found');
+      this.dismiss(machine, attempt, 'second copy of a task found');
       return;
     }
     job.adopt(attempt);
-    if (job.gang) this.stops.stopAll(job, 0);
+    if (job.gang) this.stopper.stopAll(job, 0);
   }
 
-  private dismissFound(machine: Machine, attempt: Attempt, message: string): void {
-    this.state.deps.log.info(
+  private dismiss(machine: Machine, attempt: Attempt, message: string): void {
+    this.term.context.log.info(
       { machine: machine.id, job: attempt.job, index: attempt.index },
       message,
     );
-    this.stops.dismiss(attempt);
+    this.stopper.dismiss(attempt);
   }
 
   private noteImage(machine: Machine, attempt: Attempt, now: number): void {
-    const job = this.state.jobs.get(attempt.job);
+    const job = this.term.jobs.get(attempt.job);
     if (job === undefined || (attempt.state !== 'running' && attempt.state !== 'waiting')) return;
-    const cacheGb = this.state.types.get(machine.type)?.cacheGb ?? 0;
+    const cacheGb = this.term.machineTypes.get(machine.type)?.cacheGb ?? 0;
     machine.noteImage(job.spec.image, job.spec.imageGb, cacheGb, now);
   }
 
-  private moved(machine: Machine, attempt: Attempt, now: number): void {
+  private attemptChanged(machine: Machine, attempt: Attempt, now: number): void {
     // Its start provably went nowhere, and it is not wanted any more. Left as it was, it held its room
     // and its task for the rest of the term.
     if (attempt.state === 'claimed' && attempt.stopRequest !== null)
-      this.stops.withdraw(machine, attempt);
+      this.stopper.withdrawClaim(machine, attempt);
     if (
       attempt.predictedFetchS > 0 &&
       attempt.startSentAt !== null &&
       (attempt.state === 'running' || attempt.state === 'waiting')
     ) {
-      this.state.fetches.note(attempt.predictedFetchS, now - attempt.startSentAt);
+      this.term.fetchTimes.note(attempt.predictedFetchS, now - attempt.startSentAt);
       attempt.predictedFetchS = 0;
     }
-    if (attempt.state === 'running') this.logRuns(machine, attempt, now);
+    if (attempt.state === 'running') this.logRunning(machine, attempt, now);
   }
 
-  private logRuns(machine: Machine, attempt: Attempt, now: number): void {
-    const job = this.state.jobs.get(attempt.job);
+  private logRunning(machine: Machine, attempt: Attempt, now: number): void {
+    const job = this.term.jobs.get(attempt.job);
     if (job === undefined) return;
-    this.state.deps.log.debug(
+    this.term.context.log.debug(
       {
         job: attempt.job,
         index: attempt.index,
@@ -100,15 +101,15 @@
   }
 
   /** An attempt has exited or is provably gone. */
-  over(machine: Machine, attempt: Attempt): void {
-    const job = this.state.jobs.get(attempt.job);
+  attemptExited(machine: Machine, attempt: Attempt): void {
+    const job = this.term.jobs.get(attempt.job);
     if (job === undefined) {
       attempt.settled = true;
       return;
     }
-    this.noteRun(job, attempt);
+    this.recordRunTime(job, attempt);
     if (attempt.state === 'ended' && attempt.cause === 'done' && !job.cancelled) {
-      this.done(machine, job, attempt);
+      this.taskDone(machine, job, attempt);
       return;
     }
     attempt.settled = true;
@@ -118,40 +119,41 @@
     if (job.gang) this.stopRestOfGang(job, attempt);
   }
 
-  private noteRun(job: LiveJob, attempt: Attempt): void {
+  private recordRunTime(job: LiveJob, attempt: Attempt): void {
     if (attempt.startedAt === null) return;
-    const ranS = this.state.now - attempt.startedAt;
+    const ranS = this.term.now - attempt.startedAt;
     job.attainedS += ranS;
-    job.noteRun(ranS, this.state.deps.settings.workers.lease_s);
+    job.noteRun(ranS, this.term.context.settings.workers.lease_s);
   }
 
   /** Without one of its tasks a gang is over; those that are saving may finish that. */
   private stopRestOfGang(job: LiveJob, attempt: Attempt): void {
     for (const other of [...job.holding()]) {
-      if (other.number === attempt.number && other.stopRequest === null) this.stops.stop(other, 0);
+      if (other.number === attempt.number && other.stopRequest === null)
+        this.stopper.stop(other, 0);
     }
   }
 
-  private done(machine: Machine, job: LiveJob, attempt: Attempt): void {
+  private taskDone(machine: Machine, job: LiveJob, attempt: Attempt): void {
     machine.successes++;
     machine.taskFailures.clear();
     machine.cordonCount = 0;
     const indexes = job.gang ? [...Array(job.spec.tasks).keys()] : [attempt.index];
     // A gang completes together: if one task is done, all are.
-    for (const i of indexes) job.markDone(i, this.state.now);
+    for (const i of indexes) job.markDone(i, this.term.now);
     // Stored already, as for the other tasks of a gang: nothing is written again.
     if (job.progress.isStored(attempt.index)) attempt.settled = true;
     else job.awaiting.push(attempt);
     job.release(attempt);
-    for (const other of [...(job.live.get(attempt.index) ?? [])]) this.stops.stop(other, 0);
+    for (const other of [...(job.live.get(attempt.index) ?? [])]) this.stopper.stop(other, 0);
   }
 
   /** The cloud is about to take the machine: what can be saved is saved now. */
-  private drain(machine: Machine): void {
+  private evictGracefully(machine: Machine): void {
     for (const attempt of [...machine.attempts.values()]) {
-      const job = this.state.jobs.get(attempt.job);
+      const job = this.term.jobs.get(attempt.job);
       if (job === undefined || !occupiesCapacity(attempt) || attempt.stopRequest !== null) continue;
-      this.stops.stopTask(job, attempt);
+      this.stopper.stopGracefully(job, attempt);
     }
   }
 }
--- a/src/leader/attempts/lease-expiry.ts
+++ b/src/leader/attempts/lease-expiry.ts
@@ -1,20 +1,20 @@
 /** Leases of machines that have run out for certain. */
 
 import type { Machine } from '../../workers/machine.js';
-import type { ReportDigest } from './heartbeat-reconciler.js';
+import type { HeartbeatReconciler } from './heartbeat-reconciler.js';
 import type { TermState } from '../term/term-state.js';
 
 /** Gives up what was on machines once nobody can have renewed their leases. */
 export class LeaseExpiry {
   constructor(
-    private readonly state: TermState,
-    private readonly digest: ReportDigest,
+    private readonly term: TermState,
+    private readonly reconciler: HeartbeatReconciler,
   ) {}
 
   /** Leases that have run out for certain, with nobody else entitled to renew them. */
   expire(): void {
-    const { deps, machines, now } = this.state;
-    const kept = deps.keptUntil();
+    const { context, machines, now } = this.term;
+    const kept = context.othersRenewUntil();
     let unproven = false;
     for (const machine of machines.values()) {
       // While the state service is down others may renew leases in this controller's place.
@@ -26,34 +26,34 @@
       )
         continue;
       // Its zone may be cut off as a whole and go on working inside itself.
-      const zone = deps.zone(machine.zone);
+      const zone = context.zoneRenewal(machine.zone);
       machine.leaseRenewed(zone.keptUntil);
       if (now <= machine.leaseExpiresAt) continue;
       if (zone.provenAt < machine.leaseExpiresAt) unproven = true;
-      else this.expired(machine);
+      else this.leaseExpired(machine);
     }
-    if (unproven) deps.prove();
+    if (unproven) context.requestProof();
   }
 
-  private expired(machine: Machine): void {
+  private leaseExpired(machine: Machine): void {
     if (machine.state === 'returning') {
-      if (machine.attempts.size > 0) this.lose(machine);
+      if (machine.attempts.size > 0) this.loseMachine(machine);
       return;
     }
-    this.state.deps.log.info(
+    this.term.context.log.info(
       { machine: machine.id, attempts: machine.attempts.size },
       'machine lost',
     );
-    this.state.machinesLost++;
-    this.lose(machine);
+    this.term.machinesLost++;
+    this.loseMachine(machine);
     machine.changeState('silent');
   }
 
   /** All that was on a machine is provably gone. */
-  lose(machine: Machine): void {
-    const over = machine.endAllAttempts(this.state.now);
-    for (const attempt of over) this.digest.over(machine, attempt);
-    this.state.dirtyMachines.add(machine.id);
-    this.state.requestPass();
+  loseMachine(machine: Machine): void {
+    const over = machine.endAllAttempts(this.term.now);
+    for (const attempt of over) this.reconciler.attemptExited(machine, attempt);
+    this.term.machinesToWrite.add(machine.id);
+    this.term.requestCycle();
   }
 }
--- a/src/leader/attempts/machine-health.ts
+++ b/src/leader/attempts/machine-health.ts
@@ -9,15 +9,15 @@
 /** A job that fails on so many machines says nothing of them. */
 const SUSPECT_JOB_MACHINES = 3;
 /** Nothing new goes to a machine for longer than so many leases at a time. */
-const SHUN_LEASES = 3;
+const MAX_CORDON_LEASES = 3;
 /** A pause of a machine or task doubles so often, at most. */
-const SHUNS_MOST = 10;
+const MAX_CORDON_DOUBLINGS = 10;
 /** Failures count against a machine for so many leases. */
-const ERROR_LEASES = 12;
+const FAILURE_MEMORY_LEASES = 12;
 /** A task is not tried again for so many leases, at most: of a job that fails wherever it goes. */
-const POSTPONE_LEASES = 6;
+const MAX_RETRY_DELAY_LEASES = 6;
 /** So many jobs that do well elsewhere, or are doubted, make a machine faulty. */
-const FAULTY_JOBS = 2;
+const QUARANTINE_JOBS = 2;
 
 export interface MachineHealthOptions {
   workers: { report_s: number; lease_s: number };
@@ -35,13 +35,13 @@
   constructor(private readonly options: MachineHealthOptions) {}
 
   /** Places nothing new on a machine for a while: longer each time, until a task does well there. */
-  shun(machine: Machine, firstS: number): void {
-    const most = this.options.workers.lease_s * SHUN_LEASES;
+  cordon(machine: Machine, firstS: number): void {
+    const most = this.options.workers.lease_s * MAX_CORDON_LEASES;
     machine.cordonedUntil = Math.max(
       machine.cordonedUntil,
       this.options.clock.now() + Math.min(most, firstS * 2 ** machine.cordonCount),
     );
-    machine.cordonCount = Math.min(machine.cordonCount + 1, SHUNS_MOST);
+    machine.cordonCount = Math.min(machine.cordonCount + 1, MAX_CORDON_DOUBLINGS);
   }
 
   /** A task ended without being done. */
@@ -57,13 +57,13 @@
           attempt.index,
           now,
           report_s / 2,
-          lease_s * (jobSuspect ? POSTPONE_LEASES : 1),
+          lease_s * (jobSuspect ? MAX_RETRY_DELAY_LEASES : 1),
         );
         if (!jobSuspect) {
           machine.taskFailures.set(`${attempt.job}/${attempt.index}`, now);
-          this.shun(machine, report_s * 2);
+          this.cordon(machine, report_s * 2);
         }
-        this.judge(machine);
+        this.quarantineIfFaulty(machine);
         this.options.log.info(
           { machine: machine.id, job: attempt.job, index: attempt.index, jobSuspect },
           'task failed',
@@ -72,11 +72,11 @@
       }
       case 'full':
       case 'busy':
-        this.shun(machine, report_s);
+        this.cordon(machine, report_s);
         break;
       case 'unknown':
         // The worker did not find the job's description: perhaps it is not there yet.
-        job.postpone(attempt.index, now, report_s, lease_s * POSTPONE_LEASES);
+        job.postpone(attempt.index, now, report_s, lease_s * MAX_RETRY_DELAY_LEASES);
         break;
       default:
         break;
@@ -84,8 +84,8 @@
   }
 
   /** A machine is faulty when tasks of jobs that do well elsewhere fail on it, one after another. */
-  private judge(machine: Machine): void {
-    const recent = this.options.clock.now() - this.options.workers.lease_s * ERROR_LEASES;
+  private quarantineIfFaulty(machine: Machine): void {
+    const recent = this.options.clock.now() - this.options.workers.lease_s * FAILURE_MEMORY_LEASES;
     const doubted = new Set<string>();
     let against = 0;
     for (const [task, at] of machine.taskFailures) {
@@ -95,7 +95,7 @@
       // Several tasks of a job with a mistake fail together where it is tried first: that counts once.
       else if (this.options.jobs.get(id)?.failedOn.size === 1) doubted.add(id);
     }
-    if (against + doubted.size >= FAULTY_JOBS && !machine.quarantined) {
+    if (against + doubted.size >= QUARANTINE_JOBS && !machine.quarantined) {
       machine.quarantined = true;
       this.options.log.info({ machine: machine.id }, 'faulty machine put aside');
     }
--- a/src/leader/attempts/start-permission.ts
+++ b/src/leader/attempts/start-permission.ts
@@ -5,9 +5,9 @@
 import type { TermState } from '../term/term-state.js';
 
 /** Its job is open and ready, its task not done, its machine ready; of a gang, every claim is stored. */
-export function mayStart(state: TermState, attempt: Attempt): boolean {
-  const job = state.jobs.get(attempt.job);
-  const machine = state.machines.get(attempt.machine);
+export function mayStart(term: TermState, attempt: Attempt): boolean {
+  const job = term.jobs.get(attempt.job);
+  const machine = term.machines.get(attempt.machine);
   if (job === undefined || machine === undefined || job.phase !== 'open') return false;
   // By the store's changes in their order, whatever this leader believes of the jobs that it needs.
   if (job.storedJob.readyAt === null) return false;
--- a/src/leader/capacity/capacity-manager.ts
+++ b/src/leader/capacity/capacity-manager.ts
@@ -62,20 +62,20 @@
 
   private makeFleet(): Fleet {
     const { term, cloud } = this.options;
-    const { deps } = term;
+    const { context } = term;
     return new Fleet(
-      `${deps.incarnation}-${deps.token}`,
+      `${context.incarnation}-${context.token}`,
       cloud,
       this,
-      deps.settings.cloud.list_lag_s,
-      (type) => term.types.get(type)?.bootS ?? deps.settings.workers.lease_s,
-      deps.clock,
-      deps.log,
+      context.settings.cloud.list_lag_s,
+      (type) => term.machineTypes.get(type)?.bootS ?? context.settings.workers.lease_s,
+      context.clock,
+      context.log,
     );
   }
 
   entitled(): boolean {
-    return this.options.term.deps.entitled();
+    return this.options.term.context.isEntitled();
   }
 
   known(id: string): boolean {
@@ -88,7 +88,7 @@
 
   /** Whether no spot machine of a type is to be had anywhere at present. */
   spotShort(type: string): boolean {
-    const machineType = this.options.term.types.get(type);
+    const machineType = this.options.term.machineTypes.get(type);
     return (
       machineType === undefined || machineType.zones.every((z) => this.fleet.short(type, z, true))
     );
@@ -128,7 +128,7 @@
       this.returns.confirmed(id);
       const machine = term.machines.get(id);
       if (machine === undefined) continue;
-      term.lose(machine);
+      term.loseMachine(machine);
       machine.changeState('returned');
       forget(machine);
     }
@@ -136,7 +136,7 @@
 
   listed(all: ListedMachine[]): void {
     this.returns.listed(all);
-    this.options.term.requestPass();
+    this.options.term.requestCycle();
   }
 
   /** When there is a machine's worth of room too much, a machine is emptied to be given back. */
--- a/src/leader/capacity/consolidation.ts
+++ b/src/leader/capacity/consolidation.ts
@@ -34,9 +34,9 @@
   consolidate({ demand, rooms }: PassRemains): void {
     const { term } = this;
     const { now } = term;
-    const { lease_s } = term.deps.settings.workers;
+    const { lease_s } = term.context.settings.workers;
     this.useAgain(now, demand.length > 0);
-    if (!term.deps.writing() || now - term.startedAt < lease_s * SETTLE_LEASES) return;
+    if (!term.context.canWrite() || now - term.startedAt < lease_s * SETTLE_LEASES) return;
     const surplus = freeMachines(rooms, false) - this.warm.target(false);
     const gap = lease_s * (surplus >= MUCH_SURPLUS ? EMPTY_OFTEN : EMPTY_SELDOM);
     if (now - this.latestAt < gap || demand.length > 0) return;
@@ -46,7 +46,7 @@
   }
 
   private useAgain(now: number, wanted: boolean): void {
-    const patience = this.term.deps.settings.workers.lease_s * EMPTIED_LEASES;
+    const patience = this.term.context.settings.workers.lease_s * EMPTIED_LEASES;
     for (const machine of this.term.machines.values()) {
       if (machine.drainingSince === null || machine.state !== 'ready') continue;
       if (wanted || now - machine.drainingSince > patience) machine.drainingSince = null;
--- a/src/leader/capacity/free-capacity.ts
+++ b/src/leader/capacity/free-capacity.ts
@@ -119,7 +119,7 @@
 
   /** Null while a job on the machine is unknown here: what it takes cannot be told. */
   private entry(machine: Machine): Entry | null {
-    const type = this.term.types.get(machine.type);
+    const type = this.term.machineTypes.get(machine.type);
     if (type === undefined) return null;
     const known = this.entries.get(machine.id);
     if (known !== undefined && known.version === machine.changeCount && known.type === type)
@@ -189,7 +189,7 @@
 
   /** What teams' tasks use, wherever they may be. */
   usages(): Usages {
-    const usages = new Usages(this.term.deps.settings.teams);
+    const usages = new Usages(this.term.context.settings.teams);
     for (const machine of this.term.machines.values()) {
       const e = this.entry(machine);
       if (e !== null) {
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -55,8 +55,8 @@
 
   private judge(listed: ListedMachine, now: number): void {
     const { term } = this;
-    const { lease_s } = term.deps.settings.workers;
-    const type = term.types.get(listed.type);
+    const { lease_s } = term.context.settings.workers;
+    const type = term.machineTypes.get(listed.type);
     const known = term.machines.get(listed.id);
     if (known !== undefined) known.listedAgeS = listed.ageS;
     if (listed.state === 'failed') {
@@ -93,9 +93,9 @@
         ids.push(machine.id);
     }
     for (const machine of this.emptyMachines()) {
-      const type = term.types.get(machine.type);
+      const type = term.machineTypes.get(machine.type);
       if (type === undefined || !this.dueBack(machine, type, now, spare)) continue;
-      if (!term.deps.writing()) continue;
+      if (!term.context.canWrite()) continue;
       this.markReturning(machine, now);
       if (machine.recordRevision === 0) ids.push(machine.id);
     }
@@ -115,7 +115,7 @@
   }
 
   private markReturning(machine: Machine, now: number): void {
-    this.term.deps.log.info(
+    this.term.context.log.info(
       {
         machine: machine.id,
         idle: now - machine.idleSince,
@@ -125,7 +125,7 @@
       'to be returned',
     );
     machine.changeState('returning');
-    if (machine.recordRevision > 0) this.term.dirtyMachines.add(machine.id);
+    if (machine.recordRevision > 0) this.term.machinesToWrite.add(machine.id);
   }
 
   /**
@@ -133,7 +133,7 @@
    * one that goes for being too many is taken off.
    */
   private dueBack(machine: Machine, type: MachineType, now: number, spare: number[]): boolean {
-    const { lease_s, report_s } = this.term.deps.settings.workers;
+    const { lease_s, report_s } = this.term.context.settings.workers;
     if (machine.quarantined) return true;
     if (machine.state === 'silent') return now - machine.lastSeenAt > lease_s * SILENT_LEASES;
     if (this.subsystems.keeps(machine.id)) return false;
--- a/src/leader/capacity/scale-out-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -54,8 +54,8 @@
   /** Machines to rent now; none while the term may not write or does not know its fleet. */
   wanted(remains: PassRemains): Wanted[] {
     const { term, fleet, weights, subsystems } = this.options;
-    const { deps } = term;
-    if (!deps.writing() || !fleet.listedOnce || term.types.size === 0) return [];
+    const { context } = term;
+    if (!context.canWrite() || !fleet.listedOnce || term.machineTypes.size === 0) return [];
     const perZone = this.machinesPerZone();
     const rooms = [...this.comingCapacities(), ...remains.rooms];
     const missed = this.missed();
@@ -63,13 +63,13 @@
     const wanted = planRent({
       demand: [...remains.demand, ...missed],
       rooms,
-      types: [...term.types.values()],
-      zones: deps.settings.zones,
+      types: [...term.machineTypes.values()],
+      zones: context.settings.zones,
       short: (t: string, z: string, s: boolean) => fleet.short(t, z, s),
       perZone,
       weights: weights(),
       // As many as the cloud's calls of a second can rent.
-      most: Math.ceil(deps.settings.cloud.rps) * RENT_MAX,
+      most: Math.ceil(context.settings.cloud.rps) * RENT_MAX,
       ...(subsystems.any ? { may: (spec, room) => subsystems.mayUse(spec, room) } : {}),
     });
     for (const spot of [false, true]) {
@@ -93,7 +93,7 @@
     const { now } = term;
     const rooms: FreeCapacity[] = [];
     for (const coming of fleet.coming.values()) {
-      const type = term.types.get(coming.type);
+      const type = term.machineTypes.get(coming.type);
       if (type === undefined || now - coming.since > type.bootS * LATE_BOOTS) continue;
       rooms.push(comingCapacity(coming.id, type, coming.zone, coming.spot));
     }
@@ -102,7 +102,7 @@
 
   private logFleet({ demand, rooms }: PassRemains, missed: Demand[]): void {
     const { term, fleet, warm } = this.options;
-    const { log } = term.deps;
+    const { log } = term.context;
     if (!log.isLevelEnabled('debug')) return;
     const byClass = new Map<string, number>();
     for (const wanted of demand)
@@ -142,7 +142,7 @@
   private silentMachines(): Set<Machine> {
     const { term } = this.options;
     const { now } = term;
-    const patience = term.deps.settings.workers.lease_s * MISSED_LEASE;
+    const patience = term.context.settings.workers.lease_s * MISSED_LEASE;
     const silent = new Set<Machine>();
     let known = 0;
     for (const machine of term.machines.values()) {
@@ -161,7 +161,7 @@
     const { now } = term;
     const lost = new Map<LiveJob, number>();
     for (const machine of silent) {
-      if (term.deps.zone(machine.zone).keptUntil > now) continue;
+      if (term.context.zoneRenewal(machine.zone).keptUntil > now) continue;
       for (const attempt of machine.attempts.values()) {
         const job = term.jobs.get(attempt.job);
         if (
@@ -202,7 +202,7 @@
   private cheapest(perZone: ZoneCounts, spot: boolean): Pick<Wanted, 'type' | 'zone'> | null {
     let best: Pick<Wanted, 'type' | 'zone'> | null = null;
     let bestCost = Infinity;
-    for (const type of this.options.term.types.values()) {
+    for (const type of this.options.term.machineTypes.values()) {
       if (spot && type.spotPrice <= 0) continue;
       for (const zone of type.zones) {
         if (this.options.fleet.short(type.name, zone, spot)) continue;
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -10,15 +10,15 @@
 import type { Subsystem, TermView } from '../subsystems/subsystem.js';
 import type { Machine } from '../workers/machine.js';
 import type { Costs } from '../latency-histograms.js';
-import { DirectCommands } from './attempts/command-dispatcher.js';
-import { figures } from './term/statistics.js';
+import { CommandDispatcher } from './attempts/command-dispatcher.js';
+import { termStatistics } from './term/statistics.js';
 import { Overload } from '../admission/overload.js';
 import { PASS_GAP_S, PassPacing } from './scheduling/cycle-pacing.js';
-import { dividePending } from './writes/progress-layout.js';
+import { splitOversizedProgress } from './writes/progress-layout.js';
 import { Scheduler } from './scheduling/scheduler.js';
 import { SubsystemView } from './term/subsystem-view.js';
-import { TermStore } from './writes/record-writer.js';
-import { closeJobs, lostForGood } from './term/garbage-collection.js';
+import { RecordWriter } from './writes/record-writer.js';
+import { closeFinishedJobs, machinesToForget } from './term/garbage-collection.js';
 import { Term, type TermDeps } from './term/term.js';
 import { CapacityManager } from './capacity/capacity-manager.js';
 
@@ -27,7 +27,7 @@
   store: KeyValueStoreClient;
   cloud: CloudClient;
   /** The leader's key has changed: this term is over. */
-  onLost: () => void;
+  onLeadershipLost: () => void;
   costs: Costs;
   /** What a pass may take of the processor; shared by the leaders of a controller. */
   overload?: Overload;
@@ -39,10 +39,10 @@
 export class Leader {
   readonly term: Term;
   private readonly scheduler: Scheduler;
-  private readonly store: TermStore;
+  private readonly writer: RecordWriter;
   private readonly capacity: CapacityManager;
-  private readonly direct: DirectCommands;
-  private readonly arrivals: Arrivals;
+  private readonly dispatcher: CommandDispatcher;
+  private readonly forecast: Arrivals;
   private readonly subsystems: ActiveSubsystems;
   private readonly costs: Costs;
   private timer: NodeJS.Timeout | null = null;
@@ -52,102 +52,110 @@
   private fencedLogged = false;
 
   constructor(
-    private readonly deps: TermDeps,
-    { store, cloud, onLost, costs, overload = new Overload(), subsystems = [] }: LeaderServices,
+    private readonly context: TermDeps,
+    {
+      store,
+      cloud,
+      onLeadershipLost,
+      costs,
+      overload = new Overload(),
+      subsystems = [],
+    }: LeaderServices,
   ) {
     this.costs = costs;
-    this.term = new Term(deps);
-    this.pacing = new PassPacing({ leaseS: deps.settings.workers.lease_s, overload });
-    this.term.onStir = () => this.schedule();
-    this.arrivals = new Arrivals(deps.wallMs, deps.settings.workers.report_s, () => [
-      ...this.term.types.values(),
+    this.term = new Term(context);
+    this.pacing = new PassPacing({ leaseS: context.settings.workers.lease_s, overload });
+    this.term.onCycleRequested = () => this.scheduleCycle();
+    this.forecast = new Arrivals(context.wallMs, context.settings.workers.report_s, () => [
+      ...this.term.machineTypes.values(),
     ]);
-    for (const storedJob of deps.replica.jobs.values()) {
-      if (storedJob.readyAt !== null) this.arrivals.add(storedJob.spec, storedJob.readyMs);
+    for (const storedJob of context.replica.jobs.values()) {
+      if (storedJob.readyAt !== null) this.forecast.add(storedJob.spec, storedJob.readyMs);
     }
-    this.subsystems = new ActiveSubsystems(deps.log);
+    this.subsystems = new ActiveSubsystems(context.log);
     this.capacity = new CapacityManager({
       term: this.term,
       cloud,
       scheduler: () => this.scheduler,
-      arrivals: this.arrivals,
-      forget: (machine) => this.forget(machine),
-      onTypes: (types) => this.onTypes(types),
+      arrivals: this.forecast,
+      forget: (machine) => this.forgetMachine(machine),
+      onTypes: (types) => this.onMachineTypes(types),
       subsystems: this.subsystems,
     });
     this.scheduler = new Scheduler(
       this.term,
-      this.arrivals,
+      this.forecast,
       (type) => this.capacity.spotShort(type),
       (spot) => this.capacity.target(spot),
       this.subsystems,
     );
-    this.direct = new DirectCommands(this.term, () => this.schedule());
-    this.store = new TermStore({
+    this.dispatcher = new CommandDispatcher(this.term, () => this.scheduleCycle());
+    this.writer = new RecordWriter({
       term: this.term,
-      store: store,
-      clock: deps.clock,
-      log: deps.log,
-      onLost,
+      store,
+      clock: context.clock,
+      log: context.log,
+      onLeadershipLost: onLeadershipLost,
       subsystems: this.subsystems,
     });
-    this.subsystems.begin(subsystems, (subsystem) => this.view(subsystem.name));
-    if (deps.replica.machineTypes === null && this.term.types.size > 0) this.store.markTypes();
+    this.subsystems.begin(subsystems, (subsystem) => this.subsystemView(subsystem.name));
+    if (context.replica.machineTypes === null && this.term.machineTypes.size > 0)
+      this.writer.markMachineTypes();
   }
 
-  private view(subsystem: string): TermView {
-    const { term, capacity, store, scheduler } = this;
+  private subsystemView(subsystem: string): TermView {
+    const { term, capacity, writer, scheduler } = this;
     return new SubsystemView(subsystem, {
       term,
       capacity,
-      nudgeStore: () => store.nudge(),
+      nudgeStore: () => writer.wake(),
       moveReplica: (attempt, mayFetch) => scheduler.moveReplica(attempt, capacity.rooms, mayFetch),
       moveGapS: (jobClass) => scheduler.moveGapS(jobClass),
     });
   }
 
   start(): void {
-    void this.store.run();
+    void this.writer.run();
     void this.capacity.fleet.run();
-    this.schedule();
+    this.scheduleCycle();
   }
 
   stop(): void {
     this.stopped = true;
-    this.store.stop();
+    this.writer.stop();
     this.capacity.fleet.stop();
     if (this.timer !== null) clearTimeout(this.timer);
-    this.direct.stop();
+    this.dispatcher.stop();
     this.subsystems.stop();
   }
 
-  onTypes(types: MachineType[]): void {
+  onMachineTypes(types: MachineType[]): void {
     const before = JSON.stringify(
-      [...this.term.types.values()].map((type) => ({ ...type, spotPrice: 0 })),
+      [...this.term.machineTypes.values()].map((type) => ({ ...type, spotPrice: 0 })),
     );
-    this.term.setTypes(types);
+    this.term.setMachineTypes(types);
     // Prices move all the time; only what validation and placing rest on is worth a write.
     if (JSON.stringify(types.map((type) => ({ ...type, spotPrice: 0 }))) !== before) {
-      this.store.markTypes();
-      this.store.nudge();
+      this.writer.markMachineTypes();
+      this.writer.wake();
     }
-    this.term.requestPass();
+    this.term.requestCycle();
   }
 
   /** A job was accepted that needs no other one, or the last one that it needs is done. */
   onReady(storedJob: StoredJob): void {
-    this.arrivals.add(storedJob.spec, storedJob.readyMs);
+    this.forecast.add(storedJob.spec, storedJob.readyMs);
     this.term.addJob(storedJob);
   }
 
   onCancelled(storedJob: StoredJob): void {
-    if (this.term.jobs.has(storedJob.spec.id)) this.arrivals.left(storedJob.spec);
-    this.term.cancelled(storedJob);
+    if (this.term.jobs.has(storedJob.spec.id)) this.forecast.left(storedJob.spec);
+    this.term.jobCancelled(storedJob);
   }
 
   /** Stored, as another controller knows, but kept from this one by an outage. */
-  onKnownCancelled(id: string): void {
-    this.term.knownCancelled(id);
+  onCancellationHeard(id: string): void {
+    this.term.cancellationHeard(id);
   }
 
   // Reports
@@ -164,12 +172,12 @@
    * if the machine's next report is to be compared with it.
    */
   answerHeartbeat(heartbeat: Heartbeat, body?: Buffer): Reply {
-    const { term, deps } = this;
-    if (!deps.entitled()) return { status: 503, retryAfter: 1 };
+    const { term, context } = this;
+    if (!context.isEntitled()) return { status: 503, retryAfter: 1 };
     // Of a later leader: it would drop an answer from here, and its lease would run out meanwhile.
-    if (term.isLater(heartbeat.token)) return { status: 503, retryAfter: 1 };
+    if (term.isLaterToken(heartbeat.token)) return { status: 503, retryAfter: 1 };
     // A copy that was held back. Taken for a machine, work would be placed on it.
-    if (term.returned.has(heartbeat.machine)) return { status: 503, retryAfter: 1 };
+    if (term.returnedMachines.has(heartbeat.machine)) return { status: 503, retryAfter: 1 };
     const now = term.now;
     const machine = this.machineOf(heartbeat);
     const repeated = machine.isRepeated(heartbeat);
@@ -179,7 +187,7 @@
     // Fenced once by this term, forgotten, and back.
     if (heartbeat.token > machine.token) machine.raiseToken(term.latestRevision);
     const changes = machine.applyHeartbeat(heartbeat, true, now);
-    if (!changes.stale) term.digest(machine, changes);
+    if (!changes.stale) term.reconcile(machine, changes);
     const fresh =
       !changes.stale &&
       (machine.state === 'ready' || machine.state === 'returning') &&
@@ -188,7 +196,7 @@
       ? machine.dueCommands(now, (attempt) => term.mayStart(attempt), true)
       : [];
     machine.markSent(commands, 'checkin', now);
-    if (fresh) term.urgent.delete(machine.id);
+    if (fresh) term.machinesToCommand.delete(machine.id);
     if (!repeated) machine.leaseRenewed(now);
     return { status: 200, body: encodeHeartbeatReply(machine.token, commands) };
   }
@@ -197,27 +205,30 @@
     const known = this.term.machines.has(heartbeat.machine);
     const machine = this.term.machine(heartbeat.machine);
     if (!known) {
-      this.deps.log.info(
+      this.context.log.info(
         { machine: machine.id, type: heartbeat.type, zone: heartbeat.zone },
         'machine reports',
       );
       this.capacity.fleet.heard(machine.id);
-      this.term.requestPass();
+      this.term.requestCycle();
     }
     return machine;
   }
 
   // Passes
 
-  private schedule(): void {
+  private scheduleCycle(): void {
     if (this.stopped || this.timer !== null) return;
-    const wait = Math.max(PASS_GAP_S / 4, this.pacing.nextAt - this.deps.clock.now());
+    const wait = Math.max(PASS_GAP_S / 4, this.pacing.nextAt - this.context.clock.now());
     this.timer = setTimeout(() => {
       this.timer = null;
       try {
-        this.costs.time('pass', () => this.pass());
+        this.costs.time('pass', () => this.runCycle());
       } catch (error) {
-        this.deps.log.error({ err: String(error), stack: (error as Error).stack }, 'pass failed');
+        this.context.log.error(
+          { err: String(error), stack: (error as Error).stack },
+          'pass failed',
+        );
       }
     }, wait * 1000);
   }
@@ -225,23 +236,23 @@
   /** Called about twice a report interval, for what comes with time alone. */
   tick(): void {
     if (this.stopped) return;
-    if (!this.fencedLogged) this.logFenced();
+    if (!this.fencedLogged) this.logFencingDone();
     this.capacity.consolidate();
-    if (this.deps.writing()) this.term.fenceUnanswered();
-    dividePending(this.term);
+    if (this.context.canWrite()) this.term.fenceUnanswered();
+    splitOversizedProgress(this.term);
     // Before the sweep: what has just ended can still be looked at.
     this.subsystems.tick();
-    this.sweep();
-    this.term.requestPass();
+    this.collectGarbage();
+    this.term.requestCycle();
   }
 
-  private pass(): void {
+  private runCycle(): void {
     if (this.stopped) return;
-    const began = this.deps.clock.now();
-    const { term, deps, capacity } = this;
-    if (!deps.entitled()) return;
-    term.expire();
-    if (deps.writing()) {
+    const began = this.context.clock.now();
+    const { term, context, capacity } = this;
+    if (!context.isEntitled()) return;
+    term.expireLeases();
+    if (context.canWrite()) {
       const r = this.scheduler.pass();
       capacity.demand = r.demand;
       capacity.rooms = r.rooms;
@@ -249,20 +260,23 @@
     }
     for (const machine of term.machines.values())
       if (machine.hasActiveAttempts()) machine.idleSince = began;
-    if (term.dirtyMachines.size > 0 || this.anyDirty()) this.store.nudge();
-    this.direct.push();
+    if (term.machinesToWrite.size > 0 || this.anyDirty()) this.writer.wake();
+    this.dispatcher.dispatch();
     if (capacity.demand.length > 0) capacity.fleet.nudge();
-    const end = deps.clock.now();
+    const end = context.clock.now();
     this.pacing.ended(began, end);
   }
 
-  private logFenced(): void {
+  private logFencingDone(): void {
     const { machines, now, startedAt } = this.term;
-    if (now - startedAt > this.deps.settings.workers.lease_s) this.fencedLogged = true;
+    if (now - startedAt > this.context.settings.workers.lease_s) this.fencedLogged = true;
     for (const machine of machines.values())
       if (machine.state === 'unheard' || machine.state === 'fencing') return;
     this.fencedLogged = true;
-    this.deps.log.info({ machines: machines.size, tookS: now - startedAt }, 'all machines fenced');
+    this.context.log.info(
+      { machines: machines.size, tookS: now - startedAt },
+      'all machines fenced',
+    );
   }
 
   private anyDirty(): boolean {
@@ -271,22 +285,22 @@
   }
 
   /** Forgets jobs and machines that are over. */
-  private sweep(): void {
-    closeJobs(this.term);
-    for (const machine of lostForGood(this.term)) {
+  private collectGarbage(): void {
+    closeFinishedJobs(this.term);
+    for (const machine of machinesToForget(this.term)) {
       // Not in the cloud's list either: nothing is left to give back.
-      if (this.capacity.unlisted(machine.id)) this.forget(machine);
+      if (this.capacity.unlisted(machine.id)) this.forgetMachine(machine);
     }
   }
 
-  private forget(machine: Machine): void {
-    this.term.forget(machine);
-    this.direct.forget(machine.id);
+  private forgetMachine(machine: Machine): void {
+    this.term.forgetMachine(machine);
+    this.dispatcher.closeChannel(machine.id);
   }
 
   // Figures
 
-  figures(): Record<string, number | string> {
-    return { ...figures(this.term, this.capacity), ...this.subsystems.figures() };
+  statistics(): Record<string, number | string> {
+    return { ...termStatistics(this.term, this.capacity), ...this.subsystems.figures() };
   }
 }
--- a/src/leader/scheduling/claim-limit.ts
+++ b/src/leader/scheduling/claim-limit.ts
@@ -33,11 +33,11 @@
   private readonly mostBytes: number;
 
   constructor(private readonly term: Term) {
-    this.mostBytes = machineRecordBytes(term.deps.settings);
+    this.mostBytes = machineRecordBytes(term.context.settings);
   }
 
   beginPass(): void {
-    const form: ClaimForm = this.term.deps.denseRecords() ? 'dense' : 'plain';
+    const form: ClaimForm = this.term.context.allReadDenseRecords() ? 'dense' : 'plain';
     if (form !== this.form) this.measured.clear();
     this.form = form;
     if (this.measured.size > this.term.machines.size * 2) this.measured.clear();
--- a/src/leader/scheduling/gang-reservations.ts
+++ b/src/leader/scheduling/gang-reservations.ts
@@ -36,7 +36,7 @@
       const chosen = chooseReservation(job.spec, machines);
       if (chosen === null) continue;
       this.reservation = { job, machines: chosen };
-      this.term.deps.log.info({ job: job.spec.id, machines: chosen.size }, 'machines reserved');
+      this.term.context.log.info({ job: job.spec.id, machines: chosen.size }, 'machines reserved');
       return;
     }
   }
@@ -63,8 +63,8 @@
   }
 
   private isStarved(job: LiveJob, usages: Usages): boolean {
-    const { now, deps } = this.term;
-    if (!job.gang || now - job.readySince < deps.settings.workers.lease_s * RESERVE_LEASES) {
+    const { now, context } = this.term;
+    if (!job.gang || now - job.readySince < context.settings.workers.lease_s * RESERVE_LEASES) {
       return false;
     }
     const { spec } = job;
--- a/src/leader/scheduling/job-placement.ts
+++ b/src/leader/scheduling/job-placement.ts
@@ -57,7 +57,7 @@
     const { may } = besideLongWork(job, pass, this.eligibility.mayUse(job));
     const chosen = placeGang(spec, rooms, { zones: zonesOf(this.term, job), may }, weights);
     if (chosen === null) return { placed: 0, short: spec.tasks };
-    const number = job.nextGangNumber(this.term.deps.token);
+    const number = job.nextGangNumber(this.term.context.token);
     chosen.forEach((room, i) => this.claim(job, i, number, room));
     usages.add(spec, spec.tasks);
     return { placed: spec.tasks, short: 0 };
@@ -130,7 +130,7 @@
 
   private isLate({ job: { spec }, leftS }: Search, room: FreeCapacity): boolean {
     if (leftS === null) return false;
-    return room.imageWaitS(spec.image, spec.imageGb) * this.term.fetches.sure > leftS;
+    return room.imageWaitS(spec.image, spec.imageGb) * this.term.fetchTimes.sure > leftS;
   }
 
   private placeTask({ job, where }: Search, index: number, room: FreeCapacity): void {
@@ -144,7 +144,7 @@
   /** Whether the job, rather than the machines, is doubted: its tasks fail wherever they start. */
   private isSuspect(job: LiveJob): boolean {
     if (job.succeeded || job.failedOn.size < SUSPECT_MACHINES) return false;
-    const { lease_s } = this.term.deps.settings.workers;
+    const { lease_s } = this.term.context.settings.workers;
     for (const attempt of job.holding()) {
       if (attempt.startedAt !== null) job.noteRun(this.term.now - attempt.startedAt, lease_s);
     }
@@ -153,7 +153,7 @@
 
   /** A claim under the task's next number. */
   claimTask(job: LiveJob, index: number, room: FreeCapacity): void {
-    this.claim(job, index, job.nextNumber(index, this.term.deps.token), room);
+    this.claim(job, index, job.nextNumber(index, this.term.context.token), room);
   }
 
   private claim(job: LiveJob, index: number, number: number, room: FreeCapacity): void {
@@ -167,11 +167,11 @@
     machine.addClaim(attempt);
     this.eligibility.noteClaimed(machine);
     job.claimed(attempt);
-    term.dirtyMachines.add(machine.id);
+    term.machinesToWrite.add(machine.id);
   }
 
   private logPlaced(job: LiveJob, index: number, machine: Machine, room: FreeCapacity): void {
-    const { log } = this.term.deps;
+    const { log } = this.term.context;
     if (!log.isLevelEnabled('debug')) return;
     log.debug(
       {
--- a/src/leader/scheduling/job-queue.ts
+++ b/src/leader/scheduling/job-queue.ts
@@ -34,7 +34,7 @@
   private readonly outlooks: Outlooks;
 
   constructor(private readonly term: Term) {
-    this.outlooks = new Outlooks(term.deps.replica.dependencies);
+    this.outlooks = new Outlooks(term.context.replica.dependencies);
   }
 
   private asReady(job: LiveJob): Ready {
@@ -43,7 +43,7 @@
   }
 
   private hasSuccessors(job: LiveJob): boolean {
-    return this.term.deps.replica.dependencies.hasDependents(job.spec.id);
+    return this.term.context.replica.dependencies.hasDependents(job.spec.id);
   }
 
   /**
@@ -63,14 +63,14 @@
 
   /** Whether it may end too late if it waits for a machine to boot first. Without a deadline: always. */
   private isUrgent({ spec }: LiveJob, { latestEndMs }: Outlook): boolean {
-    const { deps, slowestBootS } = this.term;
-    const leftS = (latestEndMs - deps.wallMs()) / 1000;
+    const { context, slowestBootS } = this.term;
+    const leftS = (latestEndMs - context.wallMs()) / 1000;
     return latestEndMs === Infinity || leftS < spec.estimateS * ESTIMATE_ERROR + slowestBootS;
   }
 
   /** Ranks open jobs that have tasks to start. */
   ranked(now: number): LiveJob[] {
-    const { policy, replica } = this.term.deps;
+    const { policy, replica } = this.term.context;
     // Most fleets have no pipelines at most times, and passes are many.
     const noPipelines = replica.dependencies.isEmpty;
     const asReady = noPipelines ? alone : (job: LiveJob): Ready => this.asReady(job);
@@ -106,7 +106,7 @@
   private markGuaranteed(open: LiveJob[]): void {
     const sums = new Map<string, { cores: number; gpus: number }>();
     for (const job of open) {
-      const team = this.term.deps.settings.teams.get(job.spec.team);
+      const team = this.term.context.settings.teams.get(job.spec.team);
       job.guaranteed = false;
       if (team === undefined || (team.cores <= 0 && team.gpus <= 0)) continue;
       let sum = sums.get(team.name);
--- a/src/leader/scheduling/long-work-share.ts
+++ b/src/leader/scheduling/long-work-share.ts
@@ -34,7 +34,7 @@
     let shares = byPriority.get(priority);
     if (shares === undefined) {
       const long = [...startable].filter(([job]) => job.spec.priority <= priority);
-      shares = sharesFor(long, rooms, term.deps.policy.rho);
+      shares = sharesFor(long, rooms, term.context.policy.rho);
       byPriority.set(priority, shares);
     }
     return shares;
--- a/src/leader/scheduling/machine-eligibility.ts
+++ b/src/leader/scheduling/machine-eligibility.ts
@@ -18,7 +18,7 @@
 /** Whether anything new may go to a machine now. */
 export function isUsable(term: Term, machine: Machine): boolean {
   const { now } = term;
-  const { report_s } = term.deps.settings.workers;
+  const { report_s } = term.context.settings.workers;
   return (
     machine.state === 'ready' &&
     machine.reclaimedAt === null &&
--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -96,7 +96,7 @@
       // Most machines hold nothing that may be stopped: no need to look at each task there.
       const may =
         slot.least > from ? slot.victims.filter((victim) => this.mayEvict(job, victim.job)) : [];
-      const imageS = room.imageWaitS(spec.image, spec.imageGb) * this.term.fetches.sure;
+      const imageS = room.imageWaitS(spec.image, spec.imageGb) * this.term.fetchTimes.sure;
       const saveS = may.reduce((most, victim) => Math.max(most, victim.saveS), 0);
       const how = haste(leftS, saveS, imageS + slot.freeingS);
       if (inTime && how === 'late') continue;
@@ -132,7 +132,7 @@
       zones.set(o.zone, (zones.get(o.zone) ?? 0) + 1);
       got.push(o);
     }
-    const { log } = this.term.deps;
+    const { log } = this.term.context;
     if (log.isLevelEnabled('debug')) {
       const stopped = chosen.flatMap((c) => c.victims.map((victim) => victim.id));
       const how = [...new Set(got.map((o) => o.how))];
@@ -164,8 +164,8 @@
     for (const { job, attempt } of victims) {
       // Stopping one task of a gang stops all that it runs by now: not for a task that is gone.
       if (!occupiesCapacity(attempt) || attempt.stopRequest !== null) continue;
-      if (saves) this.term.stopTask(job, attempt);
-      else this.term.stopTaskNow(job, attempt);
+      if (saves) this.term.stopGracefully(job, attempt);
+      else this.term.stopImmediately(job, attempt);
     }
     return true;
   }
--- a/src/leader/scheduling/replica-migrations.ts
+++ b/src/leader/scheduling/replica-migrations.ts
@@ -87,7 +87,7 @@
     usable: (machine: Machine) => boolean,
     now: number,
   ): Candidate[] {
-    const { lease_s, report_s } = this.term.deps.settings.workers;
+    const { lease_s, report_s } = this.term.context.settings.workers;
     const candidates: Candidate[] = [];
     for (const room of rooms) {
       const machine = this.term.machines.get(room.id);
@@ -126,7 +126,7 @@
     const machine = this.term.machines.get(chosen.candidate.room.id)!;
     machine.drainingSince = now;
     machine.activeAttempts().forEach((attempt, i) => this.move(attempt, chosen.to[i]!));
-    this.term.deps.log.info({ machine: machine.id, replicas: chosen.to.length }, 'emptied');
+    this.term.context.log.info({ machine: machine.id, replicas: chosen.to.length }, 'emptied');
     return machine;
   }
   /**
@@ -160,9 +160,9 @@
     const { now } = this.term;
     const job = this.term.jobs.get(attempt.job)!;
     this.recent.push({ at: now, class: job.spec.class });
-    const until = now + this.term.deps.settings.workers.report_s * bookedReports;
+    const until = now + this.term.context.settings.workers.report_s * bookedReports;
     this.bookings.set(`${attempt.job}/${attempt.index}`, { to, until });
-    this.term.stop(attempt, 0);
+    this.term.stopAttempt(attempt, 0);
   }
 
   private replicasByClass(): Map<string, number> {
@@ -176,7 +176,7 @@
 
   /** Seconds between two replicas of a class that are moved one by one, at least. */
   gapS(jobClass: string): number {
-    const spanS = this.term.deps.settings.workers.lease_s * MOVE_LEASES;
+    const spanS = this.term.context.settings.workers.lease_s * MOVE_LEASES;
     const share = (this.replicasByClass().get(jobClass) ?? 0) * MOVE_SHARE;
     return spanS / Math.max(MOVES_LEAST, Math.floor(share));
   }
@@ -184,7 +184,7 @@
   /** Whether so many more replicas may move: of a class, a small share within some leases. */
   private moveBound(least = 0): (list: { spec: JobSpec }[]) => boolean {
     const { now } = this.term;
-    const { lease_s } = this.term.deps.settings.workers;
+    const { lease_s } = this.term.context.settings.workers;
     while (this.recent.length > 0 && now - this.recent[0]!.at > lease_s * MOVE_LEASES) {
       this.recent.shift();
     }
--- a/src/leader/scheduling/scheduler.ts
+++ b/src/leader/scheduling/scheduler.ts
@@ -66,7 +66,7 @@
     warm: (spot: boolean) => number,
     private readonly subsystems: ActiveSubsystems = NO_SUBSYSTEMS,
   ) {
-    this.waits = new Waits(term.deps.settings.objectives);
+    this.waits = new Waits(term.context.settings.objectives);
     this.queue = new Queue(term);
     const leaves = (spec: JobSpec): boolean => leavesSoon(spec, this.waits, LEAVE_S);
     this.index = new FreeCapacityIndex(term, (job) => this.specOf(job), leaves);
@@ -127,7 +127,7 @@
     placedBefore: number,
     demand: Demand[],
   ): number {
-    const most = Math.ceil(this.term.deps.settings.state.write_rps * CLAIMS_PER_WRITE);
+    const most = Math.ceil(this.term.context.settings.state.write_rps * CLAIMS_PER_WRITE);
     let placed = placedBefore;
     for (const job of jobs) {
       if (placed >= most) break;
@@ -177,7 +177,7 @@
   private specOf(job: string): JobSpec | null {
     const live = this.term.jobs.get(job);
     if (live !== undefined) return live.spec;
-    const storedJob = this.term.deps.replica.jobs.get(job);
+    const storedJob = this.term.context.replica.jobs.get(job);
     return storedJob === undefined ? null : specOf(storedJob);
   }
 }
--- a/src/leader/term/failover.ts
+++ b/src/leader/term/failover.ts
@@ -4,14 +4,14 @@
 import type { Replica, StoredMachine } from '../../store/replica.js';
 import { makeAttempt } from '../../workers/attempt.js';
 import { Machine } from '../../workers/machine.js';
-import type { AttemptStops } from '../attempts/attempt-stopper.js';
+import type { AttemptStopper } from '../attempts/attempt-stopper.js';
 import type { TermState } from './term-state.js';
 
 /**
  * Jobs that may start, in the order in which they became ready, as those that come later are: guarantees
  * go by it.
  */
-export function openJobs(replica: Replica): StoredJob[] {
+export function readyJobs(replica: Replica): StoredJob[] {
   const open = [...replica.jobs.values()].filter((storedJob) => isReady(storedJob));
   return open.sort((storedJob, b) => storedJob.readyAt! - b.readyAt!);
 }
@@ -20,27 +20,31 @@
  * A machine as the store shows it: whatever its record claims may be there. Its jobs must have been
  * added before.
  */
-export function inheritMachine(
-  state: TermState,
-  stops: AttemptStops,
+export function restoreMachine(
+  term: TermState,
+  stopper: AttemptStopper,
   id: string,
   stored: StoredMachine,
 ): void {
-  const machine = restored(state, id, stored);
-  const { startedAt: now } = state;
+  const machine = machineFromRecord(term, id, stored);
+  const { startedAt: now } = term;
   for (const claim of stored.record.claims) {
     const attempt = makeAttempt(claim.job, claim.index, claim.attempt, id, 'inherited', now);
     machine.addClaim(attempt);
-    const job = state.jobs.get(claim.job);
+    const job = term.jobs.get(claim.job);
     if (job !== undefined && !job.done.has(claim.index)) job.adopt(attempt);
-    else stops.dismiss(attempt);
+    else stopper.dismiss(attempt);
   }
-  state.machines.set(id, machine);
+  term.machines.set(id, machine);
 }
 
-function restored(state: TermState, id: string, { record, revision }: StoredMachine): Machine {
-  const { deps, startedAt: now } = state;
-  const machine = new Machine(id, deps.token, deps.settings.workers.lease_s, now);
+function machineFromRecord(
+  term: TermState,
+  id: string,
+  { record, revision }: StoredMachine,
+): Machine {
+  const { context, startedAt: now } = term;
+  const machine = new Machine(id, context.token, context.settings.workers.lease_s, now);
   machine.addr = record.addr;
   machine.type = record.type;
   machine.zone = record.zone;
--- a/src/leader/term/garbage-collection.ts
+++ b/src/leader/term/garbage-collection.ts
@@ -7,7 +7,7 @@
 const FORGET_LEASES = 6;
 
 /** Closes and forgets jobs that are over and that no attempt on any machine is of. */
-export function closeJobs(term: Term): void {
+export function closeFinishedJobs(term: Term): void {
   const closing = [...term.jobs.values()].filter((job) => job.phase === 'closing');
   if (closing.length === 0) return;
   const referred = new Set<string>();
@@ -22,9 +22,9 @@
 }
 
 /** Machines that have been silent for so long that they will not be back. */
-export function lostForGood(term: Term): Machine[] {
+export function machinesToForget(term: Term): Machine[] {
   const { now } = term;
-  const patience = term.deps.settings.workers.lease_s * FORGET_LEASES;
+  const patience = term.context.settings.workers.lease_s * FORGET_LEASES;
   return [...term.machines.values()].filter(
     (machine) => machine.state === 'silent' && now - machine.lastSeenAt >= patience,
   );
--- a/src/leader/term/statistics.ts
+++ b/src/leader/term/statistics.ts
@@ -5,7 +5,7 @@
 import type { Term } from './term.js';
 
 /** Counts of machines and attempts by state, of open jobs and of tasks that found no place. */
-export function figures(term: Term, capacity: CapacityManager): Record<string, number> {
+export function termStatistics(term: Term, capacity: CapacityManager): Record<string, number> {
   const counts: Record<string, number> = {};
   const add = (name: string): void => void (counts[name] = (counts[name] ?? 0) + 1);
   for (const machine of term.machines.values()) {
--- a/src/leader/term/subsystem-view.ts
+++ b/src/leader/term/subsystem-view.ts
@@ -38,12 +38,12 @@
     private readonly subsystem: string,
     private readonly options: SubsystemViewOptions,
   ) {
-    const { deps } = options.term;
-    this.settings = deps.settings;
-    this.log = deps.log;
-    this.token = deps.token;
-    this.outlooks = new Outlooks(deps.replica.dependencies);
-    this.uniquePrefix = `${deps.incarnation}-${deps.token}-${subsystem}`;
+    const { context } = options.term;
+    this.settings = context.settings;
+    this.log = context.log;
+    this.token = context.token;
+    this.outlooks = new Outlooks(context.replica.dependencies);
+    this.uniquePrefix = `${context.incarnation}-${context.token}-${subsystem}`;
   }
 
   now(): number {
@@ -51,15 +51,15 @@
   }
 
   wallMs(): number {
-    return this.options.term.deps.wallMs();
+    return this.options.term.context.wallMs();
   }
 
   writing(): boolean {
-    return this.options.term.deps.writing();
+    return this.options.term.context.canWrite();
   }
 
   types(): ReadonlyMap<string, MachineType> {
-    return this.options.term.types;
+    return this.options.term.machineTypes;
   }
 
   machine(id: string): MachineView | undefined {
@@ -82,7 +82,7 @@
     const { term } = this.options;
     const live = term.jobs.get(job);
     if (live !== undefined) return live.spec;
-    const storedJob = term.deps.replica.jobs.get(job);
+    const storedJob = term.context.replica.jobs.get(job);
     return storedJob === undefined ? null : specOf(storedJob);
   }
 
@@ -117,7 +117,7 @@
     const attempt = live?.live.get(index)?.find((attempt) => attempt.number === number);
     if (live === undefined || attempt === undefined) return;
     if (attempt.stopRequest === null && attempt.state !== 'saving') return;
-    term.stopTaskNow(live, attempt);
+    term.stopImmediately(live, attempt);
   }
 
   rooms(): readonly FreeCapacity[] {
@@ -129,7 +129,7 @@
   }
 
   records(): ReadonlyMap<string, OwnedRecord> {
-    return this.options.term.deps.replica.subsystems.of(this.subsystem);
+    return this.options.term.context.replica.subsystems.of(this.subsystem);
   }
 
   nudgeStore(): void {
--- a/src/leader/term/term-state.ts
+++ b/src/leader/term/term-state.ts
@@ -10,7 +10,7 @@
 import type { Replica } from '../../store/replica.js';
 import { Machine } from '../../workers/machine.js';
 
-export interface TermDeps {
+export interface TermContext {
   settings: Settings;
   clock: Clock;
   wallMs: () => number;
@@ -20,15 +20,15 @@
   token: number;
   incarnation: string;
   /** Whether every controller reads dense records: see `encodeMachine`. */
-  denseRecords: () => boolean;
-  entitled: () => boolean;
-  writing: () => boolean;
+  allReadDenseRecords: () => boolean;
+  isEntitled: () => boolean;
+  canWrite: () => boolean;
   /** Until when another controller may have renewed leases because the state service was down. */
-  keptUntil: () => number;
+  othersRenewUntil: () => number;
   /** Until when a zone's zone keeper may renew leases there, and up to which moment that is certain. */
-  zone: (zone: string) => { keptUntil: number; provenAt: number };
+  zoneRenewal: (zone: string) => { keptUntil: number; provenAt: number };
   /** Asks for a fresh proof of that. */
-  prove: () => void;
+  requestProof: () => void;
 }
 
 /** The state of a term, which its parts share. */
@@ -36,47 +36,47 @@
   readonly machines = new Map<string, Machine>();
   readonly jobs = new Map<string, LiveJob>();
   /** Machines whose records are to be written. */
-  readonly dirtyMachines = new Set<string>();
+  readonly machinesToWrite = new Set<string>();
   /** Records of machines that are gone for good, and their revisions. */
-  readonly removals = new Map<string, number>();
+  readonly recordRemovals = new Map<string, number>();
   /** Machines that the cloud has taken back. Names never recur: what still reports is a late copy. */
-  readonly returned = new Set<string>();
+  readonly returnedMachines = new Set<string>();
   /** Machines whose leases were counted as lost. */
   machinesLost = 0;
   /** Machines with commands that should not wait for the next check-in. */
-  readonly urgent = new Set<string>();
-  readonly fetches = new FetchTimes();
+  readonly machinesToCommand = new Set<string>();
+  readonly fetchTimes = new FetchTimes();
   readonly startedAt: number;
   /**
    * Revision of the latest commit of this term. Commits are guarded by the leader's key, so it is above
    * the term's token and below that of every later leader: machines may be fenced with it.
    */
   latestRevision: number;
-  types = new Map<string, MachineType>();
+  machineTypes = new Map<string, MachineType>();
   /** The longest nominal boot of all types, in seconds. */
   slowestBootS = 0;
   /** Set when something happened that placing should look at. */
-  stirred = true;
-  onStir: () => void = () => undefined;
+  cycleRequested = true;
+  onCycleRequested: () => void = () => undefined;
 
-  constructor(readonly deps: TermDeps) {
-    this.startedAt = deps.clock.now();
-    this.latestRevision = deps.token;
-    this.setTypes(deps.replica.machineTypes ?? []);
+  constructor(readonly context: TermContext) {
+    this.startedAt = context.clock.now();
+    this.latestRevision = context.token;
+    this.setMachineTypes(context.replica.machineTypes ?? []);
   }
 
   /** Seconds of the steady clock. */
   get now(): number {
-    return this.deps.clock.now();
+    return this.context.clock.now();
   }
 
-  requestPass(): void {
-    this.stirred = true;
-    this.onStir();
+  requestCycle(): void {
+    this.cycleRequested = true;
+    this.onCycleRequested();
   }
 
-  setTypes(types: MachineType[]): void {
-    this.types = new Map(types.map((type) => [type.name, type]));
+  setMachineTypes(types: MachineType[]): void {
+    this.machineTypes = new Map(types.map((type) => [type.name, type]));
     this.slowestBootS = Math.max(0, ...types.map((type) => type.bootS));
   }
 
@@ -84,28 +84,33 @@
   machine(id: string): Machine {
     let machine = this.machines.get(id);
     if (machine === undefined) {
-      machine = new Machine(id, this.deps.token, this.deps.settings.workers.lease_s, this.now);
+      machine = new Machine(
+        id,
+        this.context.token,
+        this.context.settings.workers.lease_s,
+        this.now,
+      );
       // Forgotten, and back before its record was removed: a removal that is tried once more would
       // take away the claims of what is started there from now on.
-      machine.recordRevision = this.removals.get(id) ?? 0;
-      this.removals.delete(id);
+      machine.recordRevision = this.recordRemovals.get(id) ?? 0;
+      this.recordRemovals.delete(id);
       this.machines.set(id, machine);
     }
     return machine;
   }
 
   /** Nothing is known of a machine any more; its record goes too. */
-  forget(machine: Machine): void {
+  forgetMachine(machine: Machine): void {
     this.machines.delete(machine.id);
-    this.dirtyMachines.delete(machine.id);
-    if (machine.state === 'returned') this.returned.add(machine.id);
-    if (machine.recordRevision > 0) this.removals.set(machine.id, machine.recordRevision);
+    this.machinesToWrite.delete(machine.id);
+    if (machine.state === 'returned') this.returnedMachines.add(machine.id);
+    if (machine.recordRevision > 0) this.recordRemovals.set(machine.id, machine.recordRevision);
   }
 
   /** The record of a forgotten machine was removed (null), or has now this revision. */
-  removed(id: string, revision: number | null): void {
+  recordRemoved(id: string, revision: number | null): void {
     if (this.machines.has(id)) return;
-    if (revision === null) this.removals.delete(id);
-    else this.removals.set(id, revision);
+    if (revision === null) this.recordRemovals.delete(id);
+    else this.recordRemovals.set(id, revision);
   }
 }
--- a/src/leader/writes/record-writer.ts
+++ b/src/leader/writes/record-writer.ts
@@ -8,13 +8,13 @@
 import type { ActiveSubsystems } from '../../subsystems/active-subsystems.js';
 import type { Precondition } from '../../wire/key-value-store.js';
 import { DueWrites, LATER } from './due-writes.js';
-import { RecordWrites, type Write } from './record-writes.js';
+import { RecordWrites, type RecordWrite } from './record-writes.js';
 import type { Term } from '../term/term.js';
 
 /** Of a request's body, what a batch may take. */
-const TXN_BYTES = 60 * 1024;
+const TRANSACTION_BYTES = 60 * 1024;
 /** What a request takes beside its writes. */
-const FRAME_BYTES = 512;
+const ENVELOPE_BYTES = 512;
 /** Of what may be written at once, what counts as all of it. */
 const NEARLY_ALL = 0.9;
 /** How long the writer waits when nothing is due, unless it is nudged. */
@@ -24,13 +24,13 @@
 const RETRY_S = 0.2;
 const REFUSED_S = 0.1;
 
-export interface TermStoreOptions {
+export interface RecordWriterOptions {
   term: Term;
   store: KeyValueStoreClient;
   clock: Clock;
   log: Log;
   /** The leader's key has changed: this term is over. */
-  onLost: () => void;
+  onLeadershipLost: () => void;
   subsystems: ActiveSubsystems;
 }
 
@@ -39,40 +39,41 @@
  * leader's key and by its own key's revision, so that a transaction carried out late changes
  * nothing.
  */
-export class TermStore {
+export class RecordWriter {
   private stopped = false;
   private readonly pause = new Pause();
   private readonly writes: RecordWrites;
-  private readonly due: DueWrites;
+  private readonly dueWrites: DueWrites;
 
-  constructor(private readonly options: TermStoreOptions) {
+  constructor(private readonly options: RecordWriterOptions) {
     const { term, clock, subsystems } = options;
     this.writes = new RecordWrites(term, clock);
-    this.due = new DueWrites(term, this.writes, clock, subsystems);
+    this.dueWrites = new DueWrites(term, this.writes, clock, subsystems);
   }
 
   /**
    * The machine types differ from those stored. Where they do not fit into one value they are not stored: a
    * refused write would be tried for ever, and every controller asks the cloud when the store has none.
    */
-  markTypes(): void {
+  markMachineTypes(): void {
     const { term, log } = this.options;
     const bytes = Buffer.byteLength(
-      JSON.stringify(records.encodeMachineTypes([...term.types.values()])),
+      JSON.stringify(records.encodeMachineTypes([...term.machineTypes.values()])),
     );
-    const mostBytes = term.deps.settings.state.value_kb * 1024;
-    this.writes.typesDirty = bytes <= mostBytes;
-    if (!this.writes.typesDirty) log.info({ bytes, mostBytes }, 'machine types are not stored');
+    const mostBytes = term.context.settings.state.value_kb * 1024;
+    this.writes.machineTypesDirty = bytes <= mostBytes;
+    if (!this.writes.machineTypesDirty)
+      log.info({ bytes, mostBytes }, 'machine types are not stored');
   }
 
-  nudge(): void {
+  wake(): void {
     this.pause.end();
   }
 
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
-        if (!this.options.term.deps.writing() || !(await this.flush()))
+        if (!this.options.term.context.canWrite() || !(await this.writeBatch()))
           await this.pause.wait(IDLE_S);
       } catch (error) {
         this.options.log.error(
@@ -84,9 +85,9 @@
     }
   }
 
-  private async flush(): Promise<boolean> {
+  private async writeBatch(): Promise<boolean> {
     const { writes } = this.options.store;
-    const due = this.due.collect();
+    const due = this.dueWrites.collect();
     if (due.length === 0) return false;
     if (writes.available < 1) {
       await sleep(writes.wait(1));
@@ -98,37 +99,42 @@
     );
     // What can wait leaves half of what may be written at once to what comes next.
     const mostLater = Math.min(most, Math.floor(writes.available - writes.capacity / 2));
-    const batch: Write[] = [];
-    let bytes = FRAME_BYTES;
+    const batch: RecordWrite[] = [];
+    let bytes = ENVELOPE_BYTES;
     let ops = 0;
     for (const entry of due) {
-      ops += entry.ops ?? 1;
+      ops += entry.operations ?? 1;
       // A group that is larger than its share waits until all is there, rather than for ever.
       const alone = batch.length === 0 && writes.available >= writes.capacity * NEARLY_ALL;
       if (ops > (entry.urgency >= LATER && !alone ? mostLater : most)) break;
       // Encoded only now: of what waits for its turn only the order is looked at.
-      const write = entry.make();
-      if (bytes + write.bytes > TXN_BYTES) break;
+      const write = entry.encode();
+      if (bytes + write.bytes > TRANSACTION_BYTES) break;
       bytes += write.bytes;
-      write.begin();
+      write.started();
       batch.push(write);
     }
     if (batch.length === 0) return false;
-    writes.force(batch.reduce((sum, write) => sum + 1 + write.also.length, 0));
-    await this.commit(batch);
+    writes.force(batch.reduce((sum, write) => sum + 1 + write.alsoOperations.length, 0));
+    await this.commitBatch(batch);
     return true;
   }
 
-  private async commit(batch: Write[]): Promise<void> {
-    const { term, store, log, onLost } = this.options;
-    const guards: Precondition[] = [{ key: records.LEADER, revision: term.deps.token }];
+  private async commitBatch(batch: RecordWrite[]): Promise<void> {
+    const { term, store, log, onLeadershipLost } = this.options;
+    const preconditions: Precondition[] = [{ key: records.LEADER, revision: term.context.token }];
     for (const write of batch) {
-      for (const { key, guard } of [write, ...write.also]) guards.push({ key, revision: guard });
+      for (const { key, expectedRevision } of [write, ...write.alsoOperations]) {
+        preconditions.push({ key, revision: expectedRevision });
+      }
     }
     try {
       const result = await store.compareAndSwap(
-        guards,
-        batch.flatMap((write) => [write.op, ...write.also.map(({ op }) => op)]),
+        preconditions,
+        batch.flatMap((write) => [
+          write.operation,
+          ...write.alsoOperations.map(({ operation }) => operation),
+        ]),
         COMMIT_TIMEOUT_S,
       );
       if (this.stopped) return;
@@ -139,38 +145,40 @@
       }
       for (const write of batch) write.failed();
       if (result.failed.includes(records.LEADER)) {
-        onLost();
+        onLeadershipLost();
         return;
       }
       log.info({ failed: result.failed }, 'records differ from what was known');
       const differs = ({ key }: { key: string }): boolean => result.failed.includes(key);
-      await this.reread(batch.filter((write) => differs(write) || write.also.some(differs)));
+      await this.readBack(
+        batch.filter((write) => differs(write) || write.alsoOperations.some(differs)),
+      );
     } catch (error) {
       if (this.stopped) return;
       for (const write of batch) write.failed();
       if (error instanceof RequestRejectedError) {
-        if (error.status === 400) await this.rejected(batch);
+        if (error.status === 400) await this.retryOneByOne(batch);
         await sleep(REFUSED_S + random() * REFUSED_S);
         return;
       }
       // Not answered: it may have been carried out, or still be. Read back, then write again.
-      await this.reread(batch);
+      await this.readBack(batch);
     }
   }
 
   /** One malformed write must not keep the others of its batch from being stored. */
-  private async rejected(batch: Write[]): Promise<void> {
+  private async retryOneByOne(batch: RecordWrite[]): Promise<void> {
     this.options.log.error({ keys: batch.map((write) => write.key) }, 'commit malformed');
     if (batch.length === 1) return;
     for (const write of batch) {
       if (this.stopped) return;
-      this.options.store.writes.force(1 + write.also.length);
-      write.begin();
-      await this.commit([write]);
+      this.options.store.writes.force(1 + write.alsoOperations.length);
+      write.started();
+      await this.commitBatch([write]);
     }
   }
 
-  private async reread(batch: Write[]): Promise<void> {
+  private async readBack(batch: RecordWrite[]): Promise<void> {
     for (const write of batch) {
       while (!this.stopped) {
         try {
--- a/src/leader/writes/record-writes.ts
+++ b/src/leader/writes/record-writes.ts
@@ -13,9 +13,9 @@
 /** What a write takes in a request beside its value and its key, which is there twice; in bytes. */
 const FRAME_BYTES = 100;
 /** What follows from the outcome of a write. */
-interface Outcomes {
+interface WriteOutcomes {
   /** It goes into a batch now. */
-  begin(): void;
+  started(): void;
   /** It was carried out, with this revision. */
   stored(revision: number): void;
   /** It was not carried out, or that is not known. */
@@ -25,48 +25,49 @@
 }
 
 /** One record to be written, guarded by the revision that was known of it. */
-export interface Write extends Outcomes {
+export interface RecordWrite extends WriteOutcomes {
   key: string;
-  guard: number;
-  op: Operation;
+  expectedRevision: number;
+  operation: Operation;
   /** Further changes of the same transaction, with their guards. */
-  also: readonly GuardedOp[];
+  alsoOperations: readonly GuardedOperation[];
   /** What it takes in a request, about. */
   bytes: number;
 }
 
 /** A change of one record, and the revision that was known of it. */
-export interface GuardedOp {
+export interface GuardedOperation {
   key: string;
-  guard: number;
-  op: Operation;
+  expectedRevision: number;
+  operation: Operation;
 }
 
-const NOTHING = (): void => undefined;
+const NO_OP = (): void => undefined;
 
-const NONE: readonly GuardedOp[] = [];
+const NO_OPERATIONS: readonly GuardedOperation[] = [];
 
-function bytesOf({ key, op }: GuardedOp): number {
-  const valueBytes = 'put' in op ? JSON.stringify(op.value).length : 0;
+function bytesOf({ key, operation }: GuardedOperation): number {
+  const valueBytes = 'put' in operation ? JSON.stringify(operation.value).length : 0;
   return key.length * 2 + FRAME_BYTES + valueBytes;
 }
 
-function makeWrite(
+function recordWrite(
   key: string,
-  guard: number,
-  op: Operation,
-  outcomes: Outcomes,
-  also = NONE,
-): Write {
-  const bytes = [{ key, guard, op }, ...also].reduce((sum, each) => sum + bytesOf(each), 0);
-  return { key, guard, op, also, bytes, ...outcomes };
+  expectedRevision: number,
+  operation: Operation,
+  outcomes: WriteOutcomes,
+  alsoOperations = NO_OPERATIONS,
+): RecordWrite {
+  const own: GuardedOperation = { key, expectedRevision, operation };
+  const bytes = [own, ...alsoOperations].reduce((sum, each) => sum + bytesOf(each), 0);
+  return { key, expectedRevision, operation, alsoOperations, bytes, ...outcomes };
 }
 
 /** Makes the writes of a term's records. */
 export class RecordWrites {
   /** The machine types are to be written. */
-  typesDirty = false;
-  private typesRevision: number | undefined;
+  machineTypesDirty = false;
+  private machineTypesRevision: number | undefined;
 
   constructor(
     private readonly term: Term,
@@ -74,58 +75,58 @@
   ) {}
 
   /** A machine's record: what may be on it. */
-  machine(machine: Machine): Write {
+  machineWrite(machine: Machine): RecordWrite {
     const { term } = this;
     const claims = machine.claims();
     const key = records.machineKey(machine.id);
     const returning = machine.state === 'returning';
     const token = machine.nextToken;
     const record = machineRecord(term, machine);
-    const form = term.deps.denseRecords() ? 'dense' : 'plain';
-    const value = records.encodeMachine(record, machineRecordBytes(term.deps.settings), form);
-    return makeWrite(
+    const form = term.context.allReadDenseRecords() ? 'dense' : 'plain';
+    const value = records.encodeMachine(record, machineRecordBytes(term.context.settings), form);
+    return recordWrite(
       key,
       machine.recordRevision,
       { put: key, value },
       {
-        begin: () => term.dirtyMachines.delete(machine.id),
+        started: () => term.machinesToWrite.delete(machine.id),
         stored: (revision) => {
           machine.recordRevision = revision;
-          machine.recordTerm = term.deps.token;
+          machine.recordTerm = term.context.token;
           machine.raiseToken(token);
           if (returning) machine.returnRecorded = true;
-          for (const attempt of claims) term.stored(attempt);
+          for (const attempt of claims) term.claimStored(attempt);
         },
-        failed: () => term.dirtyMachines.add(machine.id),
+        failed: () => term.machinesToWrite.add(machine.id),
         reread: (item) => (machine.recordRevision = item?.revision ?? 0),
       },
     );
   }
 
   /** The done tasks of a chunk or part of a job. */
-  progress(job: LiveJob, unit: number): Write {
+  progressWrite(job: LiveJob, unit: number): RecordWrite {
     const key = job.progressKey(unit);
     const { progress } = job;
     const record = job.progressRecord(unit);
-    const doneMs = record.bits === null ? { doneMs: this.term.deps.wallMs() } : {};
+    const doneMs = record.bits === null ? { doneMs: this.term.context.wallMs() } : {};
     const value = records.encodeProgress({ ...record, ...doneMs });
     const fresh = progress.unstored(unit);
     const stored = (revision: number): void => {
       progress.revisions.set(key, revision);
       for (const attempt of job.storedTasks(unit, fresh, this.clock.now())) {
         attempt.settled = true;
-        this.term.urgent.add(attempt.machine);
+        this.term.machinesToCommand.add(attempt.machine);
       }
-      if (job.finished && progress.dirty.size === 0) this.term.completed(job);
+      if (job.finished && progress.dirty.size === 0) this.term.jobCompleted(job);
     };
-    return makeWrite(
+    return recordWrite(
       key,
       progress.revisions.get(key) ?? 0,
       { put: key, value },
       {
-        begin: NOTHING,
+        started: NO_OP,
         stored,
-        failed: NOTHING,
+        failed: NO_OP,
         reread: (item) => {
           // Stored after all: writing it again would make "done" younger than it is, and a
           // cancellation in between would seem to have come first.
@@ -140,53 +141,53 @@
   }
 
   /** Removes the record of a machine that is gone. */
-  removal(id: string, revision: number): Write {
+  removalWrite(id: string, revision: number): RecordWrite {
     const key = records.machineKey(id);
-    return makeWrite(
+    return recordWrite(
       key,
       revision,
       { remove: key },
       {
-        begin: NOTHING,
-        stored: () => this.term.removed(id, null),
-        failed: NOTHING,
-        reread: (item) => this.term.removed(id, item?.revision ?? null),
+        started: NO_OP,
+        stored: () => this.term.recordRemoved(id, null),
+        failed: NO_OP,
+        reread: (item) => this.term.recordRemoved(id, item?.revision ?? null),
       },
     );
   }
 
   /** Records of a subsystem. */
-  owned({ subsystem, write }: NamedWrite): Write {
+  subsystemRecord({ subsystem, write }: NamedWrite): RecordWrite {
     const prefix = records.subsystemPrefix(subsystem);
-    const guarded = ({ key, revision, value }: OwnedChange): GuardedOp => {
+    const guarded = ({ key, revision, value }: OwnedChange): GuardedOperation => {
       const whole = prefix + key;
-      const op: Operation = value === null ? { remove: whole } : { put: whole, value };
-      return { key: whole, guard: revision, op };
+      const operation: Operation = value === null ? { remove: whole } : { put: whole, value };
+      return { key: whole, expectedRevision: revision, operation };
     };
-    const { key, guard, op } = guarded(write);
-    const outcomes: Outcomes = {
-      begin: NOTHING,
+    const { key, expectedRevision, operation: op } = guarded(write);
+    const outcomes: WriteOutcomes = {
+      started: NO_OP,
       stored: (revision) => write.stored(revision),
-      failed: NOTHING,
+      failed: NO_OP,
       reread: (item) =>
         write.reread(item === null ? null : { value: item.value, revision: item.revision }),
     };
-    return makeWrite(key, guard, op, outcomes, write.also.map(guarded));
+    return recordWrite(key, expectedRevision, op, outcomes, write.also.map(guarded));
   }
 
   /** The machine types, for controllers that do not lead. */
-  types(): Write {
-    const value = records.encodeMachineTypes([...this.term.types.values()]);
-    this.typesRevision ??= this.term.deps.replica.machineTypesRevision;
-    return makeWrite(
+  machineTypes(): RecordWrite {
+    const value = records.encodeMachineTypes([...this.term.machineTypes.values()]);
+    this.machineTypesRevision ??= this.term.context.replica.machineTypesRevision;
+    return recordWrite(
       records.MACHINE_TYPES,
-      this.typesRevision,
+      this.machineTypesRevision,
       { put: records.MACHINE_TYPES, value },
       {
-        begin: NOTHING,
-        stored: () => (this.typesDirty = false),
-        failed: NOTHING,
-        reread: (item) => (this.typesRevision = item?.revision ?? 0),
+        started: NO_OP,
+        stored: () => (this.machineTypesDirty = false),
+        failed: NO_OP,
+        reread: (item) => (this.machineTypesRevision = item?.revision ?? 0),
       },
     );
   }
--- a/src/leader/writes/stored-machine.ts
+++ b/src/leader/writes/stored-machine.ts
@@ -6,7 +6,7 @@
 import type { TermState } from '../term/term-state.js';
 
 /** Images that a machine's record names, at most: those used last. */
-const IMAGES_MAX = 32;
+const MAX_IMAGES = 32;
 /** Of the largest value that the state service takes, what a machine's record may fill. */
 const RECORD_SHARE = 0.95;
 
@@ -15,12 +15,12 @@
   Math.floor(state.value_kb * 1024 * RECORD_SHARE);
 
 /** The record as it would be stored now. */
-export function machineRecord({ deps }: TermState, machine: Machine): MachineRecord {
+export function machineRecord({ context }: TermState, machine: Machine): MachineRecord {
   const token = machine.nextToken;
   return {
-    owner: deps.settings.node,
-    term: deps.token,
-    ...(token > deps.token ? { token } : {}),
+    owner: context.settings.node,
+    term: context.token,
+    ...(token > context.token ? { token } : {}),
     addr: machine.addr,
     type: machine.type,
     zone: machine.zone,
@@ -29,6 +29,6 @@
     claims: machine
       .claims()
       .map((attempt) => ({ job: attempt.job, index: attempt.index, attempt: attempt.number })),
-    images: [...machine.images].slice(-IMAGES_MAX).map(([image, i]) => [image, i.gb]),
+    images: [...machine.images].slice(-MAX_IMAGES).map(([image, i]) => [image, i.gb]),
   };
 }
--- a/test/cluster-warm-pools.test.ts
+++ b/test/cluster-warm-pools.test.ts
@@ -151,7 +151,9 @@
       await until('warm', () => withModel(cluster.workers).length === 1);
       await until('a leader', () => cluster.leader() >= 0);
       await until('warm as the leader knows', () => {
-        return cluster.controllers[cluster.leader()]?.leader?.figures().warm_slots_warm === SLOTS;
+        return (
+          cluster.controllers[cluster.leader()]?.leader?.statistics().warm_slots_warm === SLOTS
+        );
       });
       assert.ok(Date.now() < burstMs + 1000, 'in time');
       assert.equal(cluster.cloud.counted, 1, 'rented once');
--- a/test/large.test.ts
+++ b/test/large.test.ts
@@ -63,9 +63,9 @@
   await node.start();
   try {
     await until('leads', () => node.leader !== null);
-    assert.equal(node.leader!.figures().machines_unheard, MACHINES);
-    assert.equal(node.leader!.figures().jobs_open, OPEN);
-    assert.equal(node.leader!.figures().attempts_inherited, OPEN);
+    assert.equal(node.leader!.statistics().machines_unheard, MACHINES);
+    assert.equal(node.leader!.statistics().jobs_open, OPEN);
+    assert.equal(node.leader!.statistics().attempts_inherited, OPEN);
     const tokens = new Map<number, number>();
     const tallies = new Map<number, number>();
     /** One report. False: the leader is not entitled at present, and says so. */
@@ -101,7 +101,7 @@
     const reportUntilAnswered = async (i: number): Promise<void> => {
       while (!(await report(i))) await wait(1000);
     };
-    const isKnown = (): boolean => node.leader?.figures().machines_ready === MACHINES;
+    const isKnown = (): boolean => node.leader?.statistics().machines_ready === MACHINES;
     for (let round = 0; !isKnown(); round++) {
       // Two rounds, the first of which fences; two more for each of two leaders after it.
       assert.ok(round < 6, 'all machines are known');
@@ -110,7 +110,7 @@
         await Promise.all(batch);
       }
     }
-    assert.equal(node.leader!.figures().attempts_running, OPEN);
+    assert.equal(node.leader!.statistics().attempts_running, OPEN);
   } finally {
     node.stop();
     cloud.close();
--- a/test/lending-failures.test.ts
+++ b/test/lending-failures.test.ts
@@ -74,8 +74,8 @@
   {
     name: 'the leader is cut from its peers and is not entitled any more, and replaced',
     async strike(world) {
-      const { deps } = world.term;
-      deps.entitled = () => false;
+      const { context } = world.term;
+      context.isEntitled = () => false;
       await world.run(1);
       world.takeOver();
     },
--- a/test/lending-helpers.ts
+++ b/test/lending-helpers.ts
@@ -183,8 +183,8 @@
 const EARLY_S = 20;
 
 interface LeaderParts {
-  pass(): void;
-  store: { flush(): Promise<boolean> };
+  runCycle(): void;
+  writer: { writeBatch(): Promise<boolean> };
 }
 
 export class LendingWorld extends World {
@@ -361,12 +361,12 @@
    */
   async wake(old: Leader, seconds: number): Promise<void> {
     const parts = old as unknown as LeaderParts;
-    const { deps } = old.term;
-    deps.entitled = () => true;
-    deps.writing = () => true;
+    const { context } = old.term;
+    context.isEntitled = () => true;
+    context.canWrite = () => true;
     for (let left = seconds; left > 0; left -= REPORT_S) {
-      parts.pass();
-      for (let i = 0; i < 5; i++) await parts.store.flush();
+      parts.runCycle();
+      for (let i = 0; i < 5; i++) await parts.writer.writeBatch();
       old.tick();
       for (const machine of old.term.machines.values()) this.lateCommands(old, machine.id);
     }
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -368,9 +368,9 @@
       world.service({ id: BORROWER });
       await world.runUntil('it is served', serves(world), REPORT_S * 20);
       assert.deepEqual(world.loans(), []);
-      assert.ok(Number(world.leader.figures().loans_without_promise) > 0);
+      assert.ok(Number(world.leader.statistics().loans_without_promise) > 0);
       await world.run(LEASE_S);
-      assert.equal(world.leader.figures().loans_open_gpus, 0, 'not offered for ever');
+      assert.equal(world.leader.statistics().loans_open_gpus, 0, 'not offered for ever');
     },
   },
   {
@@ -395,7 +395,7 @@
       world.service({ id: BORROWER });
       await world.runUntil('it is served', serves(world));
       assert.deepEqual(world.loans(), []);
-      assert.equal(world.leader.figures().loans_without_promise, 1);
+      assert.equal(world.leader.statistics().loans_without_promise, 1);
     },
   },
   {
--- a/test/meeting-helpers.ts
+++ b/test/meeting-helpers.ts
@@ -286,14 +286,14 @@
 
 /** What runs from timers in a leader, driven by hand here. */
 interface LeaderParts {
-  schedule(): void;
-  pass(): void;
-  sweep(): void;
-  forget(machine: Machine): void;
-  store: { flush(): Promise<boolean> };
+  scheduleCycle(): void;
+  runCycle(): void;
+  collectGarbage(): void;
+  forgetMachine(machine: Machine): void;
+  writer: { writeBatch(): Promise<boolean> };
   scheduler: Scheduler;
   capacity: CapacityManager;
-  direct: { push(): void };
+  dispatcher: { dispatch(): void };
 }
 
 export interface WorldExtras {
@@ -362,25 +362,25 @@
         policy: DEFAULT_POLICY,
         token,
         incarnation: 'n',
-        denseRecords: () => true,
-        entitled: () => this.token === token,
-        writing: () => this.writing && this.token === token,
-        keptUntil: () => -Infinity,
-        zone: () => this.zone,
-        prove: () => undefined,
+        allReadDenseRecords: () => true,
+        isEntitled: () => this.token === token,
+        canWrite: () => this.writing && this.token === token,
+        othersRenewUntil: () => -Infinity,
+        zoneRenewal: () => this.zone,
+        requestProof: () => undefined,
       },
       {
         store: this.store.client(),
         cloud: this.extras.cloud ?? fake<CloudClient>({ list: () => Promise.resolve([]) }),
-        onLost: () => undefined,
+        onLeadershipLost: () => undefined,
         costs: new Costs(() => this.now),
         subsystems: this.extras.subsystems,
       },
     );
     const leader = this.leader;
     this.parts = leader as unknown as LeaderParts;
-    this.parts.schedule = () => undefined;
-    this.parts.direct.push = () => undefined;
+    this.parts.scheduleCycle = () => undefined;
+    this.parts.dispatcher.dispatch = () => undefined;
     replica.listener = {
       onReady: (storedJob) => leader.onReady(storedJob),
       onCancelled: (storedJob) => leader.onCancelled(storedJob),
@@ -427,20 +427,20 @@
   }
 
   async flush(): Promise<void> {
-    for (let i = 0; i < 20 && this.writing && (await this.parts.store.flush()); i++);
+    for (let i = 0; i < 20 && this.writing && (await this.parts.writer.writeBatch()); i++);
     this.store.feed(this.replica);
   }
 
   /** One transaction that the state service meets in this mode; from then on it serves. */
   async flushOnceAs(mode: Mode): Promise<void> {
     this.store.mode = mode;
-    await this.parts.store.flush();
+    await this.parts.writer.writeBatch();
     this.store.mode = 'serve';
   }
 
   pass(): void {
     this.store.feed(this.replica);
-    this.parts.pass();
+    this.parts.runCycle();
   }
 
   /** Time passes: workers report every interval, the leader places, stores and commands. */
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -93,9 +93,9 @@
       await until(world);
       const late = world.machine('a').activeAttempts().length > 0 ? world.sendDirect('a') : null;
       world.cancel(JOB);
-      if (seen === 'by word of another') world.leader.onKnownCancelled(JOB);
+      if (seen === 'by word of another') world.leader.onCancellationHeard(JOB);
       if (seen === 'by the old leader' || seen === 'no change') world.store.feed(world.replica);
-      if (seen !== 'by the next') await world.parts.store.flush();
+      if (seen !== 'by the next') await world.parts.writer.writeBatch();
       if (seen !== 'no change') world.takeOver();
       else late?.unanswered();
       world.store.deliver();
@@ -150,7 +150,7 @@
   await world.run(1);
   world.writing = false;
   world.cancel(JOB);
-  world.leader.onKnownCancelled(JOB);
+  world.leader.onCancellationHeard(JOB);
   for (let i = 0; i < 3; i++) world.checkin(world.fleet.workers.get('a')!);
   assert.deepEqual([world.fleet.running(JOB), world.fleet.running(OTHER)], [0, 1]);
   world.writing = true;
@@ -536,7 +536,7 @@
   await world.run(1);
   const other = placed === 'a' ? 'b' : 'a';
   world.machine(other).changeState('returning');
-  world.term.dirtyMachines.add(other);
+  world.term.machinesToWrite.add(other);
   await world.flush();
   // The request stays unanswered; the leader changes; it is carried out late.
   world.job({ id: OTHER, gpus: 8, cores: 8 });
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -82,7 +82,7 @@
     const live = [...w.term.jobs.values()].filter((job) => job.holdingCount > 0);
     if (this.chance(0.01) && live.length > 0) {
       const job = this.pick(live);
-      w.term.stopTask(job, this.pick([...job.holding()]));
+      w.term.stopGracefully(job, this.pick([...job.holding()]));
     }
   }
 
@@ -151,7 +151,7 @@
       const answered = Number(how) > 0.6 ? 'unknown' : heartbeat === null ? 'refused' : 'done';
       machine.directCommandsEnded(commands, answered, agentEpoch, w.now);
       if (answered === 'unknown') return;
-      w.term.digest(machine, machine.applyHeartbeat(heartbeat ?? worker.report(), false, w.now));
+      w.term.reconcile(machine, machine.applyHeartbeat(heartbeat ?? worker.report(), false, w.now));
     }
   }
 
@@ -159,11 +159,11 @@
     const { w } = this;
     w.pass();
     if (troubles && this.chance(0.1)) w.store.mode = this.pick(['lose answers', 'hold back']);
-    await w.parts.store.flush();
+    await w.parts.writer.writeBatch();
     w.store.mode = 'serve';
     if (this.chance(0.2)) w.store.deliver();
-    for (const id of [...w.term.urgent]) {
-      w.term.urgent.delete(id);
+    for (const id of [...w.term.machinesToCommand]) {
+      w.term.machinesToCommand.delete(id);
       const machine = w.term.machines.get(id);
       if (machine?.state === 'ready') this.direct(machine, troubles);
     }
--- a/test/meeting-records.test.ts
+++ b/test/meeting-records.test.ts
@@ -93,12 +93,12 @@
     world.job({ id: JOB, tasks: 2 });
     await world.run(2);
     // Its lease ran out long ago; it comes back with a new session.
-    world.term.lose(world.machine('a'));
-    world.parts.forget(world.machine('a'));
+    world.term.loseMachine(world.machine('a'));
+    world.parts.forgetMachine(world.machine('a'));
     worker.tasks.clear();
     worker.session++;
     world.store.mode = mode;
-    const flushed = underWay ? world.parts.store.flush() : Promise.resolve(false);
+    const flushed = underWay ? world.parts.writer.writeBatch() : Promise.resolve(false);
     world.checkin(worker);
     await flushed;
     world.store.mode = 'serve';
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -30,7 +30,7 @@
     world.sendDirect('a').unanswered();
     assert.equal(world.fleet.running(JOB), 0, name);
     const job = world.term.jobs.get(JOB)!;
-    world.term.stopTask(job, [...job.holding()][0]!);
+    world.term.stopGracefully(job, [...job.holding()][0]!);
     world.fleet.add('b');
     await world.run(PATIENCE_S);
     assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
@@ -68,7 +68,7 @@
     assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
     // Preempted, say. There is room on another machine, but its image is here.
     world.fleet.add('b');
-    world.term.stopTask(job, [...job.holding()][0]!);
+    world.term.stopGracefully(job, [...job.holding()][0]!);
     await world.run(PATIENCE_S);
     assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
     assert.deepEqual(world.fleet.broken, [], name);
@@ -83,7 +83,7 @@
   worker.end(worker.running(JOB)[0]!, 'done');
   await world.run(PATIENCE_S);
   world.machine('a').changeState('returning');
-  world.term.dirtyMachines.add('a');
+  world.term.machinesToWrite.add('a');
   await world.flush();
   const record = world.store.value(records.machineKey('a'));
   assert.ok(records.decodeMachine(record).returning);
--- a/test/pass-helpers.ts
+++ b/test/pass-helpers.ts
@@ -39,12 +39,12 @@
       policy: DEFAULT_POLICY,
       token: TOKEN,
       incarnation: 'x',
-      denseRecords: () => true,
-      entitled: () => true,
-      writing: () => true,
-      keptUntil: () => -Infinity,
-      zone: () => ({ keptUntil: this.keptUntil, provenAt: Infinity }),
-      prove: () => undefined,
+      allReadDenseRecords: () => true,
+      isEntitled: () => true,
+      canWrite: () => true,
+      othersRenewUntil: () => -Infinity,
+      zoneRenewal: () => ({ keptUntil: this.keptUntil, provenAt: Infinity }),
+      requestProof: () => undefined,
     });
     const arrivals = new Arrivals(
       () => this.now * 1000,
@@ -104,13 +104,13 @@
       true,
       this.now,
     ); // prettier-ignore
-    this.term.digest(machine, changes);
+    this.term.reconcile(machine, changes);
   }
 
   /** What is claimed is stored, started and running; `ended`: what was to stop has saved. */
   settle(id: string, ended: boolean): void {
     const machine = this.term.machines.get(id)!;
-    for (const attempt of machine.attempts.values()) this.term.stored(attempt);
+    for (const attempt of machine.attempts.values()) this.term.claimStored(attempt);
     const tasks = [...machine.attempts.values()].map((attempt): TaskStatus => ({
       job: attempt.job,
       index: attempt.index,
--- a/test/pool-helpers.ts
+++ b/test/pool-helpers.ts
@@ -207,7 +207,7 @@
   }
 
   alarms(): string {
-    return String(this.leader.figures().warm_pools_alarms);
+    return String(this.leader.statistics().warm_pools_alarms);
   }
 
   worker(id: string): Worker {
--- a/test/progress-parts.test.ts
+++ b/test/progress-parts.test.ts
@@ -60,7 +60,7 @@
 test('as long as an old controller is there, progress is written as that one reads it', async () => {
   const world = worldWith(100);
   let everyoneNew = false;
-  world.term.deps.denseRecords = () => everyoneNew;
+  world.term.context.allReadDenseRecords = () => everyoneNew;
   world.term.jobs.clear();
   world.term.addJob(world.replica.jobs.get(JOB)!);
   finish(world, 100, 7000);
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -14,7 +14,7 @@
 import { Costs } from '../../src/latency-histograms.js';
 import { FeaturesError, featuresRecord, parseFeatures } from '../../src/features/features-file.js';
 import { encodeReply, type Reply } from '../../src/http/server.js';
-import { figures } from '../../src/leader/term/statistics.js';
+import { termStatistics } from '../../src/leader/term/statistics.js';
 import { loansTable } from '../../src/lending/command.js';
 import { decodeLoan, encodeLoan, LOAN_STATES, type Loan } from '../../src/lending/loan.js';
 import { loansView } from '../../src/lending/view.js';
@@ -465,8 +465,8 @@
   });
   return {
     controller: own,
-    leader: figures(world.term, world.parts.capacity),
-    whole: Object.keys(world.leader.figures()),
+    leader: termStatistics(world.term, world.parts.capacity),
+    whole: Object.keys(world.leader.statistics()),
     costs: costs.figures(),
     requests: queue.figures(),
   };
@@ -593,7 +593,7 @@
     dayWithPools: await decisionsOfDay(withPools),
     passes: decisionsOfPasses(),
     metrics: metrics(world),
-    metricsWithPools: withPools.leader.figures(),
+    metricsWithPools: withPools.leader.statistics(),
     help: help(),
   };
   return json(forms) as RecordedForms;
--- a/test/warm-pools.test.ts
+++ b/test/warm-pools.test.ts
@@ -583,7 +583,7 @@
         // Claimed, and not stored yet.
         world.pass();
         world.leader.tick();
-        assert.equal(world.leader.figures().warm_slots_released, 0);
+        assert.equal(world.leader.statistics().warm_slots_released, 0);
         await world.run(3);
         assert.equal(world.states(), 'used warm');
       },
