--- a/src/admission/request-queue.ts
+++ b/src/admission/request-queue.ts
@@ -25,7 +25,7 @@
   draining: ['idle'],
 };
 
-interface Waiting {
+interface WaitingRequest {
   arrivedAt: number;
   /** Seconds after which whoever asked has given up. */
   patienceS: number;
@@ -45,11 +45,11 @@
 }
 
 /** First in, first out, without moving what is behind. */
-class Fifo {
-  private items: Waiting[] = [];
+class FifoQueue {
+  private items: WaitingRequest[] = [];
   private first = 0;
 
-  get head(): Waiting | undefined {
+  get head(): WaitingRequest | undefined {
     return this.items[this.first];
   }
 
@@ -57,7 +57,7 @@
     return this.items.length - this.first;
   }
 
-  push(item: Waiting): void {
+  push(item: WaitingRequest): void {
     this.items.push(item);
   }
 
@@ -82,11 +82,11 @@
 export class RequestQueue {
   private state: QueueState = 'idle';
   private sliceEnd = -Infinity;
-  private readonly waiting: Record<RequestClass, Fifo> = {
-    report: new Fifo(),
-    cancellation: new Fifo(),
-    poll: new Fifo(),
-    submission: new Fifo(),
+  private readonly waiting: Record<RequestClass, FifoQueue> = {
+    report: new FifoQueue(),
+    cancellation: new FifoQueue(),
+    poll: new FifoQueue(),
+    submission: new FifoQueue(),
   };
   /** Refused for the load, or dropped, since the start. */
   readonly refused: Record<RequestClass, number> = {
@@ -104,7 +104,7 @@
     options.overload.oldestWaitS = () => this.oldestWaitS();
   }
 
-  private become(state: QueueState): void {
+  private changeState(state: QueueState): void {
     if (!ALLOWED[this.state].includes(state)) throw new Error(`${this.state} -> ${state}`);
     this.state = state;
   }
@@ -150,7 +150,7 @@
         },
         refuse: () => resolve(this.refuse(kind, refusal)),
       });
-      if (this.state === 'open') this.become('draining');
+      if (this.state === 'open') this.changeState('draining');
     });
   }
 
@@ -160,23 +160,23 @@
   }
 
   private open(now: number): void {
-    this.become('open');
+    this.changeState('open');
     this.sliceEnd = now + this.sliceS;
-    this.defer(() => this.turn());
+    this.defer(() => this.runTurn());
   }
 
   /** Once in each turn of the event loop in which there is something to do. */
-  private turn(): void {
+  private runTurn(): void {
     try {
-      if (this.state === 'draining') this.slice();
+      if (this.state === 'draining') this.runSlice();
     } catch (error) {
       this.options.onError(error);
     }
-    if (this.size === 0) this.become('idle');
-    else this.defer(() => this.turn());
+    if (this.size === 0) this.changeState('idle');
+    else this.defer(() => this.runTurn());
   }
 
-  private slice(): void {
+  private runSlice(): void {
     const { clock } = this.options;
     const end = clock.now() + this.sliceS;
     let now = clock.now();
@@ -195,7 +195,7 @@
    * makes newer ones of its class be refused goes first, or a steady stream of reports would hold it
    * back until its user gives up. No more of its class are let in meanwhile, so these are few.
    */
-  private next(now: number): Waiting | undefined {
+  private next(now: number): WaitingRequest | undefined {
     const queues = REQUEST_CLASSES.map((kind) => ({ kind, queue: this.waiting[kind] }));
     const due = queues.find(
       ({ kind, queue }) =>
@@ -207,7 +207,7 @@
     return head;
   }
 
-  figures(): Record<string, number> {
+  statistics(): Record<string, number> {
     const out: Record<string, number> = { requests_waiting: this.size };
     for (const kind of REQUEST_CLASSES) out[`${kind}s_refused`] = this.refused[kind];
     return out;
--- a/src/api/request-forwarder.ts
+++ b/src/api/request-forwarder.ts
@@ -3,15 +3,15 @@
 import type { Reply } from '../http/server.js';
 import type { KeyValueStoreClient } from '../store/client.js';
 import type { ReplicaSync } from '../store/replica-sync.js';
-import { mayAwait, SUBMIT_WAIT_S } from '../wire/users.js';
-import type { Users } from './user-api.js';
+import { mayHaveDependencies, SUBMIT_WAIT_S } from '../wire/users.js';
+import type { UserApi } from './user-api.js';
 
 /** What a user asks for, in a form that can be passed on to another controller. */
 export type UserRequest =
   { to: 'submit'; body: Buffer } | { to: 'poll'; id: string } | { to: 'cancel'; id: string };
 
 /** How long another controller may take with a user's request: half of what the user waits. */
-const RELAY_S = SUBMIT_WAIT_S / 2;
+const FORWARD_TIMEOUT_S = SUBMIT_WAIT_S / 2;
 /** For so many leases nobody was of help: users are better served elsewhere. */
 const ALONE_LEASES = 0.2;
 
@@ -24,7 +24,7 @@
   private aloneSince: number | null = null;
 
   constructor(
-    private readonly users: Users,
+    private readonly userApi: UserApi,
     private readonly store: Pick<KeyValueStoreClient, 'health'>,
     private readonly replicaSync: Pick<ReplicaSync, 'ready' | 'sync'>,
     private readonly peers: Pick<PeerNetwork, 'byLatestAnswer' | 'ask'>,
@@ -34,48 +34,48 @@
   ) {}
 
   /** The state service serves this controller, and it has read the store. */
-  get served(): boolean {
+  get isServed(): boolean {
     return this.store.health === 'served' && this.replicaSync.ready;
   }
 
   /** Whether users should be sent here. */
-  ready(): boolean {
-    if (!this.users.ready()) return false;
-    if (this.served) this.aloneSince = null;
+  isReady(): boolean {
+    if (!this.userApi.ready()) return false;
+    if (this.isServed) this.aloneSince = null;
     const { aloneSince } = this;
     return aloneSince === null || this.now() - aloneSince < this.workers.lease_s * ALONE_LEASES;
   }
 
   async serve(request: UserRequest): Promise<Reply> {
-    if (this.served || this.users.knows(request)) {
-      const reply = await this.local(request);
-      if (reply.status !== 503 || this.served) return reply;
+    if (this.isServed || this.userApi.knows(request)) {
+      const reply = await this.serveLocally(request);
+      if (reply.status !== 503 || this.isServed) return reply;
     }
     // Looks whether the state service is back, besides.
     else void this.replicaSync.sync();
-    return (await this.relay(request)) ?? (await this.local(request));
+    return (await this.forward(request)) ?? (await this.serveLocally(request));
   }
 
-  private async local(request: UserRequest): Promise<Reply> {
+  private async serveLocally(request: UserRequest): Promise<Reply> {
     switch (request.to) {
       case 'submit':
-        return this.users.submit(request.body);
+        return this.userApi.submit(request.body);
       case 'poll':
-        return this.users.poll(request.id);
+        return this.userApi.poll(request.id);
       case 'cancel':
-        return this.users.cancel(request.id);
+        return this.userApi.cancel(request.id);
     }
   }
 
-  private async relay(request: UserRequest): Promise<Reply | null> {
+  private async forward(request: UserRequest): Promise<Reply | null> {
     const text = request.to === 'submit' ? request.body.toString('utf8') : request.id;
     const question: QuestionOf<'user'> = { q: 'user', to: request.to, text };
     let reached = false;
     // A version that does not know them would take a job that needs others for one that does not.
-    const awaits = request.to === 'submit' && mayAwait(request.body);
+    const awaits = request.to === 'submit' && mayHaveDependencies(request.body);
     for (const node of this.peers.byLatestAnswer()) {
       if (awaits && !this.knowsPipelines(node)) continue;
-      const a = await this.peers.ask(node, question, RELAY_S);
+      const a = await this.peers.ask(node, question, FORWARD_TIMEOUT_S);
       reached ||= a !== null;
       if (a?.status === undefined) continue;
       this.aloneSince = null;
@@ -89,11 +89,11 @@
   }
 
   /** Passed on by another controller; it goes no further. Without a status: ask somebody else. */
-  async passedOn(to: UserRequest['to'], text: string): Promise<ReplyAnswer> {
-    if (!this.served) return {};
+  async serveForwarded(to: UserRequest['to'], text: string): Promise<ReplyAnswer> {
+    if (!this.isServed) return {};
     const request: UserRequest =
       to === 'submit' ? { to, body: Buffer.from(text) } : { to, id: text };
-    const reply = await this.local(request);
-    return reply.status === 503 && !this.served ? {} : { ...reply };
+    const reply = await this.serveLocally(request);
+    return reply.status === 503 && !this.isServed ? {} : { ...reply };
   }
 }
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -2,7 +2,7 @@
 import type { Reply } from '../http/server.js';
 import type { MachineType } from '../jobs/types.js';
 import type { Log } from '../log.js';
-import { neverRuns } from '../scheduler/quota.js';
+import { whyItNeverRuns } from '../scheduler/quota.js';
 import type { ReplicaSync } from '../store/replica-sync.js';
 import type { RequestWriter } from '../store/request-writer.js';
 import { outcome, type StoredJob } from '../store/stored-job.js';
@@ -29,31 +29,31 @@
 const invalid = (why: string): Reply => ({ status: 422, body: encodeError(why) });
 const TOO_LARGE = 'larger than what the state service takes of one job';
 
-export interface UsersOptions {
+export interface UserApiOptions {
   settings: Settings;
   replicaSync: Pick<ReplicaSync, 'ready' | 'sync'>;
   replica: Replica;
   requestWriter: RequestWriter;
   types: () => MachineType[] | null;
   /** Seconds after which a cancellation can be taken; 0: now. */
-  mayCancel: (id: string) => Promise<number>;
+  announceCancellation: (id: string) => Promise<number>;
   /** Whether users may be told of a stored cancellation. */
-  mayTellCancelled: (storedJob: StoredJob, id: string) => Promise<boolean>;
+  confirmCancellation: (storedJob: StoredJob, id: string) => Promise<boolean>;
   /** Whether a controller is there that does not know jobs that need other jobs. */
-  pipelinesUnknown: () => boolean;
+  isOldVersionPresent: () => boolean;
   wallMs: () => number;
   log: Log;
 }
 
 /** The users' interface. Nothing is told that is not stored, and nothing older than was told. */
-export class Users {
+export class UserApi {
   private readonly settings: Settings;
-  private readonly replicaSync: UsersOptions['replicaSync'];
+  private readonly replicaSync: UserApiOptions['replicaSync'];
   private readonly replica: Replica;
   private readonly requestWriter: RequestWriter;
   private readonly types: () => MachineType[] | null;
 
-  constructor(private readonly options: UsersOptions) {
+  constructor(private readonly options: UserApiOptions) {
     this.settings = options.settings;
     this.replicaSync = options.replicaSync;
     this.replica = options.replica;
@@ -91,20 +91,24 @@
     const types = this.types();
     if (!this.replicaSync.ready || types === null || this.requestWriter.full(SUBMIT_S))
       return UNSURE;
-    const never = neverRuns(spec, this.settings.teams, types);
+    const never = whyItNeverRuns(spec, this.settings.teams, types);
     if (never !== null) return this.refuse(spec.id, invalid(never), never);
     const accepted = { spec, atMs: Math.round(this.options.wallMs()) };
     if (!this.requestWriter.fits(accepted))
       return this.refuse(spec.id, invalid(TOO_LARGE), TOO_LARGE);
-    if (spec.awaits.length > 0) {
-      if (this.options.pipelinesUnknown()) return this.refuse(spec.id, UPGRADING, 'upgrading');
+    if (spec.dependencies.length > 0) {
+      if (this.options.isOldVersionPresent()) return this.refuse(spec.id, UPGRADING, 'upgrading');
       const obstacle = await this.cannotAwait(spec);
       if (obstacle === 'unsure') return UNSURE;
       if (obstacle !== null) return this.refuse(spec.id, invalid(obstacle.reason), obstacle.reason);
     }
     const o = await this.requestWriter.accept(accepted, SUBMIT_S);
     const storedJob = this.replica.jobs.get(spec.id);
-    if (o === null || storedJob === undefined || !(await this.tellable(storedJob, spec.id)))
+    if (
+      o === null ||
+      storedJob === undefined ||
+      !(await this.confirmCancellation(storedJob, spec.id))
+    )
       return UNSURE;
     return { status: 201, body: encodeAccepted(spec.id, this.shown(storedJob)) };
   }
@@ -114,10 +118,10 @@
    * after a read that began by now: another controller may have accepted it a millisecond ago.
    */
   private async cannotAwait(spec: JobSpec): Promise<{ reason: string } | 'unsure' | null> {
-    if (spec.awaits.includes(spec.id)) return { reason: 'awaits itself' };
+    if (spec.dependencies.includes(spec.id)) return { reason: 'awaits itself' };
     const known = (id: string): boolean => this.replica.jobs.has(id);
-    if (!spec.awaits.every(known) && !(await this.replicaSync.sync())) return 'unsure';
-    for (const id of spec.awaits) {
+    if (!spec.dependencies.every(known) && !(await this.replicaSync.sync())) return 'unsure';
+    for (const id of spec.dependencies) {
       const needed = this.replica.jobs.get(id);
       if (needed === undefined) return { reason: `awaits ${id}, which was never accepted` };
       if (needed.spec.kind === 'service') return { reason: `awaits ${id}, which is a service` };
@@ -147,7 +151,7 @@
   private async current(id: string): Promise<Reply> {
     const storedJob = await this.fresh(id);
     if (storedJob === null || storedJob === undefined) return UNSURE;
-    if (!(await this.tellable(storedJob, id))) return UNSURE;
+    if (!(await this.confirmCancellation(storedJob, id))) return UNSURE;
     return { status: 200, body: encodeAccepted(id, this.shown(storedJob)) };
   }
 
@@ -156,8 +160,8 @@
    * a majority of controllers knows of it: an outage may begin at this moment, and the leases of its
    * tasks must not be renewed all through it.
    */
-  private async tellable(storedJob: StoredJob, id: string): Promise<boolean> {
-    return outcome(storedJob) !== 'cancelled' || this.options.mayTellCancelled(storedJob, id);
+  private async confirmCancellation(storedJob: StoredJob, id: string): Promise<boolean> {
+    return outcome(storedJob) !== 'cancelled' || this.options.confirmCancellation(storedJob, id);
   }
 
   /** The job as of now; undefined: nobody submitted it; null: unsure. A final state never changes. */
@@ -173,7 +177,7 @@
     const storedJob = await this.fresh(id);
     if (storedJob === null) return UNSURE;
     if (storedJob === undefined) return { status: 404, body: encodeError('no such job') };
-    if (!(await this.tellable(storedJob, id))) return UNSURE;
+    if (!(await this.confirmCancellation(storedJob, id))) return UNSURE;
     const state = this.shown(storedJob);
     const done = state === 'done' ? storedJob.spec.tasks : storedJob.doneTasks;
     const running =
@@ -188,12 +192,12 @@
     if (storedJob === undefined) return { status: 404, body: encodeError('no such job') };
     let o: string | null = outcome(storedJob);
     if (o === 'open') {
-      const wait = await this.options.mayCancel(id);
+      const wait = await this.options.announceCancellation(id);
       if (wait > 0) return { status: 503, retryAfter: wait };
       o = await this.requestWriter.cancel(id, SUBMIT_S);
     }
     if (o !== 'done' && o !== 'cancelled') return UNSURE;
-    if (!(await this.tellable(storedJob, id))) return UNSURE;
+    if (!(await this.confirmCancellation(storedJob, id))) return UNSURE;
     return { status: 200, body: encodeAccepted(id, o) };
   }
 }
--- a/src/cancellation/cancellation-broadcast.ts
+++ b/src/cancellation/cancellation-broadcast.ts
@@ -4,7 +4,7 @@
 import type { Settings } from '../config/settings.js';
 import { outcome } from '../store/stored-job.js';
 import type { Replica } from '../store/replica.js';
-import { TELL_WAIT_S } from './cancellation-quorum.js';
+import { NOTIFY_TIMEOUT_S } from './cancellation-quorum.js';
 
 /**
  * Cancellations are remembered until the store shows the end of their jobs, and otherwise for so many
@@ -47,7 +47,7 @@
 }
 
 /** Cancellations that this controller has heard of before, or other than from, the store. */
-export class CancellationNotices {
+export class CancellationBroadcast {
   /** Stored, as another controller knows, but kept from this one by an outage. */
   private readonly stored: RecentIds;
   /** About to be stored. */
@@ -55,7 +55,7 @@
 
   constructor(
     private readonly settings: Settings,
-    private readonly byZone: [string, string][],
+    private readonly zoneLeaseHolders: [string, string][],
     private readonly peers: PeerNetwork,
     private readonly replica: Replica,
     private readonly zoneLeases: ZoneLeaseWatch,
@@ -98,23 +98,23 @@
    * before it is stored, or what they may keep ends in time. Returns the seconds after which to ask
    * again; 0: it may be stored.
    */
-  async wait(job: string): Promise<number> {
-    if (this.byZone.length === 0) return 0;
+  async announce(job: string): Promise<number> {
+    if (this.zoneLeaseHolders.length === 0) return 0;
     this.noteAnnounced(job);
-    const others = this.byZone.filter(([, node]) => node !== this.settings.node);
+    const others = this.zoneLeaseHolders.filter(([, node]) => node !== this.settings.node);
     const noted = new Set<string>();
     await Promise.all(
       others.map(async ([, node]) => {
-        const answer = await this.peers.ask(node, { q: 'cancelling', job }, TELL_WAIT_S);
+        const answer = await this.peers.ask(node, { q: 'cancelling', job }, NOTIFY_TIMEOUT_S);
         if (answer?.told === true) noted.add(node);
       }),
     );
-    return this.waitUnlessNoted(job, noted);
+    return this.remainingWaitS(job, noted);
   }
 
   /** The same, where these controllers are known to have noted the cancellation. */
-  waitUnlessNoted(job: string, noted: ReadonlySet<string>): number {
-    const unsure = this.byZone.filter(
+  remainingWaitS(job: string, noted: ReadonlySet<string>): number {
+    const unsure = this.zoneLeaseHolders.filter(
       ([, node]) => node !== this.settings.node && !noted.has(node),
     );
     if (unsure.length === 0) return 0;
@@ -122,14 +122,14 @@
     let wait = 0;
     for (const { record } of this.replica.machines.values()) {
       if (!zones.has(record.zone) || !record.claims.some((claim) => claim.job === job)) continue;
-      wait = Math.max(wait, this.waitForZone(record.zone));
+      wait = Math.max(wait, this.zoneWaitS(record.zone));
     }
     const { lease_s } = this.settings.workers;
     return wait <= 0 ? 0 : Math.max(1, Math.ceil(Math.min(wait, lease_s / 2)));
   }
 
   /** Until what a zone's keeper may keep, and does not know to be cancelled, ends within `cancel_s`. */
-  private waitForZone(zone: string): number {
+  private zoneWaitS(zone: string): number {
     const { lease_s, report_s, cancel_s } = this.settings.workers;
     const { keptUntil, provenAt } = this.zoneLeases.zone(zone);
     const present = provenAt < Infinity;
--- a/src/cancellation/cancellation-quorum.ts
+++ b/src/cancellation/cancellation-quorum.ts
@@ -9,11 +9,11 @@
  * Seconds within which another controller answers that it has noted a cancellation: a share of the time
  * that a user waits for an answer.
  */
-export const TELL_WAIT_S = SUBMIT_WAIT_S * 0.2;
+export const NOTIFY_TIMEOUT_S = SUBMIT_WAIT_S * 0.2;
 
-export interface ConfirmationOptions {
+export interface CancellationQuorumOptions {
   /** Number of controllers, this one included. */
-  nodes: number;
+  controllerCount: number;
   peers: Pick<PeerNetwork, 'names' | 'ask'>;
   replica: Pick<Replica, 'lastToken'>;
   clock: Clock;
@@ -21,7 +21,7 @@
    * Seconds to wait until no zone's keeper can keep tasks of the job too long, when these controllers
    * have noted its cancellation; 0: none can.
    */
-  waitUnlessNoted: (job: string, noted: ReadonlySet<string>) => number;
+  remainingWaitS: (job: string, noted: ReadonlySet<string>) => number;
   /** Seconds for which what is known of a job's confirmation is kept. */
   rememberS: number;
 }
@@ -39,22 +39,22 @@
  * leases are renewed on the word of a majority, and any two majorities share a controller: so none of
  * them renews the lease of a task whose user counts on its end.
  */
-export class CancellationConfirmation {
+export class CancellationQuorum {
   private readonly pending = new Map<string, Pending>();
 
-  constructor(private readonly options: ConfirmationOptions) {}
+  constructor(private readonly options: CancellationQuorumOptions) {}
 
   /** True: users may be told. False: not yet; the same question may be asked again later. */
   async confirm(storedJob: StoredJob, id: string): Promise<boolean> {
     // Waiting for others to its end, or cancelled with one of them: there is no task to keep alive.
-    if (neverStarted(storedJob) || this.nothingRuns(storedJob)) return true;
+    if (neverStarted(storedJob) || this.hasNoRunningTask(storedJob)) return true;
     const entry = this.entry(id);
     if (entry.confirmed) return true;
     if (this.options.clock.now() - entry.since >= UNHEARD_CONFIRM_S) {
       entry.confirmed = true;
       return true;
     }
-    entry.asking ??= this.tellOthers(id).finally(() => (entry.asking = null));
+    entry.asking ??= this.notifyPeers(id).finally(() => (entry.asking = null));
     if (await entry.asking) entry.confirmed = true;
     return entry.confirmed;
   }
@@ -63,7 +63,7 @@
    * No machine's record names a task of the job, and the present leader read its cancellation before
    * it began: none will be named again, and nobody has a task whose lease could be renewed.
    */
-  private nothingRuns(storedJob: StoredJob): boolean {
+  private hasNoRunningTask(storedJob: StoredJob): boolean {
     const { cancelledAt, claimCount } = storedJob;
     return claimCount === 0 && cancelledAt !== null && cancelledAt < this.options.replica.lastToken;
   }
@@ -88,16 +88,16 @@
    * before the cancellation was stored; but where it was stored late, the keeper's process may be
    * another one by now, which had read the store before that.
    */
-  private tellOthers(id: string): Promise<boolean> {
-    const { nodes, peers, waitUnlessNoted } = this.options;
-    const needed = Math.floor(nodes / 2);
+  private notifyPeers(id: string): Promise<boolean> {
+    const { controllerCount, peers, remainingWaitS } = this.options;
+    const needed = Math.floor(controllerCount / 2);
     const noted = new Set<string>();
-    const enough = (): boolean => noted.size >= needed && waitUnlessNoted(id, noted) <= 0;
+    const enough = (): boolean => noted.size >= needed && remainingWaitS(id, noted) <= 0;
     if (needed === 0) return Promise.resolve(true);
     return new Promise((resolve) => {
       const answers = peers.names.map(async (node) => {
         const question = { q: 'cancelled', job: id } as const;
-        const answer = await peers.ask(node, question, TELL_WAIT_S);
+        const answer = await peers.ask(node, question, NOTIFY_TIMEOUT_S);
         if (answer?.noted !== true) return;
         noted.add(node);
         if (enough()) resolve(true);
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -26,28 +26,28 @@
     return this.http.request(method, path, body, 5);
   }
 
-  private static json(response: Response): unknown {
+  private static parseJson(response: Response): unknown {
     if (response.status !== 200) throw new Error(`cloud answered ${response.status}`);
     return JSON.parse(response.body.toString('utf8'));
   }
 
-  async types(): Promise<MachineType[]> {
-    return wire.parseTypes(CloudClient.json(await this.call('GET', wire.TYPES_PATH)));
+  async fetchMachineTypes(): Promise<MachineType[]> {
+    return wire.parseTypes(CloudClient.parseJson(await this.call('GET', wire.TYPES_PATH)));
   }
 
-  async list(): Promise<wire.ListedMachine[]> {
+  async listMachines(): Promise<wire.ListedMachine[]> {
     const all: wire.ListedMachine[] = [];
     let after = '';
     for (;;) {
       const response = await this.call('GET', wire.listPath(after));
-      const page = wire.parseList(CloudClient.json(response));
+      const page = wire.parseList(CloudClient.parseJson(response));
       all.push(...page.machines);
       if (!page.more || page.machines.length === 0) return all;
       after = page.machines[page.machines.length - 1]!.id;
     }
   }
 
-  async rent(request: wire.RentRequest): Promise<RentResult> {
+  async rentMachines(request: wire.RentRequest): Promise<RentResult> {
     let response: Response;
     try {
       response = await this.call('POST', wire.RENT_PATH, wire.encodeRent(request));
@@ -67,7 +67,7 @@
   }
 
   /** True: they and all that was on them are gone. */
-  async giveBack(ids: string[]): Promise<boolean> {
+  async returnMachines(ids: string[]): Promise<boolean> {
     try {
       const response = await this.call('POST', wire.RETURN_PATH, wire.encodeReturn(ids));
       return response.status === 200;
--- a/src/cloud/demand-forecast.ts
+++ b/src/cloud/demand-forecast.ts
@@ -15,9 +15,10 @@
 const TASKS_MOST = 50;
 
 /** GPUs or, without any, cores: what machines and tasks are measured in. */
-export const unit = (s: { gpus: number; cores: number }): number => (s.gpus > 0 ? s.gpus : s.cores);
+export const unitsOf = (s: { gpus: number; cores: number }): number =>
+  s.gpus > 0 ? s.gpus : s.cores;
 
-interface Seen {
+interface SeenJob {
   spec: JobSpec;
   atMs: number;
 }
@@ -26,9 +27,9 @@
  * Jobs that came lately, best effort aside: what is likely to come next is estimated from them. What
  * is derived is refreshed once in `everyS`, however many passes ask for it.
  */
-export class Arrivals {
-  private recent: Seen[] = [];
-  private gone: Seen[] = [];
+export class DemandForecast {
+  private recent: SeenJob[] = [];
+  private gone: SeenJob[] = [];
   private readonly firstMs = new Map<boolean, number>();
   private hotList: HotImage[] = [];
   private readonly targets = new Map<boolean, number>();
@@ -41,12 +42,12 @@
   ) {}
 
   /** A service has ended: the room that it leaves serves those that come. */
-  left(spec: JobSpec): void {
+  jobLeft(spec: JobSpec): void {
     if (spec.priority === 3) return;
     this.gone.push({ spec, atMs: this.wallMs() });
   }
 
-  add(spec: JobSpec, atMs: number): void {
+  jobArrived(spec: JobSpec, atMs: number): void {
     if (spec.priority === 3) return;
     this.firstMs.set(spec.spot, Math.min(atMs, this.firstMs.get(spec.spot) ?? Infinity));
     this.recent.push({ spec, atMs });
@@ -82,13 +83,16 @@
 
   private targetNow(now: number, bootS: number, spot: boolean): number {
     const types = this.types();
-    const sized = (seen: Seen[]): Arrival[] => {
+    const sized = (seen: SeenJob[]): Arrival[] => {
       const out: Arrival[] = [];
       for (const { spec, atMs } of seen) {
         if (spec.spot !== spot) continue;
         const type = types.find((type) => fits(spec, type));
         if (type === undefined) continue;
-        out.push({ atMs, size: (unit(spec) / unit(type)) * Math.min(spec.tasks, TASKS_MOST) });
+        out.push({
+          atMs,
+          size: (unitsOf(spec) / unitsOf(type)) * Math.min(spec.tasks, TASKS_MOST),
+        });
       }
       return out;
     };
@@ -104,13 +108,13 @@
   }
 
   /** Images of recent jobs with the tasks expected within a boot. The same list until refreshed. */
-  hot(): HotImage[] {
+  hotImages(): HotImage[] {
     this.refresh();
     return this.hotList;
   }
 
   /** Free room to keep, in machines. */
-  target(spot: boolean): number {
+  warmTarget(spot: boolean): number {
     this.refresh();
     return this.targets.get(spot) ?? 0;
   }
--- a/src/cloud/provisioner.ts
+++ b/src/cloud/provisioner.ts
@@ -4,11 +4,11 @@
 import type { MachineType } from '../jobs/types.js';
 import { RENT_MAX, RETURN_MAX, type ListedMachine, type RentRequest } from '../wire/cloud.js';
 import type { CloudClient } from './client.js';
-import type { StoredRent } from '../subsystems/subsystem.js';
-import type { Wanted } from './scale-out-plan.js';
+import type { StoredRentRequest } from '../subsystems/subsystem.js';
+import type { MachineOrder } from './scale-out-plan.js';
 
 /** A machine that is rented but has not reported yet. */
-export interface Coming {
+export interface PendingMachine {
   id: string;
   type: string;
   zone: string;
@@ -18,27 +18,27 @@
   running: boolean;
 }
 
-export interface FleetHost {
-  entitled(): boolean;
+export interface ProvisionerHost {
+  isEntitled(): boolean;
   /** Requests under names that are stored: sent before all others. */
-  storedRents(): StoredRent[];
+  storedRentRequests(): StoredRentRequest[];
   /** What to rent now. */
-  wanted(): Wanted[];
+  machinesToRent(): MachineOrder[];
   /** Machines to give back now, their records already marked. */
-  toReturn(): string[];
-  returned(ids: string[]): void;
-  known(id: string): boolean;
-  listed(all: ListedMachine[]): void;
-  onTypes(types: MachineType[]): void;
+  machinesToReturn(): string[];
+  machinesReturned(ids: string[]): void;
+  isKnown(id: string): boolean;
+  applyList(all: ListedMachine[]): void;
+  onMachineTypes(types: MachineType[]): void;
 }
 
 /** Renting and returning for the leader. Request names carry the incarnation: they never recur. */
-export class Fleet {
-  readonly coming = new Map<string, Coming>();
-  private readonly shortUntil = new Map<string, { until: number; fails: number }>();
+export class MachineProvisioner {
+  readonly pending = new Map<string, PendingMachine>();
+  private readonly shortages = new Map<string, { until: number; fails: number }>();
   private readonly unanswered: { request: RentRequest; since: number }[] = [];
   /** What the cloud confirmed as gone; lists may still name them. */
-  private readonly gone = new Map<string, number>();
+  private readonly returnedAt = new Map<string, number>();
   private counter = 0;
   private stopped = false;
   private listAt = -Infinity;
@@ -49,38 +49,38 @@
   constructor(
     private readonly name: string,
     private readonly cloud: CloudClient,
-    private readonly host: FleetHost,
+    private readonly host: ProvisionerHost,
     private readonly lagS: number,
     private readonly bootS: (type: string) => number,
     private readonly clock: Clock,
     private readonly log: Log,
   ) {}
 
-  short(type: string, zone: string, spot: boolean): boolean {
-    const s = this.shortUntil.get(`${type} ${zone} ${spot}`);
+  isShort(type: string, zone: string, spot: boolean): boolean {
+    const s = this.shortages.get(`${type} ${zone} ${spot}`);
     return s !== undefined && s.until > this.clock.now();
   }
 
-  private noteShort(r: { type: string; zone: string; spot: boolean }): void {
+  private recordShortage(r: { type: string; zone: string; spot: boolean }): void {
     const key = `${r.type} ${r.zone} ${r.spot}`;
-    const s = this.shortUntil.get(key);
+    const s = this.shortages.get(key);
     const fails = s === undefined || this.clock.now() - s.until > 60 ? 0 : s.fails + 1;
     const pause = Math.min(this.bootS(r.type), 5 * 2 ** fails);
-    this.shortUntil.set(key, { until: this.clock.now() + pause, fails });
+    this.shortages.set(key, { until: this.clock.now() + pause, fails });
   }
 
-  heard(id: string): void {
-    this.coming.delete(id);
+  machineReported(id: string): void {
+    this.pending.delete(id);
   }
 
-  nudge(): void {
+  wake(): void {
     this.pause.end();
   }
 
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
-        if (this.host.entitled()) await this.round();
+        if (this.host.isEntitled()) await this.runRound();
       } catch (error) {
         this.log.debug({ err: String(error) }, 'cloud round failed');
         await sleep(0.5 + random() * 0.5);
@@ -89,33 +89,33 @@
     }
   }
 
-  private async round(): Promise<void> {
+  private async runRound(): Promise<void> {
     const now = this.clock.now();
     if (now - this.typesAt > 120) {
-      this.host.onTypes(await this.cloud.types());
+      this.host.onMachineTypes(await this.cloud.fetchMachineTypes());
       this.typesAt = now;
     }
-    const every = this.coming.size > 0 ? this.lagS / 2 : this.lagS;
+    const every = this.pending.size > 0 ? this.lagS / 2 : this.lagS;
     if (!this.listedOnce || now - this.listAt > every) {
       this.listAt = now;
-      this.list(await this.cloud.list());
+      this.applyList(await this.cloud.listMachines());
     }
-    if (this.stopped || !this.host.entitled()) return;
-    const back = this.host.toReturn().slice(0, RETURN_MAX);
-    if (back.length > 0 && (await this.cloud.giveBack(back))) {
+    if (this.stopped || !this.host.isEntitled()) return;
+    const back = this.host.machinesToReturn().slice(0, RETURN_MAX);
+    if (back.length > 0 && (await this.cloud.returnMachines(back))) {
       const at = this.clock.now();
       for (const id of back) {
-        this.gone.set(id, at);
-        this.coming.delete(id);
+        this.returnedAt.set(id, at);
+        this.pending.delete(id);
       }
       this.log.info({ machines: back }, 'returned');
-      this.host.returned(back);
+      this.host.machinesReturned(back);
     }
-    await this.retryRents();
-    await this.sendStored();
-    for (const wanted of this.host.wanted()) {
+    await this.retryUnanswered();
+    await this.sendStoredRequests();
+    for (const wanted of this.host.machinesToRent()) {
       for (let left = wanted.count; left > 0; left -= RENT_MAX) {
-        if (this.stopped || !this.host.entitled()) return;
+        if (this.stopped || !this.host.isEntitled()) return;
         const request: RentRequest = {
           name: `${this.name}-${this.counter++}`,
           type: wanted.type,
@@ -123,50 +123,50 @@
           spot: wanted.spot,
           count: Math.min(left, RENT_MAX),
         };
-        await this.rent(request, this.clock.now());
+        await this.rentMachines(request, this.clock.now());
       }
     }
   }
 
-  private async retryRents(): Promise<void> {
+  private async retryUnanswered(): Promise<void> {
     const again = this.unanswered.splice(0, this.unanswered.length);
     for (const u of again) {
       // Given up after a while: whatever it rented shows up in the list and by its reports.
-      if (this.clock.now() - u.since < 30) await this.rent(u.request, u.since);
+      if (this.clock.now() - u.since < 30) await this.rentMachines(u.request, u.since);
     }
   }
 
   /** Each is asked for until it is answered, by whoever leads: the name is the same, and so is the answer. */
-  private async sendStored(): Promise<void> {
-    for (const rent of this.host.storedRents()) {
-      if (this.stopped || !this.host.entitled()) return;
-      rent.sending();
-      const result = await this.cloud.rent(rent.request);
-      this.log.info({ request: rent.request, result: result.how }, 'rent, stored');
-      if (result.how === 'rented') this.rented(rent.request, result.ids);
-      if (result.how === 'none') this.noteShort(rent.request);
-      rent.answered(result);
+  private async sendStoredRequests(): Promise<void> {
+    for (const rentRequest of this.host.storedRentRequests()) {
+      if (this.stopped || !this.host.isEntitled()) return;
+      rentRequest.sending();
+      const result = await this.cloud.rentMachines(rentRequest.request);
+      this.log.info({ request: rentRequest.request, result: result.how }, 'rent, stored');
+      if (result.how === 'rented') this.machinesRented(rentRequest.request, result.ids);
+      if (result.how === 'none') this.recordShortage(rentRequest.request);
+      rentRequest.answered(result);
     }
   }
 
-  private rented({ type, zone, spot, count }: RentRequest, ids: string[]): void {
+  private machinesRented({ type, zone, spot, count }: RentRequest, ids: string[]): void {
     const now = this.clock.now();
     for (const id of ids) {
-      if (this.host.known(id) || this.gone.has(id)) continue;
-      this.coming.set(id, { id, type, zone, spot, since: now, listed: false, running: false });
+      if (this.host.isKnown(id) || this.returnedAt.has(id)) continue;
+      this.pending.set(id, { id, type, zone, spot, since: now, listed: false, running: false });
     }
-    if (ids.length < count) this.noteShort({ type, zone, spot });
+    if (ids.length < count) this.recordShortage({ type, zone, spot });
   }
 
-  private async rent(request: RentRequest, since: number): Promise<void> {
-    const result = await this.cloud.rent(request);
+  private async rentMachines(request: RentRequest, since: number): Promise<void> {
+    const result = await this.cloud.rentMachines(request);
     this.log.info({ request, result: result.how }, 'rent');
     switch (result.how) {
       case 'rented':
-        this.rented(request, result.ids);
+        this.machinesRented(request, result.ids);
         break;
       case 'none':
-        this.noteShort(request);
+        this.recordShortage(request);
         break;
       case 'unknown':
         this.unanswered.push({ request, since });
@@ -178,26 +178,30 @@
   }
 
   /** Whether requests are under way whose outcome is open. */
-  get unsure(): RentRequest[] {
+  get unansweredRequests(): RentRequest[] {
     return this.unanswered.map((u) => u.request);
   }
 
-  private list(all: ListedMachine[]): void {
+  private applyList(all: ListedMachine[]): void {
     const now = this.clock.now();
     this.listedOnce = true;
     const names = new Set<string>();
     for (const listed of all) {
       names.add(listed.id);
-      if (this.gone.has(listed.id) || this.host.known(listed.id) || listed.state === 'failed') {
-        this.coming.delete(listed.id);
+      if (
+        this.returnedAt.has(listed.id) ||
+        this.host.isKnown(listed.id) ||
+        listed.state === 'failed'
+      ) {
+        this.pending.delete(listed.id);
         continue;
       }
-      const coming = this.coming.get(listed.id);
-      if (coming !== undefined) {
-        coming.listed = true;
-        coming.running ||= listed.state === 'running';
+      const pending = this.pending.get(listed.id);
+      if (pending !== undefined) {
+        pending.listed = true;
+        pending.running ||= listed.state === 'running';
       } else {
-        this.coming.set(listed.id, {
+        this.pending.set(listed.id, {
           id: listed.id,
           type: listed.type,
           zone: listed.zone,
@@ -208,12 +212,13 @@
         });
       }
     }
-    for (const coming of [...this.coming.values()]) {
-      if (!names.has(coming.id) && now - coming.since > this.lagS * (coming.listed ? 2 : 4))
-        this.coming.delete(coming.id);
+    for (const pending of [...this.pending.values()]) {
+      if (!names.has(pending.id) && now - pending.since > this.lagS * (pending.listed ? 2 : 4))
+        this.pending.delete(pending.id);
     }
-    for (const [id, at] of [...this.gone]) if (now - at > this.lagS * 20) this.gone.delete(id);
-    this.host.listed(all.filter((listed) => !this.gone.has(listed.id)));
+    for (const [id, at] of [...this.returnedAt])
+      if (now - at > this.lagS * 20) this.returnedAt.delete(id);
+    this.host.applyList(all.filter((listed) => !this.returnedAt.has(listed.id)));
   }
 
   stop(): void {
--- a/src/cloud/scale-out-plan.ts
+++ b/src/cloud/scale-out-plan.ts
@@ -1,12 +1,13 @@
 import type { JobSpec, MachineType } from '../jobs/types.js';
 import { fits } from '../jobs/types.js';
 import {
-  allowed,
+  isAllowedOn,
   bestFit,
-  take,
-  zoneAllowed,
+  allocate,
+  isZoneAllowed,
   type FreeCapacity,
-  type Weights,
+  type PlacementConstraints,
+  type PlacementWeights,
 } from '../scheduler/bin-packing.js';
 
 /** Tasks that found no room, in the order in which they are wanted. */
@@ -20,32 +21,32 @@
 /** Where the cloud had nothing, and until when not to ask again. */
 export type Shortage = (type: string, zone: string, spot: boolean) => boolean;
 
-export interface Wanted {
+export interface MachineOrder {
   type: string;
   zone: string;
   spot: boolean;
   count: number;
 }
 
-export interface PlanInput {
+export interface ScaleOutInput {
   demand: Demand[];
   /** Machines on their way, and room that is free. They are used up. */
-  rooms: FreeCapacity[];
+  capacities: FreeCapacity[];
   types: MachineType[];
   zones: string[];
-  short: Shortage;
+  isShort: Shortage;
   /** Machines in each zone, to spread new ones. */
-  perZone: Map<string, number>;
-  weights: Weights;
-  most: number;
+  machinesByZone: Map<string, number>;
+  weights: PlacementWeights;
+  maxMachines: number;
   /** Whether a job may use a machine that is there or on its way; missing: it may. */
-  may?: (spec: JobSpec, room: FreeCapacity) => boolean;
+  mayUse?: (spec: JobSpec, capacity: FreeCapacity) => boolean;
 }
 
 let serial = 0;
 
 /** A machine that is not there yet: empty, and every image has to be fetched. */
-export function comingCapacity(
+export function emptyMachineCapacity(
   id: string,
   type: MachineType,
   zone: string,
@@ -59,20 +60,20 @@
     cores: type.cores,
     gpus: type.gpus,
     memGb: type.memGb,
-    whole: type,
+    total: type,
     penaltyS: 0,
-    imageWaitS: (_image, gb) => gb / Math.max(type.fetchGbPerS, 1e-9),
+    imageDelayS: (_image, gb) => gb / Math.max(type.fetchGbPerS, 1e-9),
     hasImage: () => false,
     fetchS: (gb) => gb / Math.max(type.fetchGbPerS, 1e-9),
-    hotHere: () => [],
+    cachedHotImages: () => [],
   };
 }
 
 /** The cheapest kind of machine that one task of the job may have now; null: none to be had. */
-function choose(
+function cheapestKind(
   spec: JobSpec,
   zones: Map<string, number>,
-  input: PlanInput,
+  input: ScaleOutInput,
 ): { type: MachineType; zone: string; spot: boolean } | null {
   let best: { type: MachineType; zone: string; spot: boolean } | null = null;
   let bestCost = Infinity;
@@ -82,11 +83,11 @@
       const price = spot ? type.spotPrice : type.price;
       if (spot && type.spotPrice <= 0) continue;
       for (const zone of type.zones) {
-        if (!allowed(spec, { type: type.name, zone, spot })) continue;
-        if (!zoneAllowed(spec, zone, zones) || input.short(type.name, zone, spot)) continue;
+        if (!isAllowedOn(spec, { type: type.name, zone, spot })) continue;
+        if (!isZoneAllowed(spec, zone, zones) || input.isShort(type.name, zone, spot)) continue;
         const share = type.gpus > 0 ? type.gpus : Math.max(type.cores, 1e-9);
         // Zones are evened out, but not at the price of a dearer kind of machine.
-        const c = (price / share) * (1 + 0.001 * (input.perZone.get(zone) ?? 0));
+        const c = (price / share) * (1 + 0.001 * (input.machinesByZone.get(zone) ?? 0));
         if (c < bestCost) {
           bestCost = c;
           best = { type, zone, spot };
@@ -98,34 +99,34 @@
 }
 
 /** What to rent so that all demand finds room. Pure: the rooms given are used up. */
-export function planRent(input: PlanInput): Wanted[] {
-  const wanted = new Map<string, Wanted>();
+export function planScaleOut(input: ScaleOutInput): MachineOrder[] {
+  const wanted = new Map<string, MachineOrder>();
   let count = 0;
   for (const demand of input.demand) {
     const zones = new Map(demand.zones);
-    const { may } = input;
-    const where =
-      may === undefined
+    const { mayUse } = input;
+    const where: PlacementConstraints =
+      mayUse === undefined
         ? { zones }
-        : { zones, may: (capacity: FreeCapacity) => may(demand.spec, capacity) };
+        : { zones, mayUse: (capacity) => mayUse(demand.spec, capacity) };
     for (let i = 0; i < demand.tasks; i++) {
-      let room = bestFit(demand.spec, input.rooms, where, input.weights);
-      if (room === null) {
-        if (count >= input.most) break;
-        const kind = choose(demand.spec, zones, input);
+      let capacity = bestFit(demand.spec, input.capacities, where, input.weights);
+      if (capacity === null) {
+        if (count >= input.maxMachines) break;
+        const kind = cheapestKind(demand.spec, zones, input);
         if (kind === null) break;
-        room = comingCapacity(`planned-${serial++}`, kind.type, kind.zone, kind.spot);
-        input.rooms.push(room);
+        capacity = emptyMachineCapacity(`planned-${serial++}`, kind.type, kind.zone, kind.spot);
+        input.capacities.push(capacity);
         count++;
-        input.perZone.set(kind.zone, (input.perZone.get(kind.zone) ?? 0) + 1);
+        input.machinesByZone.set(kind.zone, (input.machinesByZone.get(kind.zone) ?? 0) + 1);
         const key = `${kind.type.name} ${kind.zone} ${kind.spot}`;
         const order = wanted.get(key);
         if (order === undefined) {
           wanted.set(key, { type: kind.type.name, zone: kind.zone, spot: kind.spot, count: 1 });
         } else order.count++;
       }
-      take(demand.spec, room);
-      zones.set(room.zone, (zones.get(room.zone) ?? 0) + 1);
+      allocate(demand.spec, capacity);
+      zones.set(capacity.zone, (zones.get(capacity.zone) ?? 0) + 1);
     }
   }
   return [...wanted.values()];
--- a/src/controller/controller-versions.ts
+++ b/src/controller/controller-versions.ts
@@ -15,7 +15,7 @@
 /** The record of this controller's version is tried again after so many leases. */
 const PUBLISH_LEASES = 0.1;
 
-export interface VersionsOptions {
+export interface ControllerVersionsOptions {
   /** Names of this controller and of all others. */
   node: string;
   others: readonly string[];
@@ -37,13 +37,13 @@
  * for an old one; the latest hello counts more than the record, since an old version does not change
  * the record of the newer one that ran before it.
  */
-export class Versions {
+export class ControllerVersions {
   private stopped = false;
   private announced = false;
   /** Controllers that were logged last as having other features. */
   private differing = '';
 
-  constructor(private readonly options: VersionsOptions) {}
+  constructor(private readonly options: ControllerVersionsOptions) {}
 
   /** Whether a controller's version, as far as is known, can do this. */
   knows(node: string, feature: Feature): boolean {
@@ -107,7 +107,7 @@
   }
 
   /** Controllers whose features file is another one than the leader's, as far as they have told. */
-  withOtherFeatures(): string[] {
+  withDifferentFeatures(): string[] {
     const { replica, node, others, file } = this.options;
     const leader = replica.leader?.node;
     if (leader === undefined) return [];
@@ -116,8 +116,8 @@
     return [node, ...others].filter((of) => hashOf(of) !== hashOf(leader)).sort();
   }
 
-  private noteOtherFeatures(): void {
-    const differing = this.withOtherFeatures().join(', ');
+  private logFeatureDifferences(): void {
+    const differing = this.withDifferentFeatures().join(', ');
     if (differing === this.differing) return;
     this.differing = differing;
     const message = "features files: those of these controllers differ from the leader's";
@@ -126,8 +126,8 @@
   }
 
   /** Called regularly: logs, once, that there is no way back to an older version, and what differs. */
-  note(): void {
-    this.noteOtherFeatures();
+  logChanges(): void {
+    this.logFeatureDifferences();
     if (this.announced || !this.everyoneKnows('pipelines')) return;
     this.announced = true;
     const message = 'every controller knows pipelines: do not go back to an older version';
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,6 +1,6 @@
 import { uniqueName } from '../random.js';
 import { CloudClient } from '../cloud/client.js';
-import { Election } from '../leadership/election.js';
+import { Election, ROLE_IN_METRICS } from '../leadership/election.js';
 import { PeerNetwork } from '../peers/peer-network.js';
 import { ZoneLeaseHolder, ZoneLeaseWatch, zoneLeaseHolders } from '../leadership/zone-lease.js';
 import { steadyClock, type Clock } from '../clock.js';
@@ -15,23 +15,23 @@
 import { RequestWriter } from '../store/request-writer.js';
 import { Replica } from '../store/replica.js';
 import { LeaderAcknowledgements } from '../leadership/leader-acknowledgements.js';
-import { Costs } from '../latency-histograms.js';
+import { LatencyHistograms } from '../latency-histograms.js';
 import { RequestForwarder } from '../api/request-forwarder.js';
-import { CancellationNotices } from '../cancellation/cancellation-broadcast.js';
-import { CancellationConfirmation } from '../cancellation/cancellation-quorum.js';
+import { CancellationBroadcast } from '../cancellation/cancellation-broadcast.js';
+import { CancellationQuorum } from '../cancellation/cancellation-quorum.js';
 import { Leader } from '../leader/leader.js';
 import { HealthTable } from '../admission/controller-health.js';
 import { LeadershipTransfer } from '../admission/leadership-transfer.js';
 import { Overload } from '../admission/overload.js';
 import { HeartbeatHandler } from '../heartbeat/heartbeat-handler.js';
 import { RequestQueue } from '../admission/request-queue.js';
-import { Users } from '../api/user-api.js';
-import { BUSY, HttpRequests } from './http-router.js';
+import { UserApi } from '../api/user-api.js';
+import { UNAVAILABLE, HttpRouter } from './http-router.js';
 import { LoadLog, type LoadSources } from './load-log.js';
-import { MachineTypes } from './machine-type-cache.js';
-import { pipelineFigures } from './pipeline-statistics.js';
-import { PeerAnswers } from './peer-question-handler.js';
-import { Versions } from './controller-versions.js';
+import { MachineTypeCache } from './machine-type-cache.js';
+import { pipelineStatistics } from './pipeline-statistics.js';
+import { PeerQuestionHandler } from './peer-question-handler.js';
+import { ControllerVersions } from './controller-versions.js';
 
 /** Jobs that are over stay whole in memory for so many leases after their acceptance. */
 const TRIM_LEASES = 60;
@@ -73,23 +73,23 @@
   /** Only where this controller is its zone's keeper. */
   private readonly zoneLeaseHolder: ZoneLeaseHolder | null;
   private readonly zoneLeases: ZoneLeaseWatch;
-  private readonly cancellationNotices: CancellationNotices;
+  private readonly cancellations: CancellationBroadcast;
   private readonly heartbeats: HeartbeatHandler;
-  private readonly peerAnswers: PeerAnswers;
+  private readonly questionHandler: PeerQuestionHandler;
   readonly server: HttpServer;
   leader: Leader | null = null;
   private readonly cloud: CloudClient;
-  private readonly machineTypes: MachineTypes;
+  private readonly machineTypes: MachineTypeCache;
   private readonly clock: Clock;
   private readonly wallMs: () => number;
   private readonly incarnation: string;
   private tickTimer: NodeJS.Timeout | undefined;
-  private readonly costs: Costs;
+  private readonly latencies: LatencyHistograms;
   private readonly overload = new Overload();
   private readonly requests: RequestQueue;
   private readonly health: HealthTable;
   private readonly leadershipTransfer: LeadershipTransfer;
-  private readonly versions: Versions;
+  private readonly versions: ControllerVersions;
   private tickedAt: number | null = null;
   private ticks = 0;
   /** Only where the log's level is `debug`. */
@@ -105,7 +105,7 @@
   ) {
     this.clock = options.clock ?? steadyClock;
     this.subsystems = options.features?.subsystems ?? [];
-    this.costs = new Costs(() => this.clock.now());
+    this.latencies = new LatencyHistograms(() => this.clock.now());
     this.wallMs = options.wallMs ?? Date.now;
     this.requests = new RequestQueue({
       clock: this.clock,
@@ -119,7 +119,7 @@
       reportS: settings.workers.report_s,
       own: () => ({
         latenessS: this.overload.latenessS,
-        served: this.forwarder.served,
+        served: this.forwarder.isServed,
         relayS: this.heartbeats.forwardingDelay.meanS,
       }),
     });
@@ -146,7 +146,7 @@
       Math.min(0.1, (3 * settings.nodes) / settings.state.rps),
     );
     this.cloud = new CloudClient(settings, this.clock);
-    this.machineTypes = new MachineTypes({
+    this.machineTypes = new MachineTypeCache({
       cloud: this.cloud,
       replicaSync: this.replicaSync,
       replica: this.replica,
@@ -167,8 +167,8 @@
       {
         onElected: (token) => this.elected(token),
         onDeposed: () => this.deposed(),
-        onKnownCancelled: (ids) => this.knownCancelled(ids),
-        cancelledSince: (revision) => this.cancellationNotices.storedSince(revision),
+        onKnownCancelled: (ids) => this.cancellationsHeard(ids),
+        cancelledSince: (revision) => this.cancellations.storedSince(revision),
       },
       () => this.overload.late && this.health.healthier() !== null,
     );
@@ -184,13 +184,13 @@
     this.peers = new PeerNetwork(
       settings.node,
       settings.peers,
-      (_from, question) => this.peerAnswers.answer(question),
+      (_from, question) => this.questionHandler.answer(question),
       log,
       settings.limits.sockets,
       this.health,
       settings.workers.report_s * GATHER_REPORTS,
     );
-    this.versions = new Versions({
+    this.versions = new ControllerVersions({
       node: settings.node,
       others: settings.peers.map((peer) => peer.node),
       leaseS: settings.workers.lease_s,
@@ -236,7 +236,7 @@
             this.clock,
             log,
           );
-    this.cancellationNotices = new CancellationNotices(
+    this.cancellations = new CancellationBroadcast(
       settings,
       [...byZone],
       this.peers,
@@ -254,7 +254,7 @@
       zoneLeases: this.zoneLeases,
       isLate: (node) => this.health.isLate(node),
       leader: () => this.leader,
-      isKnownCancelled: (job) => this.cancellationNotices.knows(job),
+      isKnownCancelled: (job) => this.cancellations.knows(job),
       clock: this.clock,
       log,
     });
@@ -267,28 +267,28 @@
       this.clock,
       log,
     );
-    const confirmation = new CancellationConfirmation({
-      nodes: settings.nodes,
+    const cancellationQuorum = new CancellationQuorum({
+      controllerCount: settings.nodes,
       peers: this.peers,
       replica: this.replica,
       clock: this.clock,
-      waitUnlessNoted: (job, noted) => this.cancellationNotices.waitUnlessNoted(job, noted),
+      remainingWaitS: (job, noted) => this.cancellations.remainingWaitS(job, noted),
       rememberS: settings.workers.lease_s * CONFIRMED_LEASES,
     });
-    const users = new Users({
+    const userApi = new UserApi({
       settings,
       replicaSync: this.replicaSync,
       replica: this.replica,
       requestWriter,
       types: () => this.machineTypes.known,
-      mayCancel: (job) => this.cancellationNotices.wait(job),
-      mayTellCancelled: (storedJob, job) => confirmation.confirm(storedJob, job),
-      pipelinesUnknown: () => this.versions.isOldPresent('pipelines'),
+      announceCancellation: (job) => this.cancellations.announce(job),
+      confirmCancellation: (storedJob, job) => cancellationQuorum.confirm(storedJob, job),
+      isOldVersionPresent: () => this.versions.isOldPresent('pipelines'),
       wallMs: this.wallMs,
       log,
     });
     this.forwarder = new RequestForwarder(
-      users,
+      userApi,
       this.store,
       this.replicaSync,
       this.peers,
@@ -296,24 +296,24 @@
       () => this.clock.now(),
       (node) => this.versions.knows(node, 'pipelines'),
     );
-    this.peerAnswers = new PeerAnswers({
+    this.questionHandler = new PeerQuestionHandler({
       requests: this.requests,
-      costs: this.costs,
+      latencies: this.latencies,
       heartbeats: this.heartbeats,
       forwarder: this.forwarder,
       election: this.election,
       acknowledgements: this.acknowledgements,
-      cancellationNotices: this.cancellationNotices,
-      knownCancelled: (ids) => this.knownCancelled(ids),
+      cancellations: this.cancellations,
+      cancellationsHeard: (ids) => this.cancellationsHeard(ids),
     });
-    const http = new HttpRequests({
+    const http = new HttpRouter({
       clock: this.clock,
-      costs: this.costs,
+      latencies: this.latencies,
       requests: this.requests,
       heartbeats: this.heartbeats,
       forwarder: this.forwarder,
-      leads: () => this.leader !== null,
-      figures: () => this.figures(),
+      isLeader: () => this.leader !== null,
+      metrics: () => this.metrics(),
       subsystemView: (name) => this.subsystemView(name),
     });
     this.server = new HttpServer(
@@ -328,13 +328,13 @@
   private makeLoadLog(): LoadLog {
     const sources: LoadSources = {
       clock: this.clock,
-      role: () => this.election.role,
+      role: () => ROLE_IN_METRICS[this.election.role],
       overload: this.overload,
       requests: this.requests,
       heartbeats: this.heartbeats.counts,
       machinesLost: () => this.lostInEarlierTerms + (this.leader?.term.machinesLost ?? 0),
       stateTraffic: () => this.store.traffic,
-      passes: this.costs.passes,
+      passes: this.latencies.cycles,
     };
     return new LoadLog(sources, this.log);
   }
@@ -362,14 +362,14 @@
     const interval = this.settings.workers.report_s / 2;
     if (this.tickedAt !== null) {
       const lag = now - this.tickedAt - interval;
-      this.costs.record('lag', lag);
+      this.latencies.record('lag', lag);
       this.overload.noteLag(lag, now);
     }
     this.tickedAt = now;
-    this.versions.note();
+    this.versions.logChanges();
     if (++this.ticks % LOAD_TICKS === 0) this.loadLog?.write();
     if (this.ticks % COST_TICKS === 0) {
-      this.log.debug(this.costs.figures(), 'costs');
+      this.log.debug(this.latencies.statistics(), 'costs');
       this.replica.compactFinished(
         this.wallMs() - this.settings.workers.lease_s * TRIM_LEASES * 1000,
       );
@@ -426,7 +426,7 @@
         store: this.store,
         cloud: this.cloud,
         onLeadershipLost: () => this.election.wake(),
-        costs: this.costs,
+        latencies: this.latencies,
         overload: this.overload,
         subsystems: this.subsystems,
       },
@@ -455,39 +455,39 @@
   private subsystemView(name: string): Reply {
     const subsystem = this.subsystems.find((s) => s.name === name);
     if (subsystem === undefined) return { status: 404, body: '{}' };
-    if (!this.replicaSync.ready) return BUSY;
+    if (!this.replicaSync.ready) return UNAVAILABLE;
     const own = this.replica.subsystems.of(name);
     const view = subsystem.view(own, this.settings, this.wallMs());
     // In many lines: no line of an answer may be longer than 64 KiB.
     return { status: 200, body: JSON.stringify(view, null, 1) };
   }
 
-  private knownCancelled(ids: string[]): void {
+  private cancellationsHeard(ids: string[]): void {
     for (const id of ids) {
-      this.cancellationNotices.noteStored(id);
+      this.cancellations.noteStored(id);
       this.leader?.onCancellationHeard(id);
     }
   }
 
-  figures(): Record<string, unknown> {
+  metrics(): Record<string, unknown> {
     return {
       node: this.settings.node,
-      role: this.election.role,
+      role: ROLE_IN_METRICS[this.election.role],
       token: this.election.token,
       leader: this.replica.leader?.node ?? null,
       revision: this.replica.applied,
       jobs: this.replica.jobs.size,
-      ...pipelineFigures(this.replica),
+      ...pipelineStatistics(this.replica),
       pipelines_known: this.versions.everyoneKnows('pipelines'),
-      features_differ: this.versions.withOtherFeatures().join(' '),
+      features_differ: this.versions.withDifferentFeatures().join(' '),
       connections: this.server.connections,
       garbage: this.replica.malformedRecords,
-      cancellations_heard: this.cancellationNotices.size,
+      cancellations_heard: this.cancellations.size,
       memory_mb: Math.round(process.memoryUsage.rss() / 1e6),
       heap_mb: Math.round(process.memoryUsage().heapTotal / 1e6),
       ...this.leader?.statistics(),
-      ...this.costs.figures(),
-      ...this.requests.figures(),
+      ...this.latencies.statistics(),
+      ...this.requests.statistics(),
     };
   }
 }
--- a/src/controller/http-router.ts
+++ b/src/controller/http-router.ts
@@ -3,33 +3,33 @@
 import type { RequestForwarder, UserRequest } from '../api/request-forwarder.js';
 import type { RequestQueue } from '../admission/request-queue.js';
 import type { Clock } from '../clock.js';
-import type { Costs } from '../latency-histograms.js';
+import type { LatencyHistograms } from '../latency-histograms.js';
 import type { HeartbeatHandler } from '../heartbeat/heartbeat-handler.js';
 import type { Message } from '../http/parser.js';
 import type { Reply } from '../http/server.js';
 import { route } from '../wire/users.js';
-import { CLASS_OF, RELAY_PATIENCE_S, REPORT_PATIENCE_S } from './request-classes.js';
+import { CLASS_OF, FORWARD_PATIENCE_S, HEARTBEAT_PATIENCE_S } from './request-classes.js';
 
-export const BUSY: Reply = { status: 503, retryAfter: 1 };
+export const UNAVAILABLE: Reply = { status: 503, retryAfter: 1 };
 
-export interface HttpRequestsOptions {
+export interface HttpRouterOptions {
   clock: Clock;
-  costs: Costs;
+  latencies: LatencyHistograms;
   requests: RequestQueue;
   heartbeats: HeartbeatHandler;
   forwarder: RequestForwarder;
   /** Whether this controller leads: then reports are taken in, not passed on. */
-  leads: () => boolean;
-  figures: () => Record<string, unknown>;
+  isLeader: () => boolean;
+  metrics: () => Record<string, unknown>;
   /** What operators are shown of a subsystem. */
   subsystemView: (name: string) => Reply;
 }
 
-export class HttpRequests {
-  constructor(private readonly options: HttpRequestsOptions) {}
+export class HttpRouter {
+  constructor(private readonly options: HttpRouterOptions) {}
 
   handle(message: Message): Reply | Promise<Reply> {
-    const { forwarder, figures, subsystemView } = this.options;
+    const { forwarder, metrics, subsystemView } = this.options;
     const to = route(message.method, message.target);
     switch (to.to) {
       case 'checkin':
@@ -40,9 +40,9 @@
       case 'cancel':
         return this.user(to);
       case 'ready':
-        return forwarder.ready() ? { status: 200, body: '{}' } : { status: 503, retryAfter: 1 };
+        return forwarder.isReady() ? { status: 200, body: '{}' } : { status: 503, retryAfter: 1 };
       case 'metrics':
-        return { status: 200, body: JSON.stringify(figures()) };
+        return { status: 200, body: JSON.stringify(metrics()) };
       case 'subsystem':
         return subsystemView(to.name);
       case 'wrong-method':
@@ -53,18 +53,18 @@
   }
 
   private report(body: Buffer): Reply | Promise<Reply> {
-    const { clock, costs, leads, heartbeats, requests } = this.options;
+    const { clock, latencies, isLeader, heartbeats, requests } = this.options;
     const arrivedAt = clock.now();
     const work = (): Reply | Promise<Reply> =>
-      costs.time('report', () => heartbeats.handle(body, arrivedAt));
-    const patienceS = leads() ? REPORT_PATIENCE_S : RELAY_PATIENCE_S;
-    return requests.run('report', work, BUSY, patienceS);
+      latencies.time('report', () => heartbeats.handle(body, arrivedAt));
+    const patienceS = isLeader() ? HEARTBEAT_PATIENCE_S : FORWARD_PATIENCE_S;
+    return requests.run('report', work, UNAVAILABLE, patienceS);
   }
 
   private user(request: UserRequest): Reply | Promise<Reply> {
-    const { costs, forwarder, requests } = this.options;
+    const { latencies, forwarder, requests } = this.options;
     const serve = (): Promise<Reply> => forwarder.serve(request);
-    const work = request.to === 'submit' ? () => costs.time('submission', serve) : serve;
-    return requests.run(CLASS_OF[request.to], work, BUSY);
+    const work = request.to === 'submit' ? () => latencies.time('submission', serve) : serve;
+    return requests.run(CLASS_OF[request.to], work, UNAVAILABLE);
   }
 }
--- a/src/controller/machine-type-cache.ts
+++ b/src/controller/machine-type-cache.ts
@@ -8,12 +8,12 @@
 import type { Replica } from '../store/replica.js';
 
 /** Seconds between two looks whether the store has been read. */
-const LOOK_S = 0.05;
+const CHECK_INTERVAL_S = 0.05;
 /** Seconds before the cloud is asked again, with as much again at random. */
 const RETRY_S = 1;
 
-export interface MachineTypesOptions {
-  cloud: Pick<CloudClient, 'types'>;
+export interface MachineTypeCacheOptions {
+  cloud: Pick<CloudClient, 'fetchMachineTypes'>;
   replicaSync: Pick<ReplicaSync, 'ready'>;
   replica: Pick<Replica, 'machineTypes'>;
   leader: () => Leader | null;
@@ -21,12 +21,12 @@
 }
 
 /** The machine types: from the store as a rule, from the cloud when nobody has stored them yet. */
-export class MachineTypes {
+export class MachineTypeCache {
   /** What the cloud said. */
   fetched: MachineType[] | null = null;
   private stopped = false;
 
-  constructor(private readonly options: MachineTypesOptions) {}
+  constructor(private readonly options: MachineTypeCacheOptions) {}
 
   /** Null: not known yet. */
   get known(): MachineType[] | null {
@@ -41,11 +41,11 @@
     const { cloud, replicaSync, leader, log } = this.options;
     while (!this.stopped && this.known === null) {
       if (!replicaSync.ready) {
-        await sleep(LOOK_S);
+        await sleep(CHECK_INTERVAL_S);
         continue;
       }
       try {
-        this.fetched = await cloud.types();
+        this.fetched = await cloud.fetchMachineTypes();
         leader()?.onMachineTypes(this.fetched);
         return;
       } catch (error) {
--- a/src/controller/peer-question-handler.ts
+++ b/src/controller/peer-question-handler.ts
@@ -1,31 +1,31 @@
-import type { CancellationNotices } from '../cancellation/cancellation-broadcast.js';
+import type { CancellationBroadcast } from '../cancellation/cancellation-broadcast.js';
 import type { RequestForwarder } from '../api/request-forwarder.js';
 import type { RequestQueue } from '../admission/request-queue.js';
-import type { Costs } from '../latency-histograms.js';
+import type { LatencyHistograms } from '../latency-histograms.js';
 import type { HeartbeatHandler } from '../heartbeat/heartbeat-handler.js';
 import type { Election } from '../leadership/election.js';
 import type { LeaderAcknowledgements } from '../leadership/leader-acknowledgements.js';
 import type { Answer, Question, QuestionOf, ReplyAnswer } from '../peers/messages.js';
-import { CLASS_OF, PASSED_ON_PATIENCE_S } from './request-classes.js';
+import { CLASS_OF, FORWARDED_PATIENCE_S } from './request-classes.js';
 
-export interface PeerAnswersOptions {
+export interface PeerQuestionHandlerOptions {
   requests: RequestQueue;
-  costs: Costs;
+  latencies: LatencyHistograms;
   heartbeats: HeartbeatHandler;
   forwarder: RequestForwarder;
   election: Election;
   acknowledgements: LeaderAcknowledgements;
-  cancellationNotices: CancellationNotices;
+  cancellations: CancellationBroadcast;
   /** Cancellations that another controller knows to be stored. */
-  knownCancelled: (ids: string[]) => void;
+  cancellationsHeard: (ids: string[]) => void;
 }
 
 /** Answers what other controllers ask. */
-export class PeerAnswers {
-  constructor(private readonly options: PeerAnswersOptions) {}
+export class PeerQuestionHandler {
+  constructor(private readonly options: PeerQuestionHandlerOptions) {}
 
   answer(question: Question): Promise<Answer> | Answer {
-    const { acknowledgements, cancellationNotices, election, knownCancelled } = this.options;
+    const { acknowledgements, cancellations, election, cancellationsHeard } = this.options;
     switch (question.q) {
       case 'report':
         return this.report(question);
@@ -36,10 +36,10 @@
       case 'user':
         return this.user(question);
       case 'cancelling':
-        cancellationNotices.noteAnnounced(question.job);
+        cancellations.noteAnnounced(question.job);
         return { told: true };
       case 'cancelled':
-        knownCancelled([question.job]);
+        cancellationsHeard([question.job]);
         return { noted: true };
       case 'refused':
         return election.outage.answer(question.token, question.forMs, question.applied);
@@ -47,18 +47,18 @@
   }
 
   private report({ body, hop }: QuestionOf<'report'>): ReplyAnswer | Promise<ReplyAnswer> {
-    const { costs, heartbeats, requests } = this.options;
+    const { latencies, heartbeats, requests } = this.options;
     const work = (): ReplyAnswer | Promise<ReplyAnswer> => {
-      const reply = costs.time('report', () => heartbeats.handleForwarded(body, hop));
+      const reply = latencies.time('report', () => heartbeats.handleForwarded(body, hop));
       if (reply instanceof Promise) return reply.then((r) => ({ ...(r ?? { status: 504 }) }));
       return { ...reply };
     };
-    return requests.run('report', work, { status: 503 }, PASSED_ON_PATIENCE_S);
+    return requests.run('report', work, { status: 503 }, FORWARDED_PATIENCE_S);
   }
 
   private user({ to, text }: QuestionOf<'user'>): ReplyAnswer | Promise<ReplyAnswer> {
     const { forwarder, requests } = this.options;
-    const work = (): Promise<ReplyAnswer> => forwarder.passedOn(to, text);
+    const work = (): Promise<ReplyAnswer> => forwarder.serveForwarded(to, text);
     // Refused without a status: another controller may have time for it.
     return requests.run<ReplyAnswer>(CLASS_OF[to], work, {});
   }
--- a/src/controller/pipeline-statistics.ts
+++ b/src/controller/pipeline-statistics.ts
@@ -1,7 +1,7 @@
 import { isWaiting, neverStarted, outcome } from '../store/stored-job.js';
 import type { Replica } from '../store/replica.js';
 
-export interface PipelineFigures {
+export interface PipelineStatistics {
   /** Open jobs that wait for others. */
   jobs_waiting: number;
   /** Open jobs that may start, or have. */
@@ -11,7 +11,7 @@
 }
 
 /** Counts over all jobs that the store holds: asked for now and then, by operators. */
-export function pipelineFigures({ jobs }: Pick<Replica, 'jobs'>): PipelineFigures {
+export function pipelineStatistics({ jobs }: Pick<Replica, 'jobs'>): PipelineStatistics {
   const figures = { jobs_waiting: 0, jobs_ready: 0, jobs_cancelled_with_needed: 0 };
   for (const storedJob of jobs.values()) {
     if (isWaiting(storedJob)) figures.jobs_waiting++;
--- a/src/controller/request-classes.ts
+++ b/src/controller/request-classes.ts
@@ -13,6 +13,6 @@
  * has given up. To pass a report on takes a while too, and so does the way back of the answer to one
  * that was passed on.
  */
-export const REPORT_PATIENCE_S = ANSWER_WAIT_S * RENEWAL_WAIT_SHARE;
-export const RELAY_PATIENCE_S = ANSWER_WAIT_S * (RENEWAL_WAIT_SHARE - LEADER_WAIT_SHARE);
-export const PASSED_ON_PATIENCE_S = ANSWER_WAIT_S * LEADER_WAIT_SHARE * 0.75;
+export const HEARTBEAT_PATIENCE_S = ANSWER_WAIT_S * RENEWAL_WAIT_SHARE;
+export const FORWARD_PATIENCE_S = ANSWER_WAIT_S * (RENEWAL_WAIT_SHARE - LEADER_WAIT_SHARE);
+export const FORWARDED_PATIENCE_S = ANSWER_WAIT_S * LEADER_WAIT_SHARE * 0.75;
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -33,7 +33,7 @@
   }
 
   /** What a stored record names. */
-  read(key: string, first: number, bits: BitSet, revision: number): void {
+  addStored(key: string, first: number, bits: BitSet, revision: number): void {
     this.revisions.set(key, revision);
     for (let i = 0; i < bits.size; i++) {
       if (!bits.has(i)) continue;
@@ -47,7 +47,7 @@
   }
 
   /** False when it was done already. */
-  add(index: number, now: number): boolean {
+  markDone(index: number, now: number): boolean {
     if (!this.done.add(index)) return false;
     this.dirty.add(this.unitOf(index));
     this.dirtySince ??= now;
@@ -55,7 +55,7 @@
   }
 
   /** Divides what is written from now on otherwise. */
-  divide(layout: ProgressLayout): void {
+  changeLayout(layout: ProgressLayout): void {
     this.layout = layout;
     this.dirty.clear();
     for (let i = 0; i < this.tasks; i++) {
@@ -74,7 +74,7 @@
   }
 
   /** Done tasks of a unit that no stored record names yet. */
-  unstored(unit: number): number[] {
+  unstoredTasks(unit: number): number[] {
     const { first, count } = this.range(unit);
     const out: number[] = [];
     for (let i = first; i < first + count; i++) {
@@ -84,14 +84,14 @@
   }
 
   /** These are stored now. */
-  stored(unit: number, indexes: number[], now: number): void {
+  markStored(unit: number, indexes: number[], now: number): void {
     for (const i of indexes) this.storedDone.add(i);
-    if (this.unstored(unit).length === 0) this.dirty.delete(unit);
+    if (this.unstoredTasks(unit).length === 0) this.dirty.delete(unit);
     this.dirtySince = this.dirty.size === 0 ? null : now;
   }
 
   /** The bits of a unit in base64; null: all are done. */
-  bits(unit: number): string | null {
+  encodeBits(unit: number): string | null {
     const { first, count } = this.range(unit);
     const bits = new BitSet(count);
     for (let i = 0; i < count; i++) if (this.done.has(first + i)) bits.add(i);
--- a/src/jobs/types.ts
+++ b/src/jobs/types.ts
@@ -28,11 +28,11 @@
   saveS: number;
   deadlineS: number | null;
   /** Ids of the jobs that have to be done before any task of this one starts, each once. */
-  awaits: readonly string[];
+  dependencies: readonly string[];
 }
 
 /** What most jobs need: no other one. Shared, since there are very many of them. */
-export const NO_JOBS: readonly string[] = Object.freeze([]);
+export const NO_DEPENDENCIES: readonly string[] = Object.freeze([]);
 
 export interface MachineType {
   name: string;
@@ -47,24 +47,25 @@
   zones: string[];
 }
 
-export interface Size {
+export interface Resources {
   cores: number;
   gpus: number;
   memGb: number;
 }
 
 /** Amounts are decimal: sums of them carry rounding errors, which must not decide. */
-const SLACK = 1e-6;
+const ROUNDING_SLACK = 1e-6;
 
-export function fits(task: Size, room: Size): boolean {
+export function fits(task: Resources, room: Resources): boolean {
   return (
-    task.cores <= room.cores + SLACK &&
-    task.gpus <= room.gpus + SLACK &&
-    task.memGb <= room.memGb + SLACK
+    task.cores <= room.cores + ROUNDING_SLACK &&
+    task.gpus <= room.gpus + ROUNDING_SLACK &&
+    task.memGb <= room.memGb + ROUNDING_SLACK
   );
 }
 
-export const within = (used: number, limit: number): boolean => limit <= 0 || used <= limit + SLACK;
+export const isWithinLimit = (used: number, limit: number): boolean =>
+  limit <= 0 || used <= limit + ROUNDING_SLACK;
 
 /** At most half of a scattered job's tasks, rounded up, may be in one zone. */
-export const scatterCap = (tasks: number): number => Math.ceil(tasks / 2);
+export const maxTasksPerZone = (tasks: number): number => Math.ceil(tasks / 2);
--- a/src/latency-histograms.ts
+++ b/src/latency-histograms.ts
@@ -1,7 +1,7 @@
 import { createHistogram, type RecordableHistogram } from 'node:perf_hooks';
 
 /** What is measured: a worker's report, a user's submission, a pass of ranking and placing. */
-export type Cost = 'report' | 'submission' | 'pass' | 'lag';
+export type MeasuredWork = 'report' | 'submission' | 'pass' | 'lag';
 
 /** How often a piece of work was done since the start, and how long it took in all. */
 export interface WorkTotal {
@@ -15,16 +15,16 @@
 const DIGITS = 2;
 
 /** How long pieces of work take, in microseconds, in Node's own high-dynamic-range histograms. */
-export class Costs {
-  private readonly histograms = new Map<Cost, RecordableHistogram>();
-  readonly passes: WorkTotal = { count: 0, seconds: 0 };
+export class LatencyHistograms {
+  private readonly histograms = new Map<MeasuredWork, RecordableHistogram>();
+  readonly cycles: WorkTotal = { count: 0, seconds: 0 };
 
   constructor(private readonly nowS: () => number) {}
 
-  record(kind: Cost, seconds: number): void {
+  record(kind: MeasuredWork, seconds: number): void {
     if (kind === 'pass') {
-      this.passes.count++;
-      this.passes.seconds += seconds;
+      this.cycles.count++;
+      this.cycles.seconds += seconds;
     }
     let histogram = this.histograms.get(kind);
     if (histogram === undefined) {
@@ -36,7 +36,7 @@
     histogram.record(Math.min(LONGEST_US, Math.max(1, microseconds)));
   }
 
-  time<T>(kind: Cost, work: () => T): T {
+  time<T>(kind: MeasuredWork, work: () => T): T {
     const began = this.nowS();
     try {
       return work();
@@ -46,7 +46,7 @@
   }
 
   /** Microseconds: count, median, 99th percentile and largest of each. */
-  figures(): Record<string, number> {
+  statistics(): Record<string, number> {
     const out: Record<string, number> = {};
     for (const [kind, histogram] of this.histograms) {
       out[`${kind}_count`] = histogram.count;
--- a/src/leader/attempts/attempt-stopper.ts
+++ b/src/leader/attempts/attempt-stopper.ts
@@ -32,7 +32,7 @@
   withdrawClaim(machine: Machine, attempt: Attempt): void {
     machine.withdrawClaim(attempt, this.term.now);
     this.term.machinesToWrite.add(machine.id);
-    this.term.jobs.get(attempt.job)?.release(attempt);
+    this.term.jobs.get(attempt.job)?.removeAttempt(attempt);
     this.term.requestCycle();
   }
 
@@ -46,26 +46,26 @@
 
   /** Every task of a job is told within the same moment: a gang goes as a whole. */
   stopAll(job: LiveJob, graceS: number): void {
-    for (const list of [...job.live.values()])
+    for (const list of [...job.attemptsByTask.values()])
       for (const attempt of [...list]) this.stop(attempt, graceS);
   }
 
   /** With the time it takes to save. Of a gang all tasks go. */
   stopGracefully(job: LiveJob, attempt: Attempt): void {
     const graceS = job.spec.checkpointS > 0 ? job.spec.saveS * GRACE_PER_SAVE : 0;
-    if (job.gang) this.stopAll(job, graceS);
+    if (job.isGang) this.stopAll(job, graceS);
     else this.stop(attempt, graceS);
   }
 
   /** Without saving: what it did since its last checkpoint is lost. */
   stopImmediately(job: LiveJob, attempt: Attempt): void {
-    if (job.gang) this.stopAll(job, 0);
+    if (job.isGang) this.stopAll(job, 0);
     else this.stop(attempt, 0);
   }
 
   /** Nothing of a job starts any more; what may be somewhere is told to go. */
   closeJob(job: LiveJob): void {
-    if (job.phase === 'open') job.become('closing');
+    if (job.phase === 'active') job.changePhase('closing');
     this.stopAll(job, 0);
     for (const machine of this.term.machines.values()) {
       for (const attempt of machine.attempts.values()) {
--- a/src/leader/attempts/heartbeat-reconciler.ts
+++ b/src/leader/attempts/heartbeat-reconciler.ts
@@ -41,17 +41,19 @@
   private adoptOrDismiss(machine: Machine, attempt: Attempt): void {
     const job = this.term.jobs.get(attempt.job);
     this.term.machinesToWrite.add(machine.id);
-    if (job === undefined || job.phase !== 'open') {
+    if (job === undefined || job.phase !== 'active') {
       this.dismiss(machine, attempt, 'unwanted task found');
       return;
     }
-    const others = job.gang ? [...job.holding()].length > 0 : job.live.has(attempt.index);
+    const others = job.isGang
+      ? [...job.activeAttempts()].length > 0
+      : job.attemptsByTask.has(attempt.index);
     if (job.done.has(attempt.index) || others || attempt.index >= job.spec.tasks) {
       this.dismiss(machine, attempt, 'second copy of a task found');
       return;
     }
-    job.adopt(attempt);
-    if (job.gang) this.stopper.stopAll(job, 0);
+    job.addAttempt(attempt);
+    if (job.isGang) this.stopper.stopAll(job, 0);
   }
 
   private dismiss(machine: Machine, attempt: Attempt, message: string): void {
@@ -79,7 +81,7 @@
       attempt.startSentAt !== null &&
       (attempt.state === 'running' || attempt.state === 'waiting')
     ) {
-      this.term.fetchTimes.note(attempt.predictedFetchS, now - attempt.startSentAt);
+      this.term.fetchTimes.record(attempt.predictedFetchS, now - attempt.startSentAt);
       attempt.predictedFetchS = 0;
     }
     if (attempt.state === 'running') this.logRunning(machine, attempt, now);
@@ -113,22 +115,22 @@
       return;
     }
     attempt.settled = true;
-    job.release(attempt);
-    if (job.phase !== 'open') return;
+    job.removeAttempt(attempt);
+    if (job.phase !== 'active') return;
     if (attempt.state === 'ended') this.health.taskFailed(machine, job, attempt);
-    if (job.gang) this.stopRestOfGang(job, attempt);
+    if (job.isGang) this.stopRestOfGang(job, attempt);
   }
 
   private recordRunTime(job: LiveJob, attempt: Attempt): void {
     if (attempt.startedAt === null) return;
     const ranS = this.term.now - attempt.startedAt;
     job.attainedS += ranS;
-    job.noteRun(ranS, this.term.context.settings.workers.lease_s);
+    job.recordRunTime(ranS, this.term.context.settings.workers.lease_s);
   }
 
   /** Without one of its tasks a gang is over; those that are saving may finish that. */
   private stopRestOfGang(job: LiveJob, attempt: Attempt): void {
-    for (const other of [...job.holding()]) {
+    for (const other of [...job.activeAttempts()]) {
       if (other.number === attempt.number && other.stopRequest === null)
         this.stopper.stop(other, 0);
     }
@@ -138,14 +140,15 @@
     machine.successes++;
     machine.taskFailures.clear();
     machine.cordonCount = 0;
-    const indexes = job.gang ? [...Array(job.spec.tasks).keys()] : [attempt.index];
+    const indexes = job.isGang ? [...Array(job.spec.tasks).keys()] : [attempt.index];
     // A gang completes together: if one task is done, all are.
     for (const i of indexes) job.markDone(i, this.term.now);
     // Stored already, as for the other tasks of a gang: nothing is written again.
     if (job.progress.isStored(attempt.index)) attempt.settled = true;
-    else job.awaiting.push(attempt);
-    job.release(attempt);
-    for (const other of [...(job.live.get(attempt.index) ?? [])]) this.stopper.stop(other, 0);
+    else job.endsToStore.push(attempt);
+    job.removeAttempt(attempt);
+    for (const other of [...(job.attemptsByTask.get(attempt.index) ?? [])])
+      this.stopper.stop(other, 0);
   }
 
   /** The cloud is about to take the machine: what can be saved is saved now. */
--- a/src/leader/attempts/machine-health.ts
+++ b/src/leader/attempts/machine-health.ts
@@ -52,8 +52,8 @@
       case 'error': {
         job.failedOn.add(machine.id);
         // Machines are told from jobs: a job that fails wherever it goes says nothing of machines.
-        const jobSuspect = !job.succeeded && job.failedOn.size >= SUSPECT_JOB_MACHINES;
-        job.postpone(
+        const jobSuspect = !job.hasSucceeded && job.failedOn.size >= SUSPECT_JOB_MACHINES;
+        job.delayRetry(
           attempt.index,
           now,
           report_s / 2,
@@ -76,7 +76,7 @@
         break;
       case 'unknown':
         // The worker did not find the job's description: perhaps it is not there yet.
-        job.postpone(attempt.index, now, report_s, lease_s * MAX_RETRY_DELAY_LEASES);
+        job.delayRetry(attempt.index, now, report_s, lease_s * MAX_RETRY_DELAY_LEASES);
         break;
       default:
         break;
@@ -104,7 +104,7 @@
   /** Whether some task of a job has done well somewhere. */
   private hasSucceeded(id: string): boolean {
     const job = this.options.jobs.get(id);
-    if (job !== undefined) return job.succeeded;
+    if (job !== undefined) return job.hasSucceeded;
     const storedJob = this.options.replica.jobs.get(id);
     return storedJob !== undefined && outcome(storedJob) === 'done';
   }
--- a/src/leader/attempts/start-permission.ts
+++ b/src/leader/attempts/start-permission.ts
@@ -8,18 +8,18 @@
 export function mayStart(term: TermState, attempt: Attempt): boolean {
   const job = term.jobs.get(attempt.job);
   const machine = term.machines.get(attempt.machine);
-  if (job === undefined || machine === undefined || job.phase !== 'open') return false;
+  if (job === undefined || machine === undefined || job.phase !== 'active') return false;
   // By the store's changes in their order, whatever this leader believes of the jobs that it needs.
   if (job.storedJob.readyAt === null) return false;
   if (machine.state !== 'ready' || machine.reclaimedAt !== null) return false;
   if (job.done.has(attempt.index)) return false;
-  return !job.gang || isGangStored(job, attempt.number);
+  return !job.isGang || isGangStored(job, attempt.number);
 }
 
 /** All of a gang's claims are stored before the first of them starts. */
 function isGangStored(job: LiveJob, number: number): boolean {
   let claims = 0;
-  for (const other of job.holding()) {
+  for (const other of job.activeAttempts()) {
     if (other.number !== number || other.state === 'claiming' || other.stopRequest !== null)
       return false;
     claims++;
--- a/src/leader/capacity/consolidation.ts
+++ b/src/leader/capacity/consolidation.ts
@@ -2,7 +2,7 @@
 
 import type { FreeCapacity } from '../../scheduler/bin-packing.js';
 import { freeMachines } from './free-capacity.js';
-import type { PassRemains } from './scale-out-planner.js';
+import type { CycleRemainder } from './scale-out-planner.js';
 import { MUCH_SURPLUS } from './scale-in-planner.js';
 import type { Term } from '../term/term.js';
 import type { WarmReserve } from './warm-reserve.js';
@@ -23,29 +23,29 @@
 
   constructor(
     private readonly term: Term,
-    private readonly warm: WarmReserve,
+    private readonly warmReserve: WarmReserve,
     /** Empties a machine whose replicas fit elsewhere, if there is one. */
-    private readonly vacate: (rooms: FreeCapacity[]) => void,
+    private readonly drainMachine: (capacities: FreeCapacity[]) => void,
     /** Whether a machine stays although nothing runs on it. */
     private readonly keeps: (machine: string) => boolean,
   ) {}
 
   /** When there is a machine's worth of room too much, a machine is emptied to be given back. */
-  consolidate({ demand, rooms }: PassRemains): void {
+  consolidate({ demand, capacities }: CycleRemainder): void {
     const { term } = this;
     const { now } = term;
     const { lease_s } = term.context.settings.workers;
-    this.useAgain(now, demand.length > 0);
+    this.cancelDrains(now, demand.length > 0);
     if (!term.context.canWrite() || now - term.startedAt < lease_s * SETTLE_LEASES) return;
-    const surplus = freeMachines(rooms, false) - this.warm.target(false);
+    const surplus = freeMachines(capacities, false) - this.warmReserve.target(false);
     const gap = lease_s * (surplus >= MUCH_SURPLUS ? EMPTY_OFTEN : EMPTY_SELDOM);
     if (now - this.latestAt < gap || demand.length > 0) return;
     this.latestAt = now;
     if (surplus < SURPLUS || (surplus < MUCH_SURPLUS && this.hasEmpty())) return;
-    this.vacate(rooms);
+    this.drainMachine(capacities);
   }
 
-  private useAgain(now: number, wanted: boolean): void {
+  private cancelDrains(now: number, wanted: boolean): void {
     const patience = this.term.context.settings.workers.lease_s * EMPTIED_LEASES;
     for (const machine of this.term.machines.values()) {
       if (machine.drainingSince === null || machine.state !== 'ready') continue;
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -29,14 +29,14 @@
 const CHARGED_SHARE = 0.92;
 
 /** Plans what a term gives back. */
-export class ReturnPlanner {
+export class ScaleInPlanner {
   private readonly failed = new Set<string>();
-  private readonly neverCame = new Set<string>();
+  private readonly neverReported = new Set<string>();
   private lastListed = new Set<string>();
 
   constructor(
     private readonly term: Term,
-    private readonly warm: WarmReserve,
+    private readonly warmReserve: WarmReserve,
     private readonly subsystems: ActiveSubsystems = NO_SUBSYSTEMS,
   ) {}
 
@@ -46,14 +46,14 @@
   }
 
   /** Takes in the cloud's list of all machines that it has not confirmed as gone. */
-  listed(all: ListedMachine[]): void {
+  applyList(all: ListedMachine[]): void {
     const { now } = this.term;
     this.lastListed = new Set(all.map((listed) => listed.id));
-    for (const listed of all) this.judge(listed, now);
-    this.dropThoseThatCame();
+    for (const listed of all) this.judgeListed(listed, now);
+    this.dropReported();
   }
 
-  private judge(listed: ListedMachine, now: number): void {
+  private judgeListed(listed: ListedMachine, now: number): void {
     const { term } = this;
     const { lease_s } = term.context.settings.workers;
     const type = term.machineTypes.get(listed.type);
@@ -67,34 +67,37 @@
     // Boots that never end, and machines that run but never report.
     const limit = type.bootS * NEVER_BOOTS[listed.state] + lease_s * NEVER_LEASES;
     const settled = now - term.startedAt > lease_s * JUDGE_LEASES;
-    if (listed.ageS > limit && settled) this.neverCame.add(listed.id);
+    if (listed.ageS > limit && settled) this.neverReported.add(listed.id);
   }
 
   /** They came after all, while the cloud did not answer: there may be work on them by now. */
-  private dropThoseThatCame(): void {
-    for (const id of this.neverCame) if (this.term.machines.has(id)) this.neverCame.delete(id);
+  private dropReported(): void {
+    for (const id of this.neverReported)
+      if (this.term.machines.has(id)) this.neverReported.delete(id);
   }
 
   /** The cloud has confirmed that a machine is gone. */
-  confirmed(id: string): void {
+  returnConfirmed(id: string): void {
     this.failed.delete(id);
-    this.neverCame.delete(id);
+    this.neverReported.delete(id);
   }
 
   /** Machines to give back now. Records are marked before their machines are named. */
-  toReturn(rooms: FreeCapacity[]): string[] {
+  plan(capacities: FreeCapacity[]): string[] {
     const { term } = this;
     const { now } = term;
-    this.dropThoseThatCame();
-    const ids: string[] = [...this.failed, ...this.neverCame];
-    const spare = [false, true].map((spot) => freeMachines(rooms, spot) - this.warm.target(spot));
+    this.dropReported();
+    const ids: string[] = [...this.failed, ...this.neverReported];
+    const spare = [false, true].map(
+      (spot) => freeMachines(capacities, spot) - this.warmReserve.target(spot),
+    );
     for (const machine of term.machines.values()) {
       if (machine.state === 'returning' && (machine.returnRecorded || machine.recordRevision === 0))
         ids.push(machine.id);
     }
     for (const machine of this.emptyMachines()) {
       const type = term.machineTypes.get(machine.type);
-      if (type === undefined || !this.dueBack(machine, type, now, spare)) continue;
+      if (type === undefined || !this.isDueForReturn(machine, type, now, spare)) continue;
       if (!term.context.canWrite()) continue;
       this.markReturning(machine, now);
       if (machine.recordRevision === 0) ids.push(machine.id);
@@ -132,7 +135,12 @@
    * Whether an empty machine goes back now. `spare`: free machines above the reserve, ordinary and spot;
    * one that goes for being too many is taken off.
    */
-  private dueBack(machine: Machine, type: MachineType, now: number, spare: number[]): boolean {
+  private isDueForReturn(
+    machine: Machine,
+    type: MachineType,
+    now: number,
+    spare: number[],
+  ): boolean {
     const { lease_s, report_s } = this.term.context.settings.workers;
     if (machine.quarantined) return true;
     if (machine.state === 'silent') return now - machine.lastSeenAt > lease_s * SILENT_LEASES;
@@ -143,15 +151,15 @@
     const idle = now - machine.idleSince;
     if (machine.drainingSince !== null) return idle > report_s;
     const kind = machine.spot ? 1 : 0;
-    if (!this.isTooMany(machine, type, idle, spare[kind]!)) return false;
+    if (!this.isSurplus(machine, type, idle, spare[kind]!)) return false;
     spare[kind]! -= 1;
     return true;
   }
 
   /** What is held above the reserve goes back, with a margin against going back and forth. */
-  private isTooMany(machine: Machine, type: MachineType, idle: number, surplus: number): boolean {
+  private isSurplus(machine: Machine, type: MachineType, idle: number, surplus: number): boolean {
     // Where nothing is kept even the last one goes: it once stayed for the rest of the day.
-    const none = this.term.jobs.size === 0 || (machine.spot && this.warm.target(true) === 0);
+    const none = this.term.jobs.size === 0 || (machine.spot && this.warmReserve.target(true) === 0);
     if (surplus < (none ? LAST_SURPLUS : SURPLUS)) return false;
     const early = machine.spot || surplus >= MUCH_SURPLUS;
     return idle > type.bootS * (early ? IDLE_EARLY_BOOTS : IDLE_BOOTS);
--- a/src/leader/capacity/scale-out-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -1,10 +1,15 @@
 /** What to rent: machines for work that found none, for replicas that are missed, and the warm reserve. */
 
-import { unit } from '../../cloud/demand-forecast.js';
-import type { Fleet } from '../../cloud/provisioner.js';
-import { comingCapacity, planRent, type Demand, type Wanted } from '../../cloud/scale-out-plan.js';
+import { unitsOf } from '../../cloud/demand-forecast.js';
+import type { MachineProvisioner } from '../../cloud/provisioner.js';
+import {
+  emptyMachineCapacity,
+  planScaleOut,
+  type Demand,
+  type MachineOrder,
+} from '../../cloud/scale-out-plan.js';
 import type { LiveJob } from '../../jobs/live-job.js';
-import type { FreeCapacity, Weights } from '../../scheduler/bin-packing.js';
+import type { FreeCapacity, PlacementWeights } from '../../scheduler/bin-packing.js';
 import { RENT_MAX } from '../../wire/cloud.js';
 import type { ActiveSubsystems } from '../../subsystems/active-subsystems.js';
 import { occupiesCapacity } from '../../workers/attempt.js';
@@ -19,9 +24,9 @@
  * A machine that has been silent for this share of a lease will hardly be back in time. What must be
  * started elsewhere once its lease has run out needs a boot: that begins now.
  */
-const MISSED_LEASE = 0.4;
+const SILENT_LEASE_SHARE = 0.4;
 /** When more of the fleet than this is silent, it is this controller that hears nothing. */
-const MISSED_MOST = 0.5;
+const MAX_SILENT_SHARE = 0.5;
 /** Warm machines rented at once, at most: so many, or this share of what is kept. */
 const WARM_AT_ONCE = 4;
 const WARM_SHARE = 0.25;
@@ -29,18 +34,18 @@
 const SPREAD_SHARE = 0.001;
 
 /** What the latest pass of placing left. */
-export interface PassRemains {
+export interface CycleRemainder {
   /** What found no place. */
   demand: Demand[];
   /** What is free. */
-  rooms: FreeCapacity[];
+  capacities: FreeCapacity[];
 }
 
-export interface RentPlannerOptions {
+export interface ScaleOutPlannerOptions {
   term: Term;
-  fleet: Fleet;
-  warm: WarmReserve;
-  weights: () => Weights;
+  provisioner: MachineProvisioner;
+  warmReserve: WarmReserve;
+  weights: () => PlacementWeights;
   subsystems: ActiveSubsystems;
 }
 
@@ -48,60 +53,62 @@
 type ZoneCounts = Map<string, number>;
 
 /** Plans what a term rents. */
-export class RentPlanner {
-  constructor(private readonly options: RentPlannerOptions) {}
+export class ScaleOutPlanner {
+  constructor(private readonly options: ScaleOutPlannerOptions) {}
 
   /** Machines to rent now; none while the term may not write or does not know its fleet. */
-  wanted(remains: PassRemains): Wanted[] {
-    const { term, fleet, weights, subsystems } = this.options;
+  plan(remains: CycleRemainder): MachineOrder[] {
+    const { term, provisioner, weights, subsystems } = this.options;
     const { context } = term;
-    if (!context.canWrite() || !fleet.listedOnce || term.machineTypes.size === 0) return [];
-    const perZone = this.machinesPerZone();
-    const rooms = [...this.comingCapacities(), ...remains.rooms];
-    const missed = this.missed();
-    this.logFleet(remains, missed);
-    const wanted = planRent({
+    if (!context.canWrite() || !provisioner.listedOnce || term.machineTypes.size === 0) return [];
+    const machinesByZone = this.countMachinesByZone();
+    const capacities = [...this.pendingCapacities(), ...remains.capacities];
+    const missed = this.silentDemand();
+    this.logCapacity(remains, missed);
+    const wanted = planScaleOut({
       demand: [...remains.demand, ...missed],
-      rooms,
+      capacities,
       types: [...term.machineTypes.values()],
       zones: context.settings.zones,
-      short: (t: string, z: string, s: boolean) => fleet.short(t, z, s),
-      perZone,
+      isShort: (t: string, z: string, s: boolean) => provisioner.isShort(t, z, s),
+      machinesByZone,
       weights: weights(),
       // As many as the cloud's calls of a second can rent.
-      most: Math.ceil(context.settings.cloud.rps) * RENT_MAX,
-      ...(subsystems.any ? { may: (spec, room) => subsystems.mayUse(spec, room) } : {}),
+      maxMachines: Math.ceil(context.settings.cloud.rps) * RENT_MAX,
+      ...(subsystems.hasAny
+        ? { mayUse: (spec, capacity) => subsystems.mayUse(spec, capacity) }
+        : {}),
     });
     for (const spot of [false, true]) {
-      const spare = this.spareWanted(rooms, perZone, spot);
-      if (spare !== null) addWanted(wanted, spare);
+      const spare = this.warmOrder(capacities, machinesByZone, spot);
+      if (spare !== null) addOrder(wanted, spare);
     }
     return wanted;
   }
 
-  private machinesPerZone(): ZoneCounts {
+  private countMachinesByZone(): ZoneCounts {
     const perZone: ZoneCounts = new Map();
     const count = (zone: string): void => void perZone.set(zone, (perZone.get(zone) ?? 0) + 1);
     for (const machine of this.options.term.machines.values()) count(machine.zone);
-    for (const coming of this.options.fleet.coming.values()) count(coming.zone);
+    for (const pending of this.options.provisioner.pending.values()) count(pending.zone);
     return perZone;
   }
 
   /** Machines on their way, as if they were there and empty. */
-  private comingCapacities(): FreeCapacity[] {
-    const { term, fleet } = this.options;
+  private pendingCapacities(): FreeCapacity[] {
+    const { term, provisioner } = this.options;
     const { now } = term;
-    const rooms: FreeCapacity[] = [];
-    for (const coming of fleet.coming.values()) {
-      const type = term.machineTypes.get(coming.type);
-      if (type === undefined || now - coming.since > type.bootS * LATE_BOOTS) continue;
-      rooms.push(comingCapacity(coming.id, type, coming.zone, coming.spot));
+    const capacities: FreeCapacity[] = [];
+    for (const pending of provisioner.pending.values()) {
+      const type = term.machineTypes.get(pending.type);
+      if (type === undefined || now - pending.since > type.bootS * LATE_BOOTS) continue;
+      capacities.push(emptyMachineCapacity(pending.id, type, pending.zone, pending.spot));
     }
-    return rooms;
+    return capacities;
   }
 
-  private logFleet({ demand, rooms }: PassRemains, missed: Demand[]): void {
-    const { term, fleet, warm } = this.options;
+  private logCapacity({ demand, capacities }: CycleRemainder, missed: Demand[]): void {
+    const { term, provisioner, warmReserve } = this.options;
     const { log } = term.context;
     if (!log.isLevelEnabled('debug')) return;
     const byClass = new Map<string, number>();
@@ -110,9 +117,9 @@
     log.debug(
       {
         demand: [...byClass],
-        free: [false, true].map((spot) => freeMachines(rooms, spot)),
-        target: [false, true].map((spot) => warm.target(spot)),
-        coming: fleet.coming.size,
+        free: [false, true].map((spot) => freeMachines(capacities, spot)),
+        target: [false, true].map((spot) => warmReserve.target(spot)),
+        coming: provisioner.pending.size,
         missed: missed.reduce((n, demand) => n + demand.tasks, 0),
         machines: [...term.machines.values()].filter(
           (machine) => machine.activeAttempts().length > 0,
@@ -128,13 +135,13 @@
    * must be, and then for a boot, which could have passed meanwhile. Not where a cut zone's own
    * controller may be keeping them, and not while it is rather this controller that hears nothing.
    */
-  private missed(): Demand[] {
+  private silentDemand(): Demand[] {
     const silent = this.silentMachines();
     return [...this.tasksOn(silent)].map(([job, tasks]) => ({
       spec: job.spec,
       // A gang goes as a whole.
-      tasks: job.gang ? job.spec.tasks : tasks,
-      zones: job.gang ? new Map<string, number>() : this.zonesWithout(job, silent),
+      tasks: job.isGang ? job.spec.tasks : tasks,
+      zones: job.isGang ? new Map<string, number>() : this.zonesWithout(job, silent),
     }));
   }
 
@@ -142,7 +149,7 @@
   private silentMachines(): Set<Machine> {
     const { term } = this.options;
     const { now } = term;
-    const patience = term.context.settings.workers.lease_s * MISSED_LEASE;
+    const patience = term.context.settings.workers.lease_s * SILENT_LEASE_SHARE;
     const silent = new Set<Machine>();
     let known = 0;
     for (const machine of term.machines.values()) {
@@ -151,7 +158,7 @@
       known++;
       if (now - machine.lastSeenAt > patience) silent.add(machine);
     }
-    if (silent.size > known * MISSED_MOST) silent.clear();
+    if (silent.size > known * MAX_SILENT_SHARE) silent.clear();
     return silent;
   }
 
@@ -166,7 +173,7 @@
         const job = term.jobs.get(attempt.job);
         if (
           job === undefined ||
-          job.phase !== 'open' ||
+          job.phase !== 'active' ||
           !occupiesCapacity(attempt) ||
           attempt.stopRequest !== null
         )
@@ -179,7 +186,7 @@
 
   private zonesWithout(job: LiveJob, silent: Set<Machine>): ZoneCounts {
     const zones: ZoneCounts = new Map();
-    for (const attempt of job.holding()) {
+    for (const attempt of job.activeAttempts()) {
       const machine = this.options.term.machines.get(attempt.machine);
       if (machine === undefined || silent.has(machine)) continue;
       zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
@@ -188,26 +195,33 @@
   }
 
   /** Machines more when what is free after all demand is less than the warm reserve. */
-  private spareWanted(rooms: FreeCapacity[], perZone: ZoneCounts, spot: boolean): Wanted | null {
-    const target = this.options.warm.target(spot);
-    const missing = target - freeMachines(rooms, spot);
+  private warmOrder(
+    capacities: FreeCapacity[],
+    perZone: ZoneCounts,
+    spot: boolean,
+  ): MachineOrder | null {
+    const target = this.options.warmReserve.target(spot);
+    const missing = target - freeMachines(capacities, spot);
     if (missing <= 0 || this.options.term.jobs.size === 0) return null;
-    const cheapest = this.cheapest(perZone, spot);
+    const cheapest = this.cheapestKind(perZone, spot);
     if (cheapest === null) return null;
     const most = Math.max(WARM_AT_ONCE, Math.ceil(target * WARM_SHARE));
     return { ...cheapest, spot, count: Math.min(most, Math.ceil(missing)) };
   }
 
   /** The type and zone with the lowest price for what a machine holds. */
-  private cheapest(perZone: ZoneCounts, spot: boolean): Pick<Wanted, 'type' | 'zone'> | null {
-    let best: Pick<Wanted, 'type' | 'zone'> | null = null;
+  private cheapestKind(
+    perZone: ZoneCounts,
+    spot: boolean,
+  ): Pick<MachineOrder, 'type' | 'zone'> | null {
+    let best: Pick<MachineOrder, 'type' | 'zone'> | null = null;
     let bestCost = Infinity;
     for (const type of this.options.term.machineTypes.values()) {
       if (spot && type.spotPrice <= 0) continue;
       for (const zone of type.zones) {
-        if (this.options.fleet.short(type.name, zone, spot)) continue;
+        if (this.options.provisioner.isShort(type.name, zone, spot)) continue;
         const price = spot ? type.spotPrice : type.price;
-        const cost = (price / unit(type)) * (1 + SPREAD_SHARE * (perZone.get(zone) ?? 0));
+        const cost = (price / unitsOf(type)) * (1 + SPREAD_SHARE * (perZone.get(zone) ?? 0));
         if (cost < bestCost) {
           bestCost = cost;
           best = { type: type.name, zone };
@@ -218,10 +232,11 @@
   }
 }
 
-function addWanted(wanted: Wanted[], more: Wanted): void {
+function addOrder(wanted: MachineOrder[], order: MachineOrder): void {
   const same = wanted.find(
-    (wanted) => wanted.type === more.type && wanted.zone === more.zone && wanted.spot === more.spot,
+    (wanted) =>
+      wanted.type === order.type && wanted.zone === order.zone && wanted.spot === order.spot,
   );
-  if (same === undefined) wanted.push(more);
-  else same.count += more.count;
+  if (same === undefined) wanted.push(order);
+  else same.count += order.count;
 }
--- a/src/leader/capacity/warm-reserve.ts
+++ b/src/leader/capacity/warm-reserve.ts
@@ -1,6 +1,6 @@
 /** Free capacity that is kept for work to come. */
 
-import type { Arrivals } from '../../cloud/demand-forecast.js';
+import type { DemandForecast } from '../../cloud/demand-forecast.js';
 import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../../subsystems/active-subsystems.js';
 import type { Term } from '../term/term.js';
 
@@ -8,7 +8,7 @@
 export class WarmReserve {
   constructor(
     private readonly term: Term,
-    private readonly arrivals: Arrivals,
+    private readonly forecast: DemandForecast,
     private readonly subsystems: ActiveSubsystems = NO_SUBSYSTEMS,
   ) {}
 
@@ -18,6 +18,6 @@
    */
   target(spot: boolean): number {
     const kept = spot ? 0 : this.subsystems.keptMachines();
-    return this.term.jobs.size === 0 ? kept : this.arrivals.target(spot) + kept;
+    return this.term.jobs.size === 0 ? kept : this.forecast.warmTarget(spot) + kept;
   }
 }
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -1,4 +1,4 @@
-import { Arrivals } from '../cloud/demand-forecast.js';
+import { DemandForecast } from '../cloud/demand-forecast.js';
 import type { CloudClient } from '../cloud/client.js';
 import type { Reply } from '../http/server.js';
 import type { MachineType } from '../jobs/types.js';
@@ -9,11 +9,11 @@
 import { ActiveSubsystems } from '../subsystems/active-subsystems.js';
 import type { Subsystem, TermView } from '../subsystems/subsystem.js';
 import type { Machine } from '../workers/machine.js';
-import type { Costs } from '../latency-histograms.js';
+import type { LatencyHistograms } from '../latency-histograms.js';
 import { CommandDispatcher } from './attempts/command-dispatcher.js';
 import { termStatistics } from './term/statistics.js';
 import { Overload } from '../admission/overload.js';
-import { PASS_GAP_S, PassPacing } from './scheduling/cycle-pacing.js';
+import { MIN_CYCLE_GAP_S, CyclePacing } from './scheduling/cycle-pacing.js';
 import { splitOversizedProgress } from './writes/progress-layout.js';
 import { Scheduler } from './scheduling/scheduler.js';
 import { SubsystemView } from './term/subsystem-view.js';
@@ -28,7 +28,7 @@
   cloud: CloudClient;
   /** The leader's key has changed: this term is over. */
   onLeadershipLost: () => void;
-  costs: Costs;
+  latencies: LatencyHistograms;
   /** What a pass may take of the processor; shared by the leaders of a controller. */
   overload?: Overload;
   /** Those that this controller's features file switches on. */
@@ -42,11 +42,11 @@
   private readonly writer: RecordWriter;
   private readonly capacity: CapacityManager;
   private readonly dispatcher: CommandDispatcher;
-  private readonly forecast: Arrivals;
+  private readonly forecast: DemandForecast;
   private readonly subsystems: ActiveSubsystems;
-  private readonly costs: Costs;
+  private readonly latencies: LatencyHistograms;
   private timer: NodeJS.Timeout | null = null;
-  private readonly pacing: PassPacing;
+  private readonly cyclePacing: CyclePacing;
   private stopped = false;
   /** Whether it has been logged how long this term took to hear of its machines. */
   private fencedLogged = false;
@@ -57,36 +57,36 @@
       store,
       cloud,
       onLeadershipLost,
-      costs,
+      latencies,
       overload = new Overload(),
       subsystems = [],
     }: LeaderServices,
   ) {
-    this.costs = costs;
+    this.latencies = latencies;
     this.term = new Term(context);
-    this.pacing = new PassPacing({ leaseS: context.settings.workers.lease_s, overload });
+    this.cyclePacing = new CyclePacing({ leaseS: context.settings.workers.lease_s, overload });
     this.term.onCycleRequested = () => this.scheduleCycle();
-    this.forecast = new Arrivals(context.wallMs, context.settings.workers.report_s, () => [
+    this.forecast = new DemandForecast(context.wallMs, context.settings.workers.report_s, () => [
       ...this.term.machineTypes.values(),
     ]);
     for (const storedJob of context.replica.jobs.values()) {
-      if (storedJob.readyAt !== null) this.forecast.add(storedJob.spec, storedJob.readyMs);
+      if (storedJob.readyAt !== null) this.forecast.jobArrived(storedJob.spec, storedJob.readyMs);
     }
     this.subsystems = new ActiveSubsystems(context.log);
     this.capacity = new CapacityManager({
       term: this.term,
       cloud,
       scheduler: () => this.scheduler,
-      arrivals: this.forecast,
-      forget: (machine) => this.forgetMachine(machine),
-      onTypes: (types) => this.onMachineTypes(types),
+      forecast: this.forecast,
+      forgetMachine: (machine) => this.forgetMachine(machine),
+      onMachineTypes: (types) => this.onMachineTypes(types),
       subsystems: this.subsystems,
     });
     this.scheduler = new Scheduler(
       this.term,
       this.forecast,
-      (type) => this.capacity.spotShort(type),
-      (spot) => this.capacity.target(spot),
+      (type) => this.capacity.isSpotShort(type),
+      (spot) => this.capacity.warmTarget(spot),
       this.subsystems,
     );
     this.dispatcher = new CommandDispatcher(this.term, () => this.scheduleCycle());
@@ -95,7 +95,7 @@
       store,
       clock: context.clock,
       log: context.log,
-      onLeadershipLost: onLeadershipLost,
+      onLeadershipLost,
       subsystems: this.subsystems,
     });
     this.subsystems.begin(subsystems, (subsystem) => this.subsystemView(subsystem.name));
@@ -109,21 +109,22 @@
       term,
       capacity,
       nudgeStore: () => writer.wake(),
-      moveReplica: (attempt, mayFetch) => scheduler.moveReplica(attempt, capacity.rooms, mayFetch),
-      moveGapS: (jobClass) => scheduler.moveGapS(jobClass),
+      moveReplica: (attempt, mayFetch) =>
+        scheduler.migrateReplica(attempt, capacity.capacities, mayFetch),
+      moveGapS: (jobClass) => scheduler.migrationGapS(jobClass),
     });
   }
 
   start(): void {
     void this.writer.run();
-    void this.capacity.fleet.run();
+    void this.capacity.provisioner.run();
     this.scheduleCycle();
   }
 
   stop(): void {
     this.stopped = true;
     this.writer.stop();
-    this.capacity.fleet.stop();
+    this.capacity.provisioner.stop();
     if (this.timer !== null) clearTimeout(this.timer);
     this.dispatcher.stop();
     this.subsystems.stop();
@@ -144,12 +145,12 @@
 
   /** A job was accepted that needs no other one, or the last one that it needs is done. */
   onReady(storedJob: StoredJob): void {
-    this.forecast.add(storedJob.spec, storedJob.readyMs);
+    this.forecast.jobArrived(storedJob.spec, storedJob.readyMs);
     this.term.addJob(storedJob);
   }
 
   onCancelled(storedJob: StoredJob): void {
-    if (this.term.jobs.has(storedJob.spec.id)) this.forecast.left(storedJob.spec);
+    if (this.term.jobs.has(storedJob.spec.id)) this.forecast.jobLeft(storedJob.spec);
     this.term.jobCancelled(storedJob);
   }
 
@@ -209,7 +210,7 @@
         { machine: machine.id, type: heartbeat.type, zone: heartbeat.zone },
         'machine reports',
       );
-      this.capacity.fleet.heard(machine.id);
+      this.capacity.provisioner.machineReported(machine.id);
       this.term.requestCycle();
     }
     return machine;
@@ -219,11 +220,11 @@
 
   private scheduleCycle(): void {
     if (this.stopped || this.timer !== null) return;
-    const wait = Math.max(PASS_GAP_S / 4, this.pacing.nextAt - this.context.clock.now());
+    const wait = Math.max(MIN_CYCLE_GAP_S / 4, this.cyclePacing.nextAt - this.context.clock.now());
     this.timer = setTimeout(() => {
       this.timer = null;
       try {
-        this.costs.time('pass', () => this.runCycle());
+        this.latencies.time('pass', () => this.runCycle());
       } catch (error) {
         this.context.log.error(
           { err: String(error), stack: (error as Error).stack },
@@ -253,18 +254,18 @@
     if (!context.isEntitled()) return;
     term.expireLeases();
     if (context.canWrite()) {
-      const r = this.scheduler.pass();
+      const r = this.scheduler.runCycle();
       capacity.demand = r.demand;
-      capacity.rooms = r.rooms;
+      capacity.capacities = r.capacities;
       capacity.usages = r.usages;
     }
     for (const machine of term.machines.values())
       if (machine.hasActiveAttempts()) machine.idleSince = began;
     if (term.machinesToWrite.size > 0 || this.anyDirty()) this.writer.wake();
     this.dispatcher.dispatch();
-    if (capacity.demand.length > 0) capacity.fleet.nudge();
+    if (capacity.demand.length > 0) capacity.provisioner.wake();
     const end = context.clock.now();
-    this.pacing.ended(began, end);
+    this.cyclePacing.cycleEnded(began, end);
   }
 
   private logFencingDone(): void {
@@ -301,6 +302,6 @@
   // Figures
 
   statistics(): Record<string, number | string> {
-    return { ...termStatistics(this.term, this.capacity), ...this.subsystems.figures() };
+    return { ...termStatistics(this.term, this.capacity), ...this.subsystems.statistics() };
   }
 }
--- a/src/leader/scheduling/claim-limit.ts
+++ b/src/leader/scheduling/claim-limit.ts
@@ -25,46 +25,46 @@
  * thousandth of a core one did, and nothing could be stored any more. Bytes are counted only on machines
  * that hold so many claims that it may matter, and anew only after a change.
  */
-export class ClaimSpace {
+export class ClaimLimit {
   private readonly measured = new Map<string, Measured>();
   /** Machines whose bytes have to be counted. */
-  private readonly crowded = new Set<string>();
+  private readonly nearLimit = new Set<string>();
   private form: ClaimForm = 'plain';
-  private readonly mostBytes: number;
+  private readonly maxBytes: number;
 
   constructor(private readonly term: Term) {
-    this.mostBytes = machineRecordBytes(term.context.settings);
+    this.maxBytes = machineRecordBytes(term.context.settings);
   }
 
-  beginPass(): void {
+  beginCycle(): void {
     const form: ClaimForm = this.term.context.allReadDenseRecords() ? 'dense' : 'plain';
     if (form !== this.form) this.measured.clear();
     this.form = form;
     if (this.measured.size > this.term.machines.size * 2) this.measured.clear();
-    this.crowded.clear();
+    this.nearLimit.clear();
     for (const machine of this.term.machines.values()) this.noteClaimed(machine);
   }
 
   /** A claim was added to a machine, in a pass. */
   noteClaimed(machine: Machine): void {
-    if (!this.surelyHolds(machine.attempts.size + 1)) this.crowded.add(machine.id);
+    if (!this.certainlyFits(machine.attempts.size + 1)) this.nearLimit.add(machine.id);
   }
 
   /** Whether a task of the job, or of a gang all that fit there, can be claimed on a machine. */
-  has(job: LiveJob, room: FreeCapacity): boolean {
+  allows(job: LiveJob, capacity: FreeCapacity): boolean {
     // Asked for each job and machine of each pass: as a rule this is all.
-    if (this.crowded.size === 0 && !job.gang) return true;
-    const machine = this.term.machines.get(room.id)!;
+    if (this.nearLimit.size === 0 && !job.isGang) return true;
+    const machine = this.term.machines.get(capacity.id)!;
     const held = machine.attempts.size;
-    const more = job.gang ? tasksThatFit(job, room) : 1;
-    if (held === 0 || this.surelyHolds(held + more)) return true;
+    const more = job.isGang ? tasksThatFit(job, capacity) : 1;
+    if (held === 0 || this.certainlyFits(held + more)) return true;
     if (held + more > MAX_REPORTED_TASKS) return false;
     const eachMore = this.form === 'dense' ? DENSE_TASK_BYTES : CLAIM_BYTES;
-    return this.bytes(machine) + CLAIM_BYTES + (more - 1) * eachMore <= this.mostBytes;
+    return this.bytes(machine) + CLAIM_BYTES + (more - 1) * eachMore <= this.maxBytes;
   }
 
-  private surelyHolds(claims: number): boolean {
-    return claims <= MAX_REPORTED_TASKS && FRAME_BYTES + claims * CLAIM_BYTES <= this.mostBytes;
+  private certainlyFits(claims: number): boolean {
+    return claims <= MAX_REPORTED_TASKS && FRAME_BYTES + claims * CLAIM_BYTES <= this.maxBytes;
   }
 
   private bytes(machine: Machine): number {
@@ -77,9 +77,9 @@
 }
 
 /** Tasks of a gang that fit into what is free on a machine; at least one. */
-function tasksThatFit({ spec }: LiveJob, room: FreeCapacity): number {
-  const cores = spec.cores > 0 ? room.cores / spec.cores : Infinity;
-  const gpus = spec.gpus > 0 ? room.gpus / spec.gpus : Infinity;
-  const memory = spec.memGb > 0 ? room.memGb / spec.memGb : Infinity;
+function tasksThatFit({ spec }: LiveJob, capacity: FreeCapacity): number {
+  const cores = spec.cores > 0 ? capacity.cores / spec.cores : Infinity;
+  const gpus = spec.gpus > 0 ? capacity.gpus / spec.gpus : Infinity;
+  const memory = spec.memGb > 0 ? capacity.memGb / spec.memGb : Infinity;
   return Math.max(1, Math.min(spec.tasks, Math.floor(Math.min(cores, gpus, memory))));
 }
--- a/src/leader/scheduling/cycle-context.ts
+++ b/src/leader/scheduling/cycle-context.ts
@@ -1,33 +1,33 @@
 /** What the parts of one pass of placing share. */
 
 import type { LiveJob } from '../../jobs/live-job.js';
-import type { FreeCapacity, Weights } from '../../scheduler/bin-packing.js';
-import type { Usages } from '../../scheduler/quota.js';
-import type { Evictions } from './preemptor.js';
+import type { FreeCapacity, PlacementWeights } from '../../scheduler/bin-packing.js';
+import type { TeamUsages } from '../../scheduler/quota.js';
+import type { Preemptor } from './preemptor.js';
 import type { Term } from '../term/term.js';
 import type { UnplacedRequests } from './unplaced-requests.js';
 
 /** Whether a job may use a machine now. */
-export type MayUse = (room: FreeCapacity) => boolean;
+export type MachineFilter = (capacity: FreeCapacity) => boolean;
 
 /** What work of a priority must leave free of each machine type, in GPUs or (without any) cores. */
 export type LongWorkShares = (priority: number) => Map<string, number>;
 
-export interface PassContext {
+export interface CycleContext {
   /** When the pass began, in seconds of the steady clock. */
   readonly now: number;
   /** Free capacity of the machines that may be used. Placing takes from it. */
-  readonly rooms: FreeCapacity[];
+  readonly capacities: FreeCapacity[];
   /** What teams use. Placing adds to it. */
-  readonly usages: Usages;
-  readonly weights: Weights;
+  readonly usages: TeamUsages;
+  readonly weights: PlacementWeights;
   readonly longWorkShares: LongWorkShares;
-  readonly evictions: Evictions;
+  readonly preemptor: Preemptor;
   readonly unplaced: UnplacedRequests;
 }
 
 /** How a job fared in a pass. */
-export interface JobOutcome {
+export interface PlacementOutcome {
   /** Tasks that were placed. */
   placed: number;
   /** Tasks that may start but fit nowhere. */
@@ -37,7 +37,7 @@
 /** Tasks of a job in each zone, counted for as long as they may be on a machine. */
 export function zonesOf(term: Term, job: LiveJob): Map<string, number> {
   const zones = new Map<string, number>();
-  for (const attempt of job.holding()) {
+  for (const attempt of job.activeAttempts()) {
     const zone = term.machines.get(attempt.machine)?.zone;
     if (zone !== undefined) zones.set(zone, (zones.get(zone) ?? 0) + 1);
   }
--- a/src/leader/scheduling/gang-reservations.ts
+++ b/src/leader/scheduling/gang-reservations.ts
@@ -1,9 +1,9 @@
 /** Machines that are kept free for a gang which has waited for long. */
 
 import type { LiveJob } from '../../jobs/live-job.js';
-import type { Size } from '../../jobs/types.js';
+import type { Resources } from '../../jobs/types.js';
 import type { FreeCapacity } from '../../scheduler/bin-packing.js';
-import type { Usages } from '../../scheduler/quota.js';
+import type { TeamUsages } from '../../scheduler/quota.js';
 import { chooseReservation, type ReservableMachine } from '../../scheduler/reservation.js';
 import type { Term } from '../term/term.js';
 
@@ -22,16 +22,16 @@
   constructor(
     private readonly term: Term,
     /** What is free on a machine once all but its services has ended; null: not known. */
-    private readonly eventual: (machine: string) => Size | null,
+    private readonly capacityWithoutFiniteWork: (machine: string) => Resources | null,
   ) {}
 
   /** Drops a reservation that serves nothing any more and makes one where a gang waits for long. */
-  update(jobs: LiveJob[], rooms: FreeCapacity[], usages: Usages): void {
+  update(jobs: LiveJob[], capacities: FreeCapacity[], usages: TeamUsages): void {
     const starved = jobs.filter((job) => this.isStarved(job, usages));
-    if (this.isStillWanted(starved, rooms)) return;
+    if (this.isStillWanted(starved, capacities)) return;
     this.reservation = null;
     if (starved.length === 0) return;
-    const machines = this.reservable(rooms);
+    const machines = this.reservable(capacities);
     for (const job of starved) {
       const chosen = chooseReservation(job.spec, machines);
       if (chosen === null) continue;
@@ -48,27 +48,28 @@
     return reservation.machines.has(machine) && job.spec.priority >= reservation.job.spec.priority;
   }
 
-  private isStillWanted(starved: LiveJob[], rooms: FreeCapacity[]): boolean {
+  private isStillWanted(starved: LiveJob[], capacities: FreeCapacity[]): boolean {
     const { reservation } = this;
     if (reservation === null) return false;
-    const there = rooms.filter((room) => reservation.machines.has(room.id));
+    const there = capacities.filter((capacity) => reservation.machines.has(capacity.id));
     return there.length === reservation.machines.size && starved.includes(reservation.job);
   }
 
-  private reservable(rooms: FreeCapacity[]): ReservableMachine[] {
-    return rooms.flatMap((room): ReservableMachine[] => {
-      const eventual = this.eventual(room.id);
-      return eventual === null ? [] : [{ room, eventual }];
+  private reservable(capacities: FreeCapacity[]): ReservableMachine[] {
+    return capacities.flatMap((capacity): ReservableMachine[] => {
+      const withoutFiniteWork = this.capacityWithoutFiniteWork(capacity.id);
+      return withoutFiniteWork === null ? [] : [{ capacity, withoutFiniteWork }];
     });
   }
 
-  private isStarved(job: LiveJob, usages: Usages): boolean {
+  private isStarved(job: LiveJob, usages: TeamUsages): boolean {
     const { now, context } = this.term;
-    if (!job.gang || now - job.readySince < context.settings.workers.lease_s * RESERVE_LEASES) {
+    if (!job.isGang || now - job.readySince < context.settings.workers.lease_s * RESERVE_LEASES) {
       return false;
     }
     const { spec } = job;
-    if (job.holdingCount > 0 || job.pending(now, spec.tasks).length < spec.tasks) return false;
+    if (job.activeAttemptCount > 0 || job.pendingTasks(now, spec.tasks).length < spec.tasks)
+      return false;
     return usages.allows(spec, spec.tasks);
   }
 }
--- a/src/leader/scheduling/job-queue.ts
+++ b/src/leader/scheduling/job-queue.ts
@@ -1,11 +1,17 @@
 import type { LiveJob } from '../../jobs/live-job.js';
-import { Outlooks, type Outlook } from '../../pipelines/downstream-path.js';
-import { within } from '../../jobs/types.js';
-import { LongMarks, compareJobs, remaining, scores, type Ready } from '../../scheduler/ranking.js';
+import { DownstreamPaths, type DownstreamPath } from '../../pipelines/downstream-path.js';
+import { isWithinLimit } from '../../jobs/types.js';
+import {
+  LongJobs,
+  compareJobs,
+  remainingTimeS,
+  scores,
+  type RankInput,
+} from '../../scheduler/ranking.js';
 import type { Term } from '../term/term.js';
 
 /** As the ranking sees a job without others after it: a pipeline of its own. */
-const alone = (job: LiveJob): Ready => ({
+const withoutSuccessors = (job: LiveJob): RankInput => ({
   unfinishedS: job.unfinishedPredictedS,
   finishedS: job.finishedPredictedS,
   attainedS: job.attainedS,
@@ -15,12 +21,15 @@
 });
 
 /** With what waits for it: of the rest of the pipeline the longest path counts. */
-function before(job: LiveJob, { criticalS, depth, successors }: Outlook): Ready {
-  const own = alone(job);
+function withSuccessors(
+  job: LiveJob,
+  { longestPathS, depth, successors }: DownstreamPath,
+): RankInput {
+  const own = withoutSuccessors(job);
   return {
     ...own,
-    unfinishedS: own.unfinishedS + criticalS,
-    pipelineMeanS: (own.predictedS + criticalS) / (depth + 1),
+    unfinishedS: own.unfinishedS + longestPathS,
+    pipelineMeanS: (own.predictedS + longestPathS) / (depth + 1),
     successors,
   };
 }
@@ -29,17 +38,17 @@
 const ESTIMATE_ERROR = 1.5;
 
 /** Open jobs in the order in which they are placed. */
-export class Queue {
-  private readonly marks = new LongMarks();
-  private readonly outlooks: Outlooks;
+export class JobQueue {
+  private readonly longJobs = new LongJobs();
+  private readonly downstreamPaths: DownstreamPaths;
 
   constructor(private readonly term: Term) {
-    this.outlooks = new Outlooks(term.context.replica.dependencies);
+    this.downstreamPaths = new DownstreamPaths(term.context.replica.dependencies);
   }
 
-  private asReady(job: LiveJob): Ready {
-    if (!this.hasSuccessors(job)) return alone(job);
-    return before(job, this.outlooks.of(job.storedJob));
+  private rankInput(job: LiveJob): RankInput {
+    if (!this.hasSuccessors(job)) return withoutSuccessors(job);
+    return withSuccessors(job, this.downstreamPaths.of(job.storedJob));
   }
 
   private hasSuccessors(job: LiveJob): boolean {
@@ -57,44 +66,46 @@
       job.setPriority(storedJob.spec.priority);
       return;
     }
-    const outlook = this.outlooks.of(storedJob);
-    job.setPriority(this.isUrgent(job, outlook) ? outlook.priority : storedJob.spec.priority);
+    const path = this.downstreamPaths.of(storedJob);
+    job.setPriority(this.isUrgent(job, path) ? path.priority : storedJob.spec.priority);
   }
 
   /** Whether it may end too late if it waits for a machine to boot first. Without a deadline: always. */
-  private isUrgent({ spec }: LiveJob, { latestEndMs }: Outlook): boolean {
+  private isUrgent({ spec }: LiveJob, { latestEndMs }: DownstreamPath): boolean {
     const { context, slowestBootS } = this.term;
     const leftS = (latestEndMs - context.wallMs()) / 1000;
     return latestEndMs === Infinity || leftS < spec.estimateS * ESTIMATE_ERROR + slowestBootS;
   }
 
   /** Ranks open jobs that have tasks to start. */
-  ranked(now: number): LiveJob[] {
+  rankedJobs(now: number): LiveJob[] {
     const { policy, replica } = this.term.context;
     // Most fleets have no pipelines at most times, and passes are many.
     const noPipelines = replica.dependencies.isEmpty;
-    const asReady = noPipelines ? alone : (job: LiveJob): Ready => this.asReady(job);
+    const asReady = noPipelines
+      ? withoutSuccessors
+      : (job: LiveJob): RankInput => this.rankInput(job);
     const open: LiveJob[] = [];
     for (const job of this.term.jobs.values()) {
-      if (job.phase !== 'open') continue;
+      if (job.phase !== 'active') continue;
       if (!noPipelines || job.spec !== job.storedJob.spec) this.inheritPriority(job);
       open.push(job);
     }
     const finite = open.filter((job) => job.spec.kind !== 'service');
-    const remainings = finite.map((job) => remaining(asReady(job), policy));
-    this.marks.update(remainings, policy, now);
-    finite.forEach((job, i) => (job.long = this.marks.isLong(remainings[i]!, job.long)));
+    const remainings = finite.map((job) => remainingTimeS(asReady(job), policy));
+    this.longJobs.update(remainings, policy, now);
+    finite.forEach((job, i) => (job.isLong = this.longJobs.isLong(remainings[i]!, job.isLong)));
     this.markGuaranteed(open);
-    const waiting = open.filter((job) => job.pendingCount > 0);
+    const waiting = open.filter((job) => job.pendingTaskCount > 0);
     const s = scores(
       waiting.map(asReady),
-      waiting.map((job) => job.long),
+      waiting.map((job) => job.isLong),
       policy,
     );
     const order = waiting.map((job, i) => {
       job.score = s[i]!;
-      const { guaranteed, score, readyAt } = job;
-      return { job, priority: job.spec.priority, guaranteed, score, readyAt };
+      const { isGuaranteed, score, readyAt } = job;
+      return { job, priority: job.spec.priority, guaranteed: isGuaranteed, score, readyAt };
     });
     return order.sort(compareJobs).map((o) => o.job);
   }
@@ -107,13 +118,13 @@
     const sums = new Map<string, { cores: number; gpus: number }>();
     for (const job of open) {
       const team = this.term.context.settings.teams.get(job.spec.team);
-      job.guaranteed = false;
+      job.isGuaranteed = false;
       if (team === undefined || (team.cores <= 0 && team.gpus <= 0)) continue;
       let sum = sums.get(team.name);
       if (sum === undefined) sums.set(team.name, (sum = { cores: 0, gpus: 0 }));
       sum.cores += job.spec.cores * job.spec.tasks;
       sum.gpus += job.spec.gpus * job.spec.tasks;
-      job.guaranteed = within(sum.cores, team.cores) && within(sum.gpus, team.gpus);
+      job.isGuaranteed = isWithinLimit(sum.cores, team.cores) && isWithinLimit(sum.gpus, team.gpus);
     }
   }
 }
--- a/src/leader/scheduling/long-work-share.ts
+++ b/src/leader/scheduling/long-work-share.ts
@@ -1,20 +1,20 @@
 /** The share of each machine type that short work leaves to long work while that waits. */
 
-import { unit } from '../../cloud/demand-forecast.js';
+import { unitsOf } from '../../cloud/demand-forecast.js';
 import type { LiveJob } from '../../jobs/live-job.js';
-import type { Size } from '../../jobs/types.js';
-import { reserved, type FreeCapacity } from '../../scheduler/bin-packing.js';
-import type { Usages } from '../../scheduler/quota.js';
-import type { LongWorkShares, MayUse, PassContext } from './cycle-context.js';
+import type { Resources } from '../../jobs/types.js';
+import { reservedForLongWork, type FreeCapacity } from '../../scheduler/bin-packing.js';
+import type { TeamUsages } from '../../scheduler/quota.js';
+import type { LongWorkShares, MachineFilter, CycleContext } from './cycle-context.js';
 import type { Term } from '../term/term.js';
 
 const NOTHING_TO_COUNT = (): void => undefined;
 
 /** Where a job may be placed beside long work. */
 export interface SharedUse {
-  may: MayUse;
+  mayUse: MachineFilter;
   /** Counts what the job itself takes. */
-  taken: (room: FreeCapacity) => void;
+  noteAllocated: (capacity: FreeCapacity) => void;
 }
 
 /**
@@ -25,8 +25,8 @@
 export function longWorkShares(
   term: Term,
   jobs: LiveJob[],
-  rooms: FreeCapacity[],
-  usages: Usages,
+  capacities: FreeCapacity[],
+  usages: TeamUsages,
 ): LongWorkShares {
   const startable = startableLongJobs(jobs, usages, term.now);
   const byPriority = new Map<number, Map<string, number>>();
@@ -34,7 +34,7 @@
     let shares = byPriority.get(priority);
     if (shares === undefined) {
       const long = [...startable].filter(([job]) => job.spec.priority <= priority);
-      shares = sharesFor(long, rooms, term.context.policy.rho);
+      shares = sharesFor(long, capacities, term.context.policy.rho);
       byPriority.set(priority, shares);
     }
     return shares;
@@ -42,65 +42,69 @@
 }
 
 /** Nothing is held for what may not start: its team is at its limit, or its tasks are to wait. */
-function startableLongJobs(jobs: LiveJob[], usages: Usages, now: number): Map<LiveJob, number> {
+function startableLongJobs(jobs: LiveJob[], usages: TeamUsages, now: number): Map<LiveJob, number> {
   const startable = new Map<LiveJob, number>();
   for (const job of jobs) {
-    if (!job.long || job.pending(now, 1).length === 0) continue;
-    startable.set(job, Math.min(job.pendingCount, usages.room(job.spec)));
+    if (!job.isLong || job.pendingTasks(now, 1).length === 0) continue;
+    startable.set(job, Math.min(job.pendingTaskCount, usages.remainingTasks(job.spec)));
   }
   return startable;
 }
 
 function sharesFor(
   long: [LiveJob, number][],
-  rooms: FreeCapacity[],
+  capacities: FreeCapacity[],
   rho: number,
 ): Map<string, number> {
   const shares = new Map<string, number>();
   if (long.length === 0) return shares;
   const wholes = new Map<string, number>();
-  for (const capacity of rooms)
-    wholes.set(capacity.type, (wholes.get(capacity.type) ?? 0) + unit(capacity.whole));
+  for (const capacity of capacities)
+    wholes.set(capacity.type, (wholes.get(capacity.type) ?? 0) + unitsOf(capacity.total));
   for (const [type, whole] of wholes) {
-    const share = reserved(whole, rho, wantedOf(type, whole, long));
+    const share = reservedForLongWork(whole, rho, wantedUnits(type, whole, long));
     if (share > 0) shares.set(type, share);
   }
   return shares;
 }
 
-function wantedOf(type: string, whole: number, long: [LiveJob, number][]): number {
+function wantedUnits(type: string, whole: number, long: [LiveJob, number][]): number {
   let wanted = 0;
   for (const [{ spec }, tasks] of long) {
     if (spec.types !== null && !spec.types.includes(type)) continue;
-    wanted += unit(spec) * Math.min(tasks, whole / Math.max(unit(spec), 1e-9));
+    wanted += unitsOf(spec) * Math.min(tasks, whole / Math.max(unitsOf(spec), 1e-9));
   }
   return wanted;
 }
 
 /** GPUs or, on a machine without any, cores. */
-const unitsOn = (room: FreeCapacity, size: Size): number =>
-  room.whole.gpus > 0 ? size.gpus : size.cores;
+const unitsOn = (capacity: FreeCapacity, size: Resources): number =>
+  capacity.total.gpus > 0 ? size.gpus : size.cores;
 
 /** The machines out of those it may use on which a job leaves the share that is held for long work. */
-export function besideLongWork(job: LiveJob, pass: PassContext, mayUse: MayUse): SharedUse {
-  const exempt = job.long || job.spec.kind === 'service' || job.guaranteed;
-  if (exempt) return { may: mayUse, taken: NOTHING_TO_COUNT };
-  const shares = pass.longWorkShares(job.spec.priority);
-  if (shares.size === 0) return { may: mayUse, taken: NOTHING_TO_COUNT };
+export function sharedWithLongWork(
+  job: LiveJob,
+  cycle: CycleContext,
+  mayUse: MachineFilter,
+): SharedUse {
+  const exempt = job.isLong || job.spec.kind === 'service' || job.isGuaranteed;
+  if (exempt) return { mayUse: mayUse, noteAllocated: NOTHING_TO_COUNT };
+  const shares = cycle.longWorkShares(job.spec.priority);
+  if (shares.size === 0) return { mayUse: mayUse, noteAllocated: NOTHING_TO_COUNT };
   const free = new Map<string, number>();
-  for (const capacity of pass.rooms) {
+  for (const capacity of cycle.capacities) {
     if (shares.has(capacity.type) && mayUse(capacity))
       free.set(capacity.type, (free.get(capacity.type) ?? 0) + unitsOn(capacity, capacity));
   }
-  const need = unit(job.spec);
+  const need = unitsOf(job.spec);
   return {
-    may: (capacity) => {
+    mayUse: (capacity) => {
       const share = shares.get(capacity.type);
       return (
         mayUse(capacity) && (share === undefined || (free.get(capacity.type) ?? 0) - need >= share)
       );
     },
-    taken: (capacity) =>
+    noteAllocated: (capacity) =>
       free.set(capacity.type, (free.get(capacity.type) ?? 0) - unitsOn(capacity, job.spec)),
   };
 }
--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -1,60 +1,69 @@
 import type { LiveJob } from '../../jobs/live-job.js';
 import { fits } from '../../jobs/types.js';
 import {
-  allowed,
-  putBack,
-  take,
-  zoneAllowed,
+  isAllowedOn,
+  release,
+  allocate,
+  isZoneAllowed,
   type FreeCapacity,
 } from '../../scheduler/bin-packing.js';
-import { haste, type Haste, type Waits } from '../../scheduler/service-level-objectives.js';
-import { cheapestEviction, type Occupied } from '../../scheduler/preemption.js';
-import type { Usages } from '../../scheduler/quota.js';
+import {
+  preemptionMode,
+  type PreemptionMode,
+  type StartLatencyObjectives,
+} from '../../scheduler/service-level-objectives.js';
+import { cheapestPreemption, type OccupiedMachine } from '../../scheduler/preemption.js';
+import type { TeamUsages } from '../../scheduler/quota.js';
 import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../../subsystems/active-subsystems.js';
 import { MIN_HEARTBEAT_GAP_S } from '../../wire/workers.js';
 import { occupiesCapacity } from '../../workers/attempt.js';
-import { evictionSlot, type EvictionSlot, type HeldVictim } from './preemption-candidates.js';
+import {
+  preemptionCandidate,
+  type PreemptionCandidate,
+  type VictimTask,
+} from './preemption-candidates.js';
 import type { Term } from '../term/term.js';
 
-interface Open extends Occupied {
-  slot: EvictionSlot;
-  waitS: number;
+interface OpenCandidate extends OccupiedMachine {
+  candidate: PreemptionCandidate;
+  delayS: number;
   /** How its victims are stopped. */
-  how: Haste;
-  victims: HeldVictim[];
+  mode: PreemptionMode;
+  victims: VictimTask[];
 }
 
 /** Sets work of one priority apart from that of the next, whatever it loses. */
-const TIER = 1e6;
+const PRIORITY_TIER = 1e6;
 /** A start that is late for its class counts as so many seconds, whatever its wait. */
-const LATE_S = 1e3;
+const LATE_PENALTY_S = 1e3;
 /** What the greatest harm that subsystems see counts for: less than a late start. */
-const HARM_S = LATE_S * 0.5;
+const MAX_HARM_S = LATE_PENALTY_S * 0.5;
 /** What commands and starts take: they are sent straight, and shown by a report of the change. */
-export const COMMAND_S = MIN_HEARTBEAT_GAP_S * 0.6;
+export const COMMAND_LATENCY_S = MIN_HEARTBEAT_GAP_S * 0.6;
 
 /** Making room within one pass, by the protocol's rules on preemption. */
-export class Evictions {
-  private slots: EvictionSlot[] | null = null;
+export class Preemptor {
+  private candidates: PreemptionCandidate[] | null = null;
 
   constructor(
     private readonly term: Term,
-    private readonly rooms: FreeCapacity[],
-    private readonly usages: Usages,
-    private readonly waits: Waits,
+    private readonly capacities: FreeCapacity[],
+    private readonly usages: TeamUsages,
+    private readonly startObjectives: StartLatencyObjectives,
     private readonly subsystems: ActiveSubsystems = NO_SUBSYSTEMS,
   ) {}
 
   /** What stopping a task costs. Lesser work first; within it what loses least. */
-  private priced(borrower: LiveJob, victim: HeldVictim, how: Haste): HeldVictim {
+  private withCost(borrower: LiveJob, victim: VictimTask, how: PreemptionMode): VictimTask {
     const { job } = victim;
-    const saves = job.spec.checkpointS > 0 && how !== 'swift';
-    const lossS = (saves ? victim.saveS : victim.unsavedS) * (job.gang ? job.spec.tasks : 1);
-    const harmS = this.subsystems.evictionHarm(borrower, victim, how !== 'swift') * HARM_S;
-    return { ...victim, lossS: lossS + harmS + (3 - job.spec.priority) * TIER };
+    const saves = job.spec.checkpointS > 0 && how !== 'immediate';
+    const lossS = (saves ? victim.saveS : victim.unsavedS) * (job.isGang ? job.spec.tasks : 1);
+    const harmS =
+      this.subsystems.preemptionHarm(borrower, victim, how !== 'immediate') * MAX_HARM_S;
+    return { ...victim, lossS: lossS + harmS + (3 - job.spec.priority) * PRIORITY_TIER };
   }
 
-  private mayEvict(job: LiveJob, victim: LiveJob): boolean {
+  private mayPreempt(job: LiveJob, victim: LiveJob): boolean {
     if (victim === job) return false;
     if (victim.spec.kind === 'service' && victim.spec.priority <= job.spec.priority) return false;
     if (victim.spec.priority > job.spec.priority) return true;
@@ -63,10 +72,10 @@
     // the same place at once, and so on.
     return (
       victim.spec.priority === job.spec.priority &&
-      job.guaranteed &&
+      job.isGuaranteed &&
       victim.spec.team !== job.spec.team &&
-      !victim.guaranteed &&
-      !this.usages.withinGuarantee(victim.spec.team)
+      !victim.isGuaranteed &&
+      !this.usages.isWithinGuarantee(victim.spec.team)
     );
   }
 
@@ -74,68 +83,73 @@
    * Makes room where that is allowed, and takes it out of the rooms, so that nothing that ranks lower
    * takes it while it is being made. Returns the tasks for which none could be made.
    */
-  make(
+  makeCapacity(
     job: LiveJob,
     tasks: number,
     zones: Map<string, number>,
-    mayUse: (room: FreeCapacity) => boolean,
+    mayUse: (capacity: FreeCapacity) => boolean,
     /** Only where the tasks start in time. */
     inTime = false,
   ): number {
-    this.slots ??= this.rooms.map((room) => evictionSlot(this.term, room, this.subsystems));
+    this.candidates ??= this.capacities.map((capacity) =>
+      preemptionCandidate(this.term, capacity, this.subsystems),
+    );
     const spec = job.spec;
-    const from = spec.priority - (job.guaranteed ? 1 : 0);
+    const from = spec.priority - (job.isGuaranteed ? 1 : 0);
     const ageS = this.term.now - job.readySince;
-    const within = this.waits.next(spec.class, ageS);
-    const leftS = within === null ? null : within - ageS - COMMAND_S;
-    const open: Open[] = [];
-    for (const slot of this.slots) {
-      const { room, freeing } = slot;
-      if (!allowed(spec, room) || !mayUse(room)) continue;
-      const { id, type, zone, spot } = room;
+    const within = this.startObjectives.nextTargetS(spec.class, ageS);
+    const leftS = within === null ? null : within - ageS - COMMAND_LATENCY_S;
+    const open: OpenCandidate[] = [];
+    for (const candidate of this.candidates) {
+      const { capacity, stopping } = candidate;
+      if (!isAllowedOn(spec, capacity) || !mayUse(capacity)) continue;
+      const { id, type, zone, spot } = capacity;
       // Most machines hold nothing that may be stopped: no need to look at each task there.
       const may =
-        slot.least > from ? slot.victims.filter((victim) => this.mayEvict(job, victim.job)) : [];
-      const imageS = room.imageWaitS(spec.image, spec.imageGb) * this.term.fetchTimes.sure;
+        candidate.lowestPriority > from
+          ? candidate.victims.filter((victim) => this.mayPreempt(job, victim.job))
+          : [];
+      const imageS =
+        capacity.imageDelayS(spec.image, spec.imageGb) * this.term.fetchTimes.safetyFactor;
       const saveS = may.reduce((most, victim) => Math.max(most, victim.saveS), 0);
-      const how = haste(leftS, saveS, imageS + slot.freeingS);
-      if (inTime && how === 'late') continue;
-      const victims = may.map((victim) => this.priced(job, victim, how));
-      const waitS = imageS + (how === 'late' ? LATE_S : 0);
-      const cores = room.cores + freeing.cores;
-      const gpus = room.gpus + freeing.gpus;
-      const memGb = room.memGb + freeing.memGb;
+      const mode = preemptionMode(leftS, saveS, imageS + candidate.stoppingS);
+      if (inTime && mode === 'too-late') continue;
+      const victims = may.map((victim) => this.withCost(job, victim, mode));
+      const delayS = imageS + (mode === 'too-late' ? LATE_PENALTY_S : 0);
+      const cores = capacity.cores + stopping.cores;
+      const gpus = capacity.gpus + stopping.gpus;
+      const memGb = capacity.memGb + stopping.memGb;
       if (victims.length === 0 && !fits(spec, { cores, gpus, memGb })) continue;
-      open.push({ id, type, zone, spot, cores, gpus, memGb, slot, victims, waitS, how });
+      open.push({ id, type, zone, spot, cores, gpus, memGb, candidate, victims, delayS, mode });
     }
-    const chosen: { o: Open; victims: HeldVictim[] }[] = [];
-    const got: Open[] = [];
+    const chosen: { o: OpenCandidate; victims: VictimTask[] }[] = [];
+    const got: OpenCandidate[] = [];
     while (got.length < tasks) {
       // Room that is being made already comes first.
-      let o: Open | undefined;
+      let o: OpenCandidate | undefined;
       for (const x of open) {
-        if (!fits(spec, x) || !zoneAllowed(spec, x.zone, zones)) continue;
-        if (o === undefined || x.waitS < o.waitS) o = x;
+        if (!fits(spec, x) || !isZoneAllowed(spec, x.zone, zones)) continue;
+        if (o === undefined || x.delayS < o.delayS) o = x;
       }
       if (o === undefined) {
-        const e = cheapestEviction(spec, open, zones);
+        const e = cheapestPreemption(spec, open, zones);
         if (e === null) break;
         o = open.find((x) => x.id === e.machine)!;
-        const victims = e.victims as HeldVictim[];
+        const victims = e.victims as VictimTask[];
         chosen.push({ o, victims });
         for (const victim of victims) {
-          putBack(victim, o);
+          release(victim, o);
           o.victims.splice(o.victims.indexOf(victim), 1);
         }
       }
-      take(spec, o);
+      allocate(spec, o);
       zones.set(o.zone, (zones.get(o.zone) ?? 0) + 1);
       got.push(o);
     }
     const { log } = this.term.context;
     if (log.isLevelEnabled('debug')) {
       const stopped = chosen.flatMap((c) => c.victims.map((victim) => victim.id));
-      const how = [...new Set(got.map((o) => o.how))];
+      const how = [...new Set(got.map((o) => o.mode))];
       const { id, class: cls } = spec;
       log.debug(
         { job: id, class: cls, tasks, got: got.length, stopped, how, inTime, ageS },
@@ -143,24 +157,24 @@
       );
     }
     // A gang gains nothing from room for some of its tasks.
-    if (job.gang && got.length < tasks) return tasks;
+    if (job.isGang && got.length < tasks) return tasks;
     for (const { o, victims } of chosen) {
-      const saves = o.how !== 'swift';
+      const saves = o.mode !== 'immediate';
       const carryOut = (): boolean => this.carryOut(job, victims, saves);
-      this.subsystems.evict({ machine: o.id, borrower: job, victims, saves, carryOut });
-      for (const victim of victims) putBack(victim, o.slot.freeing);
+      this.subsystems.preempt({ machine: o.id, borrower: job, victims, saves, carryOut });
+      for (const victim of victims) release(victim, o.candidate.stopping);
       const gone = new Set(victims.map((victim) => victim.id));
-      o.slot.victims = o.slot.victims.filter((victim) => !gone.has(victim.id));
+      o.candidate.victims = o.candidate.victims.filter((victim) => !gone.has(victim.id));
     }
     // A gang of several was once passed over for a minute and more: as soon as one of its places was
     // free, lesser work took it, while the others were still being made.
-    for (const o of got) take(spec, o.slot.room);
+    for (const o of got) allocate(spec, o.candidate.capacity);
     return tasks - got.length;
   }
 
   /** Stops what is still there, unless the job that wanted the room is over or has a place by now. */
-  private carryOut(borrower: LiveJob, victims: readonly HeldVictim[], saves: boolean): boolean {
-    if (borrower.phase !== 'open' || borrower.pendingCount === 0) return false;
+  private carryOut(borrower: LiveJob, victims: readonly VictimTask[], saves: boolean): boolean {
+    if (borrower.phase !== 'active' || borrower.pendingTaskCount === 0) return false;
     for (const { job, attempt } of victims) {
       // Stopping one task of a gang stops all that it runs by now: not for a task that is gone.
       if (!occupiesCapacity(attempt) || attempt.stopRequest !== null) continue;
--- a/src/leader/scheduling/replica-migrations.ts
+++ b/src/leader/scheduling/replica-migrations.ts
@@ -2,13 +2,13 @@
 import { fits } from '../../jobs/types.js';
 import {
   bestFit,
-  take,
-  zoneAllowed,
+  allocate,
+  isZoneAllowed,
   type FreeCapacity,
-  type Weights,
+  type PlacementWeights,
 } from '../../scheduler/bin-packing.js';
-import type { Usages } from '../../scheduler/quota.js';
-import { chooseVacated, type Candidate } from '../../scheduler/drain-selection.js';
+import type { TeamUsages } from '../../scheduler/quota.js';
+import { chooseMachineToDrain, type DrainCandidate } from '../../scheduler/drain-selection.js';
 import { parseTaskName } from '../../wire/workers.js';
 import type { LiveJob } from '../../jobs/live-job.js';
 import type { Attempt } from '../../workers/attempt.js';
@@ -16,29 +16,29 @@
 import type { Term } from '../term/term.js';
 
 /** Of a class's replicas, the share that may move within `MOVE_LEASES` leases. */
-const MOVE_SHARE = 0.12;
-const MOVE_LEASES = 3;
+const MIGRATION_SHARE = 0.12;
+const MIGRATION_LEASES = 3;
 /** One that is asked for by itself may move also where the share is less than a whole replica. */
-const MOVES_LEAST = 1;
+const MIN_MIGRATIONS = 1;
 /** Replicas that ran for so many leases are steady enough to be moved. */
 const STEADY_LEASES = 4;
 /** For how many report intervals a place is kept for a replica on its way. */
-const BOOKED_REPORTS = 2;
+const RESERVED_HEARTBEATS = 2;
 /** The same for one that is moved by itself: it must not come back to where it was asked to leave. */
-const BOOKED_ALONE_REPORTS = 6;
+const RESERVED_ALONE_HEARTBEATS = 6;
 
 /** Where a replica may be moved to. */
-export interface MoveSearch {
-  rooms: FreeCapacity[];
-  may: (spec: JobSpec, room: FreeCapacity) => boolean;
+export interface MigrationSearch {
+  capacities: FreeCapacity[];
+  mayUse: (spec: JobSpec, capacity: FreeCapacity) => boolean;
   /** Whether its image may have to be fetched there. */
   mayFetch: boolean;
-  weights: Weights;
+  weights: PlacementWeights;
 }
 
 /** Emptying machines: which replicas move, and the places that are kept for them. */
-export class Moves {
-  private readonly bookings = new Map<string, { to: string; until: number }>();
+export class ReplicaMigrations {
+  private readonly reservations = new Map<string, { to: string; until: number }>();
   private readonly recent: { at: number; class: string }[] = [];
 
   constructor(
@@ -47,51 +47,53 @@
   ) {}
 
   /** Moved replicas go to the places that were found for them, before anything else is placed. */
-  placeBooked(
-    rooms: FreeCapacity[],
-    usages: Usages,
+  placeReserved(
+    capacities: FreeCapacity[],
+    usages: TeamUsages,
     now: number,
-    claim: (job: LiveJob, index: number, room: FreeCapacity) => void,
+    claim: (job: LiveJob, index: number, capacity: FreeCapacity) => void,
   ): number {
-    if (this.bookings.size === 0) return 0;
-    const byId = new Map(rooms.map((capacity) => [capacity.id, capacity]));
+    if (this.reservations.size === 0) return 0;
+    const byId = new Map(capacities.map((capacity) => [capacity.id, capacity]));
     let placed = 0;
-    for (const [key, b] of [...this.bookings]) {
+    for (const [key, b] of [...this.reservations]) {
       const { job: id, index } = parseTaskName(key);
       const job = this.term.jobs.get(id);
-      const room = byId.get(b.to);
-      if (job === undefined || job.phase !== 'open' || now > b.until) {
-        this.bookings.delete(key);
+      const capacity = byId.get(b.to);
+      if (job === undefined || job.phase !== 'active' || now > b.until) {
+        this.reservations.delete(key);
         continue;
       }
-      if (room === undefined || !job.pending(now, job.spec.tasks).includes(index)) continue;
-      if (!fits(job.spec, room) || !zoneAllowed(job.spec, room.zone, this.zonesOf(job))) continue;
+      if (capacity === undefined || !job.pendingTasks(now, job.spec.tasks).includes(index))
+        continue;
+      if (!fits(job.spec, capacity) || !isZoneAllowed(job.spec, capacity.zone, this.zonesOf(job)))
+        continue;
       if (!usages.allows(job.spec, 1)) continue;
-      this.bookings.delete(key);
-      take(job.spec, room);
-      claim(job, index, room);
+      this.reservations.delete(key);
+      allocate(job.spec, capacity);
+      claim(job, index, capacity);
       usages.add(job.spec, 1);
       placed++;
     }
     // Not there yet: the place is held for it.
-    for (const [key, b] of this.bookings) {
+    for (const [key, b] of this.reservations) {
       const spec = this.term.jobs.get(parseTaskName(key).job)?.spec;
-      const room = byId.get(b.to);
-      if (spec !== undefined && room !== undefined) take(spec, room);
+      const capacity = byId.get(b.to);
+      if (spec !== undefined && capacity !== undefined) allocate(spec, capacity);
     }
     return placed;
   }
 
-  private candidates(
-    rooms: FreeCapacity[],
+  private drainCandidates(
+    capacities: FreeCapacity[],
     usable: (machine: Machine) => boolean,
     now: number,
-  ): Candidate[] {
+  ): DrainCandidate[] {
     const { lease_s, report_s } = this.term.context.settings.workers;
-    const candidates: Candidate[] = [];
-    for (const room of rooms) {
-      const machine = this.term.machines.get(room.id);
-      if (machine === undefined || room.spot || !usable(machine)) continue;
+    const candidates: DrainCandidate[] = [];
+    for (const capacity of capacities) {
+      const machine = this.term.machines.get(capacity.id);
+      if (machine === undefined || capacity.spot || !usable(machine)) continue;
       const held = machine.activeAttempts();
       const jobs = held.map((attempt) => this.term.jobs.get(attempt.job));
       const steady = held.every(
@@ -103,7 +105,7 @@
       );
       if (!steady || now - machine.lastSeenAt > report_s * 1.5) continue;
       candidates.push({
-        room,
+        capacity,
         replicas: jobs.map((job) => ({ spec: job!.spec, zones: this.zonesOf(job!) })),
       });
     }
@@ -114,54 +116,67 @@
    * Empties one machine whose replicas fit elsewhere. Of a class, so few move within a lease's span
    * that its time up does not show it.
    */
-  vacate(
-    rooms: FreeCapacity[],
+  drainMachine(
+    capacities: FreeCapacity[],
     usable: (machine: Machine) => boolean,
-    weights: Weights,
+    weights: PlacementWeights,
   ): Machine | null {
     const now = this.term.now;
-    const mayMove = this.moveBound();
-    const chosen = chooseVacated(this.candidates(rooms, usable, now), rooms, mayMove, weights);
+    const mayMove = this.migrationBudget();
+    const chosen = chooseMachineToDrain(
+      this.drainCandidates(capacities, usable, now),
+      capacities,
+      mayMove,
+      weights,
+    );
     if (chosen === null) return null;
-    const machine = this.term.machines.get(chosen.candidate.room.id)!;
+    const machine = this.term.machines.get(chosen.candidate.capacity.id)!;
     machine.drainingSince = now;
-    machine.activeAttempts().forEach((attempt, i) => this.move(attempt, chosen.to[i]!));
+    machine.activeAttempts().forEach((attempt, i) => this.startMigration(attempt, chosen.to[i]!));
     this.term.context.log.info({ machine: machine.id, replicas: chosen.to.length }, 'emptied');
     return machine;
   }
   /**
    * Moves one replica to a free place; false: there is none now, or too many of its class have moved. It is stopped before it starts there: a task must not be on two machines.
    */
-  moveReplica(attempt: Attempt, { rooms, may, mayFetch, weights }: MoveSearch): boolean {
+  migrateReplica(
+    attempt: Attempt,
+    { capacities, mayUse, mayFetch, weights }: MigrationSearch,
+  ): boolean {
     const job = this.term.jobs.get(attempt.job);
     if (job === undefined || job.spec.kind !== 'service' || attempt.stopRequest !== null)
       return false;
     const { spec } = job;
-    const others = [...job.holding()].filter(
+    const others = [...job.activeAttempts()].filter(
       (each) => each !== attempt && each.stopRequest === null,
     );
     // The others answer meanwhile.
     if (!others.some((attempt) => attempt.state === 'running')) return false;
-    if (!this.moveBound(MOVES_LEAST)([{ spec }])) return false;
+    if (!this.migrationBudget(MIN_MIGRATIONS)([{ spec }])) return false;
     const zones = this.zonesOf(job);
     const here = this.term.machines.get(attempt.machine)?.zone;
     if (here !== undefined) zones.set(here, (zones.get(here) ?? 1) - 1);
-    const free = rooms.filter(
+    const free = capacities.filter(
       (capacity) => capacity.id !== attempt.machine && (mayFetch || capacity.hasImage(spec.image)),
     );
-    const room = bestFit(spec, free, { zones, may: (capacity) => may(spec, capacity) }, weights);
+    const room = bestFit(
+      spec,
+      free,
+      { zones, mayUse: (capacity) => mayUse(spec, capacity) },
+      weights,
+    );
     if (room === null) return false;
-    this.move(attempt, room.id, BOOKED_ALONE_REPORTS);
+    this.startMigration(attempt, room.id, RESERVED_ALONE_HEARTBEATS);
     return true;
   }
 
   /** Its place is kept for it: whoever else came first would cost it a fetch. */
-  private move(attempt: Attempt, to: string, bookedReports = BOOKED_REPORTS): void {
+  private startMigration(attempt: Attempt, to: string, bookedReports = RESERVED_HEARTBEATS): void {
     const { now } = this.term;
     const job = this.term.jobs.get(attempt.job)!;
     this.recent.push({ at: now, class: job.spec.class });
     const until = now + this.term.context.settings.workers.report_s * bookedReports;
-    this.bookings.set(`${attempt.job}/${attempt.index}`, { to, until });
+    this.reservations.set(`${attempt.job}/${attempt.index}`, { to, until });
     this.term.stopAttempt(attempt, 0);
   }
 
@@ -169,23 +184,23 @@
     const replicas = new Map<string, number>();
     for (const job of this.term.jobs.values()) {
       const n = replicas.get(job.spec.class) ?? 0;
-      if (job.spec.kind === 'service') replicas.set(job.spec.class, n + job.holdingCount);
+      if (job.spec.kind === 'service') replicas.set(job.spec.class, n + job.activeAttemptCount);
     }
     return replicas;
   }
 
   /** Seconds between two replicas of a class that are moved one by one, at least. */
   gapS(jobClass: string): number {
-    const spanS = this.term.context.settings.workers.lease_s * MOVE_LEASES;
-    const share = (this.replicasByClass().get(jobClass) ?? 0) * MOVE_SHARE;
-    return spanS / Math.max(MOVES_LEAST, Math.floor(share));
+    const spanS = this.term.context.settings.workers.lease_s * MIGRATION_LEASES;
+    const share = (this.replicasByClass().get(jobClass) ?? 0) * MIGRATION_SHARE;
+    return spanS / Math.max(MIN_MIGRATIONS, Math.floor(share));
   }
 
   /** Whether so many more replicas may move: of a class, a small share within some leases. */
-  private moveBound(least = 0): (list: { spec: JobSpec }[]) => boolean {
+  private migrationBudget(least = 0): (list: { spec: JobSpec }[]) => boolean {
     const { now } = this.term;
     const { lease_s } = this.term.context.settings.workers;
-    while (this.recent.length > 0 && now - this.recent[0]!.at > lease_s * MOVE_LEASES) {
+    while (this.recent.length > 0 && now - this.recent[0]!.at > lease_s * MIGRATION_LEASES) {
       this.recent.shift();
     }
     const replicas = this.replicasByClass();
@@ -194,7 +209,7 @@
       for (const r of list) counts.set(r.spec.class, (counts.get(r.spec.class) ?? 0) + 1);
       return [...counts].every(([c, n]) => {
         const moved = this.recent.filter((x) => x.class === c).length;
-        return moved + n <= Math.max(least, (replicas.get(c) ?? 0) * MOVE_SHARE);
+        return moved + n <= Math.max(least, (replicas.get(c) ?? 0) * MIGRATION_SHARE);
       });
     };
   }
--- a/src/leader/scheduling/scheduler.ts
+++ b/src/leader/scheduling/scheduler.ts
@@ -1,26 +1,26 @@
 /** Passes of placing over a term. */
 
-import type { Arrivals } from '../../cloud/demand-forecast.js';
+import type { DemandForecast } from '../../cloud/demand-forecast.js';
 import type { Demand } from '../../cloud/scale-out-plan.js';
 import type { LiveJob } from '../../jobs/live-job.js';
 import type { JobSpec } from '../../jobs/types.js';
-import { leavesSoon, Waits } from '../../scheduler/service-level-objectives.js';
-import type { FreeCapacity, Weights } from '../../scheduler/bin-packing.js';
-import type { Usages } from '../../scheduler/quota.js';
+import { stopsQuickly, StartLatencyObjectives } from '../../scheduler/service-level-objectives.js';
+import type { FreeCapacity, PlacementWeights } from '../../scheduler/bin-packing.js';
+import type { TeamUsages } from '../../scheduler/quota.js';
 import { specOf } from '../../store/stored-job.js';
 import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../../subsystems/active-subsystems.js';
 import { MIN_HEARTBEAT_GAP_S } from '../../wire/workers.js';
 import type { Attempt } from '../../workers/attempt.js';
 import type { Machine } from '../../workers/machine.js';
-import { Evictions } from './preemptor.js';
+import { Preemptor } from './preemptor.js';
 import { FreeCapacityIndex } from '../capacity/free-capacity.js';
 import { GangReservations } from './gang-reservations.js';
 import { JobPlacement } from './job-placement.js';
 import { longWorkShares } from './long-work-share.js';
-import { isUsable, MachineEligibility } from './machine-eligibility.js';
-import { Moves } from './replica-migrations.js';
-import { zonesOf, type PassContext } from './cycle-context.js';
-import { Queue } from './job-queue.js';
+import { acceptsNewWork, MachineEligibility } from './machine-eligibility.js';
+import { ReplicaMigrations } from './replica-migrations.js';
+import { zonesOf, type CycleContext } from './cycle-context.js';
+import { JobQueue } from './job-queue.js';
 import type { Term } from '../term/term.js';
 import { UnplacedRequests } from './unplaced-requests.js';
 
@@ -36,94 +36,112 @@
 /** What telling a task to stop, and hearing that it has, take. */
 const LEAVE_S = MIN_HEARTBEAT_GAP_S * 2;
 
-export interface PassResult {
+export interface CycleResult {
   /** Tasks that were placed. */
   placed: number;
   /** What found no place and cannot have one made for it. */
   demand: Demand[];
   /** What is free after the pass. */
-  rooms: FreeCapacity[];
+  capacities: FreeCapacity[];
   /** What teams use after the pass. */
-  usages: Usages;
+  usages: TeamUsages;
 }
 
 /** One pass of placing over a term: rank, place, make room, and say what is missing. */
 export class Scheduler {
-  private readonly queue: Queue;
-  private readonly index: FreeCapacityIndex;
-  private readonly moves: Moves;
-  private readonly waits: Waits;
+  private readonly jobQueue: JobQueue;
+  private readonly freeCapacities: FreeCapacityIndex;
+  private readonly migrations: ReplicaMigrations;
+  private readonly startObjectives: StartLatencyObjectives;
   private readonly reservations: GangReservations;
   private readonly eligibility: MachineEligibility;
   private readonly placement: JobPlacement;
 
   constructor(
     private readonly term: Term,
-    private readonly arrivals: Arrivals,
+    private readonly forecast: DemandForecast,
     /** Whether no spot machine of a type is to be had anywhere at present. */
-    spotShort: (type: string) => boolean,
+    isSpotShort: (type: string) => boolean,
     /** Free capacity that is kept on spot or ordinary machines, in machines. */
-    warm: (spot: boolean) => number,
+    warmTarget: (spot: boolean) => number,
     private readonly subsystems: ActiveSubsystems = NO_SUBSYSTEMS,
   ) {
-    this.waits = new Waits(term.context.settings.objectives);
-    this.queue = new Queue(term);
-    const leaves = (spec: JobSpec): boolean => leavesSoon(spec, this.waits, LEAVE_S);
-    this.index = new FreeCapacityIndex(term, (job) => this.specOf(job), leaves);
-    this.moves = new Moves(term, (job) => zonesOf(term, job));
-    this.reservations = new GangReservations(term, (machine) => this.index.eventual(machine));
+    this.startObjectives = new StartLatencyObjectives(term.context.settings.objectives);
+    this.jobQueue = new JobQueue(term);
+    const leaves = (spec: JobSpec): boolean => stopsQuickly(spec, this.startObjectives, LEAVE_S);
+    this.freeCapacities = new FreeCapacityIndex(term, (job) => this.specOf(job), leaves);
+    this.migrations = new ReplicaMigrations(term, (job) => zonesOf(term, job));
+    this.reservations = new GangReservations(term, (machine) =>
+      this.freeCapacities.capacityWithoutFiniteWork(machine),
+    );
     this.eligibility = new MachineEligibility({
       term,
-      index: this.index,
+      freeCapacities: this.freeCapacities,
       reservations: this.reservations,
-      leavesSoon: leaves,
-      spotShort,
-      warm,
+      stopsQuickly: leaves,
+      isSpotShort,
+      warmTarget,
       subsystems,
     });
-    this.placement = new JobPlacement(term, this.eligibility, this.waits);
+    this.placement = new JobPlacement(term, this.eligibility, this.startObjectives);
   }
 
-  weights(): Weights {
+  weights(): PlacementWeights {
     const bootS = this.term.slowestBootS;
-    const hot = this.arrivals.hot();
+    const hot = this.forecast.hotImages();
     const weights = { ordinaryS: bootS * ORDINARY_BOOTS, spreadS: bootS * SPREAD_BOOTS, hot };
     const { subsystems } = this;
-    if (!subsystems.any) return weights;
-    return { ...weights, preferenceS: (spec, room) => subsystems.preferenceS(spec, room) };
+    if (!subsystems.hasAny) return weights;
+    return { ...weights, preferenceS: (spec, capacity) => subsystems.preferenceS(spec, capacity) };
   }
 
-  pass(): PassResult {
+  runCycle(): CycleResult {
     const { term } = this;
     const { now } = term;
-    const rooms = this.index.rooms((machine) => isUsable(term, machine));
-    const usages = this.index.usages();
-    this.eligibility.beginPass(rooms);
+    const capacities = this.freeCapacities.capacities((machine) => acceptsNewWork(term, machine));
+    const usages = this.freeCapacities.usages();
+    this.eligibility.beginCycle(capacities);
     const weights = this.weights();
-    const jobs = this.queue.ranked(now);
-    this.reservations.update(jobs, this.unkept(rooms), usages);
-    const shares = longWorkShares(term, jobs, rooms, usages);
-    const evictions = new Evictions(term, rooms, usages, this.waits, this.subsystems);
+    const jobs = this.jobQueue.rankedJobs(now);
+    this.reservations.update(jobs, this.withoutKeptMachines(capacities), usages);
+    const shares = longWorkShares(term, jobs, capacities, usages);
+    const preemptor = new Preemptor(
+      term,
+      capacities,
+      usages,
+      this.startObjectives,
+      this.subsystems,
+    );
     const unplaced = new UnplacedRequests();
-    const pass = { now, rooms, usages, weights, longWorkShares: shares, evictions, unplaced };
-    let placed = this.moves.placeBooked(rooms, usages, now, (job, index, room) =>
-      this.placement.claimTask(job, index, room),
+    const cycle: CycleContext = {
+      now,
+      capacities,
+      usages,
+      weights,
+      longWorkShares: shares,
+      preemptor,
+      unplaced,
+    };
+    let placed = this.migrations.placeReserved(capacities, usages, now, (job, index, capacity) =>
+      this.placement.claimTask(job, index, capacity),
     );
     const demand: Demand[] = [];
-    placed = this.placeJobs(jobs, pass, placed, demand);
-    return { placed, demand, rooms, usages };
+    placed = this.placeJobs(jobs, cycle, placed, demand);
+    return { placed, demand, capacities, usages };
   }
 
   /** What a subsystem keeps is not emptied for a gang, nor to be given back, nor filled with what moves. */
-  private unkept(rooms: FreeCapacity[]): FreeCapacity[] {
+  private withoutKeptMachines(capacities: FreeCapacity[]): FreeCapacity[] {
     const { subsystems } = this;
-    return subsystems.any ? rooms.filter((room) => !subsystems.keeps(room.id)) : rooms;
+    return subsystems.hasAny
+      ? capacities.filter((capacity) => !subsystems.keeps(capacity.id))
+      : capacities;
   }
 
   /** Places jobs in their order. Returns the tasks placed in this pass, with those placed before. */
   private placeJobs(
     jobs: LiveJob[],
-    pass: PassContext,
+    cycle: CycleContext,
     placedBefore: number,
     demand: Demand[],
   ): number {
@@ -131,10 +149,10 @@
     let placed = placedBefore;
     for (const job of jobs) {
       if (placed >= most) break;
-      const outcome = this.placement.place(job, pass, most - placed);
+      const outcome = this.placement.place(job, cycle, most - placed);
       placed += outcome.placed;
       if (outcome.short === 0) continue;
-      const left = this.makeRoom(job, pass, outcome.short);
+      const left = this.preemptFor(job, cycle, outcome.short);
       if (left > 0) demand.push({ spec: job.spec, tasks: left, zones: zonesOf(this.term, job) });
     }
     return placed;
@@ -144,34 +162,39 @@
    * What finds no capacity may take it from lesser work; the rest is for the fleet to grow. Returns the
    * tasks for which none can be made.
    */
-  private makeRoom(job: LiveJob, pass: PassContext, tasks: number): number {
-    if (pass.unplaced.covers(job)) return tasks;
-    const may = this.eligibility.mayUse(job);
-    const left = pass.evictions.make(job, tasks, zonesOf(this.term, job), may);
-    if (left > 0) pass.unplaced.note(job);
+  private preemptFor(job: LiveJob, cycle: CycleContext, tasks: number): number {
+    if (cycle.unplaced.covers(job)) return tasks;
+    const may = this.eligibility.filterFor(job);
+    const left = cycle.preemptor.makeCapacity(job, tasks, zonesOf(this.term, job), may);
+    if (left > 0) cycle.unplaced.note(job);
     return left;
   }
 
   /** Empties a machine whose replicas fit elsewhere, to be given back. */
-  vacate(rooms: FreeCapacity[]): Machine | null {
-    return this.moves.vacate(
-      this.unkept(rooms),
-      (machine) => isUsable(this.term, machine),
+  drainMachine(capacities: FreeCapacity[]): Machine | null {
+    return this.migrations.drainMachine(
+      this.withoutKeptMachines(capacities),
+      (machine) => acceptsNewWork(this.term, machine),
       this.weights(),
     );
   }
 
   /** Moves one replica to a free place. */
-  moveReplica(attempt: Attempt, rooms: FreeCapacity[], mayFetch: boolean): boolean {
+  migrateReplica(attempt: Attempt, capacities: FreeCapacity[], mayFetch: boolean): boolean {
     const { subsystems } = this;
-    const may = (spec: JobSpec, room: FreeCapacity): boolean =>
-      !subsystems.any || subsystems.mayUse(spec, room);
-    return this.moves.moveReplica(attempt, { rooms, may, mayFetch, weights: this.weights() });
+    const mayUse = (spec: JobSpec, capacity: FreeCapacity): boolean =>
+      !subsystems.hasAny || subsystems.mayUse(spec, capacity);
+    return this.migrations.migrateReplica(attempt, {
+      capacities,
+      mayUse,
+      mayFetch,
+      weights: this.weights(),
+    });
   }
 
   /** Seconds between two moves of replicas of a class, at least. */
-  moveGapS(jobClass: string): number {
-    return this.moves.gapS(jobClass);
+  migrationGapS(jobClass: string): number {
+    return this.migrations.gapS(jobClass);
   }
 
   private specOf(job: string): JobSpec | null {
--- a/src/leader/scheduling/unplaced-requests.ts
+++ b/src/leader/scheduling/unplaced-requests.ts
@@ -1,7 +1,7 @@
 /** Requests that found no capacity earlier in a pass. */
 
 import type { LiveJob } from '../../jobs/live-job.js';
-import { fits, type Size } from '../../jobs/types.js';
+import { fits, type Resources } from '../../jobs/types.js';
 
 /**
  * What found no capacity in this pass, so that what asks for as much or more is not looked for again.
@@ -17,7 +17,7 @@
  */
 export class UnplacedRequests {
   /** Sizes that fit nowhere, by what else decides which machines a task may use; see `flagsOf`. */
-  private readonly sizes = [0, 1, 2, 3].map(() => new Map<string, Size[]>());
+  private readonly sizes = [0, 1, 2, 3].map(() => new Map<string, Resources[]>());
 
   /** A task of the job found no capacity, and none can be made for it. */
   note(job: LiveJob): void {
@@ -41,10 +41,10 @@
 
 function isComparable(job: LiveJob): boolean {
   const { spec } = job;
-  return !job.gang && !spec.oneZone && !spec.scatter && job.failedOn.size === 0;
+  return !job.isGang && !spec.oneZone && !spec.scatter && job.failedOn.size === 0;
 }
 
 /** What changes from pass to pass: long work has a share of its own, a guarantee lets it stop other work. */
-function flagsOf({ long, guaranteed }: LiveJob): number {
-  return (long ? 1 : 0) + (guaranteed ? 2 : 0);
+function flagsOf({ isLong, isGuaranteed }: LiveJob): number {
+  return (isLong ? 1 : 0) + (isGuaranteed ? 2 : 0);
 }
--- a/src/leader/term/failover.ts
+++ b/src/leader/term/failover.ts
@@ -32,7 +32,7 @@
     const attempt = makeAttempt(claim.job, claim.index, claim.attempt, id, 'inherited', now);
     machine.addClaim(attempt);
     const job = term.jobs.get(claim.job);
-    if (job !== undefined && !job.done.has(claim.index)) job.adopt(attempt);
+    if (job !== undefined && !job.done.has(claim.index)) job.addAttempt(attempt);
     else stopper.dismiss(attempt);
   }
   term.machines.set(id, machine);
--- a/src/leader/term/garbage-collection.ts
+++ b/src/leader/term/garbage-collection.ts
@@ -16,7 +16,7 @@
   }
   for (const job of closing) {
     if (referred.has(job.spec.id)) continue;
-    job.become('closed');
+    job.changePhase('closed');
     term.jobs.delete(job.spec.id);
   }
 }
--- a/src/leader/term/statistics.ts
+++ b/src/leader/term/statistics.ts
@@ -13,7 +13,7 @@
     for (const attempt of machine.attempts.values())
       if (occupiesCapacity(attempt)) add(`attempts_${attempt.state}`);
   }
-  counts.machines_coming = capacity.fleet.coming.size;
+  counts.machines_coming = capacity.provisioner.pending.size;
   counts.jobs_open = term.jobs.size;
   counts.demand_tasks = capacity.demand.reduce((n, demand) => n + demand.tasks, 0);
   return counts;
--- a/src/leader/term/subsystem-view.ts
+++ b/src/leader/term/subsystem-view.ts
@@ -4,14 +4,14 @@
 import type { Log } from '../../log.js';
 import type { Settings } from '../../config/settings.js';
 import type { FreeCapacity } from '../../scheduler/bin-packing.js';
-import { Outlooks } from '../../pipelines/downstream-path.js';
+import { DownstreamPaths } from '../../pipelines/downstream-path.js';
 import { specOf } from '../../store/stored-job.js';
 import type {
   AttemptView,
   LiveJobView,
   MachineView,
   OwnedRecord,
-  ReplicaMove,
+  ReplicaMigration,
   TeamUsage,
   TermView,
 } from '../../subsystems/subsystem.js';
@@ -32,7 +32,7 @@
   readonly log: Log;
   readonly token: number;
   readonly uniquePrefix: string;
-  private readonly outlooks: Outlooks;
+  private readonly downstreamPaths: DownstreamPaths;
 
   constructor(
     private readonly subsystem: string,
@@ -42,7 +42,7 @@
     this.settings = context.settings;
     this.log = context.log;
     this.token = context.token;
-    this.outlooks = new Outlooks(context.replica.dependencies);
+    this.downstreamPaths = new DownstreamPaths(context.replica.dependencies);
     this.uniquePrefix = `${context.incarnation}-${context.token}-${subsystem}`;
   }
 
@@ -54,11 +54,11 @@
     return this.options.term.context.wallMs();
   }
 
-  writing(): boolean {
+  canWrite(): boolean {
     return this.options.term.context.canWrite();
   }
 
-  types(): ReadonlyMap<string, MachineType> {
+  machineTypes(): ReadonlyMap<string, MachineType> {
     return this.options.term.machineTypes;
   }
 
@@ -66,8 +66,8 @@
     return this.options.term.machines.get(id);
   }
 
-  isComing(id: string): boolean {
-    return this.options.capacity.fleet.coming.has(id);
+  isPending(id: string): boolean {
+    return this.options.capacity.provisioner.pending.has(id);
   }
 
   isListed(id: string): boolean | null {
@@ -75,7 +75,7 @@
   }
 
   isShort(type: string, zone: string): boolean {
-    return this.options.capacity.fleet.short(type, zone, false);
+    return this.options.capacity.provisioner.isShort(type, zone, false);
   }
 
   spec(job: string): JobSpec | null {
@@ -96,32 +96,32 @@
 
   latestEndMs(id: string): number {
     const job = this.options.term.jobs.get(id);
-    return job === undefined ? Infinity : this.outlooks.of(job.storedJob).latestEndMs;
+    return job === undefined ? Infinity : this.downstreamPaths.of(job.storedJob).latestEndMs;
   }
 
-  moveReplica({ job, index, from, mayFetch }: ReplicaMove): boolean {
-    const attempts = this.options.term.jobs.get(job)?.live.get(index) ?? [];
+  migrateReplica({ job, index, from, mayFetch }: ReplicaMigration): boolean {
+    const attempts = this.options.term.jobs.get(job)?.attemptsByTask.get(index) ?? [];
     const attempt = attempts.find(
       (attempt) => attempt.machine === from && occupiesCapacity(attempt),
     );
     return attempt !== undefined && this.options.moveReplica(attempt, mayFetch);
   }
 
-  moveGapS(jobClass: string): number {
+  migrationGapS(jobClass: string): number {
     return this.options.moveGapS(jobClass);
   }
 
   endStopped({ job, index, number }: AttemptView): void {
     const { term } = this.options;
     const live = term.jobs.get(job);
-    const attempt = live?.live.get(index)?.find((attempt) => attempt.number === number);
+    const attempt = live?.attemptsByTask.get(index)?.find((attempt) => attempt.number === number);
     if (live === undefined || attempt === undefined) return;
     if (attempt.stopRequest === null && attempt.state !== 'saving') return;
     term.stopImmediately(live, attempt);
   }
 
-  rooms(): readonly FreeCapacity[] {
-    return this.options.capacity.rooms;
+  freeCapacities(): readonly FreeCapacity[] {
+    return this.options.capacity.capacities;
   }
 
   usage(team: string): TeamUsage {
@@ -132,11 +132,11 @@
     return this.options.term.context.replica.subsystems.of(this.subsystem);
   }
 
-  nudgeStore(): void {
+  wakeWriter(): void {
     this.options.nudgeStore();
   }
 
-  nudgeCloud(): void {
-    this.options.capacity.fleet.nudge();
+  wakeProvisioner(): void {
+    this.options.capacity.provisioner.wake();
   }
 }
--- a/src/leader/term/term.ts
+++ b/src/leader/term/term.ts
@@ -69,7 +69,7 @@
 
   /** All tasks are done and stored. */
   jobCompleted(job: LiveJob): void {
-    if (job.phase === 'open') job.become('closing');
+    if (job.phase === 'active') job.changePhase('closing');
   }
 
   // Attempts
@@ -79,14 +79,15 @@
     if (attempt.state !== 'claiming') return;
     advanceAttempt(attempt, 'claimed', this.now);
     const job = this.jobs.get(attempt.job);
-    if (attempt.stopRequest !== null || job === undefined || job.phase !== 'open') {
+    if (attempt.stopRequest !== null || job === undefined || job.phase !== 'active') {
       attempt.stopRequest = null;
       this.stopper.stop(attempt, 0);
-      if (job?.gang === true && job.phase === 'open') this.stopper.stopAll(job, 0);
+      if (job?.isGang === true && job.phase === 'active') this.stopper.stopAll(job, 0);
       return;
     }
     this.machinesToCommand.add(attempt.machine);
-    if (job.gang) for (const other of job.holding()) this.machinesToCommand.add(other.machine);
+    if (job.isGang)
+      for (const other of job.activeAttempts()) this.machinesToCommand.add(other.machine);
   }
 
   mayStart(attempt: Attempt): boolean {
--- a/src/leader/writes/due-writes.ts
+++ b/src/leader/writes/due-writes.ts
@@ -50,7 +50,7 @@
     }
     if (writes.machineTypesDirty) due.push({ urgency: SOON, encode: () => writes.machineTypes() });
     for (const write of this.subsystems.dueWrites()) {
-      const operations = 1 + write.write.also.length;
+      const operations = 1 + write.write.alsoChanges.length;
       const urgency = write.write.urgent === true ? URGENT : SUBSYSTEMS;
       due.push({ urgency, operations, encode: () => writes.subsystemRecord(write) });
     }
@@ -60,7 +60,7 @@
   private addProgress(job: LiveJob, now: number, due: DueWrite[]): void {
     const { dirty, dirtySince } = job.progress;
     if (dirty.size === 0 || job.cancelled) return;
-    const urgent = job.finished;
+    const urgent = job.isFinished;
     if (!urgent && now - (dirtySince ?? now) < PROGRESS_GAP_S) return;
     for (const unit of dirty) {
       const encode = (): RecordWrite => this.writes.progressWrite(job, unit);
--- a/src/leader/writes/progress-layout.ts
+++ b/src/leader/writes/progress-layout.ts
@@ -24,6 +24,6 @@
     const { layout } = job.progress;
     if (layout.kind === 'parts') continue;
     const wanted = progressLayout(term, job.spec.tasks);
-    if (wanted.kind === 'parts') job.progress.divide(wanted);
+    if (wanted.kind === 'parts') job.progress.changeLayout(wanted);
   }
 }
--- a/src/leader/writes/record-writes.ts
+++ b/src/leader/writes/record-writes.ts
@@ -110,14 +110,14 @@
     const record = job.progressRecord(unit);
     const doneMs = record.bits === null ? { doneMs: this.term.context.wallMs() } : {};
     const value = records.encodeProgress({ ...record, ...doneMs });
-    const fresh = progress.unstored(unit);
+    const fresh = progress.unstoredTasks(unit);
     const stored = (revision: number): void => {
       progress.revisions.set(key, revision);
-      for (const attempt of job.storedTasks(unit, fresh, this.clock.now())) {
+      for (const attempt of job.tasksStored(unit, fresh, this.clock.now())) {
         attempt.settled = true;
         this.term.machinesToCommand.add(attempt.machine);
       }
-      if (job.finished && progress.dirty.size === 0) this.term.jobCompleted(job);
+      if (job.isFinished && progress.dirty.size === 0) this.term.jobCompleted(job);
     };
     return recordWrite(
       key,
@@ -170,9 +170,9 @@
       stored: (revision) => write.stored(revision),
       failed: NO_OP,
       reread: (item) =>
-        write.reread(item === null ? null : { value: item.value, revision: item.revision }),
+        write.readBack(item === null ? null : { value: item.value, revision: item.revision }),
     };
-    return recordWrite(key, expectedRevision, op, outcomes, write.also.map(guarded));
+    return recordWrite(key, expectedRevision, op, outcomes, write.alsoChanges.map(guarded));
   }
 
   /** The machine types, for controllers that do not lead. */
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -12,13 +12,21 @@
 /**
  * Who leads. The leader's key hangs on a lease; its revision is the token, so tokens only rise.
  *
- *   following -> standing -> leading <-> continuing -> following
+ *   follower -> candidate -> leader <-> leader-in-outage -> follower
  *
- * `leading`: entitled by the lease. `continuing`: the state service refuses this node, and a majority
+ * `leader`: entitled by the lease. `leader-in-outage`: the state service refuses this node, and a majority
  * of controllers (this one among them) has just been refused too, which only an outage does; leases
  * stand still in one. Whatever the state, `entitled` is what counts for every answer and command.
  */
-export type ElectionRole = 'following' | 'standing' | 'leading' | 'continuing';
+export type ElectionRole = 'follower' | 'candidate' | 'leader' | 'leader-in-outage';
+
+/** What `/metrics` and the load lines of the log call each role: operators' scripts know these words. */
+export const ROLE_IN_METRICS: Record<ElectionRole, string> = {
+  follower: 'following',
+  candidate: 'standing',
+  leader: 'leading',
+  'leader-in-outage': 'continuing',
+};
 
 /** A late controller leaves leadership to a fitter one for so many lives of the leader's lease, at most. */
 const DEFER_TTLS = 0.5;
@@ -26,10 +34,10 @@
 const DEFER_CHECKS_PER_TTL = 20;
 
 const TRANSITIONS: Record<ElectionRole, ElectionRole[]> = {
-  following: ['standing'],
-  standing: ['leading', 'following'],
-  leading: ['continuing', 'following'],
-  continuing: ['leading', 'following'],
+  follower: ['candidate'],
+  candidate: ['leader', 'follower'],
+  leader: ['leader-in-outage', 'follower'],
+  'leader-in-outage': ['leader', 'follower'],
 };
 
 export interface ElectionEvents extends OutageEvents {
@@ -38,7 +46,7 @@
 }
 
 export class Election {
-  role: ElectionRole = 'following';
+  role: ElectionRole = 'follower';
   token = 0;
   private lease = 0;
   /** How often this process has stood. */
@@ -90,8 +98,8 @@
     this.log.info({ from: this.role, to: role, token: this.token }, 'role');
     const led = this.isLeading;
     this.role = role;
-    if (role === 'leading') this.vacantSince = null;
-    if (role === 'following' && led) {
+    if (role === 'leader') this.vacantSince = null;
+    if (role === 'follower' && led) {
       this.leaseValidUntil = -Infinity;
       this.store.setRole('follower');
       this.events.onDeposed();
@@ -99,7 +107,7 @@
   }
 
   private get isLeading(): boolean {
-    return this.role === 'leading' || this.role === 'continuing';
+    return this.role === 'leader' || this.role === 'leader-in-outage';
   }
 
   /** Whether this node may act for the controllers at this moment. */
@@ -113,13 +121,13 @@
    * must stop renewing workers' leases in time. In an outage `validUntil` counts with this already.
    */
   private get entitledUntil(): number {
-    if (this.role === 'continuing') return this.leaseValidUntil;
+    if (this.role === 'leader-in-outage') return this.leaseValidUntil;
     return Math.min(this.leaseValidUntil, this.replicaSync.freshAt + this.allowanceS);
   }
 
   /** Entitled, and commits can be expected to go through. */
   get canWrite(): boolean {
-    return this.role === 'leading' && this.isEntitled;
+    return this.role === 'leader' && this.isEntitled;
   }
 
   wake(): void {
@@ -129,11 +137,11 @@
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
-        if (this.role === 'following') await this.stepAsFollower();
+        if (this.role === 'follower') await this.stepAsFollower();
         else await this.stepAsLeader();
       } catch (error) {
         this.log.debug({ err: String(error), role: this.role }, 'election step failed');
-        if (this.role === 'standing') this.changeRole('following');
+        if (this.role === 'candidate') this.changeRole('follower');
         await sleep(0.2);
       }
     }
@@ -165,10 +173,10 @@
       await sleep(random() * 0.05 * this.leaseTtlS);
       if (this.replica.leader !== null) return;
     }
-    this.changeRole('standing');
+    this.changeRole('candidate');
     const won = await this.campaign(leader?.revision ?? 0);
     if (!won) {
-      this.changeRole('following');
+      this.changeRole('follower');
       await sleep(0.1 + random() * 0.2);
     }
   }
@@ -227,7 +235,7 @@
     }
     // Stopped while it was being elected: it would lead on with nobody to stop it again.
     if (this.stopped) return false;
-    this.changeRole('leading');
+    this.changeRole('leader');
     this.events.onElected(token);
     return true;
   }
@@ -244,11 +252,11 @@
     try {
       if (await this.store.keepLeaseAlive(this.lease, Math.max(0.3, Math.min(1, left / 2)))) {
         this.leaseValidUntil = Math.max(this.leaseValidUntil, this.leaseEnd(sentAt));
-        if (this.role === 'continuing') this.changeRole('leading');
+        if (this.role === 'leader-in-outage') this.changeRole('leader');
         this.refreshReplica();
       } else {
         this.log.info({ token: this.token }, 'lease has ended');
-        this.changeRole('following');
+        this.changeRole('follower');
         return;
       }
     } catch (error) {
@@ -257,16 +265,18 @@
     }
     const l = this.replica.leader;
     if (l !== null && l.revision > this.token) {
-      this.changeRole('following');
+      this.changeRole('follower');
       return;
     }
     if (refused) await this.continueInOutage(sentAt);
     if (this.clock.now() >= this.entitledUntil) {
       this.log.info({ token: this.token }, 'entitlement has run out');
-      this.changeRole('following');
+      this.changeRole('follower');
       return;
     }
-    await sleep(this.role === 'continuing' || refused ? this.leaseTtlS / 12 : this.leaseTtlS / 5);
+    await sleep(
+      this.role === 'leader-in-outage' || refused ? this.leaseTtlS / 12 : this.leaseTtlS / 5,
+    );
   }
 
   /**
@@ -274,10 +284,10 @@
    * long enough that another one is elected first, where there is one.
    */
   async stepDown(): Promise<void> {
-    if (this.role !== 'leading') return;
+    if (this.role !== 'leader') return;
     const { lease } = this;
     this.campaignsFrom = this.clock.now() + this.leaseTtlS / 2;
-    this.changeRole('following');
+    this.changeRole('follower');
     // Without an answer the key goes by itself, when the lease ends.
     await this.store.endLease(lease, this.leaseTtlS / 2).catch(() => undefined);
   }
@@ -300,7 +310,7 @@
     const until = Math.min(askedAt + forS * (1 - 2 * DRIFT), this.outage.renewalBound(majority));
     if (until <= this.clock.now()) return;
     this.leaseValidUntil = Math.max(this.leaseValidUntil, until);
-    if (this.role === 'leading') this.changeRole('continuing');
+    if (this.role === 'leader') this.changeRole('leader-in-outage');
   }
 
   /**
@@ -315,7 +325,7 @@
     if (!known && token > this.token && this.isLeading) {
       until = Math.max(until, Math.min(now, this.leaseValidUntil));
       this.log.info({ token: this.token, later: token }, 'a later leader');
-      this.changeRole('following');
+      this.changeRole('follower');
     }
     return until - now;
   }
--- a/src/lending/estimate-errors.ts
+++ b/src/lending/estimate-errors.ts
@@ -20,7 +20,7 @@
   look(jobs: Iterable<LiveJobView>): void {
     const seen = new Set<string>();
     for (const job of jobs) {
-      if (!job.finished || job.spec.kind === 'service') continue;
+      if (!job.isFinished || job.spec.kind === 'service') continue;
       seen.add(job.spec.id);
       if (!this.counted.has(job.spec.id)) this.note(job);
     }
--- a/src/lending/grants.ts
+++ b/src/lending/grants.ts
@@ -2,9 +2,9 @@
 
 import type {
   AttemptView,
-  Eviction,
-  EvictionRules,
-  EvictionVictim,
+  Preemption,
+  PreemptionRules,
+  PreemptionVictim,
   LiveJobView,
   TermView,
 } from '../subsystems/subsystem.js';
@@ -22,7 +22,7 @@
 
 /** An eviction whose loans are on their way into the store. */
 interface Pending {
-  eviction: Eviction;
+  preemption: Preemption;
   loans: LoanEntry[];
   /** Attempts that are about to be stopped, by key. */
   attempts: ReadonlySet<string>;
@@ -37,20 +37,20 @@
   wayBack: WayBackTimes;
 }
 
-export class Grants implements EvictionRules {
+export class Grants implements PreemptionRules {
   private pending: Pending[] = [];
   /** Evictions of services by which room was made without any promise. */
   withoutPromise = 0;
 
   constructor(private readonly options: GrantOptions) {}
 
-  harm(borrower: LiveJobView, victim: EvictionVictim, saves: boolean): number {
+  harm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
     if (!isLoan(borrower, victim)) return 0;
     const judgement = this.judge(victim, saves);
     return judgement.safe ? judgement.harm : 1;
   }
 
-  private judge(victim: EvictionVictim, saves: boolean): Judgement {
+  private judge(victim: PreemptionVictim, saves: boolean): Judgement {
     const { table } = this.options;
     const { job, attempt } = victim;
     const open = table.openLoanOf(job.spec.id, attempt.index);
@@ -60,7 +60,7 @@
     return judge(lenderWork(victim, saves, known, this.options));
   }
 
-  isLeaving({ job, index, number, state }: AttemptView): boolean {
+  isStopping({ job, index, number, state }: AttemptView): boolean {
     const key = attemptKey(job, index, number);
     if (this.pending.some(({ attempts }) => attempts.has(key))) return true;
     // Told by an earlier leader.
@@ -68,10 +68,10 @@
   }
 
   /** Where not all victims may lend, the room is made at once and nothing is promised. */
-  takesOver(eviction: Eviction): boolean {
-    const { borrower, victims } = eviction;
+  takesOver(preemption: Preemption): boolean {
+    const { borrower, victims } = preemption;
     if (!victims.every((victim) => isLoan(borrower, victim))) return false;
-    const loans = this.loansOf(eviction);
+    const loans = this.loansOf(preemption);
     if (loans === null) {
       this.withoutPromise++;
       return false;
@@ -79,20 +79,20 @@
     const entries = loans.map((loan) => this.request(loan));
     const attempts = new Set(loans.flatMap(attemptKeys));
     const since = this.options.view.now();
-    this.pending.push({ eviction, loans: entries, attempts, since });
+    this.pending.push({ preemption, loans: entries, attempts, since });
     this.carryOutStored();
-    this.options.view.nudgeStore();
+    this.options.view.wakeWriter();
     return true;
   }
 
   /** One loan for each lender; null: one of them may not lend. */
-  private loansOf(eviction: Eviction): Loan[] | null {
+  private loansOf(preemption: Preemption): Loan[] | null {
     const { view, table, config } = this.options;
     const byName = new Map<string, Loan>();
-    for (const victim of eviction.victims) {
-      const judgement = this.judge(victim, eviction.saves);
+    for (const victim of preemption.victims) {
+      const judgement = this.judge(victim, preemption.saves);
       if (!judgement.safe) return null;
-      const loan = makeLoan(victim, eviction, view.wallMs(), judgement.latestReturnS);
+      const loan = makeLoan(victim, preemption, view.wallMs(), judgement.latestReturnS);
       byName.set(loanId(loan), loan);
     }
     const loans = [...byName.values()];
@@ -100,13 +100,13 @@
     if (open + loans.length > config.maxOpen) return null;
     const mostBytes = view.settings.state.value_kb * 1024;
     if (loans.some((loan) => loanBytes(loan) > mostBytes)) return null;
-    return this.hasGpus(eviction.machine, loans) ? loans : null;
+    return this.hasGpus(preemption.machine, loans) ? loans : null;
   }
 
   /** No GPU may be named by two open loans. */
   private hasGpus(machine: string, loans: readonly Loan[]): boolean {
     const { view, table } = this.options;
-    const whole = view.types().get(view.machine(machine)?.type ?? '')?.gpus ?? 0;
+    const whole = view.machineTypes().get(view.machine(machine)?.type ?? '')?.gpus ?? 0;
     const fresh = loans.filter((loan) => table.get(loanId(loan)) === undefined);
     const gpus = fresh.reduce((sum, loan) => sum + loan.gpus, table.lentGpus(machine));
     return gpus <= whole + 1e-6;
@@ -153,8 +153,8 @@
     const ready = this.pending.filter(isReady);
     if (ready.length === 0) return 0;
     this.pending = this.pending.filter((pending) => !ready.includes(pending));
-    for (const { eviction, loans } of ready) {
-      if (eviction.carryOut()) continue;
+    for (const { preemption, loans } of ready) {
+      if (preemption.carryOut()) continue;
       for (const loan of loans) this.withdraw(loan);
     }
     return ready.length;
@@ -172,7 +172,7 @@
 }
 
 /** Serving borrows from finite work. Anything else that makes room does so without a loan. */
-const isLoan = (borrower: LiveJobView, { job }: EvictionVictim): boolean =>
+const isLoan = (borrower: LiveJobView, { job }: PreemptionVictim): boolean =>
   borrower.spec.kind === 'service' && job.spec.kind !== 'service';
 
 /** A loan whose lender may not have been told, and runs. */
@@ -180,23 +180,23 @@
   state === 'requested' || state === 'saving';
 
 /** A gang lends whole. */
-function lentTasks({ job, attempt }: EvictionVictim): LentTask[] {
-  const attempts = job.gang ? [...job.live.values()].flat() : [attempt];
+function lentTasks({ job, attempt }: PreemptionVictim): LentTask[] {
+  const attempts = job.isGang ? [...job.attemptsByTask.values()].flat() : [attempt];
   const same = attempts.filter((each) => each.number === attempt.number);
   return same
     .map(({ index, number, machine }) => ({ index, attempt: number, machine }))
     .sort((a, b) => a.index - b.index);
 }
 
-const nameOf = (victim: EvictionVictim): string =>
+const nameOf = (victim: PreemptionVictim): string =>
   loanId({ lender: victim.job.spec.id, tasks: lentTasks(victim) });
 
 const attemptKeys = ({ lender, tasks }: Loan): string[] =>
   tasks.map(({ index, attempt }) => attemptKey(lender, index, attempt));
 
 function makeLoan(
-  victim: EvictionVictim,
-  { machine, borrower }: Eviction,
+  victim: PreemptionVictim,
+  { machine, borrower }: Preemption,
   nowMs: number,
   latestReturnS: number,
 ): Loan {
--- a/src/lending/lender-work.ts
+++ b/src/lending/lender-work.ts
@@ -1,15 +1,15 @@
 /** What is left to do of work that might lend, as the leader knows it. */
 
-import type { EvictionVictim, LiveJobView, TermView } from '../subsystems/subsystem.js';
+import type { PreemptionVictim, LiveJobView, TermView } from '../subsystems/subsystem.js';
 import { occupiesCapacity } from '../workers/attempt.js';
-import { within } from '../jobs/types.js';
+import { isWithinLimit } from '../jobs/types.js';
 import type { EstimateErrors } from './estimate-errors.js';
 import type { Loan } from './loan.js';
 import type { LenderWork } from './safety.js';
 import type { WayBackTimes } from './way-back.js';
 
 /** What becomes of a task's progress when it is stopped, in seconds of work that need not be repeated. */
-function savedS({ job, attempt }: EvictionVictim, now: number): number {
+function savedS({ job, attempt }: PreemptionVictim, now: number): number {
   const { checkpointS } = job.spec;
   if (checkpointS <= 0 || attempt.startedAt === null) return 0;
   const ranS = now - attempt.startedAt;
@@ -18,8 +18,8 @@
 
 /** What is left of the whole job if it goes on with one task less than now. */
 function jobRemainingS(job: LiveJobView): number {
-  if (job.gang) return job.spec.estimateS;
-  return job.unfinishedPredictedS / Math.max(1, job.holdingCount - 1);
+  if (job.isGang) return job.spec.estimateS;
+  return job.unfinishedPredictedS / Math.max(1, job.activeAttemptCount - 1);
 }
 
 export interface LenderWorkContext {
@@ -30,7 +30,7 @@
 
 /** `lentAtMs`: when its job lent last, in ms of the time of day; null: never. */
 export function lenderWork(
-  victim: EvictionVictim,
+  victim: PreemptionVictim,
   borrowerWaits: boolean,
   { lending, lentAtMs }: { lending: boolean; lentAtMs: number | null },
   { view, errors, wayBack }: LenderWorkContext,
@@ -38,7 +38,7 @@
   const { job, attempt } = victim;
   const { spec } = job;
   const nowMs = view.wallMs();
-  const type = view.types().get(view.machine(attempt.machine)?.type ?? '');
+  const type = view.machineTypes().get(view.machine(attempt.machine)?.type ?? '');
   return {
     leftS: (view.latestEndMs(spec.id) - nowMs) / 1000,
     ownRemainingS: Math.max(0, spec.estimateS - savedS(victim, view.now())),
@@ -52,7 +52,7 @@
     // What an earlier leader started may have run for long.
     started:
       attempt.state !== 'fetching' && attempt.state !== 'waiting' && occupiesCapacity(attempt),
-    guaranteed: job.guaranteed,
+    guaranteed: job.isGuaranteed,
     lentAgoS: lentAtMs === null ? Infinity : (nowMs - lentAtMs) / 1000,
     lending,
     borrowerWaits,
@@ -66,6 +66,7 @@
   if (spec === null || team === undefined) return false;
   const used = view.usage(spec.team);
   return (
-    !within(used.gpus + spec.gpus, team.gpusMax) || !within(used.cores + spec.cores, team.coresMax)
+    !isWithinLimit(used.gpus + spec.gpus, team.gpusMax) ||
+    !isWithinLimit(used.cores + spec.cores, team.coresMax)
   );
 }
