--- a/src/lending/lending-term.ts
+++ b/src/lending/lending-term.ts
@@ -3,9 +3,9 @@
 import type { JobSpec } from '../jobs/types.js';
 import type { FreeCapacity } from '../scheduler/bin-packing.js';
 import type {
-  EvictionRules,
+  PreemptionRules,
   OwnedWrite,
-  StoredRent,
+  StoredRentRequest,
   SubsystemTerm,
   TermView,
 } from '../subsystems/subsystem.js';
@@ -19,7 +19,7 @@
 import { WayBackTimes } from './way-back.js';
 
 export class LendingTerm implements SubsystemTerm {
-  readonly evictions: EvictionRules;
+  readonly preemption: PreemptionRules;
   private readonly table: LoanTable;
   private readonly errors: EstimateErrors;
   private readonly grants: Grants;
@@ -41,7 +41,7 @@
     this.grants = new Grants({ view, table, config, errors, wayBack });
     this.watch = new LoanWatch({ view, table, grants: this.grants, wayBack, config });
     this.holds = new ReturnHolds(view, table);
-    this.evictions = this.grants;
+    this.preemption = this.grants;
     this.table.reconcile(view.records());
     this.holds.update();
   }
@@ -57,7 +57,7 @@
 
   /** Nothing is decided while nothing can be stored. */
   tick(): void {
-    if (!this.view.writing()) {
+    if (!this.view.canWrite()) {
       this.watch.noteOutage();
       return;
     }
@@ -70,7 +70,7 @@
     this.table.removeEnded(this.config.keepEndedS * 1000);
   }
 
-  rents(): StoredRent[] {
+  rentRequests(): StoredRentRequest[] {
     return [];
   }
 
@@ -82,19 +82,19 @@
     return 0;
   }
 
-  mayUse(spec: JobSpec, room: FreeCapacity): boolean {
-    return this.holds.mayUse(spec, room);
+  mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
+    return this.holds.mayUse(spec, capacity);
   }
 
-  preferenceS(spec: JobSpec, room: FreeCapacity): number {
-    return this.holds.preferenceS(spec, room);
+  preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
+    return this.holds.preferenceS(spec, capacity);
   }
 
   dueWrites(): OwnedWrite[] {
     return this.table.dueWrites();
   }
 
-  figures(): Record<string, number | string> {
+  statistics(): Record<string, number | string> {
     const states = noLoans();
     let openGpus = 0;
     for (const { current } of this.table.values()) states[current.state]++;
--- a/src/lending/loan-evidence.ts
+++ b/src/lending/loan-evidence.ts
@@ -33,7 +33,7 @@
 function lenderOver(loan: Loan, job: LiveJobView | undefined): string | null {
   if (job === undefined) return 'the lender is over';
   if (job.cancelled) return 'the lender was cancelled';
-  const done = job.phase !== 'open' || loan.tasks.every(({ index }) => job.done.has(index));
+  const done = job.phase !== 'active' || loan.tasks.every(({ index }) => job.done.has(index));
   return done ? 'the lender is done' : null;
 }
 
@@ -57,7 +57,7 @@
   const lent: AttemptView[] = [];
   const later: AttemptView[] = [];
   for (const { index, attempt } of loan.tasks) {
-    for (const each of job?.live.get(index) ?? []) {
+    for (const each of job?.attemptsByTask.get(index) ?? []) {
       if (occupiesCapacity(each)) (each.number === attempt ? lent : later).push(each);
     }
   }
@@ -67,7 +67,7 @@
 /** The borrower's attempts on the machine of a loan. */
 function borrowerAttempts(loan: Loan, view: TermView): AttemptView[] {
   const job = view.job(loan.borrower);
-  const attempts = job === undefined ? [] : [...job.live.values()].flat();
+  const attempts = job === undefined ? [] : [...job.attemptsByTask.values()].flat();
   return attempts.filter(
     (attempt) => attempt.machine === loan.machine && occupiesCapacity(attempt),
   );
@@ -91,8 +91,8 @@
   if (borrowerAttempts(loan, view).length > 0) return 'there';
   if (freeGpus < loan.gpus) return 'wants';
   const job = view.job(loan.borrower);
-  if (job === undefined || job.phase !== 'open') return 'away';
-  return job.pendingCount > 0 ? 'wants' : 'away';
+  if (job === undefined || job.phase !== 'active') return 'away';
+  return job.pendingTaskCount > 0 ? 'wants' : 'away';
 }
 
 function machineGone(loan: Loan, view: TermView): boolean {
--- a/src/lending/loan-watch.ts
+++ b/src/lending/loan-watch.ts
@@ -33,7 +33,7 @@
 function moveGaps(view: TermView): (jobClass: string) => number {
   const known = new Map<string, number>();
   return (jobClass) => {
-    const gapMs = known.get(jobClass) ?? view.moveGapS(jobClass) * 1000;
+    const gapMs = known.get(jobClass) ?? view.migrationGapS(jobClass) * 1000;
     known.set(jobClass, gapMs);
     return gapMs;
   };
@@ -65,7 +65,7 @@
       atOnce: config.recallsAtOnce,
       gapMs: moveGaps(view),
     });
-    const free = new Map(view.rooms().map(({ id, gpus }) => [id, gpus]));
+    const free = new Map(view.freeCapacities().map(({ id, gpus }) => [id, gpus]));
     let underWay = away.filter(({ current }) => current.state === 'recalled').length;
     for (const entry of [...table.open()]) {
       const begin = begins.get(entry.id) ?? Infinity;
@@ -84,7 +84,7 @@
     if (event !== null) {
       this.noteWayBack(before, event.kind);
       table.apply(entry, event);
-      view.nudgeStore();
+      view.wakeWriter();
     }
     if (entry.current.state === 'saving') this.endSaving(entry.current);
     // A successor has to find a recall whose replica it sees moving.
@@ -106,7 +106,7 @@
 
   /** A team's guarantee comes before any due time. */
   private recallReason(loan: Loan, isDue: boolean): string | null {
-    if (this.options.view.job(loan.lender)?.guaranteed === true) {
+    if (this.options.view.job(loan.lender)?.isGuaranteed === true) {
       return 'the lender is within its guarantee';
     }
     return isDue ? 'the latest return comes near' : null;
@@ -148,7 +148,7 @@
     const mostS = job.spec.saveS * SAVE_FACTOR + view.settings.workers.lease_s * SAVE_LEASES;
     if ((view.wallMs() - loan.changedMs) / 1000 <= mostS) return;
     for (const { index, attempt } of loan.tasks) {
-      const late = job.live.get(index)?.find((each) => each.number === attempt);
+      const late = job.attemptsByTask.get(index)?.find((each) => each.number === attempt);
       if (late !== undefined) view.endStopped(late);
     }
   }
@@ -164,9 +164,9 @@
     if (attempts.some((attempt) => attempt.stopRequest !== null)) return;
     for (const { job, index } of attempts) {
       // What a service misses elsewhere it would take back here: it is the more important of the two.
-      if (view.job(job)?.pendingCount !== 0) continue;
+      if (view.job(job)?.pendingTaskCount !== 0) continue;
       const move = { job, index, from: loan.machine, mayFetch: this.presses(loan) };
-      if (view.moveReplica(move)) return;
+      if (view.migrateReplica(move)) return;
     }
   }
 
--- a/src/lending/return-holds.ts
+++ b/src/lending/return-holds.ts
@@ -1,7 +1,7 @@
 /** Room that came back for a lender is not taken by work that is no more important. */
 
 import { fits, type JobSpec } from '../jobs/types.js';
-import { allowed, type FreeCapacity } from '../scheduler/bin-packing.js';
+import { isAllowedOn, type FreeCapacity } from '../scheduler/bin-packing.js';
 import type { TermView } from '../subsystems/subsystem.js';
 import type { Loan } from './loan.js';
 import { isAtLimit } from './lender-work.js';
@@ -54,7 +54,7 @@
   private holds(loan: Loan): boolean {
     const { state, changedMs, lender, tasks } = loan;
     if (state !== 'recalled' && state !== 'returned') return false;
-    const live = this.view.job(lender)?.live;
+    const live = this.view.job(lender)?.attemptsByTask;
     const hasPlace = tasks.every(({ index }) => live?.has(index) === true);
     if (hasPlace || isAtLimit(loan, this.view)) return false;
     if (state === 'recalled') return true;
@@ -69,28 +69,32 @@
 
   private isWayBack(machine: string): boolean {
     if (this.recalledBorrowers.length === 0) return false;
-    const room = this.view.rooms().find(({ id }) => id === machine);
-    if (room === undefined) return false;
-    return this.recalledBorrowers.some((spec) => allowed(spec, room) && fits(spec, room));
+    const capacity = this.view.freeCapacities().find(({ id }) => id === machine);
+    if (capacity === undefined) return false;
+    return this.recalledBorrowers.some(
+      (spec) => isAllowedOn(spec, capacity) && fits(spec, capacity),
+    );
   }
 
   /**
    * A replica that has been moved had better not come back, where there is another place for it. It once
    * did as soon as its booking had run out.
    */
-  preferenceS(spec: JobSpec, room: FreeCapacity): number {
-    const isBorrowers = this.byMachine.get(room.id)?.some(({ borrower }) => borrower === spec.id);
+  preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
+    const isBorrowers = this.byMachine
+      .get(capacity.id)
+      ?.some(({ borrower }) => borrower === spec.id);
     return isBorrowers === true ? -this.view.settings.workers.lease_s * AVOID_LEASES : 0;
   }
 
   /** More important work may always use it: a loan forbids nothing that preemption would allow. */
-  mayUse(spec: JobSpec, room: FreeCapacity): boolean {
-    const holds = this.byMachine.get(room.id);
+  mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
+    const holds = this.byMachine.get(capacity.id);
     if (holds === undefined) return true;
     let held = 0;
     for (const { lender, priority, gpus } of holds) {
       if (lender !== spec.id && spec.priority >= priority) held += gpus;
     }
-    return held === 0 || room.gpus - spec.gpus >= held;
+    return held === 0 || capacity.gpus - spec.gpus >= held;
   }
 }
--- a/src/lending/way-back.ts
+++ b/src/lending/way-back.ts
@@ -19,7 +19,7 @@
 
   /** Seconds that cover most recalls. */
   get seconds(): number {
-    const bootS = Math.max(0, ...[...this.view.types().values()].map((type) => type.bootS));
+    const bootS = Math.max(0, ...[...this.view.machineTypes().values()].map((type) => type.bootS));
     return covering(this.samples, bootS * SLOW_BOOT + this.commandS);
   }
 
--- a/src/pipelines/dependency-graph.ts
+++ b/src/pipelines/dependency-graph.ts
@@ -49,9 +49,10 @@
     this.version++;
     this.link(job);
     if (job.unmetDependencies === 0) this.makeReady(job);
-    for (const id of job.spec.awaits) {
+    for (const id of job.spec.dependencies) {
       const needed = this.jobs.get(id);
-      if (needed !== undefined && outcome(needed) === 'cancelled') inheritCancellation(job, needed);
+      if (needed !== undefined && outcome(needed) === 'cancelled')
+        cancelWithDependency(job, needed);
     }
     if (outcome(job) === 'cancelled') {
       this.events.onCancelled(job);
@@ -77,7 +78,7 @@
     for (let next = over.pop(); next !== undefined; next = over.pop()) {
       for (const dependent of this.take(next)) {
         if (outcome(dependent) !== 'open') continue;
-        inheritCancellation(dependent, next);
+        cancelWithDependency(dependent, next);
         this.events.onCancelled(dependent);
         over.push(dependent);
       }
@@ -107,7 +108,7 @@
   /** Notes a job with each one that it needs and that is not done. */
   private link(job: StoredJob): void {
     job.unmetDependencies = 0;
-    for (const id of job.spec.awaits) {
+    for (const id of job.spec.dependencies) {
       const needed = this.jobs.get(id);
       if (needed !== undefined && outcome(needed) === 'done') continue;
       job.unmetDependencies++;
@@ -126,7 +127,7 @@
     }
     for (let next = changed.pop(); next !== undefined; next = changed.pop()) {
       for (const dependent of this.dependents.get(next.spec.id) ?? []) {
-        if (inheritCancellation(dependent, next)) changed.push(dependent);
+        if (cancelWithDependency(dependent, next)) changed.push(dependent);
       }
     }
   }
@@ -141,7 +142,7 @@
   private makeReady(job: StoredJob): void {
     let revision = job.acceptedAt;
     let ms = job.atMs;
-    for (const id of job.spec.awaits) {
+    for (const id of job.spec.dependencies) {
       const needed = this.jobs.get(id)!;
       revision = Math.max(revision, needed.doneAt!);
       ms = Math.max(ms, needed.doneMs);
@@ -153,7 +154,7 @@
 }
 
 /** Returns whether that made the cancellation of `job` older. */
-function inheritCancellation(job: StoredJob, needed: StoredJob): boolean {
+function cancelWithDependency(job: StoredJob, needed: StoredJob): boolean {
   const revision = Math.max(needed.cancelledAt!, job.acceptedAt);
   if (job.cancelledAt !== null && job.cancelledAt <= revision) return false;
   job.cancelledAt = revision;
--- a/src/pipelines/downstream-path.ts
+++ b/src/pipelines/downstream-path.ts
@@ -4,13 +4,13 @@
 import type { DependencyGraph } from './dependency-graph.js';
 
 /** What comes after a job in its pipeline. */
-export interface Outlook {
+export interface DownstreamPath {
   /** The highest priority of the job and of all that need it. */
   priority: Priority;
   /** Jobs that name it, with their predicted work in seconds and their distance from the last job. */
   successors: Successor[];
   /** Predicted seconds of the longest path of jobs after it. */
-  criticalS: number;
+  longestPathS: number;
   /** Jobs on the longest path after it. */
   depth: number;
   /** Time of day in ms at which it has to be done for all deadlines to hold as predicted; Infinity: none. */
@@ -22,13 +22,13 @@
   spec.kind === 'gang' ? spec.estimateS : spec.estimateS * spec.tasks;
 
 /** Derives what comes after jobs; kept until the graph changes. */
-export class Outlooks {
-  private readonly known = new Map<string, Outlook>();
+export class DownstreamPaths {
+  private readonly known = new Map<string, DownstreamPath>();
   private version = -1;
 
   constructor(private readonly graph: DependencyGraph) {}
 
-  of(job: StoredJob): Outlook {
+  of(job: StoredJob): DownstreamPath {
     if (this.graph.version !== this.version) {
       this.known.clear();
       this.version = this.graph.version;
@@ -37,7 +37,7 @@
   }
 
   /** Dependents first; with a stack of its own, since chains may have thousands of jobs. */
-  private derive(root: StoredJob): Outlook {
+  private derive(root: StoredJob): DownstreamPath {
     const stack = [root];
     const begun = new Set<string>();
     for (let job = stack.at(-1); job !== undefined; job = stack.at(-1)) {
@@ -58,20 +58,26 @@
     return this.known.get(root.spec.id)!;
   }
 
-  private combine(job: StoredJob, dependents: readonly StoredJob[]): Outlook {
+  private combine(job: StoredJob, dependents: readonly StoredJob[]): DownstreamPath {
     const { priority, deadlineS } = job.spec;
     const latestEndMs = deadlineS === null ? Infinity : job.atMs + deadlineS * 1000;
-    const outlook: Outlook = { priority, successors: [], criticalS: 0, depth: 0, latestEndMs };
+    const path: DownstreamPath = {
+      priority,
+      successors: [],
+      longestPathS: 0,
+      depth: 0,
+      latestEndMs,
+    };
     for (const { spec } of dependents) {
       const after = this.known.get(spec.id);
       if (after === undefined) continue;
-      outlook.priority = Math.min(outlook.priority, after.priority) as Priority;
-      outlook.successors.push({ workS: predictedWorkS(spec), depth: after.depth });
-      outlook.criticalS = Math.max(outlook.criticalS, spec.estimateS + after.criticalS);
-      outlook.depth = Math.max(outlook.depth, after.depth + 1);
+      path.priority = Math.min(path.priority, after.priority) as Priority;
+      path.successors.push({ workS: predictedWorkS(spec), depth: after.depth });
+      path.longestPathS = Math.max(path.longestPathS, spec.estimateS + after.longestPathS);
+      path.depth = Math.max(path.depth, after.depth + 1);
       const startMs = after.latestEndMs - spec.estimateS * 1000;
-      outlook.latestEndMs = Math.min(outlook.latestEndMs, startMs);
+      path.latestEndMs = Math.min(path.latestEndMs, startMs);
     }
-    return outlook;
+    return path;
   }
 }
--- a/src/scheduler/drain-selection.ts
+++ b/src/scheduler/drain-selection.ts
@@ -2,9 +2,9 @@
   bestFit,
   copyFreeCapacity,
   freeShare,
-  take,
+  allocate,
   type FreeCapacity,
-  type Weights,
+  type PlacementWeights,
 } from './bin-packing.js';
 import type { JobSpec } from '../jobs/types.js';
 
@@ -12,45 +12,47 @@
  * Emptying a machine whose few replicas fit elsewhere, so that it can be given back. A replica that
  * moves is away for a moment; how many of a class may move at a time is the caller's bound.
  */
-export interface Replica {
+export interface MovableReplica {
   spec: JobSpec;
   zones: Map<string, number>;
 }
 
-export interface Candidate {
-  room: FreeCapacity;
-  replicas: Replica[];
+export interface DrainCandidate {
+  capacity: FreeCapacity;
+  replicas: MovableReplica[];
 }
 
 /** A machine of which so much is free is worth emptying. */
 const EMPTY_SHARE = 0.5;
 
 /** Which machine to empty; null: none whose replicas all find a place with their image elsewhere. */
-export function chooseVacated(
-  candidates: Candidate[],
-  rooms: FreeCapacity[],
-  mayMove: (replicas: Replica[]) => boolean,
-  weights: Weights,
-): { candidate: Candidate; to: string[] } | null {
+export function chooseMachineToDrain(
+  candidates: DrainCandidate[],
+  capacities: FreeCapacity[],
+  mayMove: (replicas: MovableReplica[]) => boolean,
+  weights: PlacementWeights,
+): { candidate: DrainCandidate; to: string[] } | null {
   const sorted = candidates
-    .filter((c) => c.replicas.length > 0 && freeShare(c.room) >= EMPTY_SHARE)
-    .sort((a, b) => freeShare(b.room) - freeShare(a.room));
+    .filter((c) => c.replicas.length > 0 && freeShare(c.capacity) >= EMPTY_SHARE)
+    .sort((a, b) => freeShare(b.capacity) - freeShare(a.capacity));
   for (const c of sorted) {
     if (!mayMove(c.replicas)) continue;
     // Only places on machines that are in use anyway: the emptier one never receives.
-    const places = rooms
-      .filter((capacity) => capacity.id !== c.room.id && !capacity.spot && freeShare(capacity) < 1)
-      .filter((capacity) => freeShare(capacity) <= freeShare(c.room))
+    const places = capacities
+      .filter(
+        (capacity) => capacity.id !== c.capacity.id && !capacity.spot && freeShare(capacity) < 1,
+      )
+      .filter((capacity) => freeShare(capacity) <= freeShare(c.capacity))
       .map(copyFreeCapacity);
     const to: string[] = [];
     const all = c.replicas.every((replica) => {
       const zones = new Map(replica.zones);
-      zones.set(c.room.zone, (zones.get(c.room.zone) ?? 1) - 1);
+      zones.set(c.capacity.zone, (zones.get(c.capacity.zone) ?? 1) - 1);
       // What is cached is an estimate; moving on a wrong one cost a replica a whole fetch.
       const there = places.filter((capacity) => capacity.hasImage(replica.spec.image));
       const room = bestFit(replica.spec, there, { zones }, weights);
       if (room === null) return false;
-      take(replica.spec, room);
+      allocate(replica.spec, room);
       to.push(room.id);
       return true;
     });
--- a/src/scheduler/fetch-times.ts
+++ b/src/scheduler/fetch-times.ts
@@ -14,7 +14,7 @@
   private readonly ratios: number[] = [];
   private cached: number | null = null;
 
-  note(predictedS: number, tookS: number): void {
+  record(predictedS: number, tookS: number): void {
     if (predictedS <= 0 || tookS <= 0) return;
     const ratio = tookS / predictedS;
     if (ratio > ODD || ratio < 1 / ODD) return;
@@ -24,7 +24,7 @@
   }
 
   /** By what to multiply a prediction so that most fetches are no slower. */
-  get sure(): number {
+  get safetyFactor(): number {
     if (this.ratios.length < LEAST) return 1;
     if (this.cached === null) {
       const sorted = [...this.ratios].sort((a, b) => a - b);
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,7 +1,7 @@
-import { fits, type JobSpec, type Size } from '../jobs/types.js';
-import { allowed, zoneAllowed } from './bin-packing.js';
+import { fits, type JobSpec, type Resources } from '../jobs/types.js';
+import { isAllowedOn, isZoneAllowed } from './bin-packing.js';
 
-export interface Victim extends Size {
+export interface Victim extends Resources {
   id: string;
   /** What must stop together with it: the tasks of one gang. */
   group: string;
@@ -9,34 +9,34 @@
   lossS: number;
 }
 
-export interface Occupied extends Size {
+export interface OccupiedMachine extends Resources {
   id: string;
   type: string;
   zone: string;
   spot: boolean;
   /** Seconds that a start there costs beyond what the victims lose: the wait for its image. */
-  waitS?: number;
+  delayS?: number;
   victims: Victim[];
 }
 
-export interface Eviction {
+export interface PreemptionPlan {
   machine: string;
   victims: Victim[];
 }
 
 /** The machine on which making room for one task loses least, and whom to stop there. */
-export function cheapestEviction(
+export function cheapestPreemption(
   spec: JobSpec,
-  machines: Occupied[],
+  machines: OccupiedMachine[],
   zones: Map<string, number>,
-): Eviction | null {
-  let best: Eviction | null = null;
+): PreemptionPlan | null {
+  let best: PreemptionPlan | null = null;
   let bestLoss = Infinity;
   for (const m of machines) {
-    if (!allowed(spec, m) || !zoneAllowed(spec, m.zone, zones)) continue;
-    const free: Size = { cores: m.cores, gpus: m.gpus, memGb: m.memGb };
+    if (!isAllowedOn(spec, m) || !isZoneAllowed(spec, m.zone, zones)) continue;
+    const free: Resources = { cores: m.cores, gpus: m.gpus, memGb: m.memGb };
     const chosen: Victim[] = [];
-    let loss = m.waitS ?? 0;
+    let loss = m.delayS ?? 0;
     for (const victim of [...m.victims].sort((victim, b) => victim.lossS - b.lossS)) {
       if (fits(spec, free)) break;
       free.cores += victim.cores;
@@ -48,7 +48,7 @@
     if (chosen.length === 0 || !fits(spec, free)) continue;
     // Those that turn out not to be needed stay.
     for (const victim of [...chosen].sort((victim, b) => b.lossS - victim.lossS)) {
-      const without: Size = {
+      const without: Resources = {
         cores: free.cores - victim.cores,
         gpus: free.gpus - victim.gpus,
         memGb: free.memGb - victim.memGb,
--- a/src/scheduler/quota.ts
+++ b/src/scheduler/quota.ts
@@ -1,18 +1,24 @@
 import type { Team } from '../config/settings.js';
-import { within, type JobSpec, type MachineType, fits, scatterCap } from '../jobs/types.js';
+import {
+  isWithinLimit,
+  type JobSpec,
+  type MachineType,
+  fits,
+  maxTasksPerZone,
+} from '../jobs/types.js';
 
-export interface Usage {
+export interface ResourceUsage {
   cores: number;
   gpus: number;
 }
 
 /** What teams' tasks use, counted for as long as a task may be on a machine. */
-export class Usages {
-  private readonly used = new Map<string, Usage>();
+export class TeamUsages {
+  private readonly used = new Map<string, ResourceUsage>();
 
   constructor(private readonly teams: Map<string, Team>) {}
 
-  of(team: string): Usage {
+  of(team: string): ResourceUsage {
     let u = this.used.get(team);
     if (u === undefined) {
       u = { cores: 0, gpus: 0 };
@@ -32,13 +38,13 @@
     if (t === undefined) return false;
     const u = this.of(spec.team);
     return (
-      within(u.cores + spec.cores * tasks, t.coresMax) &&
-      within(u.gpus + spec.gpus * tasks, t.gpusMax)
+      isWithinLimit(u.cores + spec.cores * tasks, t.coresMax) &&
+      isWithinLimit(u.gpus + spec.gpus * tasks, t.gpusMax)
     );
   }
 
   /** How many tasks its team's limit allows in addition. */
-  room(spec: JobSpec): number {
+  remainingTasks(spec: JobSpec): number {
     const t = this.teams.get(spec.team);
     if (t === undefined) return 0;
     const u = this.of(spec.team);
@@ -49,16 +55,16 @@
   }
 
   /** Whether the team uses no more than its guarantee. A team without one has none to be within. */
-  withinGuarantee(team: string): boolean {
+  isWithinGuarantee(team: string): boolean {
     const t = this.teams.get(team);
     if (t === undefined || (t.cores <= 0 && t.gpus <= 0)) return false;
     const u = this.of(team);
-    return within(u.cores, t.cores) && within(u.gpus, t.gpus);
+    return isWithinLimit(u.cores, t.cores) && isWithinLimit(u.gpus, t.gpus);
   }
 }
 
 /** Why a job can never run; null: it can. */
-export function neverRuns(
+export function whyItNeverRuns(
   spec: JobSpec,
   teams: Map<string, Team>,
   types: MachineType[],
@@ -75,10 +81,13 @@
   if (spec.kind === 'gang' && spec.scatter) {
     const zones = new Set(fitting.flatMap((type) => type.zones));
     const usable = spec.zone !== null || spec.oneZone ? 1 : zones.size;
-    if (scatterCap(spec.tasks) * usable < spec.tasks) return 'no zones can hold all its tasks';
+    if (maxTasksPerZone(spec.tasks) * usable < spec.tasks) return 'no zones can hold all its tasks';
   }
   const n = spec.kind === 'array' ? 1 : spec.tasks;
-  if (!within(spec.cores * n, team.coresMax) || !within(spec.gpus * n, team.gpusMax)) {
+  if (
+    !isWithinLimit(spec.cores * n, team.coresMax) ||
+    !isWithinLimit(spec.gpus * n, team.gpusMax)
+  ) {
     return "over the team's limit";
   }
   return null;
--- a/src/scheduler/ranking.ts
+++ b/src/scheduler/ranking.ts
@@ -10,7 +10,7 @@
   depth: number;
 }
 
-export interface Ready {
+export interface RankInput {
   /** Predicted time of the pipeline's unfinished and finished jobs. */
   unfinishedS: number;
   finishedS: number;
@@ -23,16 +23,16 @@
   successors: Successor[];
 }
 
-export function remaining(ready: Ready, policy: Policy): number {
+export function remainingTimeS(input: RankInput, policy: Policy): number {
   return (
-    (ready.unfinishedS * (ready.attainedS + policy.epsilonS)) / (ready.finishedS + policy.epsilonS)
+    (input.unfinishedS * (input.attainedS + policy.epsilonS)) / (input.finishedS + policy.epsilonS)
   );
 }
 
-export function contribution(ready: Ready, policy: Policy): number {
+export function downstreamWeight(input: RankInput, policy: Policy): number {
   const [work, depth, each] = policy.omega;
-  let phi = each * ready.successors.length;
-  for (const s of ready.successors) phi += work * s.workS + depth * s.depth;
+  let phi = each * input.successors.length;
+  for (const s of input.successors) phi += work * s.workS + depth * s.depth;
   return phi;
 }
 
@@ -50,7 +50,7 @@
  * Which pipelines are long. A burst of alike pipelines narrows the spread and would make the
  * threshold swing: it follows slowly, and what is long stays so until well below.
  */
-export class LongMarks {
+export class LongJobs {
   private threshold: number | null = null;
   private at = 0;
 
@@ -72,11 +72,11 @@
 }
 
 /** Scores of all ready jobs; `long` says which belong to long pipelines. */
-export function scores(ready: Ready[], long: boolean[], policy: Policy): number[] {
-  const inverse = ready.map((ready) => 1 / (remaining(ready, policy) + policy.epsilonS));
-  const phi = ready.map((ready) => contribution(ready, policy));
-  const heavy = ready.map((ready, i) =>
-    long[i] === true && ready.predictedS >= policy.heavy * ready.pipelineMeanS ? 1 : 0,
+export function scores(ready: RankInput[], long: boolean[], policy: Policy): number[] {
+  const inverse = ready.map((input) => 1 / (remainingTimeS(input, policy) + policy.epsilonS));
+  const phi = ready.map((input) => downstreamWeight(input, policy));
+  const heavy = ready.map((input, i) =>
+    long[i] === true && input.predictedS >= policy.heavy * input.pipelineMeanS ? 1 : 0,
   );
   const scaled = (xs: number[]): number[] => {
     const by = mean(xs) + policy.scaling;
@@ -85,10 +85,10 @@
   const a = scaled(inverse);
   const b = scaled(phi);
   const c = scaled(heavy);
-  return ready.map((ready, i) => a[i]! + b[i]! + c[i]!);
+  return ready.map((input, i) => a[i]! + b[i]! + c[i]!);
 }
 
-export interface Ordered {
+export interface RankedJob {
   priority: number;
   guaranteed: boolean;
   score: number;
@@ -96,7 +96,7 @@
 }
 
 /** Priority and guarantees come first (protocol), then the score, then age. */
-export function compareJobs(a: Ordered, b: Ordered): number {
+export function compareJobs(a: RankedJob, b: RankedJob): number {
   if (a.priority !== b.priority) return a.priority - b.priority;
   if (a.guaranteed !== b.guaranteed) return a.guaranteed ? -1 : 1;
   if (a.score !== b.score) return b.score - a.score;
--- a/src/scheduler/reservation.ts
+++ b/src/scheduler/reservation.ts
@@ -1,5 +1,5 @@
-import { fits, scatterCap, type JobSpec, type Size } from '../jobs/types.js';
-import { allowed, freeShare, type FreeCapacity } from './bin-packing.js';
+import { fits, maxTasksPerZone, type JobSpec, type Resources } from '../jobs/types.js';
+import { isAllowedOn, freeShare, type FreeCapacity } from './bin-packing.js';
 
 /**
  * A reservation for a gang that has waited long: as in backfill scheduling, the machines on which it can
@@ -7,13 +7,13 @@
  * gang of whole machines never starts beside a steady stream of small work of equal priority.
  */
 export interface ReservableMachine {
-  room: FreeCapacity;
+  capacity: FreeCapacity;
   /** What is free there once all work that ends by itself has ended. */
-  eventual: Size;
+  withoutFiniteWork: Resources;
 }
 
 /** How many tasks fit into a size. */
-function tasksIn(spec: JobSpec, size: Size): number {
+function taskCountIn(spec: JobSpec, size: Resources): number {
   const left = { ...size };
   let tasks = 0;
   while (tasks < spec.tasks && fits(spec, left)) {
@@ -26,7 +26,7 @@
 }
 
 /** Machines for all tasks of a gang, those with most free room first; null: not enough of them. */
-function fill(
+function tasksThatFit(
   spec: JobSpec,
   machines: ReservableMachine[],
   perZone: number,
@@ -36,9 +36,9 @@
   let missing = spec.tasks;
   for (const machine of machines) {
     if (missing <= 0) break;
-    const { zone } = machine.room;
+    const { zone } = machine.capacity;
     const used = inZone.get(zone) ?? 0;
-    const tasks = Math.min(tasksIn(spec, machine.eventual), perZone - used, missing);
+    const tasks = Math.min(taskCountIn(spec, machine.withoutFiniteWork), perZone - used, missing);
     if (tasks <= 0) continue;
     inZone.set(zone, used + tasks);
     missing -= tasks;
@@ -52,23 +52,23 @@
   spec: JobSpec,
   machines: readonly ReservableMachine[],
 ): Set<string> | null {
-  const candidates = machines.filter(({ room }) => allowed(spec, room));
-  candidates.sort((a, b) => freeShare(b.room) - freeShare(a.room));
-  const perZone = spec.scatter ? scatterCap(spec.tasks) : spec.tasks;
+  const candidates = machines.filter(({ capacity }) => isAllowedOn(spec, capacity));
+  candidates.sort((a, b) => freeShare(b.capacity) - freeShare(a.capacity));
+  const perZone = spec.scatter ? maxTasksPerZone(spec.tasks) : spec.tasks;
   const groups = spec.oneZone
-    ? [...new Set(candidates.map(({ room }) => room.zone))].map((zone) =>
-        candidates.filter(({ room }) => room.zone === zone),
+    ? [...new Set(candidates.map(({ capacity }) => capacity.zone))].map((zone) =>
+        candidates.filter(({ capacity }) => capacity.zone === zone),
       )
     : [candidates];
   let best: ReservableMachine[] | null = null;
   let bestFree = -1;
   for (const group of groups) {
-    const chosen = fill(spec, group, perZone);
+    const chosen = tasksThatFit(spec, group, perZone);
     if (chosen === null) continue;
-    const free = chosen.reduce((sum, { room }) => sum + freeShare(room), 0);
+    const free = chosen.reduce((sum, { capacity }) => sum + freeShare(capacity), 0);
     if (free <= bestFree) continue;
     best = chosen;
     bestFree = free;
   }
-  return best === null ? null : new Set(best.map(({ room }) => room.id));
+  return best === null ? null : new Set(best.map(({ capacity }) => capacity.id));
 }
--- a/src/store/job-compaction.ts
+++ b/src/store/job-compaction.ts
@@ -1,10 +1,10 @@
-import { NO_JOBS, type JobKind, type JobSpec } from '../jobs/types.js';
+import { NO_DEPENDENCIES, type JobKind, type JobSpec } from '../jobs/types.js';
 import type { StoredJob } from './stored-job.js';
 
 const EMPTY_SPEC: JobSpec = {
   id: '', class: '', team: '', kind: 'array', priority: 3, tasks: 0, cores: 0, gpus: 0, memGb: 0,
   image: '', imageGb: 0, types: null, zone: null, oneZone: false, scatter: false, spot: false,
-  estimateS: 0, checkpointS: 0, saveS: 0, deadlineS: null, awaits: NO_JOBS,
+  estimateS: 0, checkpointS: 0, saveS: 0, deadlineS: null, dependencies: NO_DEPENDENCIES,
 }; // prettier-ignore
 
 /**
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -1,4 +1,4 @@
-import { NO_JOBS, type JobSpec, type MachineType } from '../jobs/types.js';
+import { NO_DEPENDENCIES, type JobSpec, type MachineType } from '../jobs/types.js';
 
 /**
  * What the controllers keep in the state service. Keys:
@@ -69,7 +69,7 @@
     spec.image, spec.imageGb, spec.types, spec.zone, flags, spec.estimateS, spec.checkpointS, spec.saveS, spec.deadlineS,
     atMs,
     // Appended only where there are any: all other jobs are stored as by versions that do not know it.
-    ...(spec.awaits.length === 0 ? [] : [spec.awaits]),
+    ...(spec.dependencies.length === 0 ? [] : [spec.dependencies]),
   ]; // prettier-ignore
 }
 
@@ -102,7 +102,7 @@
       checkpointS: a[15] as number,
       saveS: a[16] as number,
       deadlineS: a[17] as number | null,
-      awaits: (a[19] as string[] | undefined) ?? NO_JOBS,
+      dependencies: (a[19] as string[] | undefined) ?? NO_DEPENDENCIES,
     },
     atMs: a[18] as number,
   };
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -224,7 +224,7 @@
       this.mergeRepeatedAcceptance(storedJob, accepted, revision);
       return;
     }
-    const alone = accepted.spec.awaits.length === 0;
+    const alone = accepted.spec.dependencies.length === 0;
     // Field by field: spreading `accepted` takes ten times as long as all the rest, see docs/profile.md.
     const facts: StoredJob = {
       spec: accepted.spec,
@@ -265,7 +265,7 @@
     storedJob.acceptedAt = revision;
     if (specOf(storedJob) === null) return;
     Object.assign(storedJob, accepted);
-    storedJob.readyAt = accepted.spec.awaits.length === 0 ? revision : null;
+    storedJob.readyAt = accepted.spec.dependencies.length === 0 ? revision : null;
     storedJob.readyMs = accepted.atMs;
   }
 
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -105,8 +105,8 @@
   private puts(batch: PendingRequest[]): { put: string; value: unknown }[] {
     const jobs = batch.flatMap((e) => (e.kind === 'job' ? [e.accepted] : []));
     const cancelledIds = batch.flatMap((e) => (e.kind === 'cancel' ? [e.id] : []));
-    const dependent = jobs.filter((job) => job.spec.awaits.length > 0);
-    const others = jobs.filter((job) => job.spec.awaits.length === 0);
+    const dependent = jobs.filter((job) => job.spec.dependencies.length > 0);
+    const others = jobs.filter((job) => job.spec.dependencies.length === 0);
     const name = `${this.incarnation}-${this.counter++}`;
     const puts: { put: string; value: unknown }[] = [];
     if (others.length + cancelledIds.length > 0) {
--- a/src/subsystems/active-subsystems.ts
+++ b/src/subsystems/active-subsystems.ts
@@ -5,12 +5,12 @@
 import type { FreeCapacity } from '../scheduler/bin-packing.js';
 import type {
   AttemptView,
-  Eviction,
-  EvictionRules,
-  EvictionVictim,
+  Preemption,
+  PreemptionRules,
+  PreemptionVictim,
   LiveJobView,
   OwnedWrite,
-  StoredRent,
+  StoredRentRequest,
   Subsystem,
   SubsystemTerm,
   TermView,
@@ -34,7 +34,7 @@
 export class ActiveSubsystems {
   private readonly active: Active[] = [];
   /** Those that have something to say of evictions. */
-  private readonly evictionRules: { name: string; rules: EvictionRules }[] = [];
+  private readonly preemptionRules: { name: string; rules: PreemptionRules }[] = [];
 
   constructor(private readonly log: Log | null = null) {}
 
@@ -43,12 +43,12 @@
       const term = this.guarded(subsystem.name, null, () => subsystem.beginTerm(view(subsystem)));
       if (term === null) continue;
       this.active.push({ name: subsystem.name, term });
-      const rules = this.guarded(subsystem.name, undefined, () => term.evictions);
-      if (rules !== undefined) this.evictionRules.push({ name: subsystem.name, rules });
+      const rules = this.guarded(subsystem.name, undefined, () => term.preemption);
+      if (rules !== undefined) this.preemptionRules.push({ name: subsystem.name, rules });
     }
   }
 
-  get any(): boolean {
+  get hasAny(): boolean {
     return this.active.length > 0;
   }
 
@@ -56,8 +56,10 @@
     for (const { name, term } of this.active) this.guarded(name, undefined, () => term.tick());
   }
 
-  rents(): StoredRent[] {
-    return this.active.flatMap(({ name, term }) => this.guarded(name, [], () => term.rents()));
+  rentRequests(): StoredRentRequest[] {
+    return this.active.flatMap(({ name, term }) =>
+      this.guarded(name, [], () => term.rentRequests()),
+    );
   }
 
   keeps(machine: string): boolean {
@@ -74,41 +76,41 @@
     return sum;
   }
 
-  mayUse(spec: JobSpec, room: FreeCapacity): boolean {
+  mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
     return this.active.every(({ name, term }) =>
-      this.guarded(name, true, () => term.mayUse(spec, room)),
+      this.guarded(name, true, () => term.mayUse(spec, capacity)),
     );
   }
 
-  preferenceS(spec: JobSpec, room: FreeCapacity): number {
+  preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
     let sum = 0;
     for (const { name, term } of this.active) {
-      sum += this.guarded(name, 0, () => term.preferenceS(spec, room));
+      sum += this.guarded(name, 0, () => term.preferenceS(spec, capacity));
     }
     return sum;
   }
 
   /** How much worse it is to stop a task than by its lost work, in shares of the most; 0 without rules. */
-  evictionHarm(borrower: LiveJobView, victim: EvictionVictim, saves: boolean): number {
+  preemptionHarm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
     let sum = 0;
-    for (const { name, rules } of this.evictionRules) {
+    for (const { name, rules } of this.preemptionRules) {
       sum += this.guarded(name, 0, () => rules.harm(borrower, victim, saves));
     }
     return sum;
   }
 
-  isLeaving(attempt: AttemptView): boolean {
-    return this.evictionRules.some(({ name, rules }) =>
-      this.guarded(name, false, () => rules.isLeaving(attempt)),
+  isStopping(attempt: AttemptView): boolean {
+    return this.preemptionRules.some(({ name, rules }) =>
+      this.guarded(name, false, () => rules.isStopping(attempt)),
     );
   }
 
   /** Carries an eviction out, unless a subsystem does so itself. */
-  evict(eviction: Eviction): void {
-    const taken = this.evictionRules.some(({ name, rules }) =>
-      this.guarded(name, false, () => rules.takesOver(eviction)),
+  preempt(preemption: Preemption): void {
+    const taken = this.preemptionRules.some(({ name, rules }) =>
+      this.guarded(name, false, () => rules.takesOver(preemption)),
     );
-    if (!taken) eviction.carryOut();
+    if (!taken) preemption.carryOut();
   }
 
   dueWrites(): NamedWrite[] {
@@ -117,8 +119,10 @@
     );
   }
 
-  figures(): Record<string, number | string> {
-    const all = this.active.map(({ name, term }) => this.guarded(name, {}, () => term.figures()));
+  statistics(): Record<string, number | string> {
+    const all = this.active.map(({ name, term }) =>
+      this.guarded(name, {}, () => term.statistics()),
+    );
     return Object.assign({}, ...all) as Record<string, number | string>;
   }
 
--- a/src/subsystems/record-table.ts
+++ b/src/subsystems/record-table.ts
@@ -140,9 +140,9 @@
       key: this.form.prefix + entry.id,
       revision: entry.revision,
       value: this.form.encode(value),
-      also: [],
+      alsoChanges: [],
       stored: (at) => this.stored(entry, value, at),
-      reread: (record) => this.reread(entry, value, record),
+      readBack: (record) => this.reread(entry, value, record),
     };
   }
 
@@ -154,9 +154,9 @@
         key: this.form.prefix + id,
         revision: entry.revision,
         value: null,
-        also: [],
+        alsoChanges: [],
         stored: () => this.removed(id),
-        reread: (record) => {
+        readBack: (record) => {
           if (record === null) this.removed(id);
           else entry.revision = record.revision;
         },
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -34,13 +34,13 @@
 /** Changes of one transaction, guarded by the leader's key too, and what follows from its outcome. */
 export interface OwnedWrite extends OwnedChange {
   /** Records that change in the same transaction, all or none. */
-  also: readonly OwnedChange[];
+  alsoChanges: readonly OwnedChange[];
   /** It goes with the leader's most urgent writes: somebody waits for it. */
   urgent?: boolean;
   /** Carried out, with this revision. */
   stored(revision: number): void;
   /** Refused by a guard, or not answered: this is what the store holds under `key`. */
-  reread(record: OwnedRecord | null): void;
+  readBack(record: OwnedRecord | null): void;
 }
 
 /** What a subsystem may see of a machine. */
@@ -70,14 +70,14 @@
     | 'spec'
     | 'phase'
     | 'cancelled'
-    | 'guaranteed'
-    | 'gang'
+    | 'isGuaranteed'
+    | 'isGang'
     | 'done'
-    | 'finished'
-    | 'live'
+    | 'isFinished'
+    | 'attemptsByTask'
     | 'attainedS'
-    | 'holdingCount'
-    | 'pendingCount'
+    | 'activeAttemptCount'
+    | 'pendingTaskCount'
     | 'unfinishedPredictedS'
   >
 >;
@@ -85,17 +85,17 @@
 export type AttemptView = Readonly<Attempt>;
 
 /** A task that is to be stopped so that another one gets its place. */
-export interface EvictionVictim {
+export interface PreemptionVictim {
   job: LiveJobView;
   attempt: AttemptView;
 }
 
 /** Room that the leader has decided to make on one machine. */
-export interface Eviction {
+export interface Preemption {
   machine: string;
   /** The job whose task gets it. */
   borrower: LiveJobView;
-  victims: readonly EvictionVictim[];
+  victims: readonly PreemptionVictim[];
   /** Whether those that can save may do so first. */
   saves: boolean;
   /** Stops the victims that are still there, if the borrower still wants the room; false: it does not. */
@@ -103,7 +103,7 @@
 }
 
 /** A replica that had better be elsewhere. */
-export interface ReplicaMove {
+export interface ReplicaMigration {
   job: string;
   index: number;
   /** Where it is. */
@@ -113,13 +113,13 @@
 }
 
 /** What a subsystem has to say of room that is made by stopping lesser work. */
-export interface EvictionRules {
+export interface PreemptionRules {
   /** How much worse than by its lost work it is to stop a task, from 0 to 1. It forbids nothing. */
-  harm(borrower: LiveJobView, victim: EvictionVictim, saves: boolean): number;
+  harm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number;
   /** Whether it is about to be stopped by an eviction that this subsystem has taken over. */
-  isLeaving(attempt: AttemptView): boolean;
+  isStopping(attempt: AttemptView): boolean;
   /** True: the subsystem calls `carryOut` itself, soon. */
-  takesOver(eviction: Eviction): boolean;
+  takesOver(preemption: Preemption): boolean;
 }
 
 /** What a team's tasks use. */
@@ -141,12 +141,12 @@
   /** Time of day in ms. */
   wallMs(): number;
   /** Whether it may store and place. */
-  writing(): boolean;
-  types(): ReadonlyMap<string, MachineType>;
+  canWrite(): boolean;
+  machineTypes(): ReadonlyMap<string, MachineType>;
   /** Undefined: nothing is known of it, or no longer. */
   machine(id: string): MachineView | undefined;
   /** Whether a rented machine is still expected to report. */
-  isComing(id: string): boolean;
+  isPending(id: string): boolean;
   /** Whether the cloud's latest list names it; null: there has been no list yet. */
   isListed(id: string): boolean | null;
   /** Whether the cloud has just had no ordinary machine of this type in this zone. */
@@ -158,25 +158,25 @@
   /** Time of day in ms by which a job has to be done for all deadlines after it; Infinity: none. */
   latestEndMs(job: string): number;
   /** Moves a replica to a free place; false: there is none now, or too many move. */
-  moveReplica(move: ReplicaMove): boolean;
+  migrateReplica(move: ReplicaMigration): boolean;
   /** Seconds between two moves of replicas of a class, at least. */
-  moveGapS(jobClass: string): number;
+  migrationGapS(jobClass: string): number;
   /** Ends an attempt that was told to stop, or is saving, without waiting for it any longer. */
   endStopped(attempt: AttemptView): void;
   /** What is free after the latest pass of placing. */
-  rooms(): readonly FreeCapacity[];
+  freeCapacities(): readonly FreeCapacity[];
   /** What a team's tasks used at the latest pass. */
   usage(team: string): TeamUsage;
   /** The subsystem's own records as they are in this controller's copy of the store, by key. */
   records(): ReadonlyMap<string, OwnedRecord>;
   /** There is something to store. */
-  nudgeStore(): void;
+  wakeWriter(): void;
   /** There is something to ask the cloud for. */
-  nudgeCloud(): void;
+  wakeProvisioner(): void;
 }
 
 /** A request to the cloud under a name that is stored. It may be sent again by any later term. */
-export interface StoredRent {
+export interface StoredRentRequest {
   request: RentRequest;
   /** It is about to be sent. */
   sending(): void;
@@ -188,20 +188,20 @@
   /** Called about twice a report interval. */
   tick(): void;
   /** Requests to the cloud that are due. */
-  rents(): StoredRent[];
+  rentRequests(): StoredRentRequest[];
   /** Whether a machine stays although nothing runs on it. */
   keeps(machine: string): boolean;
   /** Free capacity on ordinary machines that is spoken for, in machines. */
   keptMachines(): number;
   /** Whether a task may be placed there. */
-  mayUse(spec: JobSpec, room: FreeCapacity): boolean;
+  mayUse(spec: JobSpec, capacity: FreeCapacity): boolean;
   /** Seconds by which a task had better be placed there than on the same machine without a subsystem. */
-  preferenceS(spec: JobSpec, room: FreeCapacity): number;
+  preferenceS(spec: JobSpec, capacity: FreeCapacity): number;
   /** What is to be stored, the most urgent first. It goes after all writes of the leader itself. */
   dueWrites(): OwnedWrite[];
-  figures(): Record<string, number | string>;
+  statistics(): Record<string, number | string>;
   /** Missing: it has nothing to say of evictions. */
-  readonly evictions?: EvictionRules;
+  readonly preemption?: PreemptionRules;
   stop(): void;
 }
 
--- a/src/warm-pools/bill.ts
+++ b/src/warm-pools/bill.ts
@@ -205,9 +205,9 @@
       key,
       revision: known?.revision ?? 0,
       value: encodeDay(day),
-      also: removals,
+      alsoChanges: removals,
       stored: done,
-      reread: (stored) => this.reread(key, day, stored, done),
+      readBack: (stored) => this.reread(key, day, stored, done),
     };
   }
 
@@ -234,9 +234,9 @@
       key,
       revision,
       value: null,
-      also: [],
+      alsoChanges: [],
       stored: () => void this.days.delete(key),
-      reread: (stored) => {
+      readBack: (stored) => {
         if (stored === null) this.days.delete(key);
       },
     }));
--- a/src/warm-pools/bursts.ts
+++ b/src/warm-pools/bursts.ts
@@ -66,7 +66,7 @@
     const storeS = (pool.slots * WRITES_PER_SLOT) / (settings.state.write_rps * WRITE_SHARE);
     const noticeS = settings.workers.report_s * NOTICE_REPORTS;
     let machineS = 0;
-    for (const { type, zones } of allowedTypes(pool, this.view.types())) {
+    for (const { type, zones } of allowedTypes(pool, this.view.machineTypes())) {
       for (const zone of zones) machineS = Math.max(machineS, this.machineS(type, zone, pool));
     }
     return Math.max(pool.aheadS, machineS + storeS + noticeS);
--- a/src/warm-pools/check.ts
+++ b/src/warm-pools/check.ts
@@ -1,7 +1,7 @@
 /** Whether declared pools are possible at all, as far as the settings tell. */
 
 import type { Settings } from '../config/settings.js';
-import { within } from '../jobs/types.js';
+import { isWithinLimit } from '../jobs/types.js';
 import { BurstSchedule, ScheduleError } from './burst-schedule.js';
 import type { PoolDeclaration, WarmPoolsConfig } from './declaration.js';
 
@@ -51,7 +51,7 @@
   }
   const cores = shape.cores * slots;
   const gpus = shape.gpus * slots;
-  if (!within(cores, team.coresMax) || !within(gpus, team.gpusMax)) {
+  if (!isWithinLimit(cores, team.coresMax) || !isWithinLimit(gpus, team.gpusMax)) {
     const limit = `${team.coresMax} cores, ${team.gpusMax} GPUs (0: none)`;
     return {
       key: 'slots',
--- a/src/warm-pools/lead-times.ts
+++ b/src/warm-pools/lead-times.ts
@@ -80,13 +80,13 @@
         key,
         revision: samples.revision,
         value: { b: [...samples.boots], l: [...samples.loads] },
-        also: [],
+        alsoChanges: [],
         stored: (revision) => {
           samples.revision = revision;
           samples.unstored = false;
         },
         // Measurements are worth no second look: the next one brings them up to date.
-        reread: (stored) => void (samples.revision = stored?.revision ?? 0),
+        readBack: (stored) => void (samples.revision = stored?.revision ?? 0),
       });
     }
     return due;
--- a/src/warm-pools/machine-choice.ts
+++ b/src/warm-pools/machine-choice.ts
@@ -41,7 +41,7 @@
 
 /** The share of a machine that a slot takes: of its scarcer resource. */
 export const slotShare = (shape: ReplicaShape, type: MachineType): number =>
-  1 - freeShare({ ...remaining(shape, type), whole: type });
+  1 - freeShare({ ...remaining(shape, type), total: type });
 
 function remaining(shape: ReplicaShape, type: MachineType): ReplicaShape {
   return {
@@ -82,17 +82,23 @@
 /** The best of the machines that are there already: with the image, then the fullest. Null: none. */
 export function bestRoom(
   pool: PoolDeclaration,
-  rooms: readonly FreeCapacity[],
-  mayHave: (room: FreeCapacity) => boolean,
+  capacities: readonly FreeCapacity[],
+  mayHave: (capacity: FreeCapacity) => boolean,
 ): FreeCapacity | null {
   let best: FreeCapacity | null = null;
   let bestCost = Infinity;
-  for (const room of rooms) {
-    if (room.spot || !fits(pool.shape, room) || !isAllowed(pool, room) || !mayHave(room)) continue;
-    const hasImage = room.imageWaitS(pool.image, pool.imageGb) === 0;
-    const cost = freeShare(room) + (hasImage ? 0 : IMAGE_FIRST);
+  for (const capacity of capacities) {
+    if (
+      capacity.spot ||
+      !fits(pool.shape, capacity) ||
+      !isAllowed(pool, capacity) ||
+      !mayHave(capacity)
+    )
+      continue;
+    const hasImage = capacity.imageDelayS(pool.image, pool.imageGb) === 0;
+    const cost = freeShare(capacity) + (hasImage ? 0 : IMAGE_FIRST);
     if (cost < bestCost) {
-      best = room;
+      best = capacity;
       bestCost = cost;
     }
   }
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -1,6 +1,6 @@
 /** How many slots each burst should have, and where: what is wanted becomes changes of slots. */
 
-import { within } from '../jobs/types.js';
+import { isWithinLimit } from '../jobs/types.js';
 import type { TermView } from '../subsystems/subsystem.js';
 import { RENT_MAX } from '../wire/cloud.js';
 import type { Alarms } from './alarms.js';
@@ -93,7 +93,7 @@
     money: MoneyByDay,
   ): void {
     const { pool } = burst;
-    if (allowedTypes(pool, this.options.view.types()).length === 0) {
+    if (allowedTypes(pool, this.options.view.machineTypes()).length === 0) {
       const wanted = pool.types?.join(', ') ?? 'any type';
       this.options.alarms.raise('unknown_type', pool.name, `${wanted}: none fits`);
     }
@@ -146,7 +146,7 @@
     const { cores, gpus } = view.usage(name);
     const left = (most: number, used: number): number => {
       if (most <= 0) return Infinity;
-      return within(used, most) ? most - used : 0;
+      return isWithinLimit(used, most) ? most - used : 0;
     };
     return { cores: left(team.coresMax, cores), gpus: left(team.gpusMax, gpus) };
   }
@@ -224,7 +224,7 @@
     const { view, rooms, table, nowMs } = this.options;
     const room = bestRoom(
       pool,
-      view.rooms(),
+      view.freeCapacities(),
       (capacity) => this.mayAdopt(capacity.id) && rooms.hasRoomFor(pool.shape, capacity),
     );
     if (room === null) return false;
@@ -243,7 +243,7 @@
   place(slot: Slot, machine: string, typeName: string): SlotPlace {
     const { view, pool: poolOf } = this.options;
     const pool = poolOf(slot.pool);
-    const type = view.types().get(typeName);
+    const type = view.machineTypes().get(typeName);
     const m = view.machine(machine);
     const isThere = pool !== undefined && m !== undefined;
     return {
@@ -285,7 +285,7 @@
     const isShort = (type: string, zone: string): boolean => view.isShort(type, zone);
     let next = 0;
     while (next < entries.length) {
-      const place = cheapestPlace(pool, view.types(), isShort, inZone);
+      const place = cheapestPlace(pool, view.machineTypes(), isShort, inZone);
       if (place === null) break;
       const some = entries.slice(next, next + slotsPerMachine(pool.shape, place.type));
       next += some.length;
--- a/src/warm-pools/slot-rents.ts
+++ b/src/warm-pools/slot-rents.ts
@@ -1,7 +1,7 @@
 /** Requests to the cloud for slots: named in the store before they are sent. */
 
 import type { RentResult } from '../cloud/client.js';
-import type { StoredRent, TermView } from '../subsystems/subsystem.js';
+import type { StoredRentRequest, TermView } from '../subsystems/subsystem.js';
 import { isOpen, type Slot, type SlotPlace, type SlotRent } from './slot.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
@@ -52,7 +52,7 @@
   }
 
   /** Requests that are due; the fleet asks before each whether the term is entitled to send it. */
-  due(): StoredRent[] {
+  due(): StoredRentRequest[] {
     const { view, table } = this.options;
     const byName = new Map<string, SlotEntry[]>();
     for (const entry of table.values()) {
@@ -62,7 +62,7 @@
       if (group === undefined) byName.set(name, [entry]);
       else group.push(entry);
     }
-    const due: StoredRent[] = [];
+    const due: StoredRentRequest[] = [];
     for (const [name, group] of byName) {
       const known = this.sendings.get(name);
       if (known?.machines != null) this.assign(name, known, known.machines);
@@ -79,11 +79,11 @@
     if (stored === null || stored.rent === null || !isOpen(current)) return null;
     const { view, nowMs } = this.options;
     if (stored.state === 'renting') return current.state === 'renting' ? stored.rent.name : null;
-    if (stored.state !== 'planned' || view.writing()) return null;
+    if (stored.state !== 'planned' || view.canWrite()) return null;
     return nowMs() >= stored.sendFromMs ? stored.rent.name : null;
   }
 
-  private request(name: string, group: SlotEntry[]): StoredRent {
+  private request(name: string, group: SlotEntry[]): StoredRentRequest {
     const { type, zone, count } = group[0]!.stored!.rent!;
     return {
       request: { name, type, zone, spot: false, count },
@@ -134,7 +134,7 @@
         this.pause(sending);
         break;
     }
-    this.options.view.nudgeStore();
+    this.options.view.wakeWriter();
   }
 
   private pause(sending: Sending): void {
@@ -158,7 +158,7 @@
       table.apply(entry, { kind: 'rented', place: got, atMs: fromMs, uncertainMs });
     }
     // In an outage it is kept until the slots' records may follow.
-    if (this.options.view.writing()) this.sendings.delete(name);
+    if (this.options.view.canWrite()) this.sendings.delete(name);
   }
 
   private renting(name: string): SlotEntry[] {
--- a/src/warm-pools/slot-rooms.ts
+++ b/src/warm-pools/slot-rooms.ts
@@ -1,7 +1,7 @@
 /** What slots keep of machines, and which tasks may use it. */
 
-import { fits, type JobSpec, type Size } from '../jobs/types.js';
-import { putBack, type FreeCapacity } from '../scheduler/bin-packing.js';
+import { fits, type JobSpec, type Resources } from '../jobs/types.js';
+import { release, type FreeCapacity } from '../scheduler/bin-packing.js';
 import type { MachineView, TermView } from '../subsystems/subsystem.js';
 import { occupiesCapacity } from '../workers/attempt.js';
 import type { PoolDeclaration, ReplicaShape } from './declaration.js';
@@ -92,7 +92,7 @@
     const { view, table } = this.options;
     let sum = 0;
     for (const [machine, entries] of table.held()) {
-      const isThere = view.machine(machine)?.state === 'ready' || view.isComing(machine);
+      const isThere = view.machine(machine)?.state === 'ready' || view.isPending(machine);
       if (!isThere) continue;
       for (const { id, current } of entries) if (!this.isClaimed(id)) sum += current.share;
     }
@@ -126,29 +126,29 @@
     return modelTasks(view, m, pool).filter(isNew).length;
   }
 
-  mayUse(spec: JobSpec, room: FreeCapacity): boolean {
-    const kept = this.kept(room.id);
+  mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
+    const kept = this.kept(capacity.id);
     if (kept.length === 0 || kept.some(({ pool }) => isFor(pool, spec))) return true;
-    if (this.pushesOut(spec, room.id, kept)) return false;
-    return leavesRoom(spec, room, kept) || this.mayBorrow(spec, room, kept);
+    if (this.pushesOut(spec, capacity.id, kept)) return false;
+    return leavesRoom(spec, capacity, kept) || this.mayBorrow(spec, capacity, kept);
   }
 
   /** A place that is warm for the replica, or about to be, saves it a boot. */
-  preferenceS(spec: JobSpec, room: FreeCapacity): number {
-    if (!this.kept(room.id).some(({ pool }) => isFor(pool, spec))) return 0;
-    return (this.options.view.types().get(room.type)?.bootS ?? 0) * PREFERENCE_BOOTS;
+  preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
+    if (!this.kept(capacity.id).some(({ pool }) => isFor(pool, spec))) return 0;
+    return (this.options.view.machineTypes().get(capacity.type)?.bootS ?? 0) * PREFERENCE_BOOTS;
   }
 
   /** Whether a slot of this shape finds room there beside what is kept already. */
-  hasRoomFor(shape: ReplicaShape, room: FreeCapacity): boolean {
-    return leavesRoom(shape, room, this.kept(room.id));
+  hasRoomFor(shape: ReplicaShape, capacity: FreeCapacity): boolean {
+    return leavesRoom(shape, capacity, this.kept(capacity.id));
   }
 
   /** The machine would drop an image that a slot is kept for. */
   private pushesOut(spec: JobSpec, machine: string, kept: KeptSlot[]): boolean {
     const { view } = this.options;
     const m = view.machine(machine);
-    const type = view.types().get(m?.type ?? '');
+    const type = view.machineTypes().get(m?.type ?? '');
     if (m === undefined || type === undefined || m.images.has(spec.image)) return false;
     if (!kept.some(({ pool }) => m.images.has(pool.image))) return false;
     let cachedGb = 0;
@@ -157,9 +157,9 @@
   }
 
   /** Short best-effort work may use a place until shortly before the burst, where operators say so. */
-  private mayBorrow(spec: JobSpec, room: FreeCapacity, kept: KeptSlot[]): boolean {
+  private mayBorrow(spec: JobSpec, capacity: FreeCapacity, kept: KeptSlot[]): boolean {
     if (spec.priority !== BEST_EFFORT || spec.kind !== 'array') return false;
-    const fetchS = room.imageWaitS(spec.image, spec.imageGb);
+    const fetchS = capacity.imageDelayS(spec.image, spec.imageGb);
     const neededS = fetchS + spec.estimateS * LENT_ESTIMATES + spec.saveS;
     const nowMs = this.options.nowMs();
     return kept.every(({ pool, entry }) => {
@@ -168,8 +168,8 @@
   }
 }
 
-function leavesRoom(shape: Size, room: Size, kept: KeptSlot[]): boolean {
+function leavesRoom(shape: Resources, room: Resources, kept: KeptSlot[]): boolean {
   const needed = { cores: shape.cores, gpus: shape.gpus, memGb: shape.memGb };
-  for (const { pool } of kept) putBack(pool.shape, needed);
+  for (const { pool } of kept) release(pool.shape, needed);
   return fits(needed, room);
 }
--- a/src/warm-pools/slot-watch.ts
+++ b/src/warm-pools/slot-watch.ts
@@ -1,7 +1,7 @@
 /** What becomes of slots that have a machine: warm, used, or lost with it. */
 
 import { fits, type MachineType } from '../jobs/types.js';
-import { putBack, take } from '../scheduler/bin-packing.js';
+import { release, allocate } from '../scheduler/bin-packing.js';
 import type { MachineView, TermView } from '../subsystems/subsystem.js';
 import { occupiesCapacity } from '../workers/attempt.js';
 import type { PoolDeclaration } from './declaration.js';
@@ -98,7 +98,7 @@
     const judgeS = lease_s * JUDGE_LEASES + view.settings.cloud.list_lag_s * 2;
     const isSettled = view.now() - this.beganAt > judgeS && heldS > judgeS;
     const id = current.machine!;
-    if (isSettled && !view.isComing(id) && view.isListed(id) === false) {
+    if (isSettled && !view.isPending(id) && view.isListed(id) === false) {
       // Charged until it was gone, which nobody saw.
       return { kind: 'lost', reason: 'gone', atMs: fromMs, uncertainMs: heldS * 1000 };
     }
@@ -109,7 +109,7 @@
 
   private leadS(poolName: string, rent: { type: string; zone: string } | null): number {
     const pool = this.options.pool(poolName);
-    const type = this.options.view.types().get(rent?.type ?? '');
+    const type = this.options.view.machineTypes().get(rent?.type ?? '');
     if (pool === undefined || type === undefined || rent === null) return Infinity;
     return this.options.leadTimes.leadS(type, rent.zone, pool.image, pool.imageGb);
   }
@@ -191,14 +191,14 @@
     claimed: ReadonlySet<string>,
   ): void {
     const { view, table, nowMs } = this.options;
-    const type = view.types().get(m.type);
+    const type = view.machineTypes().get(m.type);
     if (type === undefined) return;
     const free = freeOn(view, m, type);
     for (const entry of entries) {
       const pool = this.options.pool(entry.current.pool);
       if (pool === undefined || !isHeld(entry.current) || claimed.has(entry.id)) continue;
       const isLent = pool.lend && nowMs() < entry.current.burstMs;
-      if (fits(pool.shape, free) || isLent) take(pool.shape, free);
+      if (fits(pool.shape, free) || isLent) allocate(pool.shape, free);
       else table.apply(entry, { kind: 'lost', reason: 'in use', atMs: nowMs(), uncertainMs: 0 });
     }
   }
@@ -219,7 +219,7 @@
   const used = { cores: 0, gpus: 0, memGb: 0 };
   for (const attempt of m.attempts.values()) {
     const spec = occupiesCapacity(attempt) ? view.spec(attempt.job) : null;
-    if (spec !== null) putBack(spec, used);
+    if (spec !== null) release(spec, used);
   }
   return {
     cores: type.cores - used.cores,
--- a/src/warm-pools/warm-pools-term.ts
+++ b/src/warm-pools/warm-pools-term.ts
@@ -2,7 +2,12 @@
 
 import type { JobSpec } from '../jobs/types.js';
 import type { FreeCapacity } from '../scheduler/bin-packing.js';
-import type { OwnedWrite, StoredRent, SubsystemTerm, TermView } from '../subsystems/subsystem.js';
+import type {
+  OwnedWrite,
+  StoredRentRequest,
+  SubsystemTerm,
+  TermView,
+} from '../subsystems/subsystem.js';
 import { Alarms } from './alarms.js';
 import { Bill } from './bill.js';
 import { BurstClock } from './burst-clock.js';
@@ -84,7 +89,7 @@
   /** Nothing new is decided while nothing can be stored. */
   tick(): void {
     const nowMs = this.clock.nowMs();
-    if (!this.view.writing()) return;
+    if (!this.view.canWrite()) return;
     this.reconcile();
     this.noteClockSet();
     this.rooms.noteClaims(this.watch.look());
@@ -93,8 +98,8 @@
     this.unloadWhatIsOver();
     if (this.clock.doubted) this.alarms.raise('clock_jump', 'all', 'the time of day jumped');
     this.alarms.endRound();
-    this.view.nudgeStore();
-    this.view.nudgeCloud();
+    this.view.wakeWriter();
+    this.view.wakeProvisioner();
   }
 
   /** A clock that was set has let no time pass: a jump of an hour was once billed as one. */
@@ -131,7 +136,7 @@
     return false;
   }
 
-  rents(): StoredRent[] {
+  rentRequests(): StoredRentRequest[] {
     return this.slotRents.due();
   }
 
@@ -143,12 +148,12 @@
     return this.rooms.keptMachines();
   }
 
-  mayUse(spec: JobSpec, room: FreeCapacity): boolean {
-    return this.rooms.mayUse(spec, room);
+  mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
+    return this.rooms.mayUse(spec, capacity);
   }
 
-  preferenceS(spec: JobSpec, room: FreeCapacity): number {
-    return this.rooms.preferenceS(spec, room);
+  preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
+    return this.rooms.preferenceS(spec, capacity);
   }
 
   dueWrites(): OwnedWrite[] {
@@ -172,7 +177,7 @@
     return due;
   }
 
-  figures(): Record<string, number | string> {
+  statistics(): Record<string, number | string> {
     const states = noSlots();
     for (const { current } of this.table.values()) states[current.state]++;
     const figures: Record<string, number | string> = {};
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { NO_JOBS, type JobKind, type JobSpec, type Priority } from '../jobs/types.js';
+import { NO_DEPENDENCIES, type JobKind, type JobSpec, type Priority } from '../jobs/types.js';
 
 /** Users' messages: the only place that knows their field names. */
 
@@ -71,12 +71,13 @@
     checkpointS: o.stamp_s,
     saveS: o.stamping_s,
     deadlineS: o.due_s,
-    awaits: o.awaits === null || o.awaits.length === 0 ? NO_JOBS : [...new Set(o.awaits)],
+    dependencies:
+      o.awaits === null || o.awaits.length === 0 ? NO_DEPENDENCIES : [...new Set(o.awaits)],
   };
 }
 
 /** Whether a submission may be one that needs other jobs. False is certain. */
-export const mayAwait = (body: Buffer): boolean =>
+export const mayHaveDependencies = (body: Buffer): boolean =>
   body.includes('"awaits"') || body.includes('\\u');
 
 export function parseObject(body: Buffer): Record<string, unknown> {
--- a/test/cluster-pipelines.test.ts
+++ b/test/cluster-pipelines.test.ts
@@ -90,7 +90,7 @@
 test('each controller tells what its version can do, and learns it of the others, also after their ends', async () => {
   const cluster = await Cluster.start({ leaseS: LEASE });
   const known = (at: number): boolean =>
-    cluster.controllers[at]!.figures().pipelines_known === true;
+    cluster.controllers[at]!.metrics().pipelines_known === true;
   try {
     await until('all know', () => cluster.indexes.every(known));
     const entries = cluster.indexes.map((at) =>
--- a/test/confirmation.test.ts
+++ b/test/confirmation.test.ts
@@ -3,8 +3,8 @@
 import type { PeerNetwork } from '../src/peers/peer-network.js';
 import { UNHEARD_CONFIRM_S } from '../src/leadership/renewal-allowance.js';
 import type { ZoneLeaseWatch } from '../src/leadership/zone-lease.js';
-import { CancellationNotices } from '../src/cancellation/cancellation-broadcast.js';
-import { CancellationConfirmation } from '../src/cancellation/cancellation-quorum.js';
+import { CancellationBroadcast } from '../src/cancellation/cancellation-broadcast.js';
+import { CancellationQuorum } from '../src/cancellation/cancellation-quorum.js';
 import type { StoredJob } from '../src/store/stored-job.js';
 import type { Replica } from '../src/store/replica.js';
 import { settings } from './helpers.js';
@@ -59,17 +59,17 @@
     });
     const keepers: [string, string][] = [['z1', 'b'], ['z2', 'd']]; // prettier-ignore
     const zoneLeases = fake<ZoneLeaseWatch>({ zone: () => kept });
-    const notices = new CancellationNotices(
+    const cancellations = new CancellationBroadcast(
       settings(), keepers, peers, replica, zoneLeases, clock,
     ); // prettier-ignore
-    const confirmation = new CancellationConfirmation({
-      nodes: 4, peers, replica, clock, rememberS: 100,
-      waitUnlessNoted: (job, noted) => notices.waitUnlessNoted(job, noted),
+    const cancellationQuorum = new CancellationQuorum({
+      controllerCount: 4, peers, replica, clock, rememberS: 100,
+      remainingWaitS: (job, noted) => cancellations.remainingWaitS(job, noted),
     }); // prettier-ignore
     const storedJob = { claimCount: 1, cancelledAt: 5 } as StoredJob;
-    const first = await confirmation.confirm(storedJob, JOB);
+    const first = await cancellationQuorum.confirm(storedJob, JOB);
     now = after;
-    const last = after === 0 ? first : await confirmation.confirm(storedJob, JOB);
+    const last = after === 0 ? first : await cancellationQuorum.confirm(storedJob, JOB);
     assert.equal(last, confirmed, name);
   }
 });
--- a/test/costs.test.ts
+++ b/test/costs.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Costs } from '../src/latency-histograms.js';
+import { LatencyHistograms } from '../src/latency-histograms.js';
 
 test('figures of costs are in microseconds, whatever is measured', () => {
-  const costs = new Costs(() => 0);
-  for (let i = 1; i <= 100; i++) costs.record('report', i / 1e4);
-  for (const seconds of [-1, 0, 1e-9, 1e6]) costs.record('lag', seconds);
-  const figures = costs.figures();
+  const latencies = new LatencyHistograms(() => 0);
+  for (let i = 1; i <= 100; i++) latencies.record('report', i / 1e4);
+  for (const seconds of [-1, 0, 1e-9, 1e6]) latencies.record('lag', seconds);
+  const figures = latencies.statistics();
   assert.equal(figures.report_count, 100);
   assert.ok(Math.abs(figures.report_us_p50! - 5000) <= 60);
   assert.ok(Math.abs(figures.report_us_p99! - 9900) <= 110);
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -6,7 +6,7 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { FeaturesError, featuresRecord, parseFeatures } from '../src/features/features-file.js';
-import { Versions } from '../src/controller/controller-versions.js';
+import { ControllerVersions } from '../src/controller/controller-versions.js';
 import { silentLog } from '../src/log.js';
 import { FEATURES } from '../src/peers/messages.js';
 import { ActiveSubsystems } from '../src/subsystems/active-subsystems.js';
@@ -122,7 +122,7 @@
     .keys()
     .sort()
     .map((key) => [key, store.revision(key), store.value(key)]);
-  return { stored, starts: [...fleet.starts], wanted: world.parts.capacity.wanted() };
+  return { stored, starts: [...fleet.starts], wanted: world.parts.capacity.machinesToRent() };
 }
 
 test('without a features file, without a table and without pools the same is decided', async () => {
@@ -152,13 +152,13 @@
     view: () => null,
     beginTerm: () => ({
       tick: () => undefined,
-      rents: () => [],
+      rentRequests: () => [],
       keeps: (machine) => machine === 'm1',
       keptMachines: () => 2,
       mayUse: () => false,
       preferenceS: () => 3,
       dueWrites: () => [],
-      figures: () => ({ works: 1 }),
+      statistics: () => ({ works: 1 }),
       stop: () => undefined,
     }),
   };
@@ -168,13 +168,13 @@
   active.stop();
   const room = null!;
   assert.deepEqual(
-    [active.keeps('m1'), active.keeps('m2'), active.keptMachines(), active.rents().length],
+    [active.keeps('m1'), active.keeps('m2'), active.keptMachines(), active.rentRequests().length],
     [true, false, 2, 0],
   );
   assert.deepEqual([active.mayUse(spec(), room), active.preferenceS(spec(), room)], [false, 3]);
-  assert.deepEqual(active.figures(), { works: 1 });
+  assert.deepEqual(active.statistics(), { works: 1 });
   const none = new ActiveSubsystems(silentLog());
-  assert.deepEqual([none.any, none.keptMachines(), none.mayUse(spec(), room)], [false, 0, true]);
+  assert.deepEqual([none.hasAny, none.keptMachines(), none.mayUse(spec(), room)], [false, 0, true]);
 });
 
 test('controllers tell their features files; a difference from the leader is known', () => {
@@ -190,21 +190,21 @@
     const file = hash === undefined ? {} : { file: { hash, subsystems: ['warm-pools'] } };
     put(records.versionKey(node), records.encodeVersion({ features: [...FEATURES], ...file }));
   };
-  const versions = new Versions({
+  const versions = new ControllerVersions({
     ...{ node: 'a', others: ['b', 'c'], leaseS: 2, replica, store: null!, replicaSync: null! },
     ...{ peers: () => null!, health: null!, clock: { now: () => 0 }, log: silentLog() },
     file: { hash: 'one', subsystems: [] },
   });
-  assert.deepEqual(versions.withOtherFeatures(), [], 'nobody leads');
+  assert.deepEqual(versions.withDifferentFeatures(), [], 'nobody leads');
   put(records.LEADER, records.encodeLeader({ node: 'b', incarnation: 'x' }));
   tell('b', 'one');
-  assert.deepEqual(versions.withOtherFeatures(), ['c'], 'one that has told of no file');
+  assert.deepEqual(versions.withDifferentFeatures(), ['c'], 'one that has told of no file');
   tell('c', 'one');
-  assert.deepEqual(versions.withOtherFeatures(), []);
+  assert.deepEqual(versions.withDifferentFeatures(), []);
   tell('b', 'two');
-  assert.deepEqual(versions.withOtherFeatures(), ['a', 'c'], 'the leader counts');
+  assert.deepEqual(versions.withDifferentFeatures(), ['a', 'c'], 'the leader counts');
   tell('c');
-  assert.deepEqual(versions.withOtherFeatures(), ['a', 'c']);
+  assert.deepEqual(versions.withDifferentFeatures(), ['a', 'c']);
 });
 
 test('a version record without a file is written as before, and one with a file is read by others', () => {
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -97,7 +97,7 @@
   checkpointS: 0,
   saveS: 0,
   deadlineS: null,
-  awaits: [],
+  dependencies: [],
   ...over,
 });
 
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -236,11 +236,11 @@
 
 test('estimates are raised by what jobs of their class took, within bounds', () => {
   const job = (id: string, attainedS: number): LiveJobView =>
-    ({
+    fake<LiveJobView>({
       spec: spec({ id, class: 'marker', estimateS: 10, tasks: 2 }),
-      finished: true,
+      isFinished: true,
       attainedS,
-    }) as LiveJobView;
+    });
   const errors = new EstimateErrors(1.2);
   assert.equal(errors.margin('marker'), 1.5, 'often wrong by half');
   for (let i = 0; i < 6; i++) errors.look([job('wk-1', 26)]);
@@ -266,9 +266,9 @@
         now: () => 0,
         wallMs: () => 0,
         latestEndMs: () => Infinity,
-        nudgeStore: () => undefined,
+        wakeWriter: () => undefined,
       },
-      ...{ types: () => new Map([['g8', g8]]), machine: () => ({ type: 'g8' }) },
+      ...{ machineTypes: () => new Map([['g8', g8]]), machine: () => ({ type: 'g8' }) },
     });
     const errors = new EstimateErrors(1);
     const wayBack = new WayBackTimes(view);
@@ -281,11 +281,17 @@
     const grants = new Grants({ view, table, config, errors, wayBack });
     const lender = spec({ checkpointS: 1, saveS: 0.1 });
     const attempt = makeAttempt(lender.id, 0, 5, 'm1', 'running', 0);
-    const job = { spec: lender, live: new Map(), gang: false, guaranteed: false, holdingCount: 1 };
+    const job = fake<LiveJobView>({
+      spec: lender,
+      attemptsByTask: new Map(),
+      isGang: false,
+      isGuaranteed: false,
+      activeAttemptCount: 1,
+    });
     const taken = grants.takesOver({
       machine: 'm1',
-      borrower: { spec: spec({ id: 'wk-000002', kind: 'service' }) } as LiveJobView,
-      victims: [{ job: fake<LiveJobView>(job), attempt }],
+      borrower: fake<LiveJobView>({ spec: spec({ id: 'wk-000002', kind: 'service' }) }),
+      victims: [{ job, attempt }],
       ...{ saves: true, carryOut: () => true },
     });
     assert.equal(taken, granted);
@@ -299,7 +305,13 @@
   const look = (on: string[], freeGpus: number, pendingCount = 0) => {
     const attempts = on.map(replica);
     const live = new Map([[0, attempts.filter(({ job }) => job === 'wk-2')]]);
-    const jobs: Record<string, unknown> = { 'wk-2': { phase: 'open', live, pendingCount } };
+    const jobs: Record<string, LiveJobView> = {
+      'wk-2': fake<LiveJobView>({
+        phase: 'active',
+        attemptsByTask: live,
+        pendingTaskCount: pendingCount,
+      }),
+    };
     const view = fake<TermView>({
       job: (id: string) => jobs[id],
       spec: (id: string) => spec({ id, kind: kinds[id] ?? 'array' }),
@@ -565,7 +577,7 @@
       // Others wait for it, so it ranks before the lender.
       world.batchJob(2, { id: 'wk-000012', zone: 'z1', estimateS: 1 });
       for (const id of ['wk-000021', 'wk-000022', 'wk-000023']) {
-        world.batchJob(2, { id, estimateS: 0.5, awaits: ['wk-000012'] });
+        world.batchJob(2, { id, estimateS: 0.5, dependencies: ['wk-000012'] });
       }
       await world.run(1);
       world.cancel(OTHER);
@@ -642,7 +654,7 @@
   await world.run(20);
   const { store, fleet } = world;
   const stored = store.keys().sort().map((key) => [key, store.revision(key), store.value(key)]); // prettier-ignore
-  return { stored, starts: [...fleet.starts], wanted: world.parts.capacity.wanted() };
+  return { stored, starts: [...fleet.starts], wanted: world.parts.capacity.machinesToRent() };
 }
 
 test('without the table, and with it where nothing is borrowed, the same is decided', async () => {
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -76,9 +76,9 @@
   }
 
   async campaign(guard = 0): Promise<boolean> {
-    this.election.role = 'standing';
+    this.election.role = 'candidate';
     const won = await this.steps.campaign(guard);
-    if (!won) this.election.role = 'following';
+    if (!won) this.election.role = 'follower';
     return won;
   }
 }
@@ -215,7 +215,7 @@
     let lives = 0;
     const c = new Controller(store, 'a', undefined, () => fitter(lives));
     const began = c.now;
-    while (c.election.role === 'following' && lives < 2) {
+    while (c.election.role === 'follower' && lives < 2) {
       lives = (c.now - began) / LIFE;
       const other = lives >= electedAt && lives < goneAt;
       if (other !== store.revision(records.LEADER) > 0 && leader === undefined) {
@@ -228,7 +228,7 @@
       await stepped;
       c.now += step;
     }
-    const stood = c.election.role === 'leading';
+    const stood = c.election.role === 'leader';
     assert.equal(stood, stands !== null, name);
     if (stands === null) continue;
     assert.ok(lives >= stands[0] - 1e-6 && lives <= stands[1], `${name}: after ${lives}`);
--- a/test/meeting-helpers.ts
+++ b/test/meeting-helpers.ts
@@ -8,7 +8,7 @@
 import type { JobSpec } from '../src/jobs/types.js';
 import { silentLog } from '../src/log.js';
 import { DEFAULT_POLICY } from '../src/operator/policy.js';
-import { Costs } from '../src/latency-histograms.js';
+import { LatencyHistograms } from '../src/latency-histograms.js';
 import { Leader } from '../src/leader/leader.js';
 import type { Scheduler } from '../src/leader/scheduling/scheduler.js';
 import type { CapacityManager } from '../src/leader/capacity/capacity-manager.js';
@@ -371,9 +371,9 @@
       },
       {
         store: this.store.client(),
-        cloud: this.extras.cloud ?? fake<CloudClient>({ list: () => Promise.resolve([]) }),
+        cloud: this.extras.cloud ?? fake<CloudClient>({ listMachines: () => Promise.resolve([]) }),
         onLeadershipLost: () => undefined,
-        costs: new Costs(() => this.now),
+        latencies: new LatencyHistograms(() => this.now),
         subsystems: this.extras.subsystems,
       },
     );
@@ -385,7 +385,7 @@
       onReady: (storedJob) => leader.onReady(storedJob),
       onCancelled: (storedJob) => leader.onCancelled(storedJob),
     };
-    this.parts.capacity.fleet.listedOnce = true;
+    this.parts.capacity.provisioner.listedOnce = true;
   }
 
   job(over: Partial<JobSpec> = {}): void {
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -528,10 +528,10 @@
   await world.run(idle);
   world.job({ id: JOB, gpus: 8, cores: 8 });
   world.pass();
-  const placed = world.term.jobs.get(JOB)!.live.get(0)![0]!.machine;
+  const placed = world.term.jobs.get(JOB)!.attemptsByTask.get(0)![0]!.machine;
   // It would go back at once if it were empty.
   world.machine(placed).quarantined = true;
-  assert.ok(!world.parts.capacity.toReturn().includes(placed));
+  assert.ok(!world.parts.capacity.machinesToReturn().includes(placed));
   assert.equal(world.machine(placed).state, 'ready');
   await world.run(1);
   const other = placed === 'a' ? 'b' : 'a';
@@ -543,8 +543,8 @@
   await world.run(2);
   world.takeOver();
   await world.run(2);
-  assert.equal(world.term.jobs.get(OTHER)!.holdingCount, 0);
+  assert.equal(world.term.jobs.get(OTHER)!.activeAttemptCount, 0);
   assert.equal(world.machine(other).state, 'returning');
-  world.parts.capacity.returned([other]);
+  world.parts.capacity.machinesReturned([other]);
   assert.equal(world.term.machines.has(other), false);
 });
--- a/test/meeting-leases.test.ts
+++ b/test/meeting-leases.test.ts
@@ -81,11 +81,11 @@
   const copy = worker.report();
   world.checkin(worker);
   world.fleet.workers.delete('a');
-  world.parts.capacity.returned(['a']);
+  world.parts.capacity.machinesReturned(['a']);
   world.leader.answerHeartbeat(copy);
   world.leader.answerHeartbeat(copy);
   world.job({ id: JOB });
   world.pass();
   await world.flush();
-  assert.equal(world.term.jobs.get(JOB)!.holdingCount, 0);
+  assert.equal(world.term.jobs.get(JOB)!.activeAttemptCount, 0);
 });
--- a/test/meeting-limits.test.ts
+++ b/test/meeting-limits.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../src/jobs/types.js';
-import { neverRuns } from '../src/scheduler/quota.js';
+import { whyItNeverRuns } from '../src/scheduler/quota.js';
 import * as records from '../src/store/records.js';
 import { g8, settings, spec } from './helpers.js';
 import { World } from './meeting-helpers.js';
@@ -26,7 +26,7 @@
     ],
   ];
   for (const [name, over, types, runs] of cases) {
-    assert.equal(neverRuns(spec(over), settings().teams, types) === null, runs, name);
+    assert.equal(whyItNeverRuns(spec(over), settings().teams, types) === null, runs, name);
   }
 });
 
@@ -47,12 +47,12 @@
   const listed = {
     id: 'a', addr: '', type: 'g8', zone: 'z1', spot: false, state: 'booting' as const, ageS,
   }; // prettier-ignore
-  world.parts.capacity.listed([listed]);
-  assert.deepEqual(world.parts.capacity.toReturn(), ['a']);
+  world.parts.capacity.applyList([listed]);
+  assert.deepEqual(world.parts.capacity.machinesToReturn(), ['a']);
   // The cloud didn't answer; before it is asked again the machine is there, and has work.
   world.fleet.add('a');
   world.job({ id: JOB });
   await world.run(2);
   assert.equal(world.fleet.running(JOB), 1);
-  assert.deepEqual(world.parts.capacity.toReturn(), []);
+  assert.deepEqual(world.parts.capacity.machinesToReturn(), []);
 });
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -79,10 +79,10 @@
     const worker = this.pick([...w.fleet.workers.values()]);
     if (this.chance(0.02)) worker.deaf = !worker.deaf;
     if (this.chance(0.02)) worker.mute = !worker.mute;
-    const live = [...w.term.jobs.values()].filter((job) => job.holdingCount > 0);
+    const live = [...w.term.jobs.values()].filter((job) => job.activeAttemptCount > 0);
     if (this.chance(0.01) && live.length > 0) {
       const job = this.pick(live);
-      w.term.stopGracefully(job, this.pick([...job.holding()]));
+      w.term.stopGracefully(job, this.pick([...job.activeAttempts()]));
     }
   }
 
--- a/test/meeting-users.test.ts
+++ b/test/meeting-users.test.ts
@@ -21,26 +21,26 @@
     const store = new MemoryStore();
     const all = ['a', 'b', 'c'].map((n) => usersSide(store, n));
     const [a, b] = all as [UsersSide, UsersSide, UsersSide];
-    assert.equal(await told(b.users.poll(JOB)), '404');
+    assert.equal(await told(b.userApi.poll(JOB)), '404');
     // All three are asked at once; whoever is slower repeats it.
-    const accepted = await Promise.all(all.map((c) => told(c.users.submit(body()))));
+    const accepted = await Promise.all(all.map((c) => told(c.userApi.submit(body()))));
     assert.ok(
       accepted.every((x) => x === '201 queued' || x === '200 queued'),
       accepted.join(),
     );
     for (const step of name.split(', then ')) {
       if (step === 'done') finish(store);
-      if (step === 'cancelled') assert.equal(await told(a.users.cancel(JOB)), `200 ${want}`);
-      if (step === 'done') assert.equal(await told(a.users.poll(JOB)), `200 ${want}`);
+      if (step === 'cancelled') assert.equal(await told(a.userApi.cancel(JOB)), `200 ${want}`);
+      if (step === 'done') assert.equal(await told(a.userApi.poll(JOB)), `200 ${want}`);
     }
     for (const c of all) {
       const answers = await Promise.all([
-        told(c.users.poll(JOB)),
-        told(c.users.submit(body())),
-        told(c.users.poll('wk-1')),
+        told(c.userApi.poll(JOB)),
+        told(c.userApi.submit(body())),
+        told(c.userApi.poll('wk-1')),
       ]);
       assert.deepEqual(answers, [`200 ${want}`, `200 ${want}`, '404'], name);
-      if (want !== 'queued') assert.equal(await told(c.users.cancel(JOB)), `200 ${want}`, name);
+      if (want !== 'queued') assert.equal(await told(c.userApi.cancel(JOB)), `200 ${want}`, name);
     }
   }
 });
@@ -55,11 +55,11 @@
     await new Promise<void>((resolve) => answers.push(resolve));
     return read;
   };
-  const early = a.users.poll(JOB);
+  const early = a.userApi.poll(JOB);
   await new Promise(setImmediate);
   store.accept({ id: JOB });
-  const late = a.users.poll(JOB);
-  const third = a.users.poll(JOB);
+  const late = a.userApi.poll(JOB);
+  const third = a.userApi.poll(JOB);
   for (let i = 0; i < 4; i++) {
     answers.splice(0).forEach((answer) => answer());
     await new Promise(setImmediate);
@@ -74,14 +74,14 @@
     const store = new MemoryStore();
     const [a, b] = [usersSide(store, 'a'), usersSide(store, 'b')];
     store.mode = mode;
-    assert.equal(await told(a.users.submit(body())), '503', mode);
+    assert.equal(await told(a.userApi.submit(body())), '503', mode);
     assert.equal(store.ledger, mode === 'lose answers' ? 1 : 0, 'stored once');
     store.mode = 'serve';
-    assert.match(await told(b.users.submit(body())), /^20[01] queued$/, mode);
+    assert.match(await told(b.userApi.submit(body())), /^20[01] queued$/, mode);
     store.mode = mode;
-    assert.equal(await told(a.users.cancel(JOB)), '503', mode);
+    assert.equal(await told(a.userApi.cancel(JOB)), '503', mode);
     store.mode = 'serve';
-    const cancelled = await told(b.users.cancel(JOB));
+    const cancelled = await told(b.userApi.cancel(JOB));
     assert.equal(cancelled, '200 cancelled', mode);
     const at = b.replica.jobs.get(JOB)!.cancelledAt;
     // What was held back comes now: after newer ones.
@@ -89,7 +89,7 @@
     finish(store);
     store.feed(b.replica);
     for (const c of [a, b, usersSide(store, 'c')]) {
-      assert.equal(await told(c.users.poll(JOB)), '200 cancelled', mode);
+      assert.equal(await told(c.userApi.poll(JOB)), '200 cancelled', mode);
       assert.equal(outcome(c.replica.jobs.get(JOB)!), 'cancelled', mode);
     }
     assert.equal(b.replica.jobs.get(JOB)!.cancelledAt, at, mode);
@@ -99,18 +99,18 @@
 test('while the state service refuses, nothing is told but what never changes any more', async () => {
   const store = new MemoryStore();
   const a = usersSide(store, 'a');
-  await a.users.submit(body());
-  await a.users.submit(body({ ref: 'wk-2' }));
-  await a.users.cancel('wk-2');
+  await a.userApi.submit(body());
+  await a.userApi.submit(body({ ref: 'wk-2' }));
+  await a.userApi.cancel('wk-2');
   store.mode = 'refuse';
-  assert.equal(await told(a.users.poll(JOB)), '503');
-  assert.equal(await told(a.users.cancel(JOB)), '503');
-  assert.equal(await told(a.users.submit(body())), '503');
-  assert.equal(await told(a.users.poll('wk-3')), '503', 'nor that nobody submitted it');
-  assert.equal(await told(a.users.poll('wk-2')), '200 cancelled');
-  assert.equal(await told(a.users.cancel('wk-2')), '200 cancelled');
+  assert.equal(await told(a.userApi.poll(JOB)), '503');
+  assert.equal(await told(a.userApi.cancel(JOB)), '503');
+  assert.equal(await told(a.userApi.submit(body())), '503');
+  assert.equal(await told(a.userApi.poll('wk-3')), '503', 'nor that nobody submitted it');
+  assert.equal(await told(a.userApi.poll('wk-2')), '200 cancelled');
+  assert.equal(await told(a.userApi.cancel('wk-2')), '200 cancelled');
   store.mode = 'serve';
-  assert.equal(await told(a.users.poll(JOB)), '200 queued');
+  assert.equal(await told(a.userApi.poll(JOB)), '200 queued');
 });
 
 test('an accepted job is known for ever, whatever its repetition looks like', async () => {
@@ -125,11 +125,11 @@
   for (const [name, change] of defects) {
     const store = new MemoryStore();
     const [a, b] = [usersSide(store, 'a'), usersSide(store, 'b')];
-    await a.users.submit(body());
-    assert.match(await told(b.users.submit(body(change))), /^20[01] queued$/, name);
+    await a.userApi.submit(body());
+    assert.match(await told(b.userApi.submit(body(change))), /^20[01] queued$/, name);
     assert.equal(b.replica.jobs.get(JOB)!.spec.tasks, 2, name);
     finish(store);
-    assert.equal(await told(b.users.submit(body(change))), '200 done', name);
+    assert.equal(await told(b.userApi.submit(body(change))), '200 done', name);
   }
 });
 
@@ -142,8 +142,8 @@
     const without = body({ ...ref, [field]: undefined });
     const empty = body({ ...ref, [field]: null });
     if (nullable.includes(field)) continue;
-    assert.equal((await a.users.submit(without)).status, 400, `without ${field}`);
-    assert.equal((await a.users.submit(empty)).status, 400, `${field}: null`);
+    assert.equal((await a.userApi.submit(without)).status, 400, `without ${field}`);
+    assert.equal((await a.userApi.submit(empty)).status, 400, `${field}: null`);
   }
   const never: Record<string, unknown>[] = [
     { crew: 'x' },
@@ -155,11 +155,11 @@
     { form: 'daemon', pieces: 13 },
   ];
   for (const change of never) {
-    assert.equal((await a.users.submit(body(change))).status, 422, JSON.stringify(change));
+    assert.equal((await a.userApi.submit(body(change))).status, 422, JSON.stringify(change));
   }
   assert.equal(store.ledger, 0);
   for (const field of nullable) {
     const change = { ref: `wk-${nullable.indexOf(field)}`, [field]: undefined };
-    assert.equal(await told(a.users.submit(body(change))), '201 queued', field);
+    assert.equal(await told(a.userApi.submit(body(change))), '201 queued', field);
   }
 });
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -30,7 +30,7 @@
     world.sendDirect('a').unanswered();
     assert.equal(world.fleet.running(JOB), 0, name);
     const job = world.term.jobs.get(JOB)!;
-    world.term.stopGracefully(job, [...job.holding()][0]!);
+    world.term.stopGracefully(job, [...job.activeAttempts()][0]!);
     world.fleet.add('b');
     await world.run(PATIENCE_S);
     assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
@@ -68,7 +68,7 @@
     assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
     // Preempted, say. There is room on another machine, but its image is here.
     world.fleet.add('b');
-    world.term.stopGracefully(job, [...job.holding()][0]!);
+    world.term.stopGracefully(job, [...job.activeAttempts()][0]!);
     await world.run(PATIENCE_S);
     assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
     assert.deepEqual(world.fleet.broken, [], name);
@@ -89,7 +89,7 @@
   assert.ok(records.decodeMachine(record).returning);
   world.takeOver();
   await world.run(2);
-  assert.deepEqual(world.parts.capacity.toReturn(), ['a']);
+  assert.deepEqual(world.parts.capacity.machinesToReturn(), ['a']);
 });
 
 test('a service that ran well is not doubted because replicas failed on a few faulty machines', async () => {
--- a/test/meeting-witness.test.ts
+++ b/test/meeting-witness.test.ts
@@ -44,9 +44,9 @@
   clock.now = 0;
   const parts = election as unknown as { campaign(guard: number): Promise<boolean> };
   const campaign = async (): Promise<boolean> => {
-    election.role = 'standing';
+    election.role = 'candidate';
     const won = await parts.campaign(0);
-    if (!won) election.role = 'following';
+    if (!won) election.role = 'follower';
     return won;
   };
   return { election, campaign };
@@ -83,7 +83,8 @@
   for (let i = 0; i < many; i++) store.accept({ id: idOf(i) });
   const first = 'wk-1';
   store.accept({ id: first });
-  for (let i = 0; i < many; i++) store.accept({ id: `wk-2${idOf(i).slice(3)}`, awaits: [first] });
+  for (let i = 0; i < many; i++)
+    store.accept({ id: `wk-2${idOf(i).slice(3)}`, dependencies: [first] });
   const before = store.ledger;
   for (let i = 0; i < many; i++) store.cancel(idOf(i));
   store.cancel(first);
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -69,7 +69,7 @@
     rig.turn();
     assert.equal(rig.busy, false, 'nothing is left to do');
   }
-  assert.equal(rig.queue.figures().requests_waiting, 0);
+  assert.equal(rig.queue.statistics().requests_waiting, 0);
 });
 
 test('what waits is served by class, each class in the order of arrival', async () => {
@@ -145,7 +145,7 @@
     rig.drain();
     assert.equal(await got, answer, name);
     assert.deepEqual(rig.served, answer === 'r' ? ['r'] : [], name);
-    assert.equal(rig.queue.figures().reports_refused, answer === 'r' ? 0 : 1);
+    assert.equal(rig.queue.statistics().reports_refused, answer === 'r' ? 0 : 1);
   }
 });
 
--- a/test/pass-helpers.ts
+++ b/test/pass-helpers.ts
@@ -1,4 +1,4 @@
-import { Arrivals } from '../src/cloud/demand-forecast.js';
+import { DemandForecast } from '../src/cloud/demand-forecast.js';
 import type { JobSpec } from '../src/jobs/types.js';
 import { silentLog } from '../src/log.js';
 import { DEFAULT_POLICY } from '../src/operator/policy.js';
@@ -46,14 +46,14 @@
       zoneRenewal: () => ({ keptUntil: this.keptUntil, provenAt: Infinity }),
       requestProof: () => undefined,
     });
-    const arrivals = new Arrivals(
+    const forecast = new DemandForecast(
       () => this.now * 1000,
       1,
       () => [g8],
     );
     this.scheduler = new Scheduler(
       this.term,
-      arrivals,
+      forecast,
       () => true,
       () => 0,
       subsystems,
@@ -62,20 +62,20 @@
       term: this.term,
       cloud: null!,
       scheduler: () => this.scheduler,
-      arrivals,
-      forget: () => undefined,
-      onTypes: () => undefined,
+      forecast,
+      forgetMachine: () => undefined,
+      onMachineTypes: () => undefined,
       subsystems,
     });
-    this.capacity.fleet.listedOnce = true;
+    this.capacity.provisioner.listedOnce = true;
   }
 
   /** Machines that would be rented now. */
   rents(): number {
-    const { demand, rooms } = this.scheduler.pass();
+    const { demand, capacities } = this.scheduler.runCycle();
     this.capacity.demand = demand;
-    this.capacity.rooms = rooms;
-    return this.capacity.wanted().reduce((n, wanted) => n + wanted.count, 0);
+    this.capacity.capacities = capacities;
+    return this.capacity.machinesToRent().reduce((n, wanted) => n + wanted.count, 0);
   }
 
   job(over: Partial<JobSpec>): void {
@@ -124,7 +124,7 @@
 
   pass(): void {
     this.now += 0.1;
-    this.scheduler.pass();
+    this.scheduler.runCycle();
   }
 
   on(id: string, job: string): number {
--- a/test/pipeline-leader.test.ts
+++ b/test/pipeline-leader.test.ts
@@ -25,7 +25,7 @@
 test('a job that waits holds nothing: no limit, no guarantee, no machine, no start', async () => {
   const world = worldWith(['a'], MACHINE_GPUS);
   world.job({ id: FIRST, tasks: 1 });
-  world.job({ id: SECOND, tasks: MACHINE_GPUS, gpus: 1, priority: 0, awaits: [FIRST] });
+  world.job({ id: SECOND, tasks: MACHINE_GPUS, gpus: 1, priority: 0, dependencies: [FIRST] });
   world.job({ id: OTHER, tasks: MACHINE_GPUS - 1, priority: 3 });
   await world.run(3);
   assert.deepEqual(
@@ -46,7 +46,7 @@
 test('a task starts only when the store shows what it needs as done, not when this leader believes so', async () => {
   const world = worldWith(['a']);
   world.job({ id: FIRST });
-  world.job({ id: SECOND, awaits: [FIRST] });
+  world.job({ id: SECOND, dependencies: [FIRST] });
   await world.run(2);
   finish(world, FIRST);
   // The worker says it is done; the record is not stored, and another controller cancels the job first.
@@ -66,7 +66,7 @@
 test('an older cancellation that is carried out late, beside the end of the job, is waited for', async () => {
   const world = worldWith(['a']);
   world.job({ id: FIRST });
-  world.job({ id: SECOND, awaits: [FIRST] });
+  world.job({ id: SECOND, dependencies: [FIRST] });
   await world.run(2);
   // This leader's copy ends before the cancellation; its own commit of the end succeeds after it.
   world.store.cancel(FIRST);
@@ -85,8 +85,8 @@
 test('what came before a cancellation goes on, and the cancelled ones release their place', async () => {
   const world = worldWith(['a'], MACHINE_GPUS);
   world.job({ id: FIRST });
-  world.job({ id: SECOND, tasks: 4, awaits: [FIRST] });
-  world.job({ id: THIRD, awaits: [SECOND] });
+  world.job({ id: SECOND, tasks: 4, dependencies: [FIRST] });
+  world.job({ id: THIRD, dependencies: [SECOND] });
   await world.run(2);
   finish(world, FIRST);
   await world.run(3);
@@ -106,11 +106,11 @@
   await world.run(2);
   const priority = (): number => world.term.jobs.get(FIRST)!.spec.priority;
   assert.equal(priority(), 3);
-  world.job({ id: SECOND, priority: 2, awaits: [FIRST] });
+  world.job({ id: SECOND, priority: 2, dependencies: [FIRST] });
   await world.run(1);
   assert.equal(priority(), 2);
   // Named late, and through another one.
-  world.job({ id: THIRD, priority: 0, awaits: [SECOND] });
+  world.job({ id: THIRD, priority: 0, dependencies: [SECOND] });
   await world.run(1);
   assert.equal(priority(), 0);
   world.takeOver();
@@ -124,7 +124,7 @@
 test('with a deadline that is far off a job keeps its own priority until the time left is short', async () => {
   const world = worldWith(['a']);
   world.job({ id: FIRST, priority: 3, estimateS: 10 });
-  world.job({ id: SECOND, priority: 1, estimateS: 20, deadlineS: 60, awaits: [FIRST] });
+  world.job({ id: SECOND, priority: 1, estimateS: 20, deadlineS: 60, dependencies: [FIRST] });
   await world.run(2);
   // It has to be done 40 s after its submission: it is urgent as soon as its 10 s, taken half as long
   // again, and a boot of 1 s do not fit into what is left.
@@ -143,7 +143,7 @@
   world.job({ id: FIRST, tasks: MACHINE_GPUS, priority: 3 });
   await world.run(2);
   assert.deepEqual([world.fleet.running(OTHER), world.fleet.running(FIRST)], [MACHINE_GPUS, 0]);
-  world.job({ id: SECOND, priority: 1, awaits: [FIRST] });
+  world.job({ id: SECOND, priority: 1, dependencies: [FIRST] });
   await world.run(4);
   assert.deepEqual([world.fleet.running(OTHER), world.fleet.running(FIRST)], [0, MACHINE_GPUS]);
 });
@@ -151,7 +151,7 @@
 test('times count from the moment when a job may start, deadlines aside', async () => {
   const world = worldWith(['a']);
   world.job({ id: FIRST });
-  world.job({ id: SECOND, awaits: [FIRST] });
+  world.job({ id: SECOND, dependencies: [FIRST] });
   await world.run(20);
   finish(world, FIRST);
   await world.run(1);
--- a/test/pipeline-users.test.ts
+++ b/test/pipeline-users.test.ts
@@ -1,7 +1,7 @@
 /** What users are told of jobs that need other jobs, at any controller. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CancellationConfirmation } from '../src/cancellation/cancellation-quorum.js';
+import { CancellationQuorum } from '../src/cancellation/cancellation-quorum.js';
 import * as records from '../src/store/records.js';
 import { outcome } from '../src/store/stored-job.js';
 import { MemoryStore } from './meeting-helpers.js';
@@ -47,8 +47,8 @@
   for (const [name, awaits, want] of cases) {
     const made = store();
     const before = made.ledger;
-    const { users, replica } = usersSide(made, 'a');
-    assert.equal(await told(users.submit(body({ awaits }))), want, name);
+    const { userApi, replica } = usersSide(made, 'a');
+    assert.equal(await told(userApi.submit(body({ awaits }))), want, name);
     const storedJob = replica.jobs.get(JOB);
     if (!want.startsWith('201')) assert.equal(made.ledger, before, `${name}: nothing is stored`);
     else
@@ -58,7 +58,7 @@
         name,
       );
     // The same at any other controller, and what was accepted is never refused later.
-    const other = usersSide(made, 'b').users;
+    const other = usersSide(made, 'b').userApi;
     const again = want.startsWith('201') ? want.replace('201', '200') : want;
     assert.equal(await told(other.submit(body({ awaits }))), again, name);
     if (want.startsWith('201')) {
@@ -76,33 +76,33 @@
   const a = usersSide(made, 'a');
   // Accepted by another one after this one had read the store.
   made.accept({ id: 'wk-7' });
-  assert.equal(await told(a.users.submit(body({ awaits: ['wk-7'] }))), '201 queued');
+  assert.equal(await told(a.userApi.submit(body({ awaits: ['wk-7'] }))), '201 queued');
   made.mode = 'refuse';
   const later = body({ ref: 'wk-8', awaits: ['wk-9'] });
-  assert.equal(await told(a.users.submit(later)), '503');
+  assert.equal(await told(a.userApi.submit(later)), '503');
   made.mode = 'serve';
-  assert.equal(await told(a.users.submit(later)), '422');
+  assert.equal(await told(a.userApi.submit(later)), '422');
 });
 
 test('an old version beside it gets none of it: 503, and never for jobs that need no other', async () => {
   const made = store();
-  const { users } = usersSide(made, 'a', { pipelinesUnknown: () => true });
-  const reply = await users.submit(body({ awaits: [NEEDED] }));
+  const { userApi } = usersSide(made, 'a', { isOldVersionPresent: () => true });
+  const reply = await userApi.submit(body({ awaits: [NEEDED] }));
   assert.equal(reply.status, 503);
   assert.ok(reply.retryAfter! > 0);
-  assert.equal(await told(users.submit(body())), '201 queued');
-  const known = usersSide(made, 'b').users;
+  assert.equal(await told(userApi.submit(body())), '201 queued');
+  const known = usersSide(made, 'b').userApi;
   await known.submit(body({ ref: 'wk-8', awaits: [NEEDED] }));
-  assert.equal(await told(users.submit(body({ ref: 'wk-8', awaits: [NEEDED] }))), '200 queued');
+  assert.equal(await told(userApi.submit(body({ ref: 'wk-8', awaits: [NEEDED] }))), '200 queued');
 });
 
 test('jobs that need others are stored where versions that would start them at once do not look', async () => {
   const made = store();
-  const { users } = usersSide(made, 'a');
+  const { userApi } = usersSide(made, 'a');
   await Promise.all([
-    users.submit(body({ ref: 'wk-1', awaits: [NEEDED] })),
-    users.submit(body({ ref: 'wk-2' })),
-    users.cancel(NEEDED),
+    userApi.submit(body({ ref: 'wk-1', awaits: [NEEDED] })),
+    userApi.submit(body({ ref: 'wk-2' })),
+    userApi.cancel(NEEDED),
   ]);
   const stored = made.feed(usersSide(made, 'b').replica);
   assert.equal(outcome(stored.jobs.get('wk-1')!), 'cancelled');
@@ -116,7 +116,7 @@
 test('once any controller has told that a job is cancelled, none calls one that needs it queued', async () => {
   const made = store();
   const all = ['a', 'b', 'c'].map((name) => usersSide(made, name));
-  const [a, b, c] = all.map((side) => side.users);
+  const [a, b, c] = all.map((side) => side.userApi);
   await a!.submit(body({ ref: 'wk-1', awaits: [NEEDED] }));
   await b!.submit(body({ ref: 'wk-2', awaits: ['wk-1', OVER] }));
   assert.equal(await told(b!.poll('wk-2')), '200 queued');
@@ -130,8 +130,8 @@
   const before = made.ledger;
   for (const side of all) {
     for (const id of ['wk-1', 'wk-2', 'wk-3']) {
-      assert.equal(await told(side.users.poll(id)), '200 cancelled', id);
-      assert.equal(await told(side.users.cancel(id)), '200 cancelled', id);
+      assert.equal(await told(side.userApi.poll(id)), '200 cancelled', id);
+      assert.equal(await told(side.userApi.cancel(id)), '200 cancelled', id);
     }
   }
   assert.equal(made.ledger, before, 'one write cancels them all');
@@ -139,21 +139,21 @@
 
 test('a cancellation that is answered with done leaves what comes after the job alone', async () => {
   const made = store();
-  const { users, replica } = usersSide(made, 'a');
-  await users.submit(body({ awaits: [NEEDED] }));
+  const { userApi, replica } = usersSide(made, 'a');
+  await userApi.submit(body({ awaits: [NEEDED] }));
   finish(made, NEEDED);
-  assert.equal(await told(users.cancel(NEEDED)), '200 done');
-  assert.equal(await told(users.poll(JOB)), '200 queued');
+  assert.equal(await told(userApi.cancel(NEEDED)), '200 done');
+  assert.equal(await told(userApi.poll(JOB)), '200 queued');
   assert.notEqual(replica.jobs.get(JOB)!.readyAt, null);
 });
 
 test('a cancellation of a job that never became ready is told at once: no task of it is anywhere', async () => {
   const made = store();
-  const { users, replica } = usersSide(made, 'a');
-  await users.submit(body({ awaits: [NEEDED] }));
+  const { userApi, replica } = usersSide(made, 'a');
+  await userApi.submit(body({ awaits: [NEEDED] }));
   const asked: string[] = [];
-  const confirmation = new CancellationConfirmation({
-    nodes: 3,
+  const cancellationQuorum = new CancellationQuorum({
+    controllerCount: 3,
     peers: {
       names: ['b', 'c'],
       ask: (node) => {
@@ -163,12 +163,12 @@
     },
     replica,
     clock: { now: () => 0 },
-    waitUnlessNoted: () => 0,
+    remainingWaitS: () => 0,
     rememberS: 1,
   });
-  await users.cancel(NEEDED);
-  assert.ok(await confirmation.confirm(replica.jobs.get(JOB)!, JOB));
+  await userApi.cancel(NEEDED);
+  assert.ok(await cancellationQuorum.confirm(replica.jobs.get(JOB)!, JOB));
   assert.deepEqual(asked, []);
-  assert.ok(!(await confirmation.confirm(replica.jobs.get(NEEDED)!, NEEDED)));
+  assert.ok(!(await cancellationQuorum.confirm(replica.jobs.get(NEEDED)!, NEEDED)));
   assert.equal(asked.length, 2, 'that of a job with tasks is not');
 });
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -2,8 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { Outlooks } from '../src/pipelines/downstream-path.js';
+import { DownstreamPaths } from '../src/pipelines/downstream-path.js';
 import { outcome, type StoredJob } from '../src/store/stored-job.js';
+import type { JobSpec } from '../src/jobs/types.js';
 import * as records from '../src/store/records.js';
 import { Replica } from '../src/store/replica.js';
 import type { Change } from '../src/wire/key-value-store.js';
@@ -71,7 +72,10 @@
         const job = { acceptedAt: now, cancelledAt: never, doneAt: never, awaits };
         reference.jobs.set(step.job, job);
       }
-      const accepted = { spec: spec({ id: idOf(step.job), awaits: awaits.map(idOf) }), atMs: now };
+      const accepted = {
+        spec: spec({ id: idOf(step.job), dependencies: awaits.map(idOf) }),
+        atMs: now,
+      };
       const prefix = awaits.length > 0 ? records.DEPENDENT_JOBS : records.JOBS;
       // Names of writers come in no order: a listing may show the later of two acceptances first.
       const key = `${prefix}${(now * 7) % 10}-${now}`;
@@ -186,7 +190,7 @@
   );
 });
 
-const accept = (job: object, revision: number, prefix = records.DEPENDENT_JOBS): Put => ({
+const accept = (job: Partial<JobSpec>, revision: number, prefix = records.DEPENDENT_JOBS): Put => ({
   kind: 'put',
   key: `${prefix}a-${revision}`,
   value: through(
@@ -210,10 +214,14 @@
   for (const [name, needs] of shapes) {
     const changes = [accept({ id: idOf(0) }, 1, records.JOBS)];
     for (let i = 1; i <= many; i++)
-      changes.push(accept({ id: idOf(i), awaits: [needs(i)] }, i + 1));
+      changes.push(accept({ id: idOf(i), dependencies: [needs(i)] }, i + 1));
     const { replica: copy, cancelled } = streamed(changes);
-    const outlooks = new Outlooks(copy.dependencies);
-    assert.equal(outlooks.of(copy.jobs.get(idOf(0))!).depth, name === 'a chain' ? many : 1, name);
+    const downstreamPaths = new DownstreamPaths(copy.dependencies);
+    assert.equal(
+      downstreamPaths.of(copy.jobs.get(idOf(0))!).depth,
+      name === 'a chain' ? many : 1,
+      name,
+    );
     copy.advance(many + 2, [cancel(idOf(0), many + 2)]);
     assert.equal(cancelled.size, many + 1, name);
     assert.ok(
@@ -231,26 +239,26 @@
 test('what comes after a job: priority, work, the longest path, and by when it has to be done', () => {
   const { replica: copy } = streamed([
     accept({ id: 'wk-1', priority: 3, estimateS: 15, tasks: 4 }, 1, records.JOBS),
-    accept({ id: 'wk-2', priority: 3, estimateS: 25, tasks: 10, awaits: ['wk-1'] }, 2),
-    accept({ id: 'wk-3', priority: 2, estimateS: 20, tasks: 3, kind: 'gang', awaits: ['wk-1'] }, 3),
-    accept({ id: 'wk-4', priority: 1, estimateS: 8, tasks: 3, deadlineS: 100, awaits: ['wk-2', 'wk-3'] }, 4),
+    accept({ id: 'wk-2', priority: 3, estimateS: 25, tasks: 10, dependencies: ['wk-1'] }, 2),
+    accept({ id: 'wk-3', priority: 2, estimateS: 20, tasks: 3, kind: 'gang', dependencies: ['wk-1'] }, 3),
+    accept({ id: 'wk-4', priority: 1, estimateS: 8, tasks: 3, deadlineS: 100, dependencies: ['wk-2', 'wk-3'] }, 4),
   ]); // prettier-ignore
-  const outlooks = new Outlooks(copy.dependencies);
-  const of = (id: string): object => outlooks.of(copy.jobs.get(id)!);
+  const downstreamPaths = new DownstreamPaths(copy.dependencies);
+  const of = (id: string): object => downstreamPaths.of(copy.jobs.get(id)!);
   assert.deepEqual(of('wk-1'), {
-    priority: 1, criticalS: 33, depth: 2, latestEndMs: 67_000,
+    priority: 1, longestPathS: 33, depth: 2, latestEndMs: 67_000,
     successors: [{ workS: 250, depth: 1 }, { workS: 20, depth: 1 }],
   }); // prettier-ignore
   assert.deepEqual(of('wk-2'), {
-    priority: 1, criticalS: 8, depth: 1, latestEndMs: 92_000, successors: [{ workS: 24, depth: 0 }],
+    priority: 1, longestPathS: 8, depth: 1, latestEndMs: 92_000, successors: [{ workS: 24, depth: 0 }],
   }); // prettier-ignore
   // The last job is named late, or cancelled: what is before it is seen anew.
-  copy.advance(5, [accept({ id: 'wk-5', priority: 0, estimateS: 1, awaits: ['wk-3'] }, 5)]);
-  assert.equal(outlooks.of(copy.jobs.get('wk-1')!).priority, 0);
+  copy.advance(5, [accept({ id: 'wk-5', priority: 0, estimateS: 1, dependencies: ['wk-3'] }, 5)]);
+  assert.equal(downstreamPaths.of(copy.jobs.get('wk-1')!).priority, 0);
   copy.advance(6, [cancel('wk-5', 6)]);
-  assert.equal(outlooks.of(copy.jobs.get('wk-1')!).priority, 1);
+  assert.equal(downstreamPaths.of(copy.jobs.get('wk-1')!).priority, 1);
   copy.advance(7, [cancel('wk-4', 7)]);
-  assert.equal(outlooks.of(copy.jobs.get('wk-1')!).priority, 2);
+  assert.equal(downstreamPaths.of(copy.jobs.get('wk-1')!).priority, 2);
 });
 
 test('jobs that are over long ago and have left memory still count for those that name them', () => {
@@ -269,7 +277,7 @@
     cancel('wk-3', 6),
   ]);
   copy.compactFinished(1);
-  copy.advance(8, [accept({ id: 'wk-4', awaits: ['wk-1'] }, 7), accept({ id: 'wk-5', awaits: ['wk-1', 'wk-2'] }, 8)]); // prettier-ignore
+  copy.advance(8, [accept({ id: 'wk-4', dependencies: ['wk-1'] }, 7), accept({ id: 'wk-5', dependencies: ['wk-1', 'wk-2'] }, 8)]); // prettier-ignore
   assert.equal(ready.at(-1), 'wk-4');
   assert.equal(outcome(copy.jobs.get('wk-5')!), 'cancelled');
   assert.equal(copy.jobs.get('wk-5')!.readyAt, null);
--- a/test/pool-helpers.ts
+++ b/test/pool-helpers.ts
@@ -3,7 +3,7 @@
  * the workers of the meeting tests. Time moves by hand, and nothing opens a socket.
  */
 import type { CloudClient, RentResult } from '../src/cloud/client.js';
-import type { Fleet as CloudFleet } from '../src/cloud/provisioner.js';
+import type { MachineProvisioner as CloudFleet } from '../src/cloud/provisioner.js';
 import { parseFeatures } from '../src/features/features-file.js';
 import type { MachineType } from '../src/jobs/types.js';
 import type { ListedMachine, RentRequest } from '../src/wire/cloud.js';
@@ -30,7 +30,10 @@
 }
 
 /** A cloud by the protocol: a request's name gives the same machines for ever. */
-export class MemoryCloud implements Pick<CloudClient, 'types' | 'list' | 'rent' | 'giveBack'> {
+export class MemoryCloud implements Pick<
+  CloudClient,
+  'fetchMachineTypes' | 'listMachines' | 'rentMachines' | 'returnMachines'
+> {
   mode: CloudMode = 'serve';
   /** Machines that it has yet to give. */
   left = Infinity;
@@ -45,11 +48,11 @@
     return fake<CloudClient>(this);
   }
 
-  types(): Promise<MachineType[]> {
+  fetchMachineTypes(): Promise<MachineType[]> {
     return this.mode === 'trouble' ? Promise.reject(new Error('503')) : Promise.resolve([g8]);
   }
 
-  list(): Promise<ListedMachine[]> {
+  listMachines(): Promise<ListedMachine[]> {
     if (this.mode === 'trouble') return Promise.reject(new Error('503'));
     const { now } = this.world;
     const listed: ListedMachine[] = [];
@@ -62,7 +65,7 @@
     return Promise.resolve(listed);
   }
 
-  rent(request: RentRequest): Promise<RentResult> {
+  rentMachines(request: RentRequest): Promise<RentResult> {
     this.calls++;
     if (this.mode === 'trouble') return Promise.resolve({ how: 'refused', status: 503 });
     if (this.mode === 'no capacity') return Promise.resolve({ how: 'none' });
@@ -85,7 +88,7 @@
     return ids;
   }
 
-  giveBack(ids: string[]): Promise<boolean> {
+  returnMachines(ids: string[]): Promise<boolean> {
     if (this.mode === 'trouble') return Promise.resolve(false);
     for (const id of ids) {
       const machine = this.machines.get(id);
@@ -140,7 +143,7 @@
 }
 
 interface FleetParts {
-  round(): Promise<void>;
+  runRound(): Promise<void>;
 }
 
 /** A world whose leader has pools. A successor may have others: `pools` is looked at by each. */
@@ -163,11 +166,11 @@
   }
 
   private get cloudFleet(): CloudFleet {
-    return this.parts.capacity.fleet;
+    return this.parts.capacity.provisioner;
   }
 
   async cloudRound(): Promise<void> {
-    await (this.cloudFleet as unknown as FleetParts).round().catch(() => undefined);
+    await (this.cloudFleet as unknown as FleetParts).runRound().catch(() => undefined);
   }
 
   /** As `run`, with the cloud's part. */
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -109,24 +109,24 @@
     0,
     5,
   );
-  assert.deepEqual(live.pending(0, 9), [0, 1]);
+  assert.deepEqual(live.pendingTasks(0, 9), [0, 1]);
   const attempt = makeAttempt('wk-000001', 0, live.nextNumber(0, 50), 'm', 'claiming', 0);
-  live.claimed(attempt);
-  assert.deepEqual(live.pending(0, 9), [1]);
+  live.taskClaimed(attempt);
+  assert.deepEqual(live.pendingTasks(0, 9), [1]);
   attempt.state = 'gone';
-  live.release(attempt);
-  assert.deepEqual(live.pending(0, 9), [0, 1]);
+  live.removeAttempt(attempt);
+  assert.deepEqual(live.pendingTasks(0, 9), [0, 1]);
   assert.equal(live.nextNumber(0, 50), 51, 'numbers of attempts never recur');
-  live.postpone(0, 0, 1, 10);
-  assert.deepEqual(live.pending(0.5, 9), [1], 'not at once after a failure');
-  assert.deepEqual(live.pending(2, 9), [0, 1]);
+  live.delayRetry(0, 0, 1, 10);
+  assert.deepEqual(live.pendingTasks(0.5, 9), [1], 'not at once after a failure');
+  assert.deepEqual(live.pendingTasks(2, 9), [0, 1]);
   live.markDone(0, 3);
-  live.awaiting.push(attempt);
-  const fresh = live.progress.unstored(0);
+  live.endsToStore.push(attempt);
+  const fresh = live.progress.unstoredTasks(0);
   live.markDone(1, 3);
-  assert.deepEqual(live.storedTasks(0, fresh, 4), [attempt], 'settled by the record that names it');
+  assert.deepEqual(live.tasksStored(0, fresh, 4), [attempt], 'settled by the record that names it');
   assert.ok(live.progress.dirty.has(0), 'what was done meanwhile is written next');
-  assert.ok(live.finished);
+  assert.ok(live.isFinished);
 });
 
 test('of jobs that are over only the outcome stays in memory, and it stays the same', () => {
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { ReplyAnswer } from '../src/peers/messages.js';
 import { silentLog } from '../src/log.js';
-import { CancellationNotices } from '../src/cancellation/cancellation-broadcast.js';
+import { CancellationBroadcast } from '../src/cancellation/cancellation-broadcast.js';
 import { ForwardingDelay } from '../src/heartbeat/forwarding-delay.js';
 import { HeartbeatHandler } from '../src/heartbeat/heartbeat-handler.js';
 import type { Replica } from '../src/store/replica.js';
@@ -76,8 +76,8 @@
   const clock = { now: () => now };
   let now = 0;
   const jobs = new Map<string, unknown>();
-  const make = (): CancellationNotices =>
-    new CancellationNotices(settings(), [], null!, fake<Replica>({ jobs }), null!, clock);
+  const make = (): CancellationBroadcast =>
+    new CancellationBroadcast(settings(), [], null!, fake<Replica>({ jobs }), null!, clock);
   const c = make();
   const id = (i: number): string => `wk-${i}`;
   // A thousand were remembered once; a cut of a large fleet's zone sees more.
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -3,7 +3,7 @@
 import type { QuestionOf, ReplyAnswer } from '../src/peers/messages.js';
 import type { PeerNetwork } from '../src/peers/peer-network.js';
 import { RequestForwarder } from '../src/api/request-forwarder.js';
-import type { Users } from '../src/api/user-api.js';
+import type { UserApi } from '../src/api/user-api.js';
 import type { StoreHealth, KeyValueStoreClient } from '../src/store/client.js';
 import { RequestRejectedError, OutcomeUnknownError } from '../src/store/client.js';
 import type { ReplicaSync } from '../src/store/replica-sync.js';
@@ -27,7 +27,7 @@
   const asked: string[] = [];
   const clock = { now: 0 };
   const state = { health };
-  const users = fake<Users>({
+  const userApi = fake<UserApi>({
     ready: () => true,
     knows: () => final,
     submit: () => Promise.resolve({ status: own }),
@@ -44,7 +44,7 @@
   const follower = { ready: true, sync: () => Promise.resolve(false) };
   const times = { lease_s: 10 };
   const now = (): number => clock.now;
-  const f = new RequestForwarder(users, state, follower, net, times, now, knowsPipelines);
+  const f = new RequestForwarder(userApi, state, follower, net, times, now, knowsPipelines);
   return { f, asked, clock, state };
 }
 
@@ -96,11 +96,11 @@
   for (const [name, peers, ready] of cases) {
     const t = forwarder('silent', 503, peers);
     await t.f.serve({ to: 'poll', id: 'wk-1' });
-    assert.equal(t.f.ready(), true, `${name}: not at once`);
+    assert.equal(t.f.isReady(), true, `${name}: not at once`);
     t.clock.now = 10;
-    assert.equal(t.f.ready(), ready, name);
+    assert.equal(t.f.isReady(), ready, name);
     t.state.health = 'served';
-    assert.equal(t.f.ready(), true, `${name}: served again`);
+    assert.equal(t.f.isReady(), true, `${name}: served again`);
   }
 });
 
@@ -120,7 +120,7 @@
   ];
   for (const [name, health, own, to, text, status] of cases) {
     const t = forwarder(health, own, { a: { status: 200 } });
-    assert.equal((await t.f.passedOn(to, text)).status, status, name);
+    assert.equal((await t.f.serveForwarded(to, text)).status, status, name);
     assert.deepEqual(t.asked, [], name);
   }
 });
--- a/test/sched.test.ts
+++ b/test/sched.test.ts
@@ -1,30 +1,34 @@
 import assert from 'node:assert/strict';
 import { FetchTimes } from '../src/scheduler/fetch-times.js';
 import { test } from 'node:test';
-import { planRent, type Demand } from '../src/cloud/scale-out-plan.js';
+import { planScaleOut, type Demand } from '../src/cloud/scale-out-plan.js';
 import { warmTarget } from '../src/cloud/warm-capacity.js';
 import type { JobSpec } from '../src/jobs/types.js';
 import { DEFAULT_POLICY } from '../src/operator/policy.js';
 import {
-  allowed,
+  isAllowedOn,
   bestFit,
   freeShare,
   placeGang,
-  reserved,
-  zoneAllowed,
+  reservedForLongWork,
+  isZoneAllowed,
   type FreeCapacity,
 } from '../src/scheduler/bin-packing.js';
-import { haste, Waits } from '../src/scheduler/service-level-objectives.js';
-import { cheapestEviction } from '../src/scheduler/preemption.js';
-import { chooseVacated } from '../src/scheduler/drain-selection.js';
-import { Usages } from '../src/scheduler/quota.js';
 import {
-  LongMarks,
+  preemptionMode,
+  StartLatencyObjectives,
+} from '../src/scheduler/service-level-objectives.js';
+import { cheapestPreemption } from '../src/scheduler/preemption.js';
+import { chooseMachineToDrain } from '../src/scheduler/drain-selection.js';
+import { TeamUsages } from '../src/scheduler/quota.js';
+import {
+  LongJobs,
   compareJobs,
-  contribution,
+  downstreamWeight,
   longThreshold,
-  remaining,
+  remainingTimeS,
   scores,
+  type RankInput,
 } from '../src/scheduler/ranking.js';
 import { g8, settings, spec } from './helpers.js';
 
@@ -40,7 +44,7 @@
 const policy = DEFAULT_POLICY;
 
 test('remaining time follows what was attained', () => {
-  const cases: [string, object, number][] = [
+  const cases: [string, Partial<RankInput>, number][] = [
     ['nothing known: the prediction', {}, 100],
     ['as predicted', { finishedS: 50, attainedS: 50 }, 100],
     ['twice as slow as predicted', { finishedS: 49, attainedS: 99 }, 200],
@@ -48,7 +52,8 @@
     // bring no progress.
     ['failed runs only lengthen it', { attainedS: 9 }, 1000],
   ];
-  for (const [name, over, want] of cases) assert.equal(remaining(ready(over), policy), want, name);
+  for (const [name, over, want] of cases)
+    assert.equal(remainingTimeS(ready(over), policy), want, name);
 });
 
 test('contribution sums over the jobs that wait', () => {
@@ -57,7 +62,7 @@
     { workS: 4, depth: 2 },
   ];
   assert.equal(
-    contribution(ready({ successors }), { ...policy, omega: [1, 10, 100] }),
+    downstreamWeight(ready({ successors }), { ...policy, omega: [1, 10, 100] }),
     7 + 30 + 200,
   );
 });
@@ -72,7 +77,7 @@
 
 test('long is above mean and spread, and does not swing with a burst of alike work', () => {
   assert.equal(longThreshold([2, 4], 1), 4);
-  const marks = new LongMarks();
+  const marks = new LongJobs();
   marks.update([10, 10, 10, 100], policy, 0);
   assert.ok(marks.isLong(100, false));
   const alike = [...Array<number>(50).fill(10), 100];
@@ -105,9 +110,9 @@
   cores: 8,
   gpus: 8,
   memGb: 64,
-  whole: g8,
+  total: g8,
   penaltyS: 0,
-  imageWaitS: () => 0,
+  imageDelayS: () => 0,
   fetchS: (gb) => gb,
   hasImage: () => true,
   ...over,
@@ -123,17 +128,17 @@
     ['spot allowed', { spot: true }, { spot: true }, true],
   ];
   for (const [name, jobSpec, capacity, want] of cases)
-    assert.equal(allowed(spec(jobSpec), room(capacity)), want, name);
+    assert.equal(isAllowedOn(spec(jobSpec), room(capacity)), want, name);
   const zones = new Map([['z1', 2]]);
-  assert.ok(!zoneAllowed(spec({ oneZone: true }), 'z2', zones));
-  assert.ok(zoneAllowed(spec({ oneZone: true }), 'z1', zones));
-  assert.ok(!zoneAllowed(spec({ scatter: true, tasks: 3 }), 'z1', zones));
-  assert.ok(zoneAllowed(spec({ scatter: true, tasks: 5 }), 'z1', zones));
+  assert.ok(!isZoneAllowed(spec({ oneZone: true }), 'z2', zones));
+  assert.ok(isZoneAllowed(spec({ oneZone: true }), 'z1', zones));
+  assert.ok(!isZoneAllowed(spec({ scatter: true, tasks: 3 }), 'z1', zones));
+  assert.ok(isZoneAllowed(spec({ scatter: true, tasks: 5 }), 'z1', zones));
 });
 
 test('the best room has the image, and is the fuller one', () => {
   const cached = room({ id: 'cached' });
-  const cold = room({ id: 'cold', imageWaitS: () => 9 });
+  const cold = room({ id: 'cold', imageDelayS: () => 9 });
   const full = room({ id: 'full', gpus: 1, cores: 1 });
   const where = { zones: new Map() };
   assert.equal(bestFit(spec(), [cold, cached], where, w)?.id, 'cached');
@@ -145,7 +150,7 @@
   const big = spec({ image: 'big', gpus: 4, cores: 4 });
   const hot = [{ image: 'big', gb: 30, spec: big, expected: 0.5 }];
   const cached = room({ id: 'cached', gpus: 4 });
-  const cold = room({ id: 'cold', imageWaitS: (i) => (i === 'big' ? 30 : 0) });
+  const cold = room({ id: 'cold', imageDelayS: (i) => (i === 'big' ? 30 : 0) });
   const where = { zones: new Map() };
   assert.equal(bestFit(spec(), [cached, cold], where, w)?.id, 'cached', 'the fuller one');
   assert.equal(bestFit(spec(), [cached, cold], where, { ...w, hot })?.id, 'cold');
@@ -153,26 +158,26 @@
 });
 
 test('a gang gets all its rooms or none, in one zone where it must', () => {
-  const rooms = [room({ id: 'a', gpus: 2 }), room({ id: 'b', gpus: 1, zone: 'z2' })];
+  const capacities = [room({ id: 'a', gpus: 2 }), room({ id: 'b', gpus: 1, zone: 'z2' })];
   const gang = spec({ kind: 'gang', tasks: 3 });
   const free = { zones: new Map() };
-  assert.equal(placeGang({ ...gang, oneZone: true }, rooms, free, w), null);
+  assert.equal(placeGang({ ...gang, oneZone: true }, capacities, free, w), null);
   assert.deepEqual(
-    rooms.map((capacity) => capacity.gpus),
+    capacities.map((capacity) => capacity.gpus),
     [2, 1],
     'nothing is taken in vain',
   );
-  assert.equal(placeGang(gang, rooms, free, w)?.length, 3);
+  assert.equal(placeGang(gang, capacities, free, w)?.length, 3);
   assert.deepEqual(
-    rooms.map((capacity) => capacity.gpus),
+    capacities.map((capacity) => capacity.gpus),
     [0, 0],
   );
 });
 
 test('the share for long work is capped at what it can use and lent when none waits', () => {
-  assert.equal(reserved(100, 0.2, 1000), 20);
-  assert.equal(reserved(100, 0.2, 5), 5);
-  assert.equal(reserved(100, 0.2, 0), 0);
+  assert.equal(reservedForLongWork(100, 0.2, 1000), 20);
+  assert.equal(reservedForLongWork(100, 0.2, 5), 5);
+  assert.equal(reservedForLongWork(100, 0.2, 0), 0);
 });
 
 test('eviction loses least and takes no more than needed', () => {
@@ -188,7 +193,7 @@
     id, type: 'g8', zone: 'z1', spot, cores: 0, gpus: 0, memGb: 64, victims,
   }); // prettier-ignore
   const need = spec({ gpus: 4, cores: 4 });
-  const e = cheapestEviction(
+  const e = cheapestPreemption(
     need,
     [m('x', [v('a', 4, 50)]), m('y', [v('b', 1, 1), v('c', 4, 10)])],
     new Map(),
@@ -199,38 +204,38 @@
     ['c'],
     'b is not needed beside c',
   );
-  assert.equal(cheapestEviction(need, [m('s', [v('a', 4, 0)], true)], new Map()), null);
-  assert.equal(cheapestEviction(need, [m('t', [v('a', 2, 0)])], new Map()), null);
+  assert.equal(cheapestPreemption(need, [m('s', [v('a', 4, 0)], true)], new Map()), null);
+  assert.equal(cheapestPreemption(need, [m('t', [v('a', 2, 0)])], new Map()), null);
 });
 
 test('team limits and guarantees', () => {
-  const usages = new Usages(settings().teams);
-  assert.equal(usages.room(spec({ gpus: 5 })), 2);
+  const usages = new TeamUsages(settings().teams);
+  assert.equal(usages.remainingTasks(spec({ gpus: 5 })), 2);
   usages.add(spec({ gpus: 5 }), 1);
   assert.ok(usages.allows(spec({ gpus: 7 }), 1));
   assert.ok(!usages.allows(spec({ gpus: 4 }), 2));
-  assert.ok(!usages.withinGuarantee('t'));
+  assert.ok(!usages.isWithinGuarantee('t'));
   assert.ok(!usages.allows(spec({ team: 'x' }), 1));
-  const decimals = new Usages(settings().teams);
+  const decimals = new TeamUsages(settings().teams);
   for (let i = 0; i < 119; i++) decimals.add(spec({ gpus: 0.1 }), 1);
-  assert.equal(decimals.room(spec({ gpus: 0.1 })), 1, 'rounding does not decide');
+  assert.equal(decimals.remainingTasks(spec({ gpus: 0.1 })), 1, 'rounding does not decide');
 });
 
 test('what is rented covers the demand and no more', () => {
   const plan = (
     demand: Partial<Demand>[],
-    rooms: FreeCapacity[] = [],
-    short = (_t: string, _z: string, _s: boolean) => false,
+    capacities: FreeCapacity[] = [],
+    isShort = (_t: string, _z: string, _s: boolean) => false,
   ) =>
-    planRent({
+    planScaleOut({
       demand: demand.map((demand) => ({ spec: spec(), tasks: 1, zones: new Map(), ...demand })),
-      rooms,
+      capacities,
       types: [g8],
       zones: ['z1', 'z2'],
-      short,
-      perZone: new Map(),
+      isShort,
+      machinesByZone: new Map(),
       weights: w,
-      most: 50,
+      maxMachines: 50,
     });
   const total = (x: ReturnType<typeof plan>) => x.reduce((n, wanted) => n + wanted.count, 0);
   assert.equal(total(plan([{ tasks: 17 }])), 3);
@@ -264,20 +269,25 @@
 
 test('what makes room saves first, unless only stopping at once is in time', () => {
   const cases: [string, number | null, number, number, string][] = [
-    ['nothing expected', null, 3, 8, 'saving'],
-    ['time enough', 4, 3, 0, 'saving'],
-    ['not with saving', 4, 3, 1.8, 'swift'],
-    ['late in any case: no work is lost for it', 2, 3, 2.5, 'late'],
+    ['nothing expected', null, 3, 8, 'checkpoint-first'],
+    ['time enough', 4, 3, 0, 'checkpoint-first'],
+    ['not with saving', 4, 3, 1.8, 'immediate'],
+    ['late in any case: no work is lost for it', 2, 3, 2.5, 'too-late'],
   ];
   for (const [name, left, save, image, want] of cases)
-    assert.equal(haste(left, save, image), want, name);
-  const waits = new Waits([
+    assert.equal(preemptionMode(left, save, image), want, name);
+  const startObjectives = new StartLatencyObjectives([
     { kind: 'wait', class: 'c', within_s: 15 },
     { kind: 'wait', class: 'c', within_s: 4 },
     { kind: 'finished', class: 'd', within_s: 9 },
   ]);
   assert.deepEqual(
-    [waits.next('c', 0), waits.next('c', 5), waits.next('c', 20), waits.next('d', 0)],
+    [
+      startObjectives.nextTargetS('c', 0),
+      startObjectives.nextTargetS('c', 5),
+      startObjectives.nextTargetS('c', 20),
+      startObjectives.nextTargetS('d', 0),
+    ],
     [4, 15, null, null],
   );
 });
@@ -285,7 +295,10 @@
 test('a machine is emptied when all its replicas find their image elsewhere', () => {
   const service = spec({ kind: 'service', gpus: 2, cores: 2 });
   const emptier = room({ id: 'emptier', gpus: 6, cores: 6 });
-  const candidate = { room: emptier, replicas: [{ spec: service, zones: new Map([['z1', 1]]) }] };
+  const candidate = {
+    capacity: emptier,
+    replicas: [{ spec: service, zones: new Map([['z1', 1]]) }],
+  };
   const cases: [string, Partial<FreeCapacity>, boolean, boolean][] = [
     ['a hole with the image', { gpus: 2, cores: 2 }, true, true],
     ['no room', { gpus: 1 }, true, false],
@@ -295,14 +308,14 @@
     ['too many moved just now', { gpus: 2, cores: 2 }, false, false],
   ];
   for (const [name, over, may, want] of cases) {
-    const rooms = [emptier, room({ id: 'other', ...over })];
-    assert.equal(chooseVacated([candidate], rooms, () => may, w) !== null, want, name);
+    const capacities = [emptier, room({ id: 'other', ...over })];
+    assert.equal(chooseMachineToDrain([candidate], capacities, () => may, w) !== null, want, name);
     // Rooms of a class have their methods from its prototype; spreads once lost them, and with that
     // every tick of the leader ended early.
-    const classy = rooms.map((capacity) =>
+    const classy = capacities.map((capacity) =>
       Object.assign(Object.create(capacity) as FreeCapacity, { cores: capacity.cores }),
     );
-    assert.equal(chooseVacated([candidate], classy, () => may, w) !== null, want, name);
+    assert.equal(chooseMachineToDrain([candidate], classy, () => may, w) !== null, want, name);
   }
 });
 
@@ -319,7 +332,7 @@
   ]; // prettier-ignore
   for (const [name, seen, sure] of cases) {
     const f = new FetchTimes();
-    for (const [predicted, took] of seen) f.note(predicted, took);
-    assert.equal(f.sure, sure, name);
+    for (const [predicted, took] of seen) f.record(predicted, took);
+    assert.equal(f.safetyFactor, sure, name);
   }
 });
--- a/test/subsystems.test.ts
+++ b/test/subsystems.test.ts
@@ -14,13 +14,13 @@
 function keeping(): ActiveSubsystems {
   const term: SubsystemTerm = {
     tick: () => undefined,
-    rents: () => [],
+    rentRequests: () => [],
     keeps: (machine) => machine === 'm1',
     keptMachines: () => 1,
-    mayUse: (spec, room) => room.id !== 'm1' || spec.class === 'own',
+    mayUse: (spec, capacity) => capacity.id !== 'm1' || spec.class === 'own',
     preferenceS: () => 0,
     dueWrites: () => [],
-    figures: () => ({}),
+    statistics: () => ({}),
     stop: () => undefined,
   };
   const active = new ActiveSubsystems(silentLog());
@@ -40,7 +40,7 @@
     const bench = new Bench(100, 0, subsystems);
     report(bench, 'm1');
     // Half of it is taken by a task that will end.
-    if (!subsystems.any) {
+    if (!subsystems.hasAny) {
       bench.job({ id: 'wk-1', gpus: 4, cores: 4 });
       bench.pass();
       bench.settle('m1', false);
@@ -48,7 +48,7 @@
     bench.job({ id: 'wk-2', kind: 'gang', tasks: 1, gpus: 8, cores: 8, oneZone: true });
     bench.job({ id: 'wk-3', gpus: 1 });
     bench.now += LEASE_S * 10;
-    bench.report('m1', subsystems.any ? [] : [
+    bench.report('m1', subsystems.hasAny ? [] : [
       { job: 'wk-1', index: 0, attempt: bench.term.machines.get('m1')!.activeAttempts()[0]!.number, state: 'running', cause: null, saved: false },
     ]); // prettier-ignore
     bench.pass();
@@ -67,10 +67,10 @@
     const bench = new Bench(100, 0, subsystems);
     report(bench, 'm1');
     bench.job({ id: 'wk-1', gpus: 8, cores: 8, zone: 'z1' });
-    const { demand, rooms } = bench.scheduler.pass();
+    const { demand, capacities } = bench.scheduler.runCycle();
     bench.capacity.demand = demand;
-    bench.capacity.rooms = rooms;
-    const wanted = bench.capacity.wanted().filter(({ zone }) => zone === 'z1');
+    bench.capacity.capacities = capacities;
+    const wanted = bench.capacity.machinesToRent().filter(({ zone }) => zone === 'z1');
     assert.equal(wanted.length, count);
   }
 });
@@ -103,7 +103,7 @@
     }
     bench.now += LEASE_S * 10;
     for (const id of ['m1', ...ids]) bench.settle(id, false);
-    const { rooms } = bench.scheduler.pass();
-    assert.equal(bench.scheduler.vacate(rooms) !== null, isEmptied);
+    const { capacities } = bench.scheduler.runCycle();
+    assert.equal(bench.scheduler.drainMachine(capacities) !== null, isEmptied);
   }
 });
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -11,7 +11,7 @@
 import { Overload } from '../../src/admission/overload.js';
 import { parseSettings, SettingsError, type Settings } from '../../src/config/settings.js';
 import { Controller } from '../../src/controller/controller.js';
-import { Costs } from '../../src/latency-histograms.js';
+import { LatencyHistograms } from '../../src/latency-histograms.js';
 import { FeaturesError, featuresRecord, parseFeatures } from '../../src/features/features-file.js';
 import { encodeReply, type Reply } from '../../src/http/server.js';
 import { termStatistics } from '../../src/leader/term/statistics.js';
@@ -82,7 +82,7 @@
   checkpointS: 30,
   saveS: 4,
   deadlineS: 900,
-  awaits: ['wk-000398', 'wk-000399'],
+  dependencies: ['wk-000398', 'wk-000399'],
 });
 
 function storeMessages(): RecordedForms {
@@ -451,11 +451,12 @@
   const controller = new Controller(platform, DEFAULT_POLICY, silentLog(), {
     clock: { now: () => 1 },
   });
-  const own = controller.figures();
+  const own = controller.metrics();
   for (const name of MEASURED) own[name] = 'measured';
   controller.stop();
-  const costs = new Costs(() => 0);
-  for (const kind of ['report', 'submission', 'pass', 'lag'] as const) costs.record(kind, 0.001);
+  const latencies = new LatencyHistograms(() => 0);
+  for (const kind of ['report', 'submission', 'pass', 'lag'] as const)
+    latencies.record(kind, 0.001);
   const queue = new RequestQueue({
     clock: { now: () => 0 },
     leaseS: 2,
@@ -467,8 +468,8 @@
     controller: own,
     leader: termStatistics(world.term, world.parts.capacity),
     whole: Object.keys(world.leader.statistics()),
-    costs: costs.figures(),
-    requests: queue.figures(),
+    costs: latencies.statistics(),
+    requests: queue.statistics(),
   };
 }
 
@@ -486,7 +487,7 @@
     checkpointS: 30,
     saveS: 3,
   });
-  world.job({ id: 'wk-4', tasks: 3, gpus: 1, priority: 2, awaits: ['wk-5'] });
+  world.job({ id: 'wk-4', tasks: 3, gpus: 1, priority: 2, dependencies: ['wk-5'] });
   await world.run(4);
   world.job({ id: 'wk-3', kind: 'gang', tasks: 2, gpus: 4, priority: 1, oneZone: true });
   world.job({ id: 'wk-5', tasks: 2, gpus: 2, priority: 1, deadlineS: 20 });
@@ -505,7 +506,7 @@
     stored: stored.map((key) => [key, state.revision(key), state.value(key)]),
     starts: [...fleet.starts],
     tasks: [...fleet.workers.values()].map((worker) => [worker.id, [...worker.tasks.keys()]]),
-    wanted: world.parts.capacity.wanted().map((each) => Object.values(each)),
+    wanted: world.parts.capacity.machinesToRent().map((each) => Object.values(each)),
     broken: fleet.broken,
   };
 }
--- a/test/unplaced-requests.test.ts
+++ b/test/unplaced-requests.test.ts
@@ -32,8 +32,8 @@
   ['other machine types', { types: ['other'] }, {}, false],
   ['another team has a limit and a guarantee of its own', { team: 'u' }, {}, false],
   ['work that leaves at once may use warm capacity', { checkpointS: 5, saveS: 0.1 }, {}, false],
-  ['long work has a share of its own', {}, { long: true }, false],
-  ['a guarantee lets it stop other work', {}, { guaranteed: true }, false],
+  ['long work has a share of its own', {}, { isLong: true }, false],
+  ['a guarantee lets it stop other work', {}, { isGuaranteed: true }, false],
   ['a gang is placed as a whole', { kind: 'gang' }, {}, false],
   ['one zone: which depends on where its tasks are', { oneZone: true }, {}, false],
   ['spread: the same', { scatter: true }, {}, false],
@@ -86,7 +86,7 @@
       zone: pick([null, null, 'z1', 'z2']), scatter: pick([false, false, true]),
     }); // prettier-ignore
     bench.now += 0.1;
-    const { demand } = bench.scheduler.pass();
+    const { demand } = bench.scheduler.runCycle();
     seen.push(demand.map((demand) => [demand.spec.id, demand.tasks]));
     for (const id of MACHINES) {
       const held = bench.term.machines.get(id)!.activeAttempts();
--- a/test/users-helpers.ts
+++ b/test/users-helpers.ts
@@ -1,6 +1,6 @@
 /** A controller's side for users over a state service in memory. */
 import type { Budget } from '../src/clock.js';
-import { Users, type UsersOptions } from '../src/api/user-api.js';
+import { UserApi, type UserApiOptions } from '../src/api/user-api.js';
 import { silentLog } from '../src/log.js';
 import { ReplicaSync } from '../src/store/replica-sync.js';
 import type { Replica } from '../src/store/replica.js';
@@ -20,7 +20,7 @@
   Buffer.from(JSON.stringify({ ...VALID, ...change }));
 
 export interface UsersSide {
-  users: Users;
+  userApi: UserApi;
   replicaSync: ReplicaSync;
   replica: Replica;
 }
@@ -29,7 +29,7 @@
 export function usersSide(
   store: MemoryStore,
   name: string,
-  over: Partial<UsersOptions> = {},
+  over: Partial<UserApiOptions> = {},
 ): UsersSide {
   const clock = { now: () => 0 };
   const log = silentLog();
@@ -48,20 +48,20 @@
     clock,
     log,
   );
-  const users = new Users({
+  const userApi = new UserApi({
     settings: settings(),
     replicaSync,
     replica,
     requestWriter,
     types: () => [g8],
-    mayCancel: () => Promise.resolve(0),
-    mayTellCancelled: () => Promise.resolve(true),
-    pipelinesUnknown: () => false,
+    announceCancellation: () => Promise.resolve(0),
+    confirmCancellation: () => Promise.resolve(true),
+    isOldVersionPresent: () => false,
     wallMs: () => 1000,
     log,
     ...over,
   });
-  return { users, replicaSync: replicaSync, replica };
+  return { userApi, replicaSync, replica };
 }
 
 /** What a user is told: the status, and the state of the job. */
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -3,7 +3,7 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { Versions } from '../src/controller/controller-versions.js';
+import { ControllerVersions } from '../src/controller/controller-versions.js';
 import { silentLog } from '../src/log.js';
 import { FEATURES, parseHello, PROTOCOL_VERSION } from '../src/peers/messages.js';
 import * as records from '../src/store/records.js';
@@ -30,7 +30,7 @@
   for (const [name, value, rewrite] of cases)
     assert.deepEqual(through(rewrite(value)), value, name);
   const [job] = records.decodeRequestBatch(production.submissions).jobs;
-  assert.deepEqual([job!.spec.id, job!.spec.awaits], ['wk-000412', []]);
+  assert.deepEqual([job!.spec.id, job!.spec.dependencies], ['wk-000412', []]);
 });
 
 test('a hello without features is of an old version, and both versions take the same protocol', () => {
@@ -109,7 +109,7 @@
   leads?: boolean;
 }
 
-function versions(others: Record<string, Present>): Versions {
+function versions(others: Record<string, Present>): ControllerVersions {
   const replica = new Replica(8192);
   const put = (key: string, value: unknown): void => {
     const revision = replica.applied + 1;
@@ -119,7 +119,7 @@
     if (record !== null) put(records.versionKey(node), records.encodeVersion({ features: record }));
     if (leads === true) put(records.LEADER, records.encodeLeader({ node, incarnation: 'x' }));
   }
-  return new Versions({
+  return new ControllerVersions({
     node: 'self',
     others: Object.keys(others),
     leaseS: LEASE_S,
--- a/test/warm-slots.test.ts
+++ b/test/warm-slots.test.ts
@@ -28,7 +28,9 @@
 import { shareOut } from '../src/warm-pools/slot-rents.js';
 import { SlotTable } from '../src/warm-pools/slot-table.js';
 import type { OwnedRecord, OwnedWrite } from '../src/subsystems/subsystem.js';
-import { comingCapacity } from '../src/cloud/scale-out-plan.js';
+import { emptyMachineCapacity } from '../src/cloud/scale-out-plan.js';
+import type { FreeCapacity } from '../src/scheduler/bin-packing.js';
+import type { PoolDeclaration } from '../src/warm-pools/declaration.js';
 import type { MachineType } from '../src/jobs/types.js';
 import { g8 } from './helpers.js';
 import { fake } from './support/fake.js';
@@ -219,8 +221,12 @@
   }
   const small = { ...g8, name: 'g4', gpus: 4, cores: 4, price: 4 };
   const known = new Map([g8, small].map((type) => [type.name, type]));
-  const pool = fake<Parameters<typeof cheapestPlace>[0]>({ types: null, zones: null, shape });
-  const place = (over: object, short: string[] = [], inZone: [string, number][] = []): string => {
+  const pool = fake<PoolDeclaration>({ types: null, zones: null, shape });
+  const place = (
+    over: Partial<PoolDeclaration>,
+    short: string[] = [],
+    inZone: [string, number][] = [],
+  ): string => {
     const isShort = (type: string, zone: string): boolean => short.includes(`${type} ${zone}`);
     const found = cheapestPlace({ ...pool, ...over }, known, isShort, new Map(inZone));
     return found === null ? 'none' : `${found.type.name} ${found.zone}`;
@@ -235,21 +241,21 @@
     ['nothing that fits', place({ shape: { ...shape, gpus: 9 } }), 'none'],
   ]; // prettier-ignore
   for (const [name, got, want] of rows) assert.equal(got, want, name);
-  const room = (id: string, over: object = {}): ReturnType<typeof comingCapacity> => ({
-    ...comingCapacity(id, g8, 'z1', false),
+  const room = (id: string, over: Partial<FreeCapacity> = {}): FreeCapacity => ({
+    ...emptyMachineCapacity(id, g8, 'z1', false),
     ...over,
   });
-  const rooms = [
+  const capacities = [
     room('spot', { spot: true, gpus: 4 }),
     room('empty'),
     room('fuller', { gpus: 4 }),
     room('full', { gpus: 3 }),
     room('barred', { gpus: 4 }),
   ];
-  const best = (more: typeof rooms): string | undefined =>
-    bestRoom(pool, [...rooms, ...more], ({ id }) => id !== 'barred')?.id;
+  const best = (more: typeof capacities): string | undefined =>
+    bestRoom(pool, [...capacities, ...more], ({ id }) => id !== 'barred')?.id;
   assert.equal(best([]), 'fuller');
-  assert.equal(best([room('cached', { imageWaitS: () => 0 })]), 'cached');
+  assert.equal(best([room('cached', { imageDelayS: () => 0 })]), 'cached');
 });
 
 test('slots share the machines of a request', () => {
@@ -267,7 +273,7 @@
   readonly all = new Map<string, OwnedRecord>();
 
   carryOut(write: OwnedWrite): number | null {
-    const changes = [write, ...write.also];
+    const changes = [write, ...write.alsoChanges];
     const fits = changes.every((c) => (this.all.get(c.key)?.revision ?? 0) === c.revision);
     if (!fits) return null;
     this.revision++;
@@ -283,7 +289,7 @@
     if (fate === 'refused') return;
     const revision = fate === 'request lost' ? null : this.carryOut(write);
     if (revision !== null && fate === 'served') write.stored(revision);
-    else write.reread(this.all.get(write.key) ?? null);
+    else write.readBack(this.all.get(write.key) ?? null);
   }
 }
 
@@ -317,7 +323,7 @@
               key: slotKey(ended),
               revision: 0,
               value: encodeSlot(ended),
-              also: [],
+              alsoChanges: [],
             }),
           );
           expected += s * PLACE.share;
@@ -367,7 +373,7 @@
         key: slotKey(slot),
         revision: 0,
         value: encodeSlot(slot),
-        also: [],
+        alsoChanges: [],
       }),
     );
   }
