--- a/src/api/request-forwarder.ts
+++ b/src/api/request-forwarder.ts
@@ -75,11 +75,11 @@
     const awaits = request.to === 'submit' && mayHaveDependencies(request.body);
     for (const node of this.peers.byLatestAnswer()) {
       if (awaits && !this.knowsPipelines(node)) continue;
-      const a = await this.peers.ask(node, question, FORWARD_TIMEOUT_S);
-      reached ||= a !== null;
-      if (a?.status === undefined) continue;
+      const answer = await this.peers.ask(node, question, FORWARD_TIMEOUT_S);
+      reached ||= answer !== null;
+      if (answer?.status === undefined) continue;
       this.aloneSince = null;
-      const { status, body = '', retryAfter } = a;
+      const { status, body = '', retryAfter } = answer;
       return { status, body, retryAfter };
     }
     // In an outage the others answer that they are refused too: users are no better off there.
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -72,8 +72,8 @@
   }
 
   private shown(storedJob: StoredJob): ShownState {
-    const o = outcome(storedJob);
-    if (o !== 'open') return o;
+    const state = outcome(storedJob);
+    if (state !== 'open') return state;
     return storedJob.claimCount > 0 || storedJob.doneTasks > 0 ? 'running' : 'queued';
   }
 
@@ -102,10 +102,10 @@
       if (obstacle === 'unsure') return UNSURE;
       if (obstacle !== null) return this.refuse(spec.id, invalid(obstacle.reason), obstacle.reason);
     }
-    const o = await this.requestWriter.accept(accepted, SUBMIT_S);
+    const state = await this.requestWriter.accept(accepted, SUBMIT_S);
     const storedJob = this.replica.jobs.get(spec.id);
     if (
-      o === null ||
+      state === null ||
       storedJob === undefined ||
       !(await this.confirmCancellation(storedJob, spec.id))
     )
@@ -190,14 +190,14 @@
     const storedJob = await this.fresh(id);
     if (storedJob === null) return UNSURE;
     if (storedJob === undefined) return { status: 404, body: encodeError('no such job') };
-    let o: string | null = outcome(storedJob);
-    if (o === 'open') {
+    let state: string | null = outcome(storedJob);
+    if (state === 'open') {
       const wait = await this.options.announceCancellation(id);
       if (wait > 0) return { status: 503, retryAfter: wait };
-      o = await this.requestWriter.cancel(id, SUBMIT_S);
+      state = await this.requestWriter.cancel(id, SUBMIT_S);
     }
-    if (o !== 'done' && o !== 'cancelled') return UNSURE;
+    if (state !== 'done' && state !== 'cancelled') return UNSURE;
     if (!(await this.confirmCancellation(storedJob, id))) return UNSURE;
-    return { status: 200, body: encodeAccepted(id, o) };
+    return { status: 200, body: encodeAccepted(id, state) };
   }
 }
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -18,7 +18,7 @@
   setTimeout(() => setImmediate(callback), ms);
 
 /** A pause that can be ended early. */
-export class Pause {
+export class WakeableSleep {
   private wake: (() => void) | null = null;
 
   wait(seconds: number): Promise<void> {
@@ -33,16 +33,16 @@
     });
   }
 
-  end(): void {
+  wakeUp(): void {
     this.wake?.();
   }
 }
 
 /** Upper bound of how far two steady clocks drift apart (protocol: 0.05 %), taken twice over. */
-export const DRIFT = 0.001;
+export const MAX_CLOCK_DRIFT = 0.001;
 
 /** A bucket that holds one second's worth, as the limits of the outside services do. */
-export class Budget {
+export class TokenBucket {
   private level: number;
   private at: number;
   /** What the bucket holds where that is not in proportion to the rate. */
@@ -51,9 +51,9 @@
   constructor(
     private rate: number,
     private readonly clock: Clock,
-    private readonly burst_s = 1,
+    private readonly burstS = 1,
   ) {
-    this.level = Math.max(1, rate * burst_s);
+    this.level = Math.max(1, rate * burstS);
     this.at = clock.now();
   }
 
@@ -77,7 +77,7 @@
 
   /** What is there after a pause. */
   get capacity(): number {
-    return Math.max(1, this.burst ?? this.rate * this.burst_s);
+    return Math.max(1, this.burst ?? this.rate * this.burstS);
   }
 
   /** What is there now. */
@@ -86,22 +86,22 @@
     return this.level;
   }
 
-  take(n: number): boolean {
+  tryTake(amount: number): boolean {
     this.fill();
-    if (this.level < n) return false;
-    this.level -= n;
+    if (this.level < amount) return false;
+    this.level -= amount;
     return true;
   }
 
   /** Takes even what is not there yet, for what cannot wait: later takers make up for it. */
-  force(n: number): void {
+  force(amount: number): void {
     this.fill();
-    this.level -= n;
+    this.level -= amount;
   }
 
   /** Seconds until n could be taken. */
-  wait(n: number): number {
+  secondsUntil(amount: number): number {
     this.fill();
-    return this.level >= n ? 0 : (n - this.level) / this.rate;
+    return this.level >= amount ? 0 : (amount - this.level) / this.rate;
   }
 }
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,4 +1,4 @@
-import { Budget, sleep, type Clock } from '../clock.js';
+import { TokenBucket, sleep, type Clock } from '../clock.js';
 import { HttpClient, type Response } from '../http/client.js';
 import type { Settings } from '../config/settings.js';
 import type { MachineType } from '../jobs/types.js';
@@ -13,16 +13,16 @@
 
 export class CloudClient {
   private readonly http: HttpClient;
-  private readonly budget: Budget;
+  private readonly budget: TokenBucket;
 
   constructor(settings: Settings, clock: Clock) {
-    this.http = new HttpClient(settings.cloudAddr, 4);
+    this.http = new HttpClient(settings.cloudAddress, 4);
     // A tenth stays for what other nodes ask at their start.
-    this.budget = new Budget(settings.cloud.rps * 0.9, clock, 1.5);
+    this.budget = new TokenBucket(settings.cloud.rps * 0.9, clock, 1.5);
   }
 
   private async call(method: string, path: string, body?: string): Promise<Response> {
-    while (!this.budget.take(1)) await sleep(this.budget.wait(1));
+    while (!this.budget.tryTake(1)) await sleep(this.budget.secondsUntil(1));
     return this.http.request(method, path, body, 5);
   }
 
--- a/src/cloud/demand-forecast.ts
+++ b/src/cloud/demand-forecast.ts
@@ -15,8 +15,8 @@
 const TASKS_MOST = 50;
 
 /** GPUs or, without any, cores: what machines and tasks are measured in. */
-export const unitsOf = (s: { gpus: number; cores: number }): number =>
-  s.gpus > 0 ? s.gpus : s.cores;
+export const unitsOf = (size: { gpus: number; cores: number }): number =>
+  size.gpus > 0 ? size.gpus : size.cores;
 
 interface SeenJob {
   spec: JobSpec;
@@ -60,8 +60,8 @@
     const types = this.types();
     const bootS = Math.max(1, ...types.map((type) => type.bootS));
     const from = now - Math.max(HOT_BOOTS, WARM_BOOTS) * bootS * 1000;
-    this.recent = this.recent.filter((r) => r.atMs >= from);
-    this.gone = this.gone.filter((r) => r.atMs >= from);
+    this.recent = this.recent.filter((job) => job.atMs >= from);
+    this.gone = this.gone.filter((job) => job.atMs >= from);
     this.hotList = this.hotNow(now, bootS);
     for (const spot of [false, true]) this.targets.set(spot, this.targetNow(now, bootS, spot));
   }
@@ -77,7 +77,7 @@
       by.set(key, hotImage);
     }
     return [...by.values()]
-      .sort((hotImage, b) => b.expected * b.gb - hotImage.expected * hotImage.gb)
+      .sort((a, b) => b.expected * b.gb - a.expected * a.gb)
       .slice(0, HOT_MOST);
   }
 
--- a/src/cloud/provisioner.ts
+++ b/src/cloud/provisioner.ts
@@ -1,5 +1,5 @@
 import { random } from '../random.js';
-import { Pause, sleep, type Clock } from '../clock.js';
+import { WakeableSleep, sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { MachineType } from '../jobs/types.js';
 import { RENT_MAX, RETURN_MAX, type ListedMachine, type RentRequest } from '../wire/cloud.js';
@@ -43,7 +43,7 @@
   private stopped = false;
   private listAt = -Infinity;
   private typesAt = -Infinity;
-  private readonly pause = new Pause();
+  private readonly pause = new WakeableSleep();
   listedOnce = false;
 
   constructor(
@@ -57,15 +57,16 @@
   ) {}
 
   isShort(type: string, zone: string, spot: boolean): boolean {
-    const s = this.shortages.get(`${type} ${zone} ${spot}`);
-    return s !== undefined && s.until > this.clock.now();
+    const shortage = this.shortages.get(`${type} ${zone} ${spot}`);
+    return shortage !== undefined && shortage.until > this.clock.now();
   }
 
-  private recordShortage(r: { type: string; zone: string; spot: boolean }): void {
-    const key = `${r.type} ${r.zone} ${r.spot}`;
-    const s = this.shortages.get(key);
-    const fails = s === undefined || this.clock.now() - s.until > 60 ? 0 : s.fails + 1;
-    const pause = Math.min(this.bootS(r.type), 5 * 2 ** fails);
+  private recordShortage(kind: { type: string; zone: string; spot: boolean }): void {
+    const key = `${kind.type} ${kind.zone} ${kind.spot}`;
+    const shortage = this.shortages.get(key);
+    const fails =
+      shortage === undefined || this.clock.now() - shortage.until > 60 ? 0 : shortage.fails + 1;
+    const pause = Math.min(this.bootS(kind.type), 5 * 2 ** fails);
     this.shortages.set(key, { until: this.clock.now() + pause, fails });
   }
 
@@ -74,7 +75,7 @@
   }
 
   wake(): void {
-    this.pause.end();
+    this.pause.wakeUp();
   }
 
   async run(): Promise<void> {
@@ -130,9 +131,10 @@
 
   private async retryUnanswered(): Promise<void> {
     const again = this.unanswered.splice(0, this.unanswered.length);
-    for (const u of again) {
+    for (const unanswered of again) {
       // Given up after a while: whatever it rented shows up in the list and by its reports.
-      if (this.clock.now() - u.since < 30) await this.rentMachines(u.request, u.since);
+      if (this.clock.now() - unanswered.since < 30)
+        await this.rentMachines(unanswered.request, unanswered.since);
     }
   }
 
@@ -179,7 +181,7 @@
 
   /** Whether requests are under way whose outcome is open. */
   get unansweredRequests(): RentRequest[] {
-    return this.unanswered.map((u) => u.request);
+    return this.unanswered.map((entry) => entry.request);
   }
 
   private applyList(all: ListedMachine[]): void {
@@ -223,6 +225,6 @@
 
   stop(): void {
     this.stopped = true;
-    this.pause.end();
+    this.pause.wakeUp();
   }
 }
--- a/src/cloud/scale-out-plan.ts
+++ b/src/cloud/scale-out-plan.ts
@@ -87,9 +87,9 @@
         if (!isZoneAllowed(spec, zone, zones) || input.isShort(type.name, zone, spot)) continue;
         const share = type.gpus > 0 ? type.gpus : Math.max(type.cores, 1e-9);
         // Zones are evened out, but not at the price of a dearer kind of machine.
-        const c = (price / share) * (1 + 0.001 * (input.machinesByZone.get(zone) ?? 0));
-        if (c < bestCost) {
-          bestCost = c;
+        const cost = (price / share) * (1 + 0.001 * (input.machinesByZone.get(zone) ?? 0));
+        if (cost < bestCost) {
+          bestCost = cost;
           best = { type, zone, spot };
         }
       }
--- a/src/cloud/warm-capacity.ts
+++ b/src/cloud/warm-capacity.ts
@@ -25,22 +25,25 @@
   nowMs: number,
   windowS: number,
   aheadS: number,
-  f: WarmFactors,
+  factors: WarmFactors,
 ): number {
   // What was there at the start of a fleet came at once and says nothing of later.
   const from = Math.max(nowMs - windowS * 1000, firstMs + aheadS * 1000);
   const span = (nowMs - from) / 1000;
-  if (span < aheadS) return f.least;
+  if (span < aheadS) return factors.least;
   let sum = 0;
   let squares = 0;
-  for (const a of arrivals) {
-    if (a.atMs < from) continue;
-    sum += a.size;
-    squares += a.size * a.size;
+  for (const arrival of arrivals) {
+    if (arrival.atMs < from) continue;
+    sum += arrival.size;
+    squares += arrival.size * arrival.size;
   }
   let left = 0;
-  for (const d of departures) if (d.atMs >= from) left += d.size;
-  const net = Math.max(0, sum - left * f.reused);
+  for (const arrival of departures) if (arrival.atMs >= from) left += arrival.size;
+  const net = Math.max(0, sum - left * factors.reused);
   const share = aheadS / span;
-  return Math.max(f.least, f.mean * net * share + f.deviations * Math.sqrt(squares * share));
+  return Math.max(
+    factors.least,
+    factors.mean * net * share + factors.deviations * Math.sqrt(squares * share),
+  );
 }
--- a/src/config/endpoint.ts
+++ b/src/config/endpoint.ts
@@ -3,7 +3,7 @@
   port: number;
 }
 
-export function endpoint(text: string): Endpoint {
+export function parseEndpoint(text: string): Endpoint {
   const colon = text.lastIndexOf(':');
   return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
 }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
-import { endpoint, type Endpoint } from './endpoint.js';
+import { parseEndpoint, type Endpoint } from './endpoint.js';
 import { withNext, type StateLimits } from './state-limits.js';
 
 /** The platform's settings file, checked. Fields that are not listed here are ignored. */
@@ -12,7 +12,10 @@
 const address = v.pipe(
   v.string(),
   v.regex(/^[^\s:]+:\d{1,5}$/, 'must be HOST:PORT'),
-  v.check((s) => Number(s.slice(s.lastIndexOf(':') + 1)) <= 65535, 'port is over 65535'),
+  v.check(
+    (address) => Number(address.slice(address.lastIndexOf(':') + 1)) <= 65535,
+    'port is over 65535',
+  ),
 );
 const name = v.pipe(v.string(), v.minLength(1), v.maxLength(100), v.regex(/^\S+$/, 'has spaces'));
 
@@ -81,9 +84,9 @@
   bind: Endpoint;
   peerBind: Endpoint;
   peers: { node: string; zone: string; addr: Endpoint }[];
-  cloudAddr: Endpoint;
-  stateAddr: Endpoint;
-  nodes: number;
+  cloudAddress: Endpoint;
+  storeAddress: Endpoint;
+  controllerCount: number;
   zones: string[];
   /** How far a machine's time of day may be from the true one, in ms. */
   skewMs: number;
@@ -112,30 +115,40 @@
     const issue = result.issues[0];
     throw new SettingsError(`${v.getDotPath(issue) ?? 'file'}: ${issue.message}`);
   }
-  const p = result.output;
+  const platform = result.output;
   return {
-    node: p.host_name,
-    zone: p.domain,
-    bind: endpoint(p.bind),
-    peerBind: endpoint(p.peer_bind),
-    peers: p.seeds.map((s) => ({ node: s.host_name, zone: s.domain, addr: endpoint(s.addr) })),
-    cloudAddr: endpoint(p.endpoints.cloud),
-    stateAddr: endpoint(p.endpoints.state),
-    nodes: p.settings.count,
-    zones: p.settings.zones,
-    skewMs: p.settings.skew_ms,
+    node: platform.host_name,
+    zone: platform.domain,
+    bind: parseEndpoint(platform.bind),
+    peerBind: parseEndpoint(platform.peer_bind),
+    peers: platform.seeds.map((seed) => ({
+      node: seed.host_name,
+      zone: seed.domain,
+      addr: parseEndpoint(seed.addr),
+    })),
+    cloudAddress: parseEndpoint(platform.endpoints.cloud),
+    storeAddress: parseEndpoint(platform.endpoints.state),
+    controllerCount: platform.settings.count,
+    zones: platform.settings.zones,
+    skewMs: platform.settings.skew_ms,
     teams: new Map(
-      p.settings.teams.map((t) => [
-        t.name,
-        { name: t.name, cores: t.cpus, coresMax: t.cpus_max, gpus: t.gpus, gpusMax: t.gpus_max },
+      platform.settings.teams.map((team) => [
+        team.name,
+        {
+          name: team.name,
+          cores: team.cpus,
+          coresMax: team.cpus_max,
+          gpus: team.gpus,
+          gpusMax: team.gpus_max,
+        },
       ]),
     ),
-    objectives: p.settings.objectives,
-    workers: p.settings.workers,
-    state: withNext(p.settings.state, p.settings.state.next),
-    progressValueKb: p.settings.state.value_kb,
-    cloud: p.settings.cloud,
-    limits: p.settings.limits,
+    objectives: platform.settings.objectives,
+    workers: platform.settings.workers,
+    state: withNext(platform.settings.state, platform.settings.state.next),
+    progressValueKb: platform.settings.state.value_kb,
+    cloud: platform.settings.cloud,
+    limits: platform.settings.limits,
   };
 }
 
--- a/src/controller/controller-versions.ts
+++ b/src/controller/controller-versions.ts
@@ -23,7 +23,7 @@
   replica: Pick<Replica, 'versions' | 'leader'>;
   peers: () => Pick<PeerNetwork, 'announcedFeatures'>;
   health: Pick<HealthTable, 'silentS'>;
-  store: Pick<KeyValueStoreClient, 'compareAndSwap' | 'writes'>;
+  store: Pick<KeyValueStoreClient, 'compareAndSwap' | 'writeBudget'>;
   replicaSync: Pick<ReplicaSync, 'ready' | 'sync'>;
   clock: Clock;
   log: Log;
@@ -84,7 +84,7 @@
     while (!this.stopped && !this.isPublished()) {
       try {
         if (replicaSync.ready) {
-          store.writes.force(1);
+          store.writeBudget.force(1);
           const revision = replica.versions.get(node)?.revision ?? 0;
           await store.compareAndSwap(
             [{ key, revision }],
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -112,7 +112,7 @@
       leaseS: settings.workers.lease_s,
       capacity: settings.limits.sockets,
       overload: this.overload,
-      onError: (e) => log.error({ err: String(e) }, 'serving requests failed'),
+      onError: (error) => log.error({ err: String(error) }, 'serving requests failed'),
     });
     this.health = new HealthTable({
       clock: this.clock,
@@ -143,7 +143,7 @@
       this.clock,
       log,
       () => (this.leader === null ? 0.15 : 0.01),
-      Math.min(0.1, (3 * settings.nodes) / settings.state.rps),
+      Math.min(0.1, (3 * settings.controllerCount) / settings.state.rps),
     );
     this.cloud = new CloudClient(settings, this.clock);
     this.machineTypes = new MachineTypeCache({
@@ -156,7 +156,7 @@
     this.election = new Election(
       settings.node,
       this.incarnation,
-      settings.nodes,
+      settings.controllerCount,
       settings.workers,
       this.store,
       this.replicaSync,
@@ -263,12 +263,12 @@
       this.store,
       this.replicaSync,
       this.replica,
-      this.store.writes,
+      this.store.writeBudget,
       this.clock,
       log,
     );
     const cancellationQuorum = new CancellationQuorum({
-      controllerCount: settings.nodes,
+      controllerCount: settings.controllerCount,
       peers: this.peers,
       replica: this.replica,
       clock: this.clock,
@@ -320,7 +320,7 @@
       (message) => http.handle(message),
       { sockets: Math.floor(settings.limits.sockets * SERVER_SOCKETS), readS: 5, idleS: 120 },
       () => this.clock.now(),
-      (e) => log.error({ err: String(e), stack: (e as Error).stack }, 'request failed'),
+      (error) => log.error({ err: String(error), stack: (error as Error).stack }, 'request failed'),
     );
     this.loadLog = log.isLevelEnabled('debug') ? this.makeLoadLog() : null;
   }
@@ -453,7 +453,7 @@
 
   /** What a subsystem's records say, for operators; the same on every controller. */
   private subsystemView(name: string): Reply {
-    const subsystem = this.subsystems.find((s) => s.name === name);
+    const subsystem = this.subsystems.find((each) => each.name === name);
     if (subsystem === undefined) return { status: 404, body: '{}' };
     if (!this.replicaSync.ready) return UNAVAILABLE;
     const own = this.replica.subsystems.of(name);
--- a/src/controller/heap.ts
+++ b/src/controller/heap.ts
@@ -12,7 +12,9 @@
 
 /** Bytes that the space for new objects takes. */
 function newSpaceBytes(): number {
-  return getHeapSpaceStatistics().find((s) => s.space_name === 'new_space')?.space_size ?? 0;
+  return (
+    getHeapSpaceStatistics().find((space) => space.space_name === 'new_space')?.space_size ?? 0
+  );
 }
 
 /**
--- a/src/controller/load-log.ts
+++ b/src/controller/load-log.ts
@@ -141,6 +141,6 @@
 function difference(now: Totals, before: Totals): Totals {
   const names = Object.keys(now) as (keyof Totals)[];
   return Object.fromEntries(
-    names.map((n) => [n, rounded(now[n] - before[n])]),
+    names.map((name) => [name, rounded(now[name] - before[name])]),
   ) as unknown as Totals;
 }
--- a/src/controller/peer-question-handler.ts
+++ b/src/controller/peer-question-handler.ts
@@ -50,7 +50,8 @@
     const { latencies, heartbeats, requests } = this.options;
     const work = (): ReplyAnswer | Promise<ReplyAnswer> => {
       const reply = latencies.time('report', () => heartbeats.handleForwarded(body, hop));
-      if (reply instanceof Promise) return reply.then((r) => ({ ...(r ?? { status: 504 }) }));
+      if (reply instanceof Promise)
+        return reply.then((answer) => ({ ...(answer ?? { status: 504 }) }));
       return { ...reply };
     };
     return requests.run('report', work, { status: 503 }, FORWARDED_PATIENCE_S);
--- a/src/controller/profile.ts
+++ b/src/controller/profile.ts
@@ -46,7 +46,7 @@
         .filter(({ module }) => module !== '');
       this.bundles.set(url, starts);
     }
-    const start = starts.findLast((s) => s.line <= line);
+    const start = starts.findLast((start) => start.line <= line);
     return start === undefined ? 'bundle' : packageOf(start.module);
   }
 }
@@ -73,7 +73,7 @@
 /** The tables, as lines of text. */
 export function summarize(profile: Profiler.Profile): string[] {
   const modules = new Modules();
-  const nodes = new Map(profile.nodes.map((n) => [n.id, n.callFrame]));
+  const nodes = new Map(profile.nodes.map((node) => [node.id, node.callFrame]));
   const byModule: Costs = new Map();
   const byFunction: Costs = new Map();
   let idleUs = 0;
--- a/src/controller/run.ts
+++ b/src/controller/run.ts
@@ -23,8 +23,12 @@
   if (wrong !== null) giveUp(wrong);
   const log = makeLog(settings.node);
   // Whatever goes wrong in one request or one round must not end the controller.
-  process.on('uncaughtException', (e) => log.error({ err: String(e), stack: e.stack }, 'uncaught'));
-  process.on('unhandledRejection', (e) => log.error({ err: String(e) }, 'unhandled rejection'));
+  process.on('uncaughtException', (error) =>
+    log.error({ err: String(error), stack: error.stack }, 'uncaught'),
+  );
+  process.on('unhandledRejection', (reason) =>
+    log.error({ err: String(reason) }, 'unhandled rejection'),
+  );
   try {
     await new Controller(settings, policy, log, await controllerOptions(features)).start();
   } catch (error) {
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -1,10 +1,10 @@
-import { endpoint } from '../config/endpoint.js';
+import { parseEndpoint } from '../config/endpoint.js';
 import { HttpClient } from '../http/client.js';
 
 /** Prints a running controller's figures. Returns what went wrong, or null. */
 export async function showStatus(addr: string): Promise<string | null> {
   if (!/^[^\s:]+:\d{1,5}$/.test(addr)) return 'must be HOST:PORT';
-  const client = new HttpClient(endpoint(addr), 1);
+  const client = new HttpClient(parseEndpoint(addr), 1);
   try {
     const response = await client.request('GET', '/metrics', undefined, 5);
     if (response.status !== 200) return `answered ${response.status}`;
--- a/src/heartbeat/heartbeat-handler.ts
+++ b/src/heartbeat/heartbeat-handler.ts
@@ -98,10 +98,10 @@
 
   /** Answers a malformed report with 400, whatever part of the work finds it to be so. */
   private rejectMalformed<S, A>(work: () => S | Promise<A>): S | Reply | Promise<A | Reply> {
-    const refuse = (e: unknown): Reply => {
-      if (!(e instanceof BadMessage)) throw e;
+    const refuse = (error: unknown): Reply => {
+      if (!(error instanceof BadMessage)) throw error;
       // Garbage goes no further than here.
-      this.options.log.info({ err: e.message }, 'report dropped');
+      this.options.log.info({ err: error.message }, 'report dropped');
       return { status: 400, body: '{}' };
     };
     try {
@@ -127,7 +127,7 @@
     deadline: number,
   ): Promise<Reply> {
     const { settings, peers, replica, election, zoneLeaseHolder, clock } = this.options;
-    const others = peers.names.filter((n) => n !== leader);
+    const others = peers.names.filter((node) => node !== leader);
     // One that the state service does not serve may not know who leads by now, but others may: cut off
     // from the store alone it once kept its zone's workers waiting, in vain, until their leases ran out.
     const stale = this.options.store.health !== 'served';
@@ -143,16 +143,16 @@
       );
       if (patience <= 0) break;
       const askedAt = clock.now();
-      const a = await peers.ask(to, { q: 'report', body: heartbeat.body, hop }, patience);
+      const answer = await peers.ask(to, { q: 'report', body: heartbeat.body, hop }, patience);
       if (!hop) this.forwardingDelay.note(clock.now() - askedAt);
-      if (a?.status === 200 && a.body !== undefined) {
+      if (answer?.status === 200 && answer.body !== undefined) {
         this.counts.forwarded++;
-        return { status: 200, body: a.body };
+        return { status: 200, body: answer.body };
       }
-      if (a?.status === 400) return { status: 400, body: '{}' };
-      answered ||= a !== null;
+      if (answer?.status === 400) return { status: 400, body: '{}' };
+      answered ||= answer !== null;
       // It was reached and does not lead: nothing is gained by other ways.
-      if (a?.status === 503 && !hop) {
+      if (answer?.status === 503 && !hop) {
         reached = true;
         if (!stale) break;
       }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -17,43 +17,43 @@
 }
 
 /** Nothing usable came back. `sent` tells whether the request may have been carried out. */
-export class NoResponse extends Error {
+export class NoResponseError extends Error {
   constructor(
     message: string,
-    readonly sent: boolean,
+    readonly mayHaveBeenSent: boolean,
   ) {
     super(message);
   }
 }
 
-interface Job {
+interface QueuedRequest {
   method: string;
   path: string;
   body: string | undefined;
   deadline: number;
   resolve: (response: Response) => void;
-  reject: (e: Error) => void;
+  reject: (error: Error) => void;
   timer: NodeJS.Timeout | undefined;
 }
 
-class Line {
+class PooledConnection {
   private socket: Socket;
   private parser = new HttpParser('response');
-  private job: Job | null = null;
+  private job: QueuedRequest | null = null;
   private connected = false;
   dead = false;
 
   constructor(private readonly owner: HttpClient) {
-    this.socket = connect({ host: owner.at.host, port: owner.at.port });
+    this.socket = connect({ host: owner.endpoint.host, port: owner.endpoint.port });
     this.socket.setNoDelay(true);
     this.socket.on('connect', () => (this.connected = true));
-    this.socket.on('data', (d) => this.onData(d));
+    this.socket.on('data', (data) => this.onData(data));
     this.socket.on('end', () => this.onEnd());
-    this.socket.on('error', (e) => this.fail(e.message));
+    this.socket.on('error', (error) => this.fail(error.message));
     this.socket.on('close', () => this.fail('connection closed'));
   }
 
-  start(job: Job): void {
+  start(job: QueuedRequest): void {
     this.job = job;
     const wait = Math.max(1, job.deadline - performance.now());
     job.timer = answerTimeout(() => {
@@ -61,7 +61,7 @@
     }, wait);
     const body = job.body ?? '';
     const bodyBytes = Buffer.byteLength(body);
-    let head = `${job.method} ${job.path} HTTP/1.1\r\nHost: ${this.owner.at.host}\r\n`;
+    let head = `${job.method} ${job.path} HTTP/1.1\r\nHost: ${this.owner.endpoint.host}\r\n`;
     if (job.body !== undefined) {
       head += `Content-Type: application/json\r\nContent-Length: ${bodyBytes}\r\n`;
     }
@@ -101,7 +101,7 @@
     this.job = null;
     clearTimeout(job.timer);
     this.owner.traffic.received++;
-    if (!message.keepAlive || this.parser.pending > 0) this.destroy();
+    if (!message.keepAlive || this.parser.pendingBytes > 0) this.destroy();
     job.resolve({ status: message.status, body: message.body });
     this.owner.free(this);
   }
@@ -114,7 +114,7 @@
     this.destroy();
     if (job !== null) {
       clearTimeout(job.timer);
-      job.reject(new NoResponse(why, sent));
+      job.reject(new NoResponseError(why, sent));
     }
     if (first) this.owner.free(this);
   }
@@ -128,14 +128,14 @@
 /** A pool of connections to one address. One request at a time on each. */
 export class HttpClient {
   readonly traffic: Traffic = { sent: 0, sentBytes: 0, received: 0, receivedBytes: 0 };
-  private readonly idle: Line[] = [];
-  private readonly lines = new Set<Line>();
-  private readonly queue: Job[] = [];
+  private readonly idle: PooledConnection[] = [];
+  private readonly connections = new Set<PooledConnection>();
+  private readonly queue: QueuedRequest[] = [];
   private closed = false;
 
   constructor(
-    readonly at: Endpoint,
-    private readonly maxLines: number,
+    readonly endpoint: Endpoint,
+    private readonly maxConnections: number,
     private readonly maxQueue = 200,
   ) {}
 
@@ -147,11 +147,11 @@
   ): Promise<Response> {
     return new Promise((resolve, reject) => {
       if (this.closed) {
-        reject(new NoResponse('client closed', false));
+        reject(new NoResponseError('client closed', false));
         return;
       }
       if (this.queue.length >= this.maxQueue) {
-        reject(new NoResponse('too many requests wait', false));
+        reject(new NoResponseError('too many requests wait', false));
         return;
       }
       const deadline = performance.now() + timeoutS * 1000;
@@ -160,9 +160,9 @@
     });
   }
 
-  free(line: Line): void {
+  free(line: PooledConnection): void {
     if (line.dead) {
-      this.lines.delete(line);
+      this.connections.delete(line);
       const at = this.idle.indexOf(line);
       if (at >= 0) this.idle.splice(at, 1);
     } else this.idle.push(line);
@@ -173,13 +173,13 @@
     while (this.queue.length > 0) {
       let line = this.idle.pop();
       if (line === undefined) {
-        if (this.lines.size >= this.maxLines) return;
-        line = new Line(this);
-        this.lines.add(line);
+        if (this.connections.size >= this.maxConnections) return;
+        line = new PooledConnection(this);
+        this.connections.add(line);
       }
       const job = this.queue.shift()!;
       if (job.deadline <= performance.now()) {
-        job.reject(new NoResponse('waited too long for a connection', false));
+        job.reject(new NoResponseError('waited too long for a connection', false));
         this.idle.push(line);
         continue;
       }
@@ -190,9 +190,9 @@
   /** Ends all connections. Requests that wait, and all later ones, are rejected. */
   close(): void {
     this.closed = true;
-    for (const job of this.queue.splice(0)) job.reject(new NoResponse('client closed', false));
-    for (const line of this.lines) line.destroy();
-    this.lines.clear();
+    for (const job of this.queue.splice(0)) job.reject(new NoResponseError('client closed', false));
+    for (const line of this.connections) line.destroy();
+    this.connections.clear();
     this.idle.length = 0;
   }
 }
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -28,13 +28,13 @@
   }
 }
 
-export interface Bounds {
+export interface ParserLimits {
   headBytes: number;
   bodyBytes: number;
 }
 
-export const REQUEST_BOUNDS: Bounds = { headBytes: 16 * 1024, bodyBytes: 64 * 1024 };
-export const RESPONSE_BOUNDS: Bounds = { headBytes: 16 * 1024, bodyBytes: 16 * 1024 * 1024 };
+export const REQUEST_LIMITS: ParserLimits = { headBytes: 16 * 1024, bodyBytes: 64 * 1024 };
+export const RESPONSE_LIMITS: ParserLimits = { headBytes: 16 * 1024, bodyBytes: 16 * 1024 * 1024 };
 
 type State = 'head' | 'sized' | 'chunkSize' | 'chunkData' | 'chunkEnd' | 'trailer' | 'close';
 
@@ -48,12 +48,12 @@
   private head: Head | null = null;
   private body: Buffer[] = [];
   private bodySize = 0;
-  private need = 0;
+  private neededBytes = 0;
   private trailerSize = 0;
 
   constructor(
     private readonly kind: 'request' | 'response',
-    private readonly bounds: Bounds = kind === 'request' ? REQUEST_BOUNDS : RESPONSE_BOUNDS,
+    private readonly limits: ParserLimits = kind === 'request' ? REQUEST_LIMITS : RESPONSE_LIMITS,
   ) {}
 
   /** Bytes are kept as they come; `next` looks at them. */
@@ -62,17 +62,17 @@
   }
 
   /** Whether a message has begun that is not complete. */
-  get midway(): boolean {
-    return this.state !== 'head' || this.pending > 0;
+  get isMidMessage(): boolean {
+    return this.state !== 'head' || this.pendingBytes > 0;
   }
 
-  get pending(): number {
-    let n = this.held.length;
-    for (const data of this.chunks) n += data.length;
-    return n;
+  get pendingBytes(): number {
+    let bytes = this.held.length;
+    for (const data of this.chunks) bytes += data.length;
+    return bytes;
   }
 
-  private gather(): Buffer {
+  private receivedBytes(): Buffer {
     if (this.chunks.length > 0) {
       this.held =
         this.held.length === 0 && this.chunks.length === 1
@@ -86,7 +86,7 @@
   /** The next complete message, or null when more bytes are needed. Throws HttpError. */
   next(ended = false): Message | null {
     for (;;) {
-      const buf = this.gather();
+      const buf = this.receivedBytes();
       switch (this.state) {
         case 'head': {
           let from = 0;
@@ -94,22 +94,22 @@
             from = 2;
           const end = buf.indexOf('\r\n\r\n', from);
           if (end < 0) {
-            if (buf.length > this.bounds.headBytes) throw new HttpError(400, 'header too large');
+            if (buf.length > this.limits.headBytes) throw new HttpError(400, 'header too large');
             return null;
           }
-          if (end > this.bounds.headBytes) throw new HttpError(400, 'header too large');
+          if (end > this.limits.headBytes) throw new HttpError(400, 'header too large');
           this.readHead(buf.toString('latin1', from, end));
           this.held = buf.subarray(end + 4);
           break;
         }
         case 'sized': {
-          if (buf.length < this.need) return null;
-          this.body = this.need > 0 ? [buf.subarray(0, this.need)] : [];
-          this.held = buf.subarray(this.need);
+          if (buf.length < this.neededBytes) return null;
+          this.body = this.neededBytes > 0 ? [buf.subarray(0, this.neededBytes)] : [];
+          this.held = buf.subarray(this.neededBytes);
           return this.finish();
         }
         case 'close': {
-          if (buf.length > this.bounds.bodyBytes) throw new HttpError(413, 'body too large');
+          if (buf.length > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
           if (!ended) return null;
           this.body = [buf];
           this.held = EMPTY;
@@ -123,22 +123,22 @@
           }
           const word = buf.toString('latin1', 0, end).split(';')[0]!.trim();
           if (!/^[0-9a-fA-F]{1,8}$/.test(word)) throw new HttpError(400, 'bad chunk size');
-          this.need = parseInt(word, 16);
+          this.neededBytes = parseInt(word, 16);
           this.held = buf.subarray(end + 2);
-          if (this.need === 0) {
+          if (this.neededBytes === 0) {
             this.trailerSize = 0;
             this.state = 'trailer';
           } else {
-            this.bodySize += this.need;
-            if (this.bodySize > this.bounds.bodyBytes) throw new HttpError(413, 'body too large');
+            this.bodySize += this.neededBytes;
+            if (this.bodySize > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
             this.state = 'chunkData';
           }
           break;
         }
         case 'chunkData': {
-          if (buf.length < this.need) return null;
-          this.body.push(buf.subarray(0, this.need));
-          this.held = buf.subarray(this.need);
+          if (buf.length < this.neededBytes) return null;
+          this.body.push(buf.subarray(0, this.neededBytes));
+          this.held = buf.subarray(this.neededBytes);
           this.state = 'chunkEnd';
           break;
         }
@@ -205,10 +205,10 @@
       }
       [method, target, version] = parts as [string, string, string];
     } else {
-      const m = /^(HTTP\/1\.[01]) (\d{3})( .*)?$/.exec(first);
-      if (m === null) throw new HttpError(400, 'bad status line');
-      version = m[1]!;
-      status = Number(m[2]);
+      const match = /^(HTTP\/1\.[01]) (\d{3})( .*)?$/.exec(first);
+      if (match === null) throw new HttpError(400, 'bad status line');
+      version = match[1]!;
+      status = Number(match[2]);
     }
     if (version !== 'HTTP/1.1' && version !== 'HTTP/1.0') throw new HttpError(400, 'bad version');
     const connection = (headers.get('connection') ?? '').toLowerCase();
@@ -226,8 +226,8 @@
     }
     if (length !== undefined) {
       if (!/^\d{1,15}$/.test(length)) throw new HttpError(400, 'bad content length');
-      this.need = Number(length);
-      if (this.need > this.bounds.bodyBytes) throw new HttpError(413, 'body too large');
+      this.neededBytes = Number(length);
+      if (this.neededBytes > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
       this.state = 'sized';
       return;
     }
@@ -236,7 +236,7 @@
       this.head.keepAlive = false;
       return;
     }
-    this.need = 0;
+    this.neededBytes = 0;
     this.state = 'sized';
   }
 }
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -38,10 +38,10 @@
   return `${head}\r\n${body}`;
 }
 
-type ConnState = 'idle' | 'reading' | 'handling' | 'closing';
+type ConnectionState = 'idle' | 'reading' | 'handling' | 'closing';
 
 class Connection {
-  state: ConnState = 'idle';
+  state: ConnectionState = 'idle';
   since: number;
   private readonly parser = new HttpParser('request');
 
@@ -53,11 +53,11 @@
     socket.setNoDelay(true);
     socket.on('data', (data) => this.onData(data));
     socket.on('error', () => socket.destroy());
-    socket.on('close', () => server.gone(this));
+    socket.on('close', () => server.connectionClosed(this));
   }
 
   /** The one place where a connection changes its state. */
-  private become(state: ConnState): void {
+  private changeState(state: ConnectionState): void {
     if (this.state === 'closing') return;
     this.state = state;
     this.since = this.server.now();
@@ -71,7 +71,7 @@
       this.fail(400);
       return;
     }
-    if (this.state === 'idle') this.become('reading');
+    if (this.state === 'idle') this.changeState('reading');
     let message: Message | null;
     try {
       message = this.parser.next();
@@ -80,19 +80,19 @@
       return;
     }
     if (message === null) return;
-    if (this.parser.pending > 0) {
+    if (this.parser.pendingBytes > 0) {
       this.fail(400);
       return;
     }
-    this.become('handling');
+    this.changeState('handling');
     void this.handle(message);
   }
 
   private async handle(message: Message): Promise<void> {
     let reply: Reply;
     try {
-      const r = this.server.handler(message);
-      reply = r instanceof Promise ? await r : r;
+      const answer = this.server.handler(message);
+      reply = answer instanceof Promise ? await answer : answer;
     } catch (error) {
       this.server.onError(error);
       reply = { status: 503, retryAfter: 1 };
@@ -102,22 +102,22 @@
     if (!message.keepAlive) reply = { ...reply, close: true };
     this.socket.write(encodeReply(reply));
     if (reply.close === true) {
-      this.become('closing');
+      this.changeState('closing');
       this.socket.end();
     } else {
-      this.become('idle');
+      this.changeState('idle');
     }
   }
 
   fail(status: number): void {
     if (this.state === 'closing') return;
     this.socket.write(encodeReply({ status, close: true }));
-    this.become('closing');
+    this.changeState('closing');
     this.socket.end();
   }
 }
 
-export interface ServerBounds {
+export interface ServerLimits {
   sockets: number;
   readS: number;
   idleS: number;
@@ -127,16 +127,16 @@
 export class HttpServer {
   private readonly server: Server;
   private readonly open = new Set<Connection>();
-  private sweep: NodeJS.Timeout | undefined;
+  private idleTimer: NodeJS.Timeout | undefined;
 
   constructor(
     readonly handler: Handler,
-    private readonly bounds: ServerBounds,
+    private readonly bounds: ServerLimits,
     readonly now: () => number,
-    readonly onError: (e: unknown) => void,
+    readonly onError: (error: unknown) => void,
   ) {
     this.server = createServer((socket) => this.accept(socket));
-    this.server.on('error', (e) => onError(e));
+    this.server.on('error', (error) => onError(error));
   }
 
   private accept(socket: Socket): void {
@@ -160,7 +160,7 @@
     this.open.add(new Connection(socket, this));
   }
 
-  gone(connection: Connection): void {
+  connectionClosed(connection: Connection): void {
     this.open.delete(connection);
   }
 
@@ -169,7 +169,7 @@
   }
 
   listen(at: Endpoint): Promise<void> {
-    this.sweep = setInterval(() => {
+    this.idleTimer = setInterval(() => {
       const now = this.now();
       for (const connection of this.open) {
         const age = now - connection.since;
@@ -190,12 +190,12 @@
   }
 
   get port(): number {
-    const a = this.server.address();
-    return a !== null && typeof a === 'object' ? a.port : 0;
+    const address = this.server.address();
+    return address !== null && typeof address === 'object' ? address.port : 0;
   }
 
   close(): void {
-    clearInterval(this.sweep);
+    clearInterval(this.idleTimer);
     this.server.close();
     for (const connection of this.open) connection.socket.destroy();
     this.open.clear();
--- a/src/jobs/bit-set.ts
+++ b/src/jobs/bit-set.ts
@@ -8,14 +8,14 @@
   }
 
   /** `i` must be an integer from 0 to `size` - 1. */
-  has(i: number): boolean {
-    return (this.bytes[i >> 3]! & (1 << (i & 7))) !== 0;
+  has(index: number): boolean {
+    return (this.bytes[index >> 3]! & (1 << (index & 7))) !== 0;
   }
 
   /** False when it was set already. */
-  add(i: number): boolean {
-    if (i < 0 || i >= this.size || this.has(i)) return false;
-    this.bytes[i >> 3]! |= 1 << (i & 7);
+  add(index: number): boolean {
+    if (index < 0 || index >= this.size || this.has(index)) return false;
+    this.bytes[index >> 3]! |= 1 << (index & 7);
     this.count++;
     return true;
   }
--- a/src/jobs/live-job.ts
+++ b/src/jobs/live-job.ts
@@ -106,9 +106,9 @@
   }
 
   nextGangNumber(token: number): number {
-    let n = token;
-    for (const last of this.lastAttemptNumbers.values()) n = Math.max(n, last + 1);
-    return n;
+    let number = token;
+    for (const last of this.lastAttemptNumbers.values()) number = Math.max(number, last + 1);
+    return number;
   }
 
   /** An attempt is over. The task is wanted again unless it is done or on some other machine. */
@@ -127,10 +127,10 @@
 
   /** After a failure: not at once again, and later each time. */
   delayRetry(index: number, now: number, firstS: number, mostS: number): void {
-    const r = this.retries.get(index) ?? { failures: 0, notBefore: 0 };
-    r.notBefore = now + Math.min(mostS, firstS * 2 ** r.failures);
-    r.failures++;
-    this.retries.set(index, r);
+    const delay = this.retries.get(index) ?? { failures: 0, notBefore: 0 };
+    delay.notBefore = now + Math.min(mostS, firstS * 2 ** delay.failures);
+    delay.failures++;
+    this.retries.set(index, delay);
   }
 
   /**
@@ -187,18 +187,18 @@
 
   get pendingTaskCount(): number {
     let busy = 0;
-    for (const i of this.attemptsByTask.keys()) if (!this.done.has(i)) busy++;
+    for (const index of this.attemptsByTask.keys()) if (!this.done.has(index)) busy++;
     return this.spec.tasks - this.done.count - busy;
   }
 
   /** Tasks that may start now, at most `most`. */
   pendingTasks(now: number, most: number): number[] {
     const out: number[] = [];
-    for (const i of this.requeued) {
+    for (const index of this.requeued) {
       if (out.length >= most) return out;
-      if (this.attemptsByTask.has(i) || this.done.has(i)) continue;
-      if ((this.retries.get(i)?.notBefore ?? 0) > now) continue;
-      out.push(i);
+      if (this.attemptsByTask.has(index) || this.done.has(index)) continue;
+      if ((this.retries.get(index)?.notBefore ?? 0) > now) continue;
+      out.push(index);
     }
     while (
       this.firstUntried < this.spec.tasks &&
@@ -206,9 +206,10 @@
     ) {
       this.firstUntried++;
     }
-    for (let i = this.firstUntried; i < this.spec.tasks && out.length < most; i++) {
-      if (this.attemptsByTask.has(i) || this.done.has(i) || this.requeued.has(i)) continue;
-      out.push(i);
+    for (let index = this.firstUntried; index < this.spec.tasks && out.length < most; index++) {
+      if (this.attemptsByTask.has(index) || this.done.has(index) || this.requeued.has(index))
+        continue;
+      out.push(index);
     }
     return out;
   }
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -58,8 +58,8 @@
   changeLayout(layout: ProgressLayout): void {
     this.layout = layout;
     this.dirty.clear();
-    for (let i = 0; i < this.tasks; i++) {
-      if (this.done.has(i) && !this.storedDone.has(i)) this.dirty.add(this.unitOf(i));
+    for (let index = 0; index < this.tasks; index++) {
+      if (this.done.has(index) && !this.storedDone.has(index)) this.dirty.add(this.unitOf(index));
     }
   }
 
@@ -77,15 +77,15 @@
   unstoredTasks(unit: number): number[] {
     const { first, count } = this.range(unit);
     const out: number[] = [];
-    for (let i = first; i < first + count; i++) {
-      if (this.done.has(i) && !this.storedDone.has(i)) out.push(i);
+    for (let index = first; index < first + count; index++) {
+      if (this.done.has(index) && !this.storedDone.has(index)) out.push(index);
     }
     return out;
   }
 
   /** These are stored now. */
   markStored(unit: number, indexes: number[], now: number): void {
-    for (const i of indexes) this.storedDone.add(i);
+    for (const index of indexes) this.storedDone.add(index);
     if (this.unstoredTasks(unit).length === 0) this.dirty.delete(unit);
     this.dirtySince = this.dirty.size === 0 ? null : now;
   }
--- a/src/leader/attempts/command-dispatcher.ts
+++ b/src/leader/attempts/command-dispatcher.ts
@@ -1,5 +1,5 @@
-import { endpoint } from '../../config/endpoint.js';
-import { HttpClient, NoResponse } from '../../http/client.js';
+import { parseEndpoint } from '../../config/endpoint.js';
+import { HttpClient, NoResponseError } from '../../http/client.js';
 import { encodeDirectCommands, parseHeartbeat } from '../../wire/workers.js';
 import type { Machine } from '../../workers/machine.js';
 import type { Term } from '../term/term.js';
@@ -56,7 +56,7 @@
       this.closeChannel(idle[0]);
     }
     const made = {
-      client: new HttpClient(endpoint(machine.addr), 1, 4),
+      client: new HttpClient(parseEndpoint(machine.addr), 1, 4),
       addr: machine.addr,
       busy: false,
     };
@@ -89,7 +89,7 @@
       }
     } catch (error) {
       if (this.stopped) return;
-      const never = error instanceof NoResponse && !error.sent;
+      const never = error instanceof NoResponseError && !error.mayHaveBeenSent;
       machine.directCommandsEnded(
         commands,
         never ? 'refused' : 'unknown',
--- a/src/leader/attempts/heartbeat-reconciler.ts
+++ b/src/leader/attempts/heartbeat-reconciler.ts
@@ -142,7 +142,7 @@
     machine.cordonCount = 0;
     const indexes = job.isGang ? [...Array(job.spec.tasks).keys()] : [attempt.index];
     // A gang completes together: if one task is done, all are.
-    for (const i of indexes) job.markDone(i, this.term.now);
+    for (const index of indexes) job.markDone(index, this.term.now);
     // Stored already, as for the other tasks of a gang: nothing is written again.
     if (job.progress.isStored(attempt.index)) attempt.settled = true;
     else job.endsToStore.push(attempt);
--- a/src/leader/capacity/capacity-manager.ts
+++ b/src/leader/capacity/capacity-manager.ts
@@ -97,7 +97,7 @@
     const machineType = this.options.term.machineTypes.get(type);
     return (
       machineType === undefined ||
-      machineType.zones.every((z) => this.provisioner.isShort(type, z, true))
+      machineType.zones.every((zone) => this.provisioner.isShort(type, zone, true))
     );
   }
 
--- a/src/leader/capacity/free-capacity.ts
+++ b/src/leader/capacity/free-capacity.ts
@@ -176,8 +176,8 @@
     const out: FreeCapacity[] = [];
     for (const machine of this.term.machines.values()) {
       if (!usable(machine)) continue;
-      const e = this.entry(machine);
-      if (e !== null) out.push(e.capacity.copy(machine.cordonCount));
+      const entry = this.entry(machine);
+      if (entry !== null) out.push(entry.capacity.copy(machine.cordonCount));
     }
     if (this.entries.size > this.term.machines.size * 2) {
       for (const id of [...this.entries.keys()]) {
@@ -191,9 +191,9 @@
   usages(): TeamUsages {
     const usages = new TeamUsages(this.term.context.settings.teams);
     for (const machine of this.term.machines.values()) {
-      const e = this.entry(machine);
-      if (e !== null) {
-        for (const spec of e.specs) usages.add(spec, 1);
+      const entry = this.entry(machine);
+      if (entry !== null) {
+        for (const spec of entry.specs) usages.add(spec, 1);
         continue;
       }
       for (const attempt of machine.attempts.values()) {
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -114,7 +114,7 @@
       empty.push({ m: machine, gb: cachedGb(machine) });
     }
     empty.sort((a, b) => a.gb - b.gb);
-    return empty.map((e) => e.m);
+    return empty.map((entry) => entry.m);
   }
 
   private markReturning(machine: Machine, now: number): void {
--- a/src/leader/capacity/scale-out-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -70,7 +70,7 @@
       capacities,
       types: [...term.machineTypes.values()],
       zones: context.settings.zones,
-      isShort: (t: string, z: string, s: boolean) => provisioner.isShort(t, z, s),
+      isShort: (type: string, zone: string, spot: boolean) => provisioner.isShort(type, zone, spot),
       machinesByZone,
       weights: weights(),
       // As many as the cloud's calls of a second can rent.
@@ -120,7 +120,7 @@
         free: [false, true].map((spot) => freeMachines(capacities, spot)),
         target: [false, true].map((spot) => warmReserve.target(spot)),
         coming: provisioner.pending.size,
-        missed: missed.reduce((n, demand) => n + demand.tasks, 0),
+        missed: missed.reduce((sum, demand) => sum + demand.tasks, 0),
         machines: [...term.machines.values()].filter(
           (machine) => machine.activeAttempts().length > 0,
         ).length,
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -108,10 +108,10 @@
     return new SubsystemView(subsystem, {
       term,
       capacity,
-      nudgeStore: () => writer.wake(),
-      moveReplica: (attempt, mayFetch) =>
+      wakeWriter: () => writer.wake(),
+      migrateReplica: (attempt, mayFetch) =>
         scheduler.migrateReplica(attempt, capacity.capacities, mayFetch),
-      moveGapS: (jobClass) => scheduler.migrationGapS(jobClass),
+      migrationGapS: (jobClass) => scheduler.migrationGapS(jobClass),
     });
   }
 
@@ -254,10 +254,10 @@
     if (!context.isEntitled()) return;
     term.expireLeases();
     if (context.canWrite()) {
-      const r = this.scheduler.runCycle();
-      capacity.demand = r.demand;
-      capacity.capacities = r.capacities;
-      capacity.usages = r.usages;
+      const result = this.scheduler.runCycle();
+      capacity.demand = result.demand;
+      capacity.capacities = result.capacities;
+      capacity.usages = result.usages;
     }
     for (const machine of term.machines.values())
       if (machine.hasActiveAttempts()) machine.idleSince = began;
--- a/src/leader/scheduling/job-queue.ts
+++ b/src/leader/scheduling/job-queue.ts
@@ -97,17 +97,17 @@
     finite.forEach((job, i) => (job.isLong = this.longJobs.isLong(remainings[i]!, job.isLong)));
     this.markGuaranteed(open);
     const waiting = open.filter((job) => job.pendingTaskCount > 0);
-    const s = scores(
+    const jobScores = scores(
       waiting.map(asReady),
       waiting.map((job) => job.isLong),
       policy,
     );
     const order = waiting.map((job, i) => {
-      job.score = s[i]!;
+      job.score = jobScores[i]!;
       const { isGuaranteed, score, readyAt } = job;
       return { job, priority: job.spec.priority, guaranteed: isGuaranteed, score, readyAt };
     });
-    return order.sort(compareJobs).map((o) => o.job);
+    return order.sort(compareJobs).map((ranked) => ranked.job);
   }
 
   /**
--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -122,34 +122,36 @@
       if (victims.length === 0 && !fits(spec, { cores, gpus, memGb })) continue;
       open.push({ id, type, zone, spot, cores, gpus, memGb, candidate, victims, delayS, mode });
     }
-    const chosen: { o: OpenCandidate; victims: VictimTask[] }[] = [];
+    const chosen: { candidate: OpenCandidate; victims: VictimTask[] }[] = [];
     const got: OpenCandidate[] = [];
     while (got.length < tasks) {
       // Room that is being made already comes first.
-      let o: OpenCandidate | undefined;
-      for (const x of open) {
-        if (!fits(spec, x) || !isZoneAllowed(spec, x.zone, zones)) continue;
-        if (o === undefined || x.delayS < o.delayS) o = x;
+      let candidate: OpenCandidate | undefined;
+      for (const chosenCandidate of open) {
+        if (!fits(spec, chosenCandidate) || !isZoneAllowed(spec, chosenCandidate.zone, zones))
+          continue;
+        if (candidate === undefined || chosenCandidate.delayS < candidate.delayS)
+          candidate = chosenCandidate;
       }
-      if (o === undefined) {
-        const e = cheapestPreemption(spec, open, zones);
-        if (e === null) break;
-        o = open.find((x) => x.id === e.machine)!;
-        const victims = e.victims as VictimTask[];
-        chosen.push({ o, victims });
+      if (candidate === undefined) {
+        const plan = cheapestPreemption(spec, open, zones);
+        if (plan === null) break;
+        candidate = open.find((candidate) => candidate.id === plan.machine)!;
+        const victims = plan.victims as VictimTask[];
+        chosen.push({ candidate, victims });
         for (const victim of victims) {
-          release(victim, o);
-          o.victims.splice(o.victims.indexOf(victim), 1);
+          release(victim, candidate);
+          candidate.victims.splice(candidate.victims.indexOf(victim), 1);
         }
       }
-      allocate(spec, o);
-      zones.set(o.zone, (zones.get(o.zone) ?? 0) + 1);
-      got.push(o);
+      allocate(spec, candidate);
+      zones.set(candidate.zone, (zones.get(candidate.zone) ?? 0) + 1);
+      got.push(candidate);
     }
     const { log } = this.term.context;
     if (log.isLevelEnabled('debug')) {
-      const stopped = chosen.flatMap((c) => c.victims.map((victim) => victim.id));
-      const how = [...new Set(got.map((o) => o.mode))];
+      const stopped = chosen.flatMap((choice) => choice.victims.map((victim) => victim.id));
+      const how = [...new Set(got.map((candidate) => candidate.mode))];
       const { id, class: cls } = spec;
       log.debug(
         { job: id, class: cls, tasks, got: got.length, stopped, how, inTime, ageS },
@@ -158,17 +160,19 @@
     }
     // A gang gains nothing from room for some of its tasks.
     if (job.isGang && got.length < tasks) return tasks;
-    for (const { o, victims } of chosen) {
-      const saves = o.mode !== 'immediate';
+    for (const { candidate, victims } of chosen) {
+      const saves = candidate.mode !== 'immediate';
       const carryOut = (): boolean => this.carryOut(job, victims, saves);
-      this.subsystems.preempt({ machine: o.id, borrower: job, victims, saves, carryOut });
-      for (const victim of victims) release(victim, o.candidate.stopping);
+      this.subsystems.preempt({ machine: candidate.id, borrower: job, victims, saves, carryOut });
+      for (const victim of victims) release(victim, candidate.candidate.stopping);
       const gone = new Set(victims.map((victim) => victim.id));
-      o.candidate.victims = o.candidate.victims.filter((victim) => !gone.has(victim.id));
+      candidate.candidate.victims = candidate.candidate.victims.filter(
+        (victim) => !gone.has(victim.id),
+      );
     }
     // A gang of several was once passed over for a minute and more: as soon as one of its places was
     // free, lesser work took it, while the others were still being made.
-    for (const o of got) allocate(spec, o.candidate.capacity);
+    for (const candidate of got) allocate(spec, candidate.candidate.capacity);
     return tasks - got.length;
   }
 
--- a/src/leader/scheduling/replica-migrations.ts
+++ b/src/leader/scheduling/replica-migrations.ts
@@ -183,8 +183,8 @@
   private replicasByClass(): Map<string, number> {
     const replicas = new Map<string, number>();
     for (const job of this.term.jobs.values()) {
-      const n = replicas.get(job.spec.class) ?? 0;
-      if (job.spec.kind === 'service') replicas.set(job.spec.class, n + job.activeAttemptCount);
+      const count = replicas.get(job.spec.class) ?? 0;
+      if (job.spec.kind === 'service') replicas.set(job.spec.class, count + job.activeAttemptCount);
     }
     return replicas;
   }
@@ -206,9 +206,10 @@
     const replicas = this.replicasByClass();
     return (list) => {
       const counts = new Map<string, number>();
-      for (const r of list) counts.set(r.spec.class, (counts.get(r.spec.class) ?? 0) + 1);
+      for (const replica of list)
+        counts.set(replica.spec.class, (counts.get(replica.spec.class) ?? 0) + 1);
       return [...counts].every(([c, n]) => {
-        const moved = this.recent.filter((x) => x.class === c).length;
+        const moved = this.recent.filter((migration) => migration.class === c).length;
         return moved + n <= Math.max(least, (replicas.get(c) ?? 0) * MIGRATION_SHARE);
       });
     };
--- a/src/leader/term/statistics.ts
+++ b/src/leader/term/statistics.ts
@@ -15,6 +15,6 @@
   }
   counts.machines_coming = capacity.provisioner.pending.size;
   counts.jobs_open = term.jobs.size;
-  counts.demand_tasks = capacity.demand.reduce((n, demand) => n + demand.tasks, 0);
+  counts.demand_tasks = capacity.demand.reduce((sum, demand) => sum + demand.tasks, 0);
   return counts;
 }
--- a/src/leader/term/subsystem-view.ts
+++ b/src/leader/term/subsystem-view.ts
@@ -22,9 +22,9 @@
 export interface SubsystemViewOptions {
   term: Term;
   capacity: CapacityManager;
-  nudgeStore: () => void;
-  moveReplica: (attempt: Attempt, mayFetch: boolean) => boolean;
-  moveGapS: (jobClass: string) => number;
+  wakeWriter: () => void;
+  migrateReplica: (attempt: Attempt, mayFetch: boolean) => boolean;
+  migrationGapS: (jobClass: string) => number;
 }
 
 export class SubsystemView implements TermView {
@@ -104,11 +104,11 @@
     const attempt = attempts.find(
       (attempt) => attempt.machine === from && occupiesCapacity(attempt),
     );
-    return attempt !== undefined && this.options.moveReplica(attempt, mayFetch);
+    return attempt !== undefined && this.options.migrateReplica(attempt, mayFetch);
   }
 
   migrationGapS(jobClass: string): number {
-    return this.options.moveGapS(jobClass);
+    return this.options.migrationGapS(jobClass);
   }
 
   endStopped({ job, index, number }: AttemptView): void {
@@ -133,7 +133,7 @@
   }
 
   wakeWriter(): void {
-    this.options.nudgeStore();
+    this.options.wakeWriter();
   }
 
   wakeProvisioner(): void {
--- a/src/leader/writes/record-writer.ts
+++ b/src/leader/writes/record-writer.ts
@@ -1,7 +1,7 @@
 /** The writer of a term: batches, commits, and what to do when one is refused or not answered. */
 
 import { random } from '../../random.js';
-import { Pause, sleep, type Clock } from '../../clock.js';
+import { WakeableSleep, sleep, type Clock } from '../../clock.js';
 import type { Log } from '../../log.js';
 import { RequestRejectedError, type KeyValueStoreClient } from '../../store/client.js';
 import * as records from '../../store/records.js';
@@ -41,7 +41,7 @@
  */
 export class RecordWriter {
   private stopped = false;
-  private readonly pause = new Pause();
+  private readonly pause = new WakeableSleep();
   private readonly writes: RecordWrites;
   private readonly dueWrites: DueWrites;
 
@@ -67,7 +67,7 @@
   }
 
   wake(): void {
-    this.pause.end();
+    this.pause.wakeUp();
   }
 
   async run(): Promise<void> {
@@ -86,26 +86,27 @@
   }
 
   private async writeBatch(): Promise<boolean> {
-    const { writes } = this.options.store;
+    const { writeBudget } = this.options.store;
     const due = this.dueWrites.collect();
     if (due.length === 0) return false;
-    if (writes.available < 1) {
-      await sleep(writes.wait(1));
+    if (writeBudget.available < 1) {
+      await sleep(writeBudget.secondsUntil(1));
       return true;
     }
     const most = Math.min(
       this.options.store.operationsPerTransaction,
-      Math.floor(writes.available),
+      Math.floor(writeBudget.available),
     );
     // What can wait leaves half of what may be written at once to what comes next.
-    const mostLater = Math.min(most, Math.floor(writes.available - writes.capacity / 2));
+    const mostLater = Math.min(most, Math.floor(writeBudget.available - writeBudget.capacity / 2));
     const batch: RecordWrite[] = [];
     let bytes = ENVELOPE_BYTES;
     let ops = 0;
     for (const entry of due) {
       ops += entry.operations ?? 1;
       // A group that is larger than its share waits until all is there, rather than for ever.
-      const alone = batch.length === 0 && writes.available >= writes.capacity * NEARLY_ALL;
+      const alone =
+        batch.length === 0 && writeBudget.available >= writeBudget.capacity * NEARLY_ALL;
       if (ops > (entry.urgency >= LATER && !alone ? mostLater : most)) break;
       // Encoded only now: of what waits for its turn only the order is looked at.
       const write = entry.encode();
@@ -115,7 +116,7 @@
       batch.push(write);
     }
     if (batch.length === 0) return false;
-    writes.force(batch.reduce((sum, write) => sum + 1 + write.alsoOperations.length, 0));
+    writeBudget.force(batch.reduce((sum, write) => sum + 1 + write.alsoOperations.length, 0));
     await this.commitBatch(batch);
     return true;
   }
@@ -172,7 +173,7 @@
     if (batch.length === 1) return;
     for (const write of batch) {
       if (this.stopped) return;
-      this.options.store.writes.force(1 + write.alsoOperations.length);
+      this.options.store.writeBudget.force(1 + write.alsoOperations.length);
       write.started();
       await this.commitBatch([write]);
     }
@@ -183,7 +184,7 @@
       while (!this.stopped) {
         try {
           const item = await this.options.store.get(write.key, 1);
-          write.reread(item);
+          write.readBack(item);
           break;
         } catch {
           await sleep(RETRY_S);
@@ -194,6 +195,6 @@
 
   stop(): void {
     this.stopped = true;
-    this.pause.end();
+    this.pause.wakeUp();
   }
 }
--- a/src/leader/writes/record-writes.ts
+++ b/src/leader/writes/record-writes.ts
@@ -21,7 +21,7 @@
   /** It was not carried out, or that is not known. */
   failed(): void;
   /** What was read back after a commit whose outcome was open, or whose guard failed. */
-  reread(item: KeyValue | null): void;
+  readBack(item: KeyValue | null): void;
 }
 
 /** One record to be written, guarded by the revision that was known of it. */
@@ -98,7 +98,7 @@
           for (const attempt of claims) term.claimStored(attempt);
         },
         failed: () => term.machinesToWrite.add(machine.id),
-        reread: (item) => (machine.recordRevision = item?.revision ?? 0),
+        readBack: (item) => (machine.recordRevision = item?.revision ?? 0),
       },
     );
   }
@@ -127,7 +127,7 @@
         started: NO_OP,
         stored,
         failed: NO_OP,
-        reread: (item) => {
+        readBack: (item) => {
           // Stored after all: writing it again would make "done" younger than it is, and a
           // cancellation in between would seem to have come first.
           // The time attained may differ by now: what is done decides.
@@ -151,7 +151,7 @@
         started: NO_OP,
         stored: () => this.term.recordRemoved(id, null),
         failed: NO_OP,
-        reread: (item) => this.term.recordRemoved(id, item?.revision ?? null),
+        readBack: (item) => this.term.recordRemoved(id, item?.revision ?? null),
       },
     );
   }
@@ -169,7 +169,7 @@
       started: NO_OP,
       stored: (revision) => write.stored(revision),
       failed: NO_OP,
-      reread: (item) =>
+      readBack: (item) =>
         write.readBack(item === null ? null : { value: item.value, revision: item.revision }),
     };
     return recordWrite(key, expectedRevision, op, outcomes, write.alsoChanges.map(guarded));
@@ -187,7 +187,7 @@
         started: NO_OP,
         stored: () => (this.machineTypesDirty = false),
         failed: NO_OP,
-        reread: (item) => (this.machineTypesRevision = item?.revision ?? 0),
+        readBack: (item) => (this.machineTypesRevision = item?.revision ?? 0),
       },
     );
   }
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -1,5 +1,5 @@
 import { random } from '../random.js';
-import { DRIFT, Pause, sleep, type Clock } from '../clock.js';
+import { MAX_CLOCK_DRIFT, WakeableSleep, sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import { RequestRejectedError, type KeyValueStoreClient } from '../store/client.js';
 import type { ReplicaSync } from '../store/replica-sync.js';
@@ -62,7 +62,7 @@
   /** Tells outages from refusals of this controller alone. */
   readonly outage: OutageQuorum;
   private stopped = false;
-  private readonly pause = new Pause();
+  private readonly pause = new WakeableSleep();
   readonly leaseTtlS: number;
   /** Seconds for which leases may be renewed after the last proof of knowing every cancellation. */
   private readonly allowanceS: number;
@@ -131,7 +131,7 @@
   }
 
   wake(): void {
-    this.pause.end();
+    this.pause.wakeUp();
   }
 
   async run(): Promise<void> {
@@ -242,7 +242,7 @@
 
   /** The lease ends a life after its renewal was carried out, which is no earlier than it was sent. */
   private leaseEnd(sentAt: number): number {
-    return sentAt + this.leaseTtlS * (1 - 2 * DRIFT) - 0.02;
+    return sentAt + this.leaseTtlS * (1 - 2 * MAX_CLOCK_DRIFT) - 0.02;
   }
 
   private async stepAsLeader(): Promise<void> {
@@ -263,8 +263,8 @@
       refused = error instanceof RequestRejectedError && error.status === 503;
       this.log.debug({ err: String(error), left }, 'lease not renewed');
     }
-    const l = this.replica.leader;
-    if (l !== null && l.revision > this.token) {
+    const leader = this.replica.leader;
+    if (leader !== null && leader.revision > this.token) {
       this.changeRole('follower');
       return;
     }
@@ -307,7 +307,10 @@
     const majority = await this.outage.majorityRejected(this.token, forS);
     if (majority === null || this.outage.acknowledged > this.token) return;
     // The promises count from when they were given, which is after the question was sent.
-    const until = Math.min(askedAt + forS * (1 - 2 * DRIFT), this.outage.renewalBound(majority));
+    const until = Math.min(
+      askedAt + forS * (1 - 2 * MAX_CLOCK_DRIFT),
+      this.outage.renewalBound(majority),
+    );
     if (until <= this.clock.now()) return;
     this.leaseValidUntil = Math.max(this.leaseValidUntil, until);
     if (this.role === 'leader') this.changeRole('leader-in-outage');
@@ -332,6 +335,6 @@
 
   stop(): void {
     this.stopped = true;
-    this.pause.end();
+    this.pause.wakeUp();
   }
 }
--- a/src/leadership/leader-acknowledgements.ts
+++ b/src/leadership/leader-acknowledgements.ts
@@ -36,16 +36,16 @@
 
   /** This controller was elected. */
   async collect(token: number): Promise<void> {
-    const quorum = new QuorumAcknowledgement(token, this.settings.nodes, this.clock);
+    const quorum = new QuorumAcknowledgement(token, this.settings.controllerCount, this.clock);
     this.quorum = quorum;
     for (const [node, { ack }] of this.replica.acknowledgements) this.noteStored(node, ack);
     const pause = this.settings.workers.lease_s / ASKS_PER_LEASE;
     while (!this.stopped && this.quorum === quorum && quorum.state === 'pending') {
-      const missing = this.peers().names.filter((n) => !quorum.has(n));
+      const missing = this.peers().names.filter((node) => !quorum.has(node));
       await Promise.all(
         missing.map(async (node) => {
-          const a = await this.peers().ask(node, { q: 'elected', token }, pause);
-          const remains = a?.remainsS;
+          const answer = await this.peers().ask(node, { q: 'elected', token }, pause);
+          const remains = answer?.remainsS;
           if (remains !== undefined) quorum.record(node, { remainsS: remains });
         }),
       );
@@ -80,7 +80,7 @@
     while (!this.stopped && this.replica.leader?.revision === token) {
       const revision = this.replica.acknowledgements.get(this.settings.node)?.revision ?? 0;
       try {
-        this.store.writes.force(1);
+        this.store.writeBudget.force(1);
         const result = await this.store.compareAndSwap(
           [{ key, revision }],
           [{ put: key, value }],
--- a/src/leadership/outage-quorum.ts
+++ b/src/leadership/outage-quorum.ts
@@ -1,4 +1,4 @@
-import { DRIFT, type Clock } from '../clock.js';
+import { MAX_CLOCK_DRIFT, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import { RequestRejectedError, type KeyValueStoreClient } from '../store/client.js';
 import type { ReplicaSync } from '../store/replica-sync.js';
@@ -90,7 +90,8 @@
     }
     // One that only stands is as good a witness as any: it may stand again and again in an outage.
     if (this.options.leads()) return { refused: false };
-    const promise = this.now + (Math.min(forMs, leaseTtlS * 1000) / 1000) * (1 + 2 * DRIFT);
+    const promise =
+      this.now + (Math.min(forMs, leaseTtlS * 1000) / 1000) * (1 + 2 * MAX_CLOCK_DRIFT);
     const before = this.promisedUntil;
     const given = Math.max(before, promise);
     this.promisedUntil = given;
@@ -123,7 +124,7 @@
     const { now } = this;
     let until = Math.max(this.promisedUntil, Math.min(now, this.renewsUntil));
     // A process that began just now does not know what the one before it promised.
-    until = Math.max(until, this.startedAt + this.options.leaseTtlS * (1 + 2 * DRIFT));
+    until = Math.max(until, this.startedAt + this.options.leaseTtlS * (1 + 2 * MAX_CLOCK_DRIFT));
     if (token > this.acknowledged) {
       this.acknowledged = token;
       this.renewsUntil = -Infinity;
@@ -160,7 +161,7 @@
     if (since === null || askedAt - since < this.options.leaseTtlS * 0.4) return false;
     const majority = await this.majorityRejected(leader.revision, this.substituteS);
     if (majority === null || this.acknowledged > leader.revision) return false;
-    const until = askedAt + this.substituteS * (1 - 2 * DRIFT);
+    const until = askedAt + this.substituteS * (1 - 2 * MAX_CLOCK_DRIFT);
     this.renewsUntil = Math.min(until, this.renewalBound(majority));
     if (this.now >= this.renewsUntil) return false;
     this.options.log.info({ token: leader.revision }, 'leases are kept for a leader that is gone');
@@ -192,16 +193,16 @@
       applied: this.options.replica.applied,
     } as const;
     const answers = await Promise.all(
-      peers.names.map((n) =>
-        peers.ask(n, question, Math.min(PEER_TIMEOUT_S, this.options.leaseTtlS / 4)),
+      peers.names.map((node) =>
+        peers.ask(node, question, Math.min(PEER_TIMEOUT_S, this.options.leaseTtlS / 4)),
       ),
     );
-    for (const a of answers) {
-      if (a?.cancelled !== undefined) this.options.events.onKnownCancelled(a.cancelled);
+    for (const answer of answers) {
+      if (answer?.cancelled !== undefined) this.options.events.onKnownCancelled(answer.cancelled);
     }
-    if (answers.some((a) => a?.refused === false)) return null;
-    const ages = answers.flatMap((a) =>
-      a?.refused === true && a.freshAgeS !== undefined ? [a.freshAgeS] : [],
+    if (answers.some((answer) => answer?.refused === false)) return null;
+    const ages = answers.flatMap((answer) =>
+      answer?.refused === true && answer.freshAgeS !== undefined ? [answer.freshAgeS] : [],
     );
     if ((1 + ages.length) * 2 <= this.options.controllerCount) return null;
     const freshest = Math.max(
--- a/src/leadership/renewal-allowance.ts
+++ b/src/leadership/renewal-allowance.ts
@@ -1,4 +1,4 @@
-import { DRIFT } from '../clock.js';
+import { MAX_CLOCK_DRIFT } from '../clock.js';
 
 /**
  * How long workers' leases may be renewed by a controller that may not know of every cancellation.
@@ -13,7 +13,7 @@
  * Share of a lease within which a worker that is renewed no more has ended its tasks: the lease, the
  * drift of its clock, and a worker that is slow to notice.
  */
-const LEASE_END = 1.1 * (1 + 2 * DRIFT);
+const LEASE_END = 1.1 * (1 + 2 * MAX_CLOCK_DRIFT);
 
 /**
  * Seconds after which a stored cancellation is told to users although no majority of controllers is
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -1,4 +1,4 @@
-import { DRIFT, sleep, type Clock } from '../clock.js';
+import { MAX_CLOCK_DRIFT, sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import * as records from '../store/records.js';
 import type { ReplicaSync } from '../store/replica-sync.js';
@@ -56,7 +56,8 @@
 /** The sole controller of each zone. With one zone only, nothing is cut off with a zone. */
 export function zoneLeaseHolders(all: { node: string; zone: string }[]): Map<string, string> {
   const by = new Map<string, string[]>();
-  for (const n of all) by.set(n.zone, [...(by.get(n.zone) ?? []), n.node]);
+  for (const controller of all)
+    by.set(controller.zone, [...(by.get(controller.zone) ?? []), controller.node]);
   const out = new Map<string, string>();
   if (by.size < 2) return out;
   for (const [zone, nodes] of by) if (nodes.length === 1) out.set(zone, nodes[0]!);
@@ -115,7 +116,7 @@
     const now = this.clock.now();
     return (
       this.state === 'alone' &&
-      now > this.provenAt + this.times.beginS * (1 + 2 * DRIFT) &&
+      now > this.provenAt + this.times.beginS * (1 + 2 * MAX_CLOCK_DRIFT) &&
       now < this.provenAt + this.times.renewForS
     );
   }
@@ -156,7 +157,7 @@
     const sentAt = this.clock.now();
     const lease = await this.store.grantLease(this.times.ttlS, this.times.ttlS);
     const key = records.controllerKey(this.node);
-    this.store.writes.force(1);
+    this.store.writeBudget.force(1);
     const result = await this.store.compareAndSwap(
       [{ key, revision: this.replica.controllers.get(this.node) ?? 0 }],
       [{ put: key, value: { i: this.incarnation }, lease }],
@@ -185,9 +186,9 @@
     const peers = this.peers();
     const timeout = this.times.ttlS / 2;
     const answers = await Promise.all(
-      peers.names.map((n) => peers.ask(n, { q: 'there' }, timeout)),
+      peers.names.map((node) => peers.ask(node, { q: 'there' }, timeout)),
     );
-    this.changeState(answers.some((a) => a !== null) ? 'doubting' : 'alone');
+    this.changeState(answers.some((answer) => answer !== null) ? 'doubting' : 'alone');
   }
 
   stop(): void {
@@ -253,6 +254,9 @@
       // It may have gone just before this controller had read the store for the first time.
       if (this.replicaSync.ready) this.goneAt.set(node, now);
     }
-    return { keptUntil: gone + this.times.renewForS * (1 + 2 * DRIFT), provenAt: Infinity };
+    return {
+      keptUntil: gone + this.times.renewForS * (1 + 2 * MAX_CLOCK_DRIFT),
+      provenAt: Infinity,
+    };
   }
 }
--- a/src/lending/estimate-errors.ts
+++ b/src/lending/estimate-errors.ts
@@ -17,7 +17,7 @@
   constructor(private readonly leastMargin: number) {}
 
   /** Looks at finite jobs whose last task is done. */
-  look(jobs: Iterable<LiveJobView>): void {
+  update(jobs: Iterable<LiveJobView>): void {
     const seen = new Set<string>();
     for (const job of jobs) {
       if (!job.isFinished || job.spec.kind === 'service') continue;
--- a/src/lending/grants.ts
+++ b/src/lending/grants.ts
@@ -14,14 +14,14 @@
 import { lenderWork } from './lender-work.js';
 import { loanBytes, loanId, type LentTask, type Loan } from './loan.js';
 import type { LoanEntry, LoanTable } from './loan-table.js';
-import { judge, type Judgement } from './safety.js';
-import type { WayBackTimes } from './way-back.js';
+import { assessLoan, type LoanAssessment } from './loan-safety.js';
+import type { ReturnTimes } from './return-times.js';
 
 /** Report intervals within which a grant has to be stored; then room is made without a promise. */
 const STORE_REPORTS = 1;
 
 /** An eviction whose loans are on their way into the store. */
-interface Pending {
+interface PendingGrant {
   preemption: Preemption;
   loans: LoanEntry[];
   /** Attempts that are about to be stopped, by key. */
@@ -34,11 +34,11 @@
   table: LoanTable;
   config: LendingConfig;
   errors: EstimateErrors;
-  wayBack: WayBackTimes;
+  returnTimes: ReturnTimes;
 }
 
 export class Grants implements PreemptionRules {
-  private pending: Pending[] = [];
+  private pending: PendingGrant[] = [];
   /** Evictions of services by which room was made without any promise. */
   withoutPromise = 0;
 
@@ -46,18 +46,18 @@
 
   harm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
     if (!isLoan(borrower, victim)) return 0;
-    const judgement = this.judge(victim, saves);
+    const judgement = this.assess(victim, saves);
     return judgement.safe ? judgement.harm : 1;
   }
 
-  private judge(victim: PreemptionVictim, saves: boolean): Judgement {
+  private assess(victim: PreemptionVictim, saves: boolean): LoanAssessment {
     const { table } = this.options;
     const { job, attempt } = victim;
     const open = table.openLoanOf(job.spec.id, attempt.index);
     const own = table.get(nameOf(victim));
     const lending = (own !== undefined && !isUntold(own)) || (open !== undefined && open !== own);
     const known = { lending, lentAtMs: table.lentAtMs(job.spec.id) };
-    return judge(lenderWork(victim, saves, known, this.options));
+    return assessLoan(lenderWork(victim, saves, known, this.options));
   }
 
   isStopping({ job, index, number, state }: AttemptView): boolean {
@@ -90,7 +90,7 @@
     const { view, table, config } = this.options;
     const byName = new Map<string, Loan>();
     for (const victim of preemption.victims) {
-      const judgement = this.judge(victim, preemption.saves);
+      const judgement = this.assess(victim, preemption.saves);
       if (!judgement.safe) return null;
       const loan = makeLoan(victim, preemption, view.wallMs(), judgement.latestReturnS);
       byName.set(loanId(loan), loan);
@@ -131,7 +131,7 @@
   /** Stops the lenders whose loans are all stored. */
   carryOutStored(): void {
     const { table } = this.options;
-    this.settle(({ loans }) => loans.every((loan) => table.isStored(loan)));
+    this.carryOutReady(({ loans }) => loans.every((loan) => table.isStored(loan)));
   }
 
   /**
@@ -141,15 +141,15 @@
   giveUpLate(): void {
     const { view } = this.options;
     const mostS = view.settings.workers.report_s * STORE_REPORTS;
-    const isLate = ({ since }: Pending): boolean => view.now() - since > mostS;
+    const isLate = ({ since }: PendingGrant): boolean => view.now() - since > mostS;
     const loans = this.pending.filter(isLate).flatMap((pending) => pending.loans);
-    this.withoutPromise += this.settle(isLate);
+    this.withoutPromise += this.carryOutReady(isLate);
     // What the store will not take is not offered to it for ever.
     for (const loan of loans) if (loan.stored === null) this.options.table.forget(loan);
   }
 
   /** Carries out the evictions that are ready. Returns how many. */
-  private settle(isReady: (pending: Pending) => boolean): number {
+  private carryOutReady(isReady: (pending: PendingGrant) => boolean): number {
     const ready = this.pending.filter(isReady);
     if (ready.length === 0) return 0;
     this.pending = this.pending.filter((pending) => !ready.includes(pending));
--- a/src/lending/lender-work.ts
+++ b/src/lending/lender-work.ts
@@ -5,8 +5,8 @@
 import { isWithinLimit } from '../jobs/types.js';
 import type { EstimateErrors } from './estimate-errors.js';
 import type { Loan } from './loan.js';
-import type { LenderWork } from './safety.js';
-import type { WayBackTimes } from './way-back.js';
+import type { LenderWork } from './loan-safety.js';
+import type { ReturnTimes } from './return-times.js';
 
 /** What becomes of a task's progress when it is stopped, in seconds of work that need not be repeated. */
 function savedS({ job, attempt }: PreemptionVictim, now: number): number {
@@ -25,7 +25,7 @@
 export interface LenderWorkContext {
   view: TermView;
   errors: EstimateErrors;
-  wayBack: WayBackTimes;
+  returnTimes: ReturnTimes;
 }
 
 /** `lentAtMs`: when its job lent last, in ms of the time of day; null: never. */
@@ -33,7 +33,7 @@
   victim: PreemptionVictim,
   borrowerWaits: boolean,
   { lending, lentAtMs }: { lending: boolean; lentAtMs: number | null },
-  { view, errors, wayBack }: LenderWorkContext,
+  { view, errors, returnTimes }: LenderWorkContext,
 ): LenderWork {
   const { job, attempt } = victim;
   const { spec } = job;
@@ -46,8 +46,8 @@
     margin: errors.margin(spec.class),
     saveS: spec.checkpointS > 0 ? spec.saveS : 0,
     fetchS: spec.imageGb / Math.max(type?.fetchGbPerS ?? 1, 1e-9),
-    restartS: wayBack.commandS,
-    wayBackS: wayBack.seconds,
+    restartS: returnTimes.commandS,
+    wayBackS: returnTimes.seconds,
     saves: spec.checkpointS > 0,
     // What an earlier leader started may have run for long.
     started:
--- a/src/lending/lending-term.ts
+++ b/src/lending/lending-term.ts
@@ -14,16 +14,16 @@
 import { Grants } from './grants.js';
 import { loanId, noLoans, type Loan } from './loan.js';
 import { LoanTable } from './loan-table.js';
-import { LoanWatch } from './loan-watch.js';
+import { LoanMonitor } from './loan-monitor.js';
 import { ReturnHolds } from './return-holds.js';
-import { WayBackTimes } from './way-back.js';
+import { ReturnTimes } from './return-times.js';
 
 export class LendingTerm implements SubsystemTerm {
   readonly preemption: PreemptionRules;
   private readonly table: LoanTable;
   private readonly errors: EstimateErrors;
   private readonly grants: Grants;
-  private readonly watch: LoanWatch;
+  private readonly monitor: LoanMonitor;
   private readonly holds: ReturnHolds;
 
   constructor(
@@ -36,10 +36,10 @@
       onStored: () => this.grants.carryOutStored(),
       onChange: (loan) => this.log(loan),
     });
-    const wayBack = new WayBackTimes(view);
+    const returnTimes = new ReturnTimes(view);
     const { table, errors } = this;
-    this.grants = new Grants({ view, table, config, errors, wayBack });
-    this.watch = new LoanWatch({ view, table, grants: this.grants, wayBack, config });
+    this.grants = new Grants({ view, table, config, errors, returnTimes: returnTimes });
+    this.monitor = new LoanMonitor({ view, table, grants: this.grants, returnTimes, config });
     this.holds = new ReturnHolds(view, table);
     this.preemption = this.grants;
     this.table.reconcile(view.records());
@@ -58,14 +58,14 @@
   /** Nothing is decided while nothing can be stored. */
   tick(): void {
     if (!this.view.canWrite()) {
-      this.watch.noteOutage();
+      this.monitor.noteOutage();
       return;
     }
     this.table.reconcile(this.view.records());
-    this.errors.look(this.view.jobs());
+    this.errors.update(this.view.jobs());
     this.grants.carryOutStored();
     this.grants.giveUpLate();
-    this.watch.look();
+    this.monitor.update();
     this.holds.update();
     this.table.removeEnded(this.config.keepEndedS * 1000);
   }
--- a/src/lending/loan-evidence.ts
+++ b/src/lending/loan-evidence.ts
@@ -101,7 +101,7 @@
 }
 
 /** What can be seen of a loan; what has to do with time is added by the caller. */
-export function seenOf(
+export function observeLoan(
   loan: Loan,
   view: TermView,
   freeGpus: number,
--- a/src/lending/loan-watch.ts
+++ b/src/lending/loan-monitor.ts
@@ -5,11 +5,11 @@
 import type { Grants } from './grants.js';
 import { isAtLimit } from './lender-work.js';
 import { isAway, type Loan } from './loan.js';
-import { replicasThere, seenOf, type LoanEvidence } from './loan-evidence.js';
+import { replicasThere, observeLoan, type LoanEvidence } from './loan-evidence.js';
 import { nextEvent } from './loan-steps.js';
 import type { LoanEntry, LoanTable } from './loan-table.js';
 import { planRecalls } from './recall-plan.js';
-import type { WayBackTimes } from './way-back.js';
+import type { ReturnTimes } from './return-times.js';
 
 /** A lender that a term sees running so long was never told by anybody. */
 const UNTOLD_LEASES = 1;
@@ -21,11 +21,11 @@
 /** Of the time for a recall, what passes before places without the image are taken. */
 const PRESSING_SHARE = 0.5;
 
-export interface LoanWatchOptions {
+export interface LoanMonitorOptions {
   view: TermView;
   table: LoanTable;
   grants: Grants;
-  wayBack: WayBackTimes;
+  returnTimes: ReturnTimes;
   config: LendingConfig;
 }
 
@@ -39,12 +39,12 @@
   };
 }
 
-export class LoanWatch {
+export class LoanMonitor {
   private readonly startedAt: number;
   /** Time of day in ms since when this leader has been able to bring something back. */
   private ableFromMs: number;
 
-  constructor(private readonly options: LoanWatchOptions) {
+  constructor(private readonly options: LoanMonitorOptions) {
     this.startedAt = options.view.now();
     this.ableFromMs = options.view.wallMs();
   }
@@ -54,14 +54,14 @@
     this.ableFromMs = this.options.view.wallMs();
   }
 
-  look(): void {
-    const { table, view, config, wayBack } = this.options;
+  update(): void {
+    const { table, view, config, returnTimes } = this.options;
     const away = [...table.open()].filter(({ current }) => isAway(current));
     const due = away.map(({ id, current: { dueMs, borrower } }) => {
       return { id, dueMs, group: view.spec(borrower)?.class ?? borrower };
     });
     const begins = planRecalls(due, {
-      wayBackMs: wayBack.seconds * 1000,
+      wayBackMs: returnTimes.seconds * 1000,
       atOnce: config.recallsAtOnce,
       gapMs: moveGaps(view),
     });
@@ -82,19 +82,19 @@
     const before = entry.current;
     const event = nextEvent(before, this.evidence(entry, isDue, freeGpus));
     if (event !== null) {
-      this.noteWayBack(before, event.kind);
+      this.recordReturnTime(before, event.kind);
       table.apply(entry, event);
       view.wakeWriter();
     }
     if (entry.current.state === 'saving') this.endSaving(entry.current);
     // A successor has to find a recall whose replica it sees moving.
-    if (entry.stored?.state === 'recalled') this.bringBack(entry.stored);
+    if (entry.stored?.state === 'recalled') this.startReturn(entry.stored);
     return entry.current.state === before.state ? null : entry.current.state;
   }
 
   private evidence(entry: LoanEntry, isDue: boolean, freeGpus: number): LoanEvidence {
     const loan = entry.current;
-    const seen = seenOf(loan, this.options.view, freeGpus);
+    const seen = observeLoan(loan, this.options.view, freeGpus);
     return {
       ...seen,
       recall: this.recallReason(loan, isDue),
@@ -118,10 +118,10 @@
    * a row had no time for, or an outage, was without its place for good.
    */
   private brokenReason(loan: Loan, seen: Pick<LoanEvidence, 'borrower'>): string | null {
-    const { view, wayBack } = this.options;
+    const { view, returnTimes } = this.options;
     if (loan.dueMs === null) return null;
     const ableMs = Math.max(loan.dueMs, this.ableFromMs);
-    const graceS = wayBack.seconds + view.settings.workers.lease_s * GRACE_LEASES;
+    const graceS = returnTimes.seconds + view.settings.workers.lease_s * GRACE_LEASES;
     if (view.wallMs() <= ableMs + graceS * 1000) return null;
     if (isAtLimit(loan, view)) return "the lender's team is at its limit";
     if (seen.borrower === 'away') return 'the lender has no place, though the borrower has left';
@@ -134,10 +134,10 @@
     return runS > view.settings.workers.lease_s * UNTOLD_LEASES ? 'never carried out' : null;
   }
 
-  private noteWayBack(loan: Loan, kind: string): void {
+  private recordReturnTime(loan: Loan, kind: string): void {
     if (loan.state !== 'recalled' || (kind !== 'returned' && kind !== 'resumed')) return;
-    const { view, wayBack } = this.options;
-    wayBack.note((view.wallMs() - loan.changedMs) / 1000);
+    const { view, returnTimes } = this.options;
+    returnTimes.record((view.wallMs() - loan.changedMs) / 1000);
   }
 
   /** A lender whose saving never ends does not keep the borrower waiting for ever. */
@@ -157,7 +157,7 @@
    * A lender with a place elsewhere needs nothing: a machine was rented for it, or others have left. Else
    * the borrower's replica is moved, where that has a free place with its image and others answer.
    */
-  private bringBack(loan: Loan): void {
+  private startReturn(loan: Loan): void {
     const { view } = this.options;
     if (isAtLimit(loan, view)) return;
     const attempts = replicasThere(loan, view);
@@ -165,7 +165,7 @@
     for (const { job, index } of attempts) {
       // What a service misses elsewhere it would take back here: it is the more important of the two.
       if (view.job(job)?.pendingTaskCount !== 0) continue;
-      const move = { job, index, from: loan.machine, mayFetch: this.presses(loan) };
+      const move = { job, index, from: loan.machine, mayFetch: this.isPressing(loan) };
       if (view.migrateReplica(move)) return;
     }
   }
@@ -174,8 +174,8 @@
    * Half of the time for the recall is over: a place where the image has to be fetched will do too. A new
    * leader often does not know what idle machines have cached.
    */
-  private presses({ dueMs, changedMs }: Loan): boolean {
-    const untilMs = dueMs ?? changedMs + this.options.wayBack.seconds * 1000;
+  private isPressing({ dueMs, changedMs }: Loan): boolean {
+    const untilMs = dueMs ?? changedMs + this.options.returnTimes.seconds * 1000;
     return this.options.view.wallMs() >= changedMs + (untilMs - changedMs) * PRESSING_SHARE;
   }
 }
--- a/src/lending/safety.ts
+++ b/src/lending/loan-safety.ts
@@ -33,7 +33,7 @@
 export type Refusal =
   'no checkpoints' | 'guaranteed' | 'lending already' | 'saving takes too long' | 'no slack';
 
-export type Judgement =
+export type LoanAssessment =
   { safe: true; latestReturnS: number; harm: number } | { safe: false; refusal: Refusal };
 
 /** Of the harm, what the lack of slack and a recent loan count for. */
@@ -50,7 +50,7 @@
   return leftS - remainingS - saveS - fetchS - restartS;
 }
 
-function refusalOf(work: LenderWork): Refusal | null {
+function findRefusal(work: LenderWork): Refusal | null {
   if (work.lending) return 'lending already';
   if (work.guaranteed) return 'guaranteed';
   if (!work.saves && work.started) return 'no checkpoints';
@@ -60,8 +60,8 @@
 }
 
 /** Whether it may lend, until when, and the harm of that between 0 and 1. */
-export function judge(work: LenderWork): Judgement {
-  const refusal = refusalOf(work);
+export function assessLoan(work: LenderWork): LoanAssessment {
+  const refusal = findRefusal(work);
   if (refusal !== null) return { safe: false, refusal };
   const slackS = latestReturnS(work);
   const neededS = Math.max(work.ownRemainingS, work.jobRemainingS) + work.wayBackS;
--- a/src/lending/way-back.ts
+++ b/src/lending/return-times.ts
@@ -8,12 +8,12 @@
 /** Report intervals until a stop is told, carried out and heard of, and a start likewise. */
 const COMMAND_REPORTS = 4;
 
-export class WayBackTimes {
+export class ReturnTimes {
   private readonly samples: number[] = [];
 
   constructor(private readonly view: TermView) {}
 
-  note(seconds: number): void {
+  record(seconds: number): void {
     remember(this.samples, seconds);
   }
 
--- a/src/lending/view.ts
+++ b/src/lending/view.ts
@@ -42,10 +42,10 @@
   };
 }
 
-function inOrder(loan: Loan, b: Loan): number {
-  if (isOpen(loan) !== isOpen(b)) return isOpen(loan) ? -1 : 1;
-  if (!isOpen(loan)) return b.changedMs - loan.changedMs;
-  return (loan.dueMs ?? Infinity) < (b.dueMs ?? Infinity) ? -1 : 1;
+function inOrder(a: Loan, b: Loan): number {
+  if (isOpen(a) !== isOpen(b)) return isOpen(a) ? -1 : 1;
+  if (!isOpen(a)) return b.changedMs - a.changedMs;
+  return (a.dueMs ?? Infinity) < (b.dueMs ?? Infinity) ? -1 : 1;
 }
 
 /** The loans that a subsystem's records hold. */
--- a/src/main.ts
+++ b/src/main.ts
@@ -14,7 +14,7 @@
 }
 
 /** `--config FILE`, with or without `--features FILE` before it; null: any other call. */
-function usualCall(argv: string[]): Args | null {
+function parseUsualCall(argv: string[]): Args | null {
   const names = argv.filter((_, i) => i % 2 === 0).join(' ');
   const values = argv.filter((_, i) => i % 2 === 1);
   if (argv.length % 2 !== 0 || values.some((value) => value.startsWith('-'))) return null;
@@ -25,7 +25,7 @@
 
 /** The usual call is understood without loading the library for the others. */
 async function readArgs(argv: string[]): Promise<Args> {
-  const usual = usualCall(argv);
+  const usual = parseUsualCall(argv);
   if (usual !== null) return usual;
   const { Command } = await import('commander');
   const program = new Command('pewtershelf')
@@ -49,7 +49,7 @@
   return args;
 }
 
-function give(message: string): never {
+function exitWithError(message: string): never {
   process.stderr.write(`pewtershelf: ${message}\n`);
   process.exit(2);
 }
@@ -64,7 +64,7 @@
   try {
     return loadFeatures(file, settings, Date.now());
   } catch (error) {
-    if (error instanceof FeaturesError) give(`features ${file}: ${error.message}`);
+    if (error instanceof FeaturesError) exitWithError(`features ${file}: ${error.message}`);
     throw error;
   }
 }
@@ -75,7 +75,7 @@
   try {
     process.stdout.write(await answer());
   } catch (error) {
-    if (error instanceof CommandError) give(`${command}: ${error.message}`);
+    if (error instanceof CommandError) exitWithError(`${command}: ${error.message}`);
     throw error;
   }
 }
@@ -116,14 +116,14 @@
   if (args.status !== undefined) {
     const { showStatus } = await import('./controller/status.js');
     const failed = await showStatus(args.status);
-    if (failed !== null) give(`status of ${args.status}: ${failed}`);
+    if (failed !== null) exitWithError(`status of ${args.status}: ${failed}`);
     return;
   }
   let settings;
   try {
     settings = loadSettings(args.config!);
   } catch (error) {
-    if (error instanceof SettingsError) give(`settings ${args.config}: ${error.message}`);
+    if (error instanceof SettingsError) exitWithError(`settings ${args.config}: ${error.message}`);
     throw error;
   }
   const { operatorScript } = args;
@@ -131,19 +131,19 @@
   if (args.check === true) {
     const { readPolicy } = await import('./operator/load.js');
     const { wrong } = await readPolicy(operatorScript);
-    if (wrong !== null) give(wrong);
+    if (wrong !== null) exitWithError(wrong);
     const what = features === null ? 'settings are valid' : 'settings and features are valid';
     process.stdout.write(`${what}\n`);
     return;
   }
   if (args.profile !== undefined) {
     const times = /^(\d+)\+(\d+)$/.exec(args.profile);
-    if (times === null) give(`profile ${args.profile}: must be WAIT+SECONDS`);
+    if (times === null) exitWithError(`profile ${args.profile}: must be WAIT+SECONDS`);
     const { profileFor } = await import('./controller/profile.js');
     void profileFor(Number(times[1]), Number(times[2]), (text) => process.stderr.write(text));
   }
   const { runController } = await import('./controller/run.js');
-  await runController(settings, operatorScript, features, give);
+  await runController(settings, operatorScript, features, exitWithError);
 }
 
 void main();
--- a/src/operator/script.ts
+++ b/src/operator/script.ts
@@ -44,7 +44,7 @@
 
 export function runScript(text: string): Policy {
   if (text.length > MAX_BYTES) throw new ScriptError('is over 64 KiB');
-  const L = lauxlib.luaL_newstate();
+  const state = lauxlib.luaL_newstate();
   const open: [string, unknown][] = [
     ['_G', lualib.luaopen_base],
     ['math', lualib.luaopen_math],
@@ -52,40 +52,44 @@
     ['table', lualib.luaopen_table],
   ];
   for (const [name, fn] of open) {
-    lauxlib.luaL_requiref(L, to_luastring(name), fn, 1);
-    lua.lua_pop(L, 1);
+    lauxlib.luaL_requiref(state, to_luastring(name), fn, 1);
+    lua.lua_pop(state, 1);
   }
   const banned = ['dofile', 'loadfile', 'load', 'require', 'print', 'collectgarbage'];
   // A pattern match or a repeated string can take long within a single step.
   const bannedString = ['rep', 'find', 'match', 'gmatch', 'gsub', 'dump', 'format'];
   for (const name of banned) {
-    lua.lua_pushnil(L);
-    lua.lua_setglobal(L, to_luastring(name));
+    lua.lua_pushnil(state);
+    lua.lua_setglobal(state, to_luastring(name));
   }
-  lua.lua_getglobal(L, to_luastring('string'));
+  lua.lua_getglobal(state, to_luastring('string'));
   for (const name of bannedString) {
-    lua.lua_pushnil(L);
-    lua.lua_setfield(L, -2, to_luastring(name));
+    lua.lua_pushnil(state);
+    lua.lua_setfield(state, -2, to_luastring(name));
   }
-  lua.lua_pop(L, 1);
-  const before = new Set(globals(L).keys());
+  lua.lua_pop(state, 1);
+  const before = new Set(globals(state).keys());
   lua.lua_sethook(
-    L,
-    () => lauxlib.luaL_error(L, to_luastring('takes too many steps')),
+    state,
+    () => lauxlib.luaL_error(state, to_luastring('takes too many steps')),
     lua.LUA_MASKCOUNT,
     STEPS,
   );
   const status =
-    lauxlib.luaL_loadbuffer(L, to_luastring(text), null, to_luastring('=script')) ||
-    lua.lua_pcall(L, 0, 0, 0);
-  if (status !== lua.LUA_OK) throw new ScriptError(to_jsstring(lauxlib.luaL_tolstring(L, -1)));
-  lua.lua_sethook(L, null, 0, 0);
+    lauxlib.luaL_loadbuffer(state, to_luastring(text), null, to_luastring('=script')) ||
+    lua.lua_pcall(state, 0, 0, 0);
+  if (status !== lua.LUA_OK) throw new ScriptError(to_jsstring(lauxlib.luaL_tolstring(state, -1)));
+  lua.lua_sethook(state, null, 0, 0);
   const policy: Policy = { ...DEFAULT_POLICY };
-  for (const [name, value] of globals(L)) {
+  for (const [name, value] of globals(state)) {
     if (before.has(name)) continue;
     const where = lineOf(text, name);
     if (name === 'omega') {
-      if (!Array.isArray(value) || value.length !== 3 || !value.every((x) => inRange(x, 0, 1000))) {
+      if (
+        !Array.isArray(value) ||
+        value.length !== 3 ||
+        !value.every((factor) => inRange(factor, 0, 1000))
+      ) {
         throw new ScriptError(`${where}omega: must be three numbers from 0 to 1000`);
       }
       policy.omega = value as [number, number, number];
@@ -101,41 +105,41 @@
   return policy;
 }
 
-const inRange = (x: unknown, low: number, high: number): boolean =>
-  typeof x === 'number' && x >= low && x <= high;
+const inRange = (value: unknown, low: number, high: number): boolean =>
+  typeof value === 'number' && value >= low && value <= high;
 
 /** The line on which a global is set, for messages. */
 function lineOf(text: string, name: string): string {
-  const at = text.split('\n').findIndex((l) => new RegExp(`^\\s*${name}\\s*=`).test(l));
+  const at = text.split('\n').findIndex((line) => new RegExp(`^\\s*${name}\\s*=`).test(line));
   return at < 0 ? '' : `script:${at + 1}: `;
 }
 
 /** Names and values of the global table; tables as arrays of their values. */
-function globals(L: unknown): Map<string, unknown> {
+function globals(state: unknown): Map<string, unknown> {
   const out = new Map<string, unknown>();
-  lua.lua_pushglobaltable(L);
-  lua.lua_pushnil(L);
-  while (lua.lua_next(L, -2) !== 0) {
-    if (lua.lua_type(L, -2) === lua.LUA_TSTRING) {
-      out.set(to_jsstring(lua.lua_tostring(L, -2)), valueAt(L, -1));
+  lua.lua_pushglobaltable(state);
+  lua.lua_pushnil(state);
+  while (lua.lua_next(state, -2) !== 0) {
+    if (lua.lua_type(state, -2) === lua.LUA_TSTRING) {
+      out.set(to_jsstring(lua.lua_tostring(state, -2)), valueAt(state, -1));
     }
-    lua.lua_pop(L, 1);
+    lua.lua_pop(state, 1);
   }
-  lua.lua_pop(L, 1);
+  lua.lua_pop(state, 1);
   return out;
 }
 
-function valueAt(L: unknown, index: number): unknown {
-  switch (lua.lua_type(L, index)) {
+function valueAt(state: unknown, index: number): unknown {
+  switch (lua.lua_type(state, index)) {
     case lua.LUA_TNUMBER:
-      return lua.lua_tonumber(L, index);
+      return lua.lua_tonumber(state, index);
     case lua.LUA_TTABLE: {
-      const n = Number(lua.lua_rawlen(L, index));
+      const length = Number(lua.lua_rawlen(state, index));
       const list: unknown[] = [];
-      for (let i = 1; i <= Math.min(n, 4); i++) {
-        lua.lua_rawgeti(L, index < 0 ? index : index, i);
-        list.push(lua.lua_type(L, -1) === lua.LUA_TNUMBER ? lua.lua_tonumber(L, -1) : null);
-        lua.lua_pop(L, 1);
+      for (let i = 1; i <= Math.min(length, 4); i++) {
+        lua.lua_rawgeti(state, index < 0 ? index : index, i);
+        list.push(lua.lua_type(state, -1) === lua.LUA_TNUMBER ? lua.lua_tonumber(state, -1) : null);
+        lua.lua_pop(state, 1);
       }
       return list;
     }
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -56,7 +56,7 @@
       );
     }
     this.server = createServer((socket) => this.accept(socket));
-    this.server.on('error', (e) => log.error({ err: e.message }, 'peer server'));
+    this.server.on('error', (error) => log.error({ err: error.message }, 'peer server'));
   }
 
   private accept(socket: Socket): void {
--- a/src/scheduler/bin-packing.ts
+++ b/src/scheduler/bin-packing.ts
@@ -146,10 +146,10 @@
     if (where.avoid?.has(capacity.id) === true) continue;
     if (!isZoneAllowed(spec, capacity.zone, where.zones)) continue;
     if (where.mayUse !== undefined && !where.mayUse(capacity)) continue;
-    const c = placementCostS(spec, capacity, weights, bestCost);
-    if (c < bestCost) {
+    const costS = placementCostS(spec, capacity, weights, bestCost);
+    if (costS < bestCost) {
       best = capacity;
-      bestCost = c;
+      bestCost = costS;
     }
   }
   return best;
--- a/src/scheduler/drain-selection.ts
+++ b/src/scheduler/drain-selection.ts
@@ -33,21 +33,22 @@
   weights: PlacementWeights,
 ): { candidate: DrainCandidate; to: string[] } | null {
   const sorted = candidates
-    .filter((c) => c.replicas.length > 0 && freeShare(c.capacity) >= EMPTY_SHARE)
+    .filter((a) => a.replicas.length > 0 && freeShare(a.capacity) >= EMPTY_SHARE)
     .sort((a, b) => freeShare(b.capacity) - freeShare(a.capacity));
-  for (const c of sorted) {
-    if (!mayMove(c.replicas)) continue;
+  for (const candidate of sorted) {
+    if (!mayMove(candidate.replicas)) continue;
     // Only places on machines that are in use anyway: the emptier one never receives.
     const places = capacities
       .filter(
-        (capacity) => capacity.id !== c.capacity.id && !capacity.spot && freeShare(capacity) < 1,
+        (capacity) =>
+          capacity.id !== candidate.capacity.id && !capacity.spot && freeShare(capacity) < 1,
       )
-      .filter((capacity) => freeShare(capacity) <= freeShare(c.capacity))
+      .filter((capacity) => freeShare(capacity) <= freeShare(candidate.capacity))
       .map(copyFreeCapacity);
     const to: string[] = [];
-    const all = c.replicas.every((replica) => {
+    const all = candidate.replicas.every((replica) => {
       const zones = new Map(replica.zones);
-      zones.set(c.capacity.zone, (zones.get(c.capacity.zone) ?? 1) - 1);
+      zones.set(candidate.capacity.zone, (zones.get(candidate.capacity.zone) ?? 1) - 1);
       // What is cached is an estimate; moving on a wrong one cost a replica a whole fetch.
       const there = places.filter((capacity) => capacity.hasImage(replica.spec.image));
       const room = bestFit(replica.spec, there, { zones }, weights);
@@ -56,7 +57,7 @@
       to.push(room.id);
       return true;
     });
-    if (all) return { candidate: c, to };
+    if (all) return { candidate: candidate, to };
   }
   return null;
 }
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -32,12 +32,12 @@
 ): PreemptionPlan | null {
   let best: PreemptionPlan | null = null;
   let bestLoss = Infinity;
-  for (const m of machines) {
-    if (!isAllowedOn(spec, m) || !isZoneAllowed(spec, m.zone, zones)) continue;
-    const free: Resources = { cores: m.cores, gpus: m.gpus, memGb: m.memGb };
+  for (const machine of machines) {
+    if (!isAllowedOn(spec, machine) || !isZoneAllowed(spec, machine.zone, zones)) continue;
+    const free: Resources = { cores: machine.cores, gpus: machine.gpus, memGb: machine.memGb };
     const chosen: Victim[] = [];
-    let loss = m.delayS ?? 0;
-    for (const victim of [...m.victims].sort((victim, b) => victim.lossS - b.lossS)) {
+    let loss = machine.delayS ?? 0;
+    for (const victim of [...machine.victims].sort((a, b) => a.lossS - b.lossS)) {
       if (fits(spec, free)) break;
       free.cores += victim.cores;
       free.gpus += victim.gpus;
@@ -47,7 +47,7 @@
     }
     if (chosen.length === 0 || !fits(spec, free)) continue;
     // Those that turn out not to be needed stay.
-    for (const victim of [...chosen].sort((victim, b) => b.lossS - victim.lossS)) {
+    for (const victim of [...chosen].sort((a, b) => b.lossS - a.lossS)) {
       const without: Resources = {
         cores: free.cores - victim.cores,
         gpus: free.gpus - victim.gpus,
@@ -60,7 +60,7 @@
       }
     }
     if (loss < bestLoss) {
-      best = { machine: m.id, victims: chosen };
+      best = { machine: machine.id, victims: chosen };
       bestLoss = loss;
     }
   }
--- a/src/scheduler/quota.ts
+++ b/src/scheduler/quota.ts
@@ -19,47 +19,49 @@
   constructor(private readonly teams: Map<string, Team>) {}
 
   of(team: string): ResourceUsage {
-    let u = this.used.get(team);
-    if (u === undefined) {
-      u = { cores: 0, gpus: 0 };
-      this.used.set(team, u);
+    let usage = this.used.get(team);
+    if (usage === undefined) {
+      usage = { cores: 0, gpus: 0 };
+      this.used.set(team, usage);
     }
-    return u;
+    return usage;
   }
 
   add(spec: JobSpec, tasks: number): void {
-    const u = this.of(spec.team);
-    u.cores += spec.cores * tasks;
-    u.gpus += spec.gpus * tasks;
+    const usage = this.of(spec.team);
+    usage.cores += spec.cores * tasks;
+    usage.gpus += spec.gpus * tasks;
   }
 
   allows(spec: JobSpec, tasks: number): boolean {
-    const t = this.teams.get(spec.team);
-    if (t === undefined) return false;
-    const u = this.of(spec.team);
+    const team = this.teams.get(spec.team);
+    if (team === undefined) return false;
+    const usage = this.of(spec.team);
     return (
-      isWithinLimit(u.cores + spec.cores * tasks, t.coresMax) &&
-      isWithinLimit(u.gpus + spec.gpus * tasks, t.gpusMax)
+      isWithinLimit(usage.cores + spec.cores * tasks, team.coresMax) &&
+      isWithinLimit(usage.gpus + spec.gpus * tasks, team.gpusMax)
     );
   }
 
   /** How many tasks its team's limit allows in addition. */
   remainingTasks(spec: JobSpec): number {
-    const t = this.teams.get(spec.team);
-    if (t === undefined) return 0;
-    const u = this.of(spec.team);
-    let n = Infinity;
-    if (t.coresMax > 0 && spec.cores > 0) n = Math.min(n, (t.coresMax - u.cores) / spec.cores);
-    if (t.gpusMax > 0 && spec.gpus > 0) n = Math.min(n, (t.gpusMax - u.gpus) / spec.gpus);
-    return Math.max(0, Math.floor(n + 1e-6));
+    const team = this.teams.get(spec.team);
+    if (team === undefined) return 0;
+    const usage = this.of(spec.team);
+    let tasks = Infinity;
+    if (team.coresMax > 0 && spec.cores > 0)
+      tasks = Math.min(tasks, (team.coresMax - usage.cores) / spec.cores);
+    if (team.gpusMax > 0 && spec.gpus > 0)
+      tasks = Math.min(tasks, (team.gpusMax - usage.gpus) / spec.gpus);
+    return Math.max(0, Math.floor(tasks + 1e-6));
   }
 
   /** Whether the team uses no more than its guarantee. A team without one has none to be within. */
   isWithinGuarantee(team: string): boolean {
-    const t = this.teams.get(team);
-    if (t === undefined || (t.cores <= 0 && t.gpus <= 0)) return false;
-    const u = this.of(team);
-    return isWithinLimit(u.cores, t.cores) && isWithinLimit(u.gpus, t.gpus);
+    const guarantee = this.teams.get(team);
+    if (guarantee === undefined || (guarantee.cores <= 0 && guarantee.gpus <= 0)) return false;
+    const usage = this.of(team);
+    return isWithinLimit(usage.cores, guarantee.cores) && isWithinLimit(usage.gpus, guarantee.gpus);
   }
 }
 
@@ -83,10 +85,10 @@
     const usable = spec.zone !== null || spec.oneZone ? 1 : zones.size;
     if (maxTasksPerZone(spec.tasks) * usable < spec.tasks) return 'no zones can hold all its tasks';
   }
-  const n = spec.kind === 'array' ? 1 : spec.tasks;
+  const tasksAtOnce = spec.kind === 'array' ? 1 : spec.tasks;
   if (
-    !isWithinLimit(spec.cores * n, team.coresMax) ||
-    !isWithinLimit(spec.gpus * n, team.gpusMax)
+    !isWithinLimit(spec.cores * tasksAtOnce, team.coresMax) ||
+    !isWithinLimit(spec.gpus * tasksAtOnce, team.gpusMax)
   ) {
     return "over the team's limit";
   }
--- a/src/scheduler/ranking.ts
+++ b/src/scheduler/ranking.ts
@@ -32,18 +32,18 @@
 export function downstreamWeight(input: RankInput, policy: Policy): number {
   const [work, depth, each] = policy.omega;
   let phi = each * input.successors.length;
-  for (const s of input.successors) phi += work * s.workS + depth * s.depth;
+  for (const successor of input.successors) phi += work * successor.workS + depth * successor.depth;
   return phi;
 }
 
-const mean = (xs: number[]): number =>
-  xs.length === 0 ? 0 : xs.reduce((a, b) => a + b, 0) / xs.length;
+const mean = (values: number[]): number =>
+  values.length === 0 ? 0 : values.reduce((a, b) => a + b, 0) / values.length;
 
 /** Remaining time from which a pipeline is long. */
 export function longThreshold(remainings: number[], eta: number): number {
-  const m = mean(remainings);
-  const variance = mean(remainings.map((x) => (x - m) ** 2));
-  return m + eta * Math.sqrt(variance);
+  const average = mean(remainings);
+  const variance = mean(remainings.map((remaining) => (remaining - average) ** 2));
+  return average + eta * Math.sqrt(variance);
 }
 
 /**
@@ -78,14 +78,14 @@
   const heavy = ready.map((input, i) =>
     long[i] === true && input.predictedS >= policy.heavy * input.pipelineMeanS ? 1 : 0,
   );
-  const scaled = (xs: number[]): number[] => {
-    const by = mean(xs) + policy.scaling;
-    return xs.map((x) => x / by);
+  const scaled = (values: number[]): number[] => {
+    const by = mean(values) + policy.scaling;
+    return values.map((value) => value / by);
   };
-  const a = scaled(inverse);
-  const b = scaled(phi);
-  const c = scaled(heavy);
-  return ready.map((input, i) => a[i]! + b[i]! + c[i]!);
+  const inverseScores = scaled(inverse);
+  const weightScores = scaled(phi);
+  const heavyScores = scaled(heavy);
+  return ready.map((input, i) => inverseScores[i]! + weightScores[i]! + heavyScores[i]!);
 }
 
 export interface RankedJob {
--- a/src/scheduler/service-level-objectives.ts
+++ b/src/scheduler/service-level-objectives.ts
@@ -8,11 +8,18 @@
   readonly tightestTargetS: number | null;
 
   constructor(objectives: Settings['objectives']) {
-    for (const o of objectives) {
-      if (o.kind !== 'wait' || o.class === undefined || o.within_s === undefined) continue;
+    for (const objective of objectives) {
+      if (
+        objective.kind !== 'wait' ||
+        objective.class === undefined ||
+        objective.within_s === undefined
+      )
+        continue;
       this.targetsByClass.set(
-        o.class,
-        [...(this.targetsByClass.get(o.class) ?? []), o.within_s].sort((a, b) => a - b),
+        objective.class,
+        [...(this.targetsByClass.get(objective.class) ?? []), objective.within_s].sort(
+          (a, b) => a - b,
+        ),
       );
     }
     const soonest = [...this.targetsByClass.values()].map((waits) => waits[0]!);
@@ -21,7 +28,7 @@
 
   /** The soonest time, from the submission, that can still be kept from this age on. */
   nextTargetS(cls: string, ageS: number): number | null {
-    return this.targetsByClass.get(cls)?.find((w) => w > ageS) ?? null;
+    return this.targetsByClass.get(cls)?.find((targetS) => targetS > ageS) ?? null;
   }
 }
 
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,5 +1,5 @@
-import { Budget, sleep, type Clock } from '../clock.js';
-import { HttpClient, NoResponse, type Response, type Traffic } from '../http/client.js';
+import { TokenBucket, sleep, type Clock } from '../clock.js';
+import { HttpClient, NoResponseError, type Response, type Traffic } from '../http/client.js';
 import type { Settings } from '../config/settings.js';
 import * as wire from '../wire/key-value-store.js';
 
@@ -26,8 +26,8 @@
 export class KeyValueStoreClient {
   private readonly http: HttpClient;
   private readonly watchHttp: HttpClient;
-  readonly requests: Budget;
-  readonly writes: Budget;
+  readonly requestBudget: TokenBucket;
+  readonly writeBudget: TokenBucket;
   /** What the last answer, or its lack, said. */
   health: StoreHealth = 'unknown';
   /** When the last request that was served had been sent. */
@@ -44,10 +44,10 @@
     private readonly settings: Settings,
     private readonly clock: Clock,
   ) {
-    this.http = new HttpClient(settings.stateAddr, 8);
-    this.watchHttp = new HttpClient(settings.stateAddr, 2);
-    this.requests = new Budget(1, clock);
-    this.writes = new Budget(1, clock);
+    this.http = new HttpClient(settings.storeAddress, 8);
+    this.watchHttp = new HttpClient(settings.storeAddress, 2);
+    this.requestBudget = new TokenBucket(1, clock);
+    this.writeBudget = new TokenBucket(1, clock);
     this.valueBytes = Math.floor(settings.state.value_kb * 1024);
     this.operationsPerTransaction = settings.state.txn_ops;
     this.setRole('follower');
@@ -58,13 +58,14 @@
    * left when every other node takes a follower's share. A tenth stays unused for late requests.
    */
   setRole(role: 'leader' | 'follower'): void {
-    const n = Math.max(1, this.settings.nodes);
-    const followers = (n - 1) / n;
+    const controllers = Math.max(1, this.settings.controllerCount);
+    const followers = (controllers - 1) / controllers;
     const { rps, write_rps } = this.settings.state;
-    const writes = (role === 'leader' ? 1 - 0.45 * followers : 0.45 / n) * write_rps * 0.9;
-    const reads = (role === 'leader' ? 1 - 0.8 * followers : 0.8 / n) * rps * 0.9;
-    this.writes.setRate(writes, role === 'leader' ? null : write_rps * FOLLOWER_BURST);
-    this.requests.setRate(reads);
+    const writes =
+      (role === 'leader' ? 1 - 0.45 * followers : 0.45 / controllers) * write_rps * 0.9;
+    const reads = (role === 'leader' ? 1 - 0.8 * followers : 0.8 / controllers) * rps * 0.9;
+    this.writeBudget.setRate(writes, role === 'leader' ? null : write_rps * FOLLOWER_BURST);
+    this.requestBudget.setRate(reads);
   }
 
   private async call(
@@ -80,7 +81,8 @@
       response = await http.request(method, path, body, timeoutS);
     } catch (error) {
       if (this.clock.now() > this.servedAt) this.health = 'silent';
-      if (error instanceof NoResponse && !error.sent) throw new RequestRejectedError(0);
+      if (error instanceof NoResponseError && !error.mayHaveBeenSent)
+        throw new RequestRejectedError(0);
       throw new OutcomeUnknownError(error instanceof Error ? error.message : String(error));
     }
     this.answeredAt = this.clock.now();
@@ -118,10 +120,10 @@
   /** Waits for its turn within the budget; what is urgent goes at once and is made up for later. */
   private async waitForBudget(urgent: boolean): Promise<void> {
     if (urgent) {
-      this.requests.force(1);
+      this.requestBudget.force(1);
       return;
     }
-    while (!this.requests.take(1)) await sleep(this.requests.wait(1));
+    while (!this.requestBudget.tryTake(1)) await sleep(this.requestBudget.secondsUntil(1));
   }
 
   /** The caller has taken the writes from `writes`. */
--- a/src/store/machine-record.ts
+++ b/src/store/machine-record.ts
@@ -93,19 +93,19 @@
 });
 
 export function decodeMachine(value: unknown): MachineRecord {
-  const o = value as Record<string, unknown>;
-  const f = o.f as number;
+  const stored = value as Record<string, unknown>;
+  const flags = stored.f as number;
   return {
-    owner: o.o as string,
-    term: o.e as number,
-    ...(typeof o.k === 'number' ? { token: o.k } : {}),
-    addr: o.a as string,
-    type: o.c as string,
-    zone: o.z as string,
-    spot: (f & 1) !== 0,
-    returning: (f & 2) !== 0,
-    claims: decodeClaims(o),
-    images: (o.i as [string, number][] | undefined) ?? [],
+    owner: stored.o as string,
+    term: stored.e as number,
+    ...(typeof stored.k === 'number' ? { token: stored.k } : {}),
+    addr: stored.a as string,
+    type: stored.c as string,
+    zone: stored.z as string,
+    spot: (flags & 1) !== 0,
+    returning: (flags & 2) !== 0,
+    claims: decodeClaims(stored),
+    images: (stored.i as [string, number][] | undefined) ?? [],
   };
 }
 
@@ -159,7 +159,7 @@
 
 /** Throws where it is no whole number: the record is garbage then. */
 function parseInteger(text: string, radix: number): number {
-  const n = Number.parseInt(text, radix);
-  if (!Number.isSafeInteger(n)) throw new Error('no number');
-  return n;
+  const value = Number.parseInt(text, radix);
+  if (!Number.isSafeInteger(value)) throw new Error('no number');
+  return value;
 }
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -74,37 +74,37 @@
 }
 
 export function decodeRequestBatch(value: unknown): RequestBatchRecord {
-  const o = value as { s: unknown[][]; c: string[] };
-  return { jobs: o.s.map(decodeJob), cancelledIds: o.c };
+  const stored = value as { s: unknown[][]; c: string[] };
+  return { jobs: stored.s.map(decodeJob), cancelledIds: stored.c };
 }
 
-export function decodeJob(a: unknown[]): AcceptedJob {
-  const flags = a[13] as number;
+export function decodeJob(stored: unknown[]): AcceptedJob {
+  const flags = stored[13] as number;
   return {
     spec: {
-      id: a[0] as string,
-      class: a[1] as string,
-      team: a[2] as string,
-      kind: KINDS[a[3] as number]!,
-      priority: a[4] as JobSpec['priority'],
-      tasks: a[5] as number,
-      cores: a[6] as number,
-      gpus: a[7] as number,
-      memGb: a[8] as number,
-      image: a[9] as string,
-      imageGb: a[10] as number,
-      types: a[11] as string[] | null,
-      zone: a[12] as string | null,
+      id: stored[0] as string,
+      class: stored[1] as string,
+      team: stored[2] as string,
+      kind: KINDS[stored[3] as number]!,
+      priority: stored[4] as JobSpec['priority'],
+      tasks: stored[5] as number,
+      cores: stored[6] as number,
+      gpus: stored[7] as number,
+      memGb: stored[8] as number,
+      image: stored[9] as string,
+      imageGb: stored[10] as number,
+      types: stored[11] as string[] | null,
+      zone: stored[12] as string | null,
       oneZone: (flags & 1) !== 0,
       scatter: (flags & 2) !== 0,
       spot: (flags & 4) !== 0,
-      estimateS: a[14] as number,
-      checkpointS: a[15] as number,
-      saveS: a[16] as number,
-      deadlineS: a[17] as number | null,
-      dependencies: (a[19] as string[] | undefined) ?? NO_DEPENDENCIES,
+      estimateS: stored[14] as number,
+      checkpointS: stored[15] as number,
+      saveS: stored[16] as number,
+      deadlineS: stored[17] as number | null,
+      dependencies: (stored[19] as string[] | undefined) ?? NO_DEPENDENCIES,
     },
-    atMs: a[18] as number,
+    atMs: stored[18] as number,
   };
 }
 
@@ -127,10 +127,10 @@
 });
 
 export function decodeProgress(value: unknown): ProgressRecord {
-  const o = value as { b: string | null; a?: number; m?: number; n?: number };
-  const doneMs = typeof o.m === 'number' ? { doneMs: o.m } : {};
-  const tasks = typeof o.n === 'number' ? { tasks: o.n } : {};
-  return { bits: o.b, attainedS: o.a ?? 0, ...doneMs, ...tasks };
+  const stored = value as { b: string | null; a?: number; m?: number; n?: number };
+  const doneMs = typeof stored.m === 'number' ? { doneMs: stored.m } : {};
+  const tasks = typeof stored.n === 'number' ? { tasks: stored.n } : {};
+  return { bits: stored.b, attainedS: stored.a ?? 0, ...doneMs, ...tasks };
 }
 
 /** The features file of a controller: which subsystems it switches on, and a hash of it. */
@@ -150,10 +150,10 @@
   ...(file === undefined ? {} : { h: file.hash, s: file.subsystems }),
 });
 export function decodeVersion(value: unknown): VersionRecord {
-  const o = value as { f: string[]; h?: unknown; s?: unknown };
-  const features = o.f.map(String);
-  if (typeof o.h !== 'string' || !Array.isArray(o.s)) return { features };
-  return { features, file: { hash: o.h, subsystems: o.s.map(String) } };
+  const stored = value as { f: string[]; h?: unknown; s?: unknown };
+  const features = stored.f.map(String);
+  if (typeof stored.h !== 'string' || !Array.isArray(stored.s)) return { features };
+  return { features, file: { hash: stored.h, subsystems: stored.s.map(String) } };
 }
 
 export interface LeaderRecord {
@@ -166,8 +166,8 @@
   i: record.incarnation,
 });
 export function decodeLeader(value: unknown): LeaderRecord {
-  const o = value as { n: string; i: string };
-  return { node: o.n, incarnation: o.i };
+  const stored = value as { n: string; i: string };
+  return { node: stored.n, incarnation: stored.i };
 }
 
 export interface AcknowledgementRecord {
@@ -180,9 +180,9 @@
   r: record.remainsS,
 });
 export function decodeAcknowledgement(value: unknown): AcknowledgementRecord {
-  const o = value as { t: number; r: number };
-  return { token: o.t, remainsS: o.r };
+  const stored = value as { t: number; r: number };
+  return { token: stored.t, remainsS: stored.r };
 }
 
-export const encodeMachineTypes = (t: MachineType[]): unknown => t;
+export const encodeMachineTypes = (types: MachineType[]): unknown => types;
 export const decodeMachineTypes = (value: unknown): MachineType[] => value as MachineType[];
--- a/src/store/replica-sync.ts
+++ b/src/store/replica-sync.ts
@@ -33,12 +33,12 @@
         if (!this.ready) await this.load();
         const from = this.replica.applied;
         const sentAt = this.clock.now();
-        const r = await this.store.changes(records.ROOT, from, 10, 30);
-        if (r === null) {
+        const response = await this.store.changes(records.ROOT, from, 10, 30);
+        if (response === null) {
           this.ready = false;
           continue;
         }
-        this.replica.advance(r.revision, r.changes);
+        this.replica.advance(response.revision, response.changes);
         this.freshAt = Math.max(this.freshAt, sentAt);
         await sleep(this.pauseS());
       } catch (error) {
@@ -59,9 +59,9 @@
     this.replica.removeMissing(keys, first);
     this.replica.applied = Math.max(this.replica.applied, first);
     // Pages differ in age: only with the changes since the first one do they make one picture.
-    const r = await this.store.changes(records.ROOT, first, 0, 5);
-    if (r === null) throw new Error('listing too slow');
-    this.replica.advance(r.revision, r.changes);
+    const response = await this.store.changes(records.ROOT, first, 0, 5);
+    if (response === null) throw new Error('listing too slow');
+    this.replica.advance(response.revision, response.changes);
     this.replica.listingComplete();
     this.freshAt = Math.max(this.freshAt, began);
     this.ready = true;
@@ -99,12 +99,12 @@
     this.lastReadAt = sentAt;
     if (!this.ready) return false;
     try {
-      const r = await this.store.changes(records.ROOT, this.replica.applied, 0, 1.5);
-      if (r === null) {
+      const response = await this.store.changes(records.ROOT, this.replica.applied, 0, 1.5);
+      if (response === null) {
         this.ready = false;
         return false;
       }
-      this.replica.advance(r.revision, r.changes);
+      this.replica.advance(response.revision, response.changes);
       this.freshAt = Math.max(this.freshAt, sentAt);
       return true;
     } catch {
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -1,5 +1,5 @@
 import { random } from '../random.js';
-import { sleep, type Budget, type Clock } from '../clock.js';
+import { sleep, type TokenBucket, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { JobOutcome } from './stored-job.js';
 import type { Replica } from './replica.js';
@@ -15,7 +15,7 @@
 type PendingRequest = (
   | { kind: 'job'; accepted: records.AcceptedJob; size: number }
   | { kind: 'cancel'; id: string; size: number }
-) & { deadline: number; resolve: (o: JobOutcome | null) => void };
+) & { deadline: number; resolve: (state: JobOutcome | null) => void };
 
 /** Requests in a row without an answer after which a batch is given up. */
 const MAX_FAILURES = 2;
@@ -44,7 +44,7 @@
     private readonly store: KeyValueStoreClient,
     private readonly replicaSync: ReplicaSync,
     private readonly replica: Replica,
-    private readonly budget: Budget,
+    private readonly budget: TokenBucket,
     private readonly clock: Clock,
     private readonly log: Log,
   ) {}
@@ -56,7 +56,7 @@
 
   /** Whether more waits than can be stored within this time: what comes now would wait in vain. */
   full(timeoutS: number): boolean {
-    const bytes = this.queue.reduce((n, e) => n + e.size, 0);
+    const bytes = this.queue.reduce((sum, request) => sum + request.size, 0);
     return bytes > this.budget.perSecond * timeoutS * this.store.valueBytes;
   }
 
@@ -71,28 +71,28 @@
   }
 
   private enqueue(
-    e:
+    request:
       | { kind: 'job'; accepted: records.AcceptedJob; size: number }
       | { kind: 'cancel'; id: string; size: number },
     timeoutS: number,
   ): Promise<JobOutcome | null> {
     return new Promise((resolve) => {
-      this.queue.push({ ...e, deadline: this.clock.now() + timeoutS, resolve });
+      this.queue.push({ ...request, deadline: this.clock.now() + timeoutS, resolve });
       if (!this.running) void this.drain();
     });
   }
 
   private nextBatch(): PendingRequest[] {
     const now = this.clock.now();
-    const late = this.queue.filter((e) => e.deadline <= now);
-    for (const e of late) e.resolve(null);
-    this.queue = this.queue.filter((e) => e.deadline > now);
+    const late = this.queue.filter((request) => request.deadline <= now);
+    for (const request of late) request.resolve(null);
+    this.queue = this.queue.filter((request) => request.deadline > now);
     const batch: PendingRequest[] = [];
     let bytes = RECORD_BYTES;
     while (this.queue.length > 0) {
-      const e = this.queue[0]!;
-      if (batch.length > 0 && bytes + e.size > this.store.valueBytes * VALUE_SHARE) break;
-      bytes += e.size;
+      const request = this.queue[0]!;
+      if (batch.length > 0 && bytes + request.size > this.store.valueBytes * VALUE_SHARE) break;
+      bytes += request.size;
       batch.push(this.queue.shift()!);
     }
     return batch;
@@ -103,8 +103,10 @@
    * would start them at once do not look.
    */
   private puts(batch: PendingRequest[]): { put: string; value: unknown }[] {
-    const jobs = batch.flatMap((e) => (e.kind === 'job' ? [e.accepted] : []));
-    const cancelledIds = batch.flatMap((e) => (e.kind === 'cancel' ? [e.id] : []));
+    const jobs = batch.flatMap((request) => (request.kind === 'job' ? [request.accepted] : []));
+    const cancelledIds = batch.flatMap((request) =>
+      request.kind === 'cancel' ? [request.id] : [],
+    );
     const dependent = jobs.filter((job) => job.spec.dependencies.length > 0);
     const others = jobs.filter((job) => job.spec.dependencies.length === 0);
     const name = `${this.incarnation}-${this.counter++}`;
@@ -124,7 +126,7 @@
     this.running = true;
     try {
       while (this.queue.length > 0) {
-        while (!this.budget.take(1)) await sleep(this.budget.wait(1));
+        while (!this.budget.tryTake(1)) await sleep(this.budget.secondsUntil(1));
         const batch = this.nextBatch();
         if (batch.length > 0) await this.storeBatch(batch);
       }
@@ -138,14 +140,14 @@
     const guards = puts.map(({ put }) => ({ key: put, revision: 0 }));
     // One write is taken already; with dependent jobs beside others it is two.
     if (puts.length > 1) this.budget.force(puts.length - 1);
-    const deadline = Math.max(...batch.map((e) => e.deadline));
+    const deadline = Math.max(...batch.map((request) => request.deadline));
     let stored = false;
     let first = true;
     // A submission that can't be taken is answered at once: a refused service, or two requests
     // without an answer, end the wait. Another controller may be served, and the user may come back.
     let failures = 0;
     while (!stored && failures < MAX_FAILURES && this.clock.now() < deadline) {
-      if (!first) while (!this.budget.take(1)) await sleep(this.budget.wait(1));
+      if (!first) while (!this.budget.tryTake(1)) await sleep(this.budget.secondsUntil(1));
       first = false;
       try {
         const result: CompareAndSwapResult = await this.store.compareAndSwap(guards, puts, 1.5);
@@ -166,9 +168,11 @@
       synced = await this.replicaSync.sync();
       if (!synced) await sleep(0.05);
     }
-    for (const e of batch) {
-      const storedJob = this.replica.jobs.get(e.kind === 'job' ? e.accepted.spec.id : e.id);
-      e.resolve(synced && storedJob !== undefined ? outcome(storedJob) : null);
+    for (const request of batch) {
+      const storedJob = this.replica.jobs.get(
+        request.kind === 'job' ? request.accepted.spec.id : request.id,
+      );
+      request.resolve(synced && storedJob !== undefined ? outcome(storedJob) : null);
     }
   }
 }
--- a/src/subsystems/record-table.ts
+++ b/src/subsystems/record-table.ts
@@ -142,7 +142,7 @@
       value: this.form.encode(value),
       alsoChanges: [],
       stored: (at) => this.stored(entry, value, at),
-      readBack: (record) => this.reread(entry, value, record),
+      readBack: (record) => this.readBack(entry, value, record),
     };
   }
 
@@ -172,7 +172,7 @@
     this.options.onStored?.(entry);
   }
 
-  private reread(entry: TableEntry<T>, sent: T, record: OwnedRecord | null): void {
+  private readBack(entry: TableEntry<T>, sent: T, record: OwnedRecord | null): void {
     if (record === null) {
       entry.revision = 0;
       return;
--- a/src/subsystems/view-command.ts
+++ b/src/subsystems/view-command.ts
@@ -1,7 +1,7 @@
 /** Commands of the program that print what a running controller says of a subsystem. */
 
 import * as v from 'valibot';
-import { endpoint } from '../config/endpoint.js';
+import { parseEndpoint } from '../config/endpoint.js';
 import { HttpClient } from '../http/client.js';
 
 const ANSWER_S = 5;
@@ -24,7 +24,7 @@
   { subsystem, title, schema }: ViewQuestion<T>,
 ): Promise<T> {
   if (!ADDRESS.test(address)) throw new CommandError(`${address}: must be HOST:PORT`);
-  const client = new HttpClient(endpoint(address), 1);
+  const client = new HttpClient(parseEndpoint(address), 1);
   try {
     const response = await client.request('GET', `/subsystems/${subsystem}`, undefined, ANSWER_S);
     if (response.status === 404) throw new CommandError(`${address}: ${title} switched off there`);
--- a/src/warm-pools/burst-clock.ts
+++ b/src/warm-pools/burst-clock.ts
@@ -1,6 +1,6 @@
 /** The time of day by which bursts are kept. */
 
-import { DRIFT } from '../clock.js';
+import { MAX_CLOCK_DRIFT } from '../clock.js';
 
 export interface BurstClockOptions {
   /** Seconds of the steady clock. */
@@ -49,7 +49,7 @@
     const { now, wallMs, skewMs, settleS } = this.options;
     const at = now();
     const differenceMs = wallMs() - at * 1000 - this.zeroMs;
-    const slewMs = Math.max(0, at - this.seenAt) * 1000 * DRIFT;
+    const slewMs = Math.max(0, at - this.seenAt) * 1000 * MAX_CLOCK_DRIFT;
     this.seenAt = at;
     if (Math.abs(differenceMs) <= 2 * skewMs + slewMs) {
       this.jumpedSince = null;
--- a/src/warm-pools/machine-choice.ts
+++ b/src/warm-pools/machine-choice.ts
@@ -80,7 +80,7 @@
 }
 
 /** The best of the machines that are there already: with the image, then the fullest. Null: none. */
-export function bestRoom(
+export function bestCapacity(
   pool: PoolDeclaration,
   capacities: readonly FreeCapacity[],
   mayHave: (capacity: FreeCapacity) => boolean,
--- a/src/warm-pools/model-server-loader.ts
+++ b/src/warm-pools/model-server-loader.ts
@@ -2,7 +2,7 @@
 
 import * as v from 'valibot';
 import type { Clock } from '../clock.js';
-import { endpoint } from '../config/endpoint.js';
+import { parseEndpoint } from '../config/endpoint.js';
 import { HttpClient } from '../http/client.js';
 import type { Log } from '../log.js';
 import type { MachineView } from '../subsystems/subsystem.js';
@@ -72,9 +72,12 @@
     const server = this.servers.get(machine.id);
     if (server === undefined || !server.models.delete(image)) return;
     const body = JSON.stringify({ model: image, token: this.options.token });
-    server.client.request('POST', '/models/unload', body, this.options.timeoutS).catch((e) => {
+    server.client.request('POST', '/models/unload', body, this.options.timeoutS).catch((error) => {
       // It stays loaded: that costs memory there, and nothing here rests on it.
-      this.options.log.debug({ machine: machine.id, image, err: String(e) }, 'unload unanswered');
+      this.options.log.debug(
+        { machine: machine.id, image, err: String(error) },
+        'unload unanswered',
+      );
     });
   }
 
@@ -90,7 +93,7 @@
   private server(machine: MachineView): Server {
     let server = this.servers.get(machine.id);
     if (server === undefined) {
-      const { host } = endpoint(machine.addr);
+      const { host } = parseEndpoint(machine.addr);
       const client = new HttpClient({ host, port: this.options.port }, CONNECTIONS);
       server = { client, models: new Map() };
       this.servers.set(machine.id, server);
--- a/src/warm-pools/slot-watch.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -8,7 +8,7 @@
 import type { LeadTimes } from './lead-times.js';
 import type { ModelLoader } from './model-loader.js';
 import { isHeld, type SlotEvent } from './slot.js';
-import { modelTasks, type Claims, type ModelTask } from './slot-rooms.js';
+import { modelTasks, type Claims, type ModelTask } from './slot-reservations.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
 /**
@@ -25,7 +25,7 @@
 /** An earlier term that placed a replica and did not say so ended at most so long before this one began. */
 const INHERITED_LEASES = 2;
 
-export interface SlotWatchOptions {
+export interface SlotMonitorOptions {
   view: TermView;
   table: SlotTable;
   loader: ModelLoader;
@@ -34,29 +34,29 @@
   nowMs: () => number;
 }
 
-export class SlotWatch {
+export class SlotMonitor {
   private readonly beganAt: number;
   /** Boots that were measured already, by slot. */
   private readonly measured = new Set<string>();
 
-  constructor(private readonly options: SlotWatchOptions) {
+  constructor(private readonly options: SlotMonitorOptions) {
     this.beganAt = options.view.now();
   }
 
   /** Looks at every slot that has a machine. */
-  look(): Claims {
+  update(): Claims {
     const { table, view } = this.options;
     const claimed = new Set<string>();
     const used = this.usedTasks();
     for (const [machine, entries] of [...table.held()]) {
-      const m = view.machine(machine);
-      for (const entry of [...entries]) this.lookForLoss(entry, m);
-      if (m === undefined) continue;
-      this.lookForUse(m, entries, used, claimed);
+      const machineView = view.machine(machine);
+      for (const entry of [...entries]) this.detectLoss(entry, machineView);
+      if (machineView === undefined) continue;
+      this.detectUse(machineView, entries, used, claimed);
       for (const entry of entries) {
-        if (isHeld(entry.current) && !claimed.has(entry.id)) this.lookForModel(entry, m);
+        if (isHeld(entry.current) && !claimed.has(entry.id)) this.detectModel(entry, machineView);
       }
-      this.lookForOthers(m, entries, claimed);
+      this.detectOtherReplicas(machineView, entries, claimed);
     }
     return { slots: claimed, tasks: used };
   }
@@ -70,23 +70,33 @@
     return used;
   }
 
-  private lookForLoss(entry: SlotEntry, m: MachineView | undefined): void {
-    const event = this.loss(entry, m);
+  private detectLoss(entry: SlotEntry, machine: MachineView | undefined): void {
+    const event = this.loss(entry, machine);
     if (event === null) return;
     this.options.table.apply(entry, event);
-    if (m !== undefined) this.options.loader.forget(m.id);
+    if (machine !== undefined) this.options.loader.forget(machine.id);
   }
 
   /** What shows that a slot's machine is gone or of no use; null: nothing does. */
-  private loss(entry: SlotEntry, m: MachineView | undefined): SlotEvent | null {
-    if (m === undefined) return this.neverCame(entry);
+  private loss(entry: SlotEntry, machine: MachineView | undefined): SlotEvent | null {
+    if (machine === undefined) return this.neverCame(entry);
     const { view, nowMs } = this.options;
-    if (m.state === 'silent' || m.state === 'returning' || m.state === 'returned') {
-      const silentMs = Math.max(0, view.now() - m.lastSeenAt) * 1000;
-      return { kind: 'lost', reason: m.state, atMs: nowMs() - silentMs, uncertainMs: silentMs };
+    if (
+      machine.state === 'silent' ||
+      machine.state === 'returning' ||
+      machine.state === 'returned'
+    ) {
+      const silentMs = Math.max(0, view.now() - machine.lastSeenAt) * 1000;
+      return {
+        kind: 'lost',
+        reason: machine.state,
+        atMs: nowMs() - silentMs,
+        uncertainMs: silentMs,
+      };
     }
-    if (m.quarantined) return { kind: 'lost', reason: 'faulty', atMs: nowMs(), uncertainMs: 0 };
-    if (m.reclaimedAt === null) return null;
+    if (machine.quarantined)
+      return { kind: 'lost', reason: 'faulty', atMs: nowMs(), uncertainMs: 0 };
+    if (machine.reclaimedAt === null) return null;
     return { kind: 'lost', reason: 'taken back', atMs: nowMs(), uncertainMs: 0 };
   }
 
@@ -115,8 +125,8 @@
   }
 
   /** A replica with the model that came after the slot uses it; the warm places go first. */
-  private lookForUse(
-    m: MachineView,
+  private detectUse(
+    machine: MachineView,
     entries: readonly SlotEntry[],
     used: Set<string>,
     claimed: Set<string>,
@@ -126,7 +136,7 @@
     for (const entry of open) {
       const pool = this.options.pool(entry.current.pool);
       if (pool === undefined) continue;
-      const task = this.modelTasks(m, pool).find(({ name }) => {
+      const task = this.modelTasks(machine, pool).find(({ name }) => {
         return !used.has(name) && !entry.current.beside.includes(name);
       });
       if (task === undefined) continue;
@@ -147,53 +157,53 @@
     return { kind: 'used', task: name, atMs: nowMs() - sinceMs, uncertainMs: uncertainS * 1000 };
   }
 
-  private modelTasks(m: MachineView, pool: PoolDeclaration): ModelTask[] {
-    return modelTasks(this.options.view, m, pool);
+  private modelTasks(machine: MachineView, pool: PoolDeclaration): ModelTask[] {
+    return modelTasks(this.options.view, machine, pool);
   }
 
-  private lookForModel(entry: SlotEntry, m: MachineView): void {
+  private detectModel(entry: SlotEntry, machine: MachineView): void {
     const pool = this.options.pool(entry.current.pool);
     if (pool === undefined) return;
     const { loader, table, nowMs } = this.options;
-    const state = loader.state(m, pool);
+    const state = loader.state(machine, pool);
     if (state === 'failed') {
-      loader.forget(m.id);
+      loader.forget(machine.id);
       table.apply(entry, { kind: 'lost', reason: 'not loaded', atMs: nowMs(), uncertainMs: 0 });
       return;
     }
-    this.measureBoot(entry, m);
+    this.measureBoot(entry, machine);
     if (state !== 'ready' || entry.current.state !== 'loading') return;
-    this.measureLoad(entry, m, pool);
+    this.measureLoad(entry, machine, pool);
     table.apply(entry, { kind: 'loaded', atMs: nowMs() });
   }
 
-  private measureBoot({ id, current }: SlotEntry, m: MachineView): void {
-    if (current.rent === null || m.firstSeenAt === null || this.measured.has(id)) return;
+  private measureBoot({ id, current }: SlotEntry, machine: MachineView): void {
+    if (current.rent === null || machine.firstSeenAt === null || this.measured.has(id)) return;
     this.measured.add(id);
     // Heard first by this term, which began before: otherwise the boot was over already.
     const { leadTimes, nowMs, view } = this.options;
-    const sinceHeardS = view.now() - m.firstSeenAt;
+    const sinceHeardS = view.now() - machine.firstSeenAt;
     const bootS = (nowMs() - current.held!.fromMs) / 1000 - sinceHeardS;
     const isOwn = current.rent.name.startsWith(view.uniquePrefix);
-    if (isOwn && bootS > 0) leadTimes.noteBoot(m.type, m.zone, bootS);
+    if (isOwn && bootS > 0) leadTimes.noteBoot(machine.type, machine.zone, bootS);
   }
 
-  private measureLoad({ current }: SlotEntry, m: MachineView, pool: PoolDeclaration): void {
-    if (m.firstSeenAt === null || current.rent === null) return;
-    const loadS = this.options.view.now() - m.firstSeenAt;
-    this.options.leadTimes.noteLoad(m.type, m.zone, pool.image, Math.max(0, loadS));
+  private measureLoad({ current }: SlotEntry, machine: MachineView, pool: PoolDeclaration): void {
+    if (machine.firstSeenAt === null || current.rent === null) return;
+    const loadS = this.options.view.now() - machine.firstSeenAt;
+    this.options.leadTimes.noteLoad(machine.type, machine.zone, pool.image, Math.max(0, loadS));
   }
 
   /** Work that came before the slot was known here has taken its place: the slot is looked for anew. */
-  private lookForOthers(
-    m: MachineView,
+  private detectOtherReplicas(
+    machine: MachineView,
     entries: readonly SlotEntry[],
     claimed: ReadonlySet<string>,
   ): void {
     const { view, table, nowMs } = this.options;
-    const type = view.machineTypes().get(m.type);
+    const type = view.machineTypes().get(machine.type);
     if (type === undefined) return;
-    const free = freeOn(view, m, type);
+    const free = freeOn(view, machine, type);
     for (const entry of entries) {
       const pool = this.options.pool(entry.current.pool);
       if (pool === undefined || !isHeld(entry.current) || claimed.has(entry.id)) continue;
@@ -209,7 +219,7 @@
 /** What is free of a machine of this type by the attempts that may be on it. */
 function freeOn(
   view: TermView,
-  m: MachineView,
+  machine: MachineView,
   type: MachineType,
 ): {
   cores: number;
@@ -217,7 +227,7 @@
   memGb: number;
 } {
   const used = { cores: 0, gpus: 0, memGb: 0 };
-  for (const attempt of m.attempts.values()) {
+  for (const attempt of machine.attempts.values()) {
     const spec = occupiesCapacity(attempt) ? view.spec(attempt.job) : null;
     if (spec !== null) release(spec, used);
   }
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -9,7 +9,7 @@
 import type { PoolDeclaration } from './declaration.js';
 import {
   allowedTypes,
-  bestRoom,
+  bestCapacity,
   cheapestPlace,
   isAllowed,
   slotShare,
@@ -17,27 +17,27 @@
   type RentPlace,
 } from './machine-choice.js';
 import { isHeld, isOpen, plannedSlot, type Slot, type SlotPlace, type SlotRent } from './slot.js';
-import { shareOut, type SlotRents } from './slot-rents.js';
-import { modelTasks, type SlotRooms } from './slot-rooms.js';
+import { shareOut, type SlotRentRequests } from './slot-rent-requests.js';
+import { modelTasks, type SlotReservations } from './slot-reservations.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
 /** Slots that are lost are made up for, so many times as many as a pool has at most. */
-const LOSSES_MOST = 2;
+const MAX_LOSSES_PER_SLOT = 2;
 /** In which order slots are given up: what costs nothing yet goes first. */
 const GIVEN_UP_FIRST: Partial<Record<Slot['state'], number>> = { planned: 0, loading: 1, warm: 2 };
 
 export interface SlotPlannerOptions {
   view: TermView;
   table: SlotTable;
-  rents: SlotRents;
-  rooms: SlotRooms;
+  rentRequests: SlotRentRequests;
+  reservations: SlotReservations;
   alarms: Alarms;
   pool: (name: string) => PoolDeclaration | undefined;
   nowMs: () => number;
 }
 
 /** What teams may start beside all that they run and all slots that were counted before. */
-interface TeamRoom {
+interface TeamHeadroom {
   cores: number;
   gpus: number;
 }
@@ -63,12 +63,12 @@
   /** One round. `bursts`: in the order in which they get what there is. */
   plan(bursts: readonly Burst[], money: MoneyByDay): void {
     const slots = this.slotsByBurst();
-    const teams = new Map<string, TeamRoom>();
+    const teams = new Map<string, TeamHeadroom>();
     for (const burst of bursts) {
       const of = slots.get(burstId(burst.pool.name, burst.burstMs));
       this.planBurst(burst, of ?? { open: [], used: 0, lost: 0, nextIndex: 0 }, teams, money);
     }
-    this.releaseOthers(new Set(bursts.map((b) => burstId(b.pool.name, b.burstMs))));
+    this.releaseOthers(new Set(bursts.map((burst) => burstId(burst.pool.name, burst.burstMs))));
   }
 
   private slotsByBurst(): Map<string, BurstSlots> {
@@ -80,7 +80,7 @@
       byBurst.set(id, of);
       of.nextIndex = Math.max(of.nextIndex, index + 1);
       if (state === 'lost') of.lost++;
-      else if (state === 'used' || this.options.rooms.isClaimed(entry.id)) of.used++;
+      else if (state === 'used' || this.options.reservations.isClaimed(entry.id)) of.used++;
       else if (isOpen(entry.current)) of.open.push(entry);
     }
     return byBurst;
@@ -89,7 +89,7 @@
   private planBurst(
     burst: Burst,
     of: BurstSlots,
-    teams: Map<string, TeamRoom>,
+    teams: Map<string, TeamHeadroom>,
     money: MoneyByDay,
   ): void {
     const { pool } = burst;
@@ -98,8 +98,8 @@
       this.options.alarms.raise('unknown_type', pool.name, `${wanted}: none fits`);
     }
     const wanted = Math.max(0, Math.min(pool.slots, pool.slots + pool.refills - of.used));
-    const affordable = this.affordable(burst, of, wanted, money);
-    const allowed = this.allowedByTeam(burst, affordable, teams);
+    const affordable = this.slotsWithinBudget(burst, of, wanted, money);
+    const allowed = this.slotsWithinTeamLimit(burst, affordable, teams);
     if (of.open.length > allowed) {
       const reason = allowed < affordable ? 'team limit' : affordable < wanted ? 'budget' : 'fewer';
       this.giveUp(burst, of, of.open.length - allowed, reason);
@@ -109,7 +109,12 @@
   }
 
   /** What the budget leaves of the slots that are wanted. */
-  private affordable(burst: Burst, of: BurstSlots, wanted: number, money: MoneyByDay): number {
+  private slotsWithinBudget(
+    burst: Burst,
+    of: BurstSlots,
+    wanted: number,
+    money: MoneyByDay,
+  ): number {
     const { pool, burstMs } = burst;
     if (pool.budget === null) return wanted;
     const spent = spentInPeriod(money, pool, burstMs);
@@ -122,9 +127,13 @@
   }
 
   /** What the payer could start at once, the slots of pools that come before this one counted. */
-  private allowedByTeam({ pool }: Burst, wanted: number, teams: Map<string, TeamRoom>): number {
+  private slotsWithinTeamLimit(
+    { pool }: Burst,
+    wanted: number,
+    teams: Map<string, TeamHeadroom>,
+  ): number {
     const { view, alarms } = this.options;
-    const left = teams.get(pool.team) ?? this.teamRoom(pool.team);
+    const left = teams.get(pool.team) ?? this.teamHeadroom(pool.team);
     teams.set(pool.team, left);
     const { cores, gpus } = pool.shape;
     let allowed = 0;
@@ -139,7 +148,7 @@
     return allowed;
   }
 
-  private teamRoom(name: string): TeamRoom {
+  private teamHeadroom(name: string): TeamHeadroom {
     const { view } = this.options;
     const team = view.settings.teams.get(name);
     if (team === undefined) return { cores: 0, gpus: 0 };
@@ -154,7 +163,7 @@
   private add({ pool, burstMs, leadS }: Burst, of: BurstSlots, allowed: number): void {
     const { view, table, alarms } = this.options;
     if ((this.addFrom.get(pool.name) ?? -Infinity) > view.now()) return;
-    if (of.lost > pool.slots * LOSSES_MOST) {
+    if (of.lost > pool.slots * MAX_LOSSES_PER_SLOT) {
       alarms.raise('too_many_losses', pool.name, `${of.lost} lost`);
       return;
     }
@@ -169,7 +178,7 @@
 
   private giveUp(burst: Burst, of: BurstSlots, count: number, reason: string): void {
     const rank = ({ current }: SlotEntry): number => GIVEN_UP_FIRST[current.state] ?? Infinity;
-    const inOrder = of.open.filter((entry) => this.mayRelease(entry));
+    const inOrder = of.open.filter((a) => this.mayRelease(a));
     inOrder.sort((a, b) => rank(a) - rank(b) || b.current.index - a.current.index);
     for (const entry of inOrder.slice(0, count)) this.release(entry, reason);
     of.open = of.open.filter(({ current }) => isOpen(current));
@@ -181,7 +190,7 @@
   private mayRelease({ current }: SlotEntry): boolean {
     if (isHeld(current)) return true;
     if (current.state !== 'planned') return false;
-    return !this.options.rents.mayHaveBeenSent(current, this.beganMs);
+    return !this.options.rentRequests.mayHaveBeenSent(current, this.beganMs);
   }
 
   private release(entry: SlotEntry, reason: string): void {
@@ -207,7 +216,8 @@
     const isDue = nowMs() >= burst.burstMs - burst.leadS * 1000;
     const toRent: SlotEntry[] = [];
     for (const entry of planned) {
-      if (this.options.rents.mayHaveBeenSent(entry.current, this.beganMs)) this.makeDue(entry);
+      if (this.options.rentRequests.mayHaveBeenSent(entry.current, this.beganMs))
+        this.makeDue(entry);
       else if (!isDue) {
         if (entry.current.rent === null) toRent.push(entry);
       } else if (!this.adopt(burst, entry)) toRent.push(entry);
@@ -221,11 +231,11 @@
 
   /** A machine that is there already is kept for the slot, if there is one. */
   private adopt({ pool }: Burst, entry: SlotEntry): boolean {
-    const { view, rooms, table, nowMs } = this.options;
-    const room = bestRoom(
+    const { view, reservations, table, nowMs } = this.options;
+    const room = bestCapacity(
       pool,
       view.freeCapacities(),
-      (capacity) => this.mayAdopt(capacity.id) && rooms.hasRoomFor(pool.shape, capacity),
+      (capacity) => this.mayAdopt(capacity.id) && reservations.hasCapacityFor(pool.shape, capacity),
     );
     if (room === null) return false;
     const place = this.place(entry.current, room.id, room.type);
@@ -244,13 +254,13 @@
     const { view, pool: poolOf } = this.options;
     const pool = poolOf(slot.pool);
     const type = view.machineTypes().get(typeName);
-    const m = view.machine(machine);
-    const isThere = pool !== undefined && m !== undefined;
+    const machineView = view.machine(machine);
+    const isThere = pool !== undefined && machineView !== undefined;
     return {
       machine,
       share: pool !== undefined && type !== undefined ? slotShare(pool.shape, type) : 1,
       pricePerHour: type?.price ?? 0,
-      beside: isThere ? modelTasks(view, m, pool).map(({ name }) => name) : [],
+      beside: isThere ? modelTasks(view, machineView, pool).map(({ name }) => name) : [],
     };
   }
 
@@ -258,7 +268,7 @@
   private nameRents(burst: Burst, of: BurstSlots, entries: SlotEntry[], isDue: boolean): void {
     const { table } = this.options;
     const { pool } = burst;
-    const { found, left } = this.divide(pool, of, entries);
+    const { found, left } = this.groupByPlace(pool, of, entries);
     for (const { place, group } of found) {
       const name = `${this.options.view.uniquePrefix}-${this.requests++}`;
       const request = { name, type: place.type.name, zone: place.zone };
@@ -270,11 +280,11 @@
       }
     }
     if (left.length === 0 || !isDue) return;
-    this.takeFromLesser(burst, left.length);
+    this.takeFromLowerPrecedence(burst, left.length);
   }
 
   /** The slots by the kind of machine that is rented for them; each group is one request. */
-  private divide(
+  private groupByPlace(
     pool: PoolDeclaration,
     of: BurstSlots,
     entries: SlotEntry[],
@@ -323,7 +333,7 @@
    * The cloud has nothing for slots that are due: a pool of lower precedence gives up its own. It cannot
    * take them back, so nothing goes to and fro; the machine is found by `adopt` in the next round.
    */
-  private takeFromLesser({ pool, burstMs }: Burst, count: number): void {
+  private takeFromLowerPrecedence({ pool, burstMs }: Burst, count: number): void {
     const { table, alarms, pool: poolOf } = this.options;
     const lesser: { entry: SlotEntry; precedence: number }[] = [];
     for (const entry of table.values()) {
@@ -342,8 +352,9 @@
   }
 
   private wouldFit(pool: PoolDeclaration, other: PoolDeclaration, entry: SlotEntry): boolean {
-    const m = this.options.view.machine(entry.current.machine!);
-    if (m === undefined || m.state !== 'ready' || !isAllowed(pool, m)) return false;
+    const machine = this.options.view.machine(entry.current.machine!);
+    if (machine === undefined || machine.state !== 'ready' || !isAllowed(pool, machine))
+      return false;
     const { cores, gpus, memGb } = pool.shape;
     const { shape } = other;
     return shape.cores >= cores - 1e-6 && shape.gpus >= gpus - 1e-6 && shape.memGb >= memGb - 1e-6;
--- a/src/warm-pools/slot-rents.ts
+++ b/src/warm-pools/slot-rent-requests.ts
@@ -19,7 +19,7 @@
   machines: readonly string[] | null;
 }
 
-export interface SlotRentsOptions {
+export interface SlotRentRequestsOptions {
   view: TermView;
   table: SlotTable;
   nowMs: () => number;
@@ -32,10 +32,10 @@
  * until it is answered: the cloud rents nothing twice under one name. A slot never gets a new name while
  * the outcome of the old one is open, so no answer that is lost loses a machine.
  */
-export class SlotRents {
+export class SlotRentRequests {
   private readonly sendings = new Map<string, Sending>();
 
-  constructor(private readonly options: SlotRentsOptions) {}
+  constructor(private readonly options: SlotRentRequestsOptions) {}
 
   /** Whether a request may have been sent, by this term or an earlier one. */
   mayHaveBeenSent({ rent, sendFromMs }: Slot, termBeganMs: number): boolean {
--- a/src/warm-pools/slot-rooms.ts
+++ b/src/warm-pools/slot-reservations.ts
@@ -39,9 +39,13 @@
 }
 
 /** Tasks with a pool's model that a machine holds. */
-export function modelTasks(view: TermView, m: MachineView, pool: PoolDeclaration): ModelTask[] {
+export function modelTasks(
+  view: TermView,
+  machine: MachineView,
+  pool: PoolDeclaration,
+): ModelTask[] {
   const tasks: ModelTask[] = [];
-  for (const attempt of m.attempts.values()) {
+  for (const attempt of machine.attempts.values()) {
     if (!occupiesCapacity(attempt) || attempt.stopRequest !== null) continue;
     const spec = view.spec(attempt.job);
     if (spec === null || !isFor(pool, spec)) continue;
@@ -60,7 +64,7 @@
   pool: PoolDeclaration;
 }
 
-export interface SlotRoomsOptions {
+export interface SlotReservationsOptions {
   view: TermView;
   table: SlotTable;
   pool: (name: string) => PoolDeclaration | undefined;
@@ -69,10 +73,10 @@
 }
 
 /** The part of each machine that is kept for slots. */
-export class SlotRooms {
+export class SlotReservations {
   private claims: Claims = { slots: new Set(), tasks: new Set() };
 
-  constructor(private readonly options: SlotRoomsOptions) {}
+  constructor(private readonly options: SlotReservationsOptions) {}
 
   /** What is known of claims, anew at every tick. */
   noteClaims(claims: Claims): void {
@@ -118,19 +122,19 @@
   /** Replicas that no slot is known to be used by yet. */
   private placedSince(machine: string, pool: PoolDeclaration, { current }: SlotEntry): number {
     const { view } = this.options;
-    const m = view.machine(machine);
-    if (m === undefined) return 0;
+    const machineView = view.machine(machine);
+    if (machineView === undefined) return 0;
     const { tasks } = this.claims;
     const isNew = ({ name }: ModelTask): boolean =>
       !tasks.has(name) && !current.beside.includes(name);
-    return modelTasks(view, m, pool).filter(isNew).length;
+    return modelTasks(view, machineView, pool).filter(isNew).length;
   }
 
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
     const kept = this.kept(capacity.id);
     if (kept.length === 0 || kept.some(({ pool }) => isFor(pool, spec))) return true;
     if (this.pushesOut(spec, capacity.id, kept)) return false;
-    return leavesRoom(spec, capacity, kept) || this.mayBorrow(spec, capacity, kept);
+    return leavesCapacity(spec, capacity, kept) || this.mayBorrow(spec, capacity, kept);
   }
 
   /** A place that is warm for the replica, or about to be, saves it a boot. */
@@ -140,19 +144,20 @@
   }
 
   /** Whether a slot of this shape finds room there beside what is kept already. */
-  hasRoomFor(shape: ReplicaShape, capacity: FreeCapacity): boolean {
-    return leavesRoom(shape, capacity, this.kept(capacity.id));
+  hasCapacityFor(shape: ReplicaShape, capacity: FreeCapacity): boolean {
+    return leavesCapacity(shape, capacity, this.kept(capacity.id));
   }
 
   /** The machine would drop an image that a slot is kept for. */
   private pushesOut(spec: JobSpec, machine: string, kept: KeptSlot[]): boolean {
     const { view } = this.options;
-    const m = view.machine(machine);
-    const type = view.machineTypes().get(m?.type ?? '');
-    if (m === undefined || type === undefined || m.images.has(spec.image)) return false;
-    if (!kept.some(({ pool }) => m.images.has(pool.image))) return false;
+    const machineView = view.machine(machine);
+    const type = view.machineTypes().get(machineView?.type ?? '');
+    if (machineView === undefined || type === undefined || machineView.images.has(spec.image))
+      return false;
+    if (!kept.some(({ pool }) => machineView.images.has(pool.image))) return false;
     let cachedGb = 0;
-    for (const { gb } of m.images.values()) cachedGb += gb;
+    for (const { gb } of machineView.images.values()) cachedGb += gb;
     return cachedGb + spec.imageGb > type.cacheGb;
   }
 
@@ -168,7 +173,7 @@
   }
 }
 
-function leavesRoom(shape: Resources, room: Resources, kept: KeptSlot[]): boolean {
+function leavesCapacity(shape: Resources, room: Resources, kept: KeptSlot[]): boolean {
   const needed = { cores: shape.cores, gpus: shape.gpus, memGb: shape.memGb };
   for (const { pool } of kept) release(pool.shape, needed);
   return fits(needed, room);
--- a/src/warm-pools/warm-pools-term.ts
+++ b/src/warm-pools/warm-pools-term.ts
@@ -17,10 +17,10 @@
 import type { ModelLoader } from './model-loader.js';
 import { noSlots } from './slot.js';
 import { SlotPlanner } from './slot-planner.js';
-import { SlotRents } from './slot-rents.js';
-import { SlotRooms } from './slot-rooms.js';
+import { SlotRentRequests } from './slot-rent-requests.js';
+import { SlotReservations } from './slot-reservations.js';
 import { SlotTable } from './slot-table.js';
-import { SlotWatch } from './slot-watch.js';
+import { SlotMonitor } from './slot-monitor.js';
 
 /** A jump of the machine's clock is believed after so many leases. */
 const JUMP_LEASES = 6;
@@ -37,10 +37,10 @@
   private readonly bill: Bill;
   private readonly bursts: Bursts;
   private readonly alarms: Alarms;
-  private readonly rooms: SlotRooms;
-  private readonly slotRents: SlotRents;
+  private readonly reservations: SlotReservations;
+  private readonly rentRequestsOfSlots: SlotRentRequests;
   private readonly planner: SlotPlanner;
-  private readonly watch: SlotWatch;
+  private readonly monitor: SlotMonitor;
   private leadStoredAt: number;
   /** Models on machines that slots were kept on at the latest round, as `machine image`. */
   private loaded = new Map<string, { machine: string; image: string }>();
@@ -60,21 +60,28 @@
     });
     this.bill = new Bill(mergeSize(settings.state), config.keepBillDays);
     this.alarms = new Alarms(view.log);
-    this.bursts = new Bursts(config.pools, view, this.leadTimes, (p) => this.bill.throughMs(p));
+    this.bursts = new Bursts(config.pools, view, this.leadTimes, (pool) =>
+      this.bill.throughMs(pool),
+    );
     const shared = {
       view,
       table: this.table,
       pool: (name: string) => this.pools.get(name),
       nowMs: () => this.clock.nowMs(),
     };
-    this.rooms = new SlotRooms(shared);
-    this.slotRents = new SlotRents({
+    this.reservations = new SlotReservations(shared);
+    this.rentRequestsOfSlots = new SlotRentRequests({
       ...shared,
       place: (slot, machine, type) => this.planner.place(slot, machine, type),
     });
-    const { alarms, rooms, slotRents: rents, leadTimes } = this;
-    this.planner = new SlotPlanner({ ...shared, rents, rooms, alarms });
-    this.watch = new SlotWatch({ ...shared, loader, leadTimes });
+    const {
+      alarms,
+      reservations: reservations,
+      rentRequestsOfSlots: rentRequests,
+      leadTimes,
+    } = this;
+    this.planner = new SlotPlanner({ ...shared, rentRequests, reservations, alarms });
+    this.monitor = new SlotMonitor({ ...shared, loader, leadTimes });
     this.leadStoredAt = view.now();
     this.reconcile();
   }
@@ -92,7 +99,7 @@
     if (!this.view.canWrite()) return;
     this.reconcile();
     this.noteClockSet();
-    this.rooms.noteClaims(this.watch.look());
+    this.reservations.noteClaims(this.monitor.update());
     const money = this.bill.moneyByDay(this.table.values(), nowMs);
     this.planner.plan(this.bursts.at(nowMs), money);
     this.unloadWhatIsOver();
@@ -106,7 +113,7 @@
   private noteClockSet(): void {
     const byMs = this.clock.takeStepMs();
     if (byMs === 0) return;
-    this.slotRents.clockSet(byMs);
+    this.rentRequestsOfSlots.clockSet(byMs);
     for (const entries of [...this.table.held().values()]) {
       for (const entry of entries) this.table.apply(entry, { kind: 'clock-set', byMs });
     }
@@ -124,9 +131,10 @@
     }
     for (const [key, { machine, image }] of this.loaded) {
       if (wanted.has(key)) continue;
-      const m = this.view.machine(machine);
-      if (m === undefined) this.loader.forget(machine);
-      else if (!this.isUsed(m.attempts.values(), image)) this.loader.unload(m, image);
+      const machineView = this.view.machine(machine);
+      if (machineView === undefined) this.loader.forget(machine);
+      else if (!this.isUsed(machineView.attempts.values(), image))
+        this.loader.unload(machineView, image);
     }
     this.loaded = wanted;
   }
@@ -137,30 +145,32 @@
   }
 
   rentRequests(): StoredRentRequest[] {
-    return this.slotRents.due();
+    return this.rentRequestsOfSlots.due();
   }
 
   keeps(machine: string): boolean {
-    return this.rooms.keeps(machine);
+    return this.reservations.keeps(machine);
   }
 
   keptMachines(): number {
-    return this.rooms.keptMachines();
+    return this.reservations.keptMachines();
   }
 
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
-    return this.rooms.mayUse(spec, capacity);
+    return this.reservations.mayUse(spec, capacity);
   }
 
   preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
-    return this.rooms.preferenceS(spec, capacity);
+    return this.reservations.preferenceS(spec, capacity);
   }
 
   dueWrites(): OwnedWrite[] {
     const slots = this.table.dueWrites();
     if (slots.length > 0) return slots;
     const nowMs = this.clock.nowMs();
-    const open = new Set(this.bursts.at(nowMs).map((b) => burstId(b.pool.name, b.burstMs)));
+    const open = new Set(
+      this.bursts.at(nowMs).map((burst) => burstId(burst.pool.name, burst.burstMs)),
+    );
     const isOver = (pool: string, burstMs: number): boolean => {
       return burstMs < nowMs && !open.has(burstId(pool, burstMs));
     };
@@ -182,7 +192,7 @@
     for (const { current } of this.table.values()) states[current.state]++;
     const figures: Record<string, number | string> = {};
     for (const [state, count] of Object.entries(states)) figures[`warm_slots_${state}`] = count;
-    figures.warm_machines_kept = this.rooms.keptMachines();
+    figures.warm_machines_kept = this.reservations.keptMachines();
     figures.warm_pools_alarms = this.alarms.describe();
     figures.warm_pools_clock_jumps = this.clock.jumps;
     return figures;
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -22,17 +22,17 @@
 });
 
 export function parseTypes(raw: unknown): MachineType[] {
-  return v.parse(types, raw).castings.map((c) => ({
-    name: c.name,
-    cores: c.cores,
-    gpus: c.gpus,
-    memGb: c.mem_gb,
-    cacheGb: c.local_gb,
-    fetchGbPerS: c.pull_gb_per_s,
-    price: c.hourly,
-    spotPrice: c.spot_price,
-    bootS: c.startup_s,
-    zones: c.yards,
+  return v.parse(types, raw).castings.map((casting) => ({
+    name: casting.name,
+    cores: casting.cores,
+    gpus: casting.gpus,
+    memGb: casting.mem_gb,
+    cacheGb: casting.local_gb,
+    fetchGbPerS: casting.pull_gb_per_s,
+    price: casting.hourly,
+    spotPrice: casting.spot_price,
+    bootS: casting.startup_s,
+    zones: casting.yards,
   }));
 }
 
@@ -62,17 +62,17 @@
 });
 
 export function parseList(raw: unknown): { machines: ListedMachine[]; more: boolean } {
-  const r = v.parse(list, raw);
+  const parsed = v.parse(list, raw);
   return {
-    more: r.more,
-    machines: r.benches.map((b) => ({
-      id: b.ref,
-      addr: b.addr ?? '',
-      type: b.casting,
-      zone: b.yard,
-      spot: b.loaner,
-      state: b.temper,
-      ageS: b.age_s,
+    more: parsed.more,
+    machines: parsed.benches.map((bench) => ({
+      id: bench.ref,
+      addr: bench.addr ?? '',
+      type: bench.casting,
+      zone: bench.yard,
+      spot: bench.loaner,
+      state: bench.temper,
+      ageS: bench.age_s,
     })),
   };
 }
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -19,18 +19,18 @@
 
 export class MalformedMessageError extends Error {}
 
-const objectOf = (x: unknown): Record<string, unknown> => {
-  if (x === null || typeof x !== 'object') throw new MalformedMessageError('not an object');
-  return x as Record<string, unknown>;
+const objectOf = (raw: unknown): Record<string, unknown> => {
+  if (raw === null || typeof raw !== 'object') throw new MalformedMessageError('not an object');
+  return raw as Record<string, unknown>;
 };
-const revisionOf = (x: unknown): number => {
-  if (typeof x !== 'number' || !Number.isSafeInteger(x) || x < 0)
+const revisionOf = (raw: unknown): number => {
+  if (typeof raw !== 'number' || !Number.isSafeInteger(raw) || raw < 0)
     throw new MalformedMessageError('revision');
-  return x;
+  return raw;
 };
-const stringOf = (x: unknown): string => {
-  if (typeof x !== 'string') throw new MalformedMessageError('key');
-  return x;
+const stringOf = (raw: unknown): string => {
+  if (typeof raw !== 'string') throw new MalformedMessageError('key');
+  return raw;
 };
 
 export const encodeTransaction = (guards: Precondition[], ops: Operation[]): string =>
@@ -47,31 +47,40 @@
 export const parseRevision = (raw: unknown): number => revisionOf(objectOf(raw).ledger);
 
 export function parseFailedKeys(raw: unknown): string[] {
-  const f = objectOf(raw).failed;
-  return Array.isArray(f) ? f.map(stringOf) : [];
+  const failed = objectOf(raw).failed;
+  return Array.isArray(failed) ? failed.map(stringOf) : [];
 }
 
 export function parseItem(raw: unknown): KeyValue {
-  const o = objectOf(raw);
-  return { key: stringOf(o.path), value: o.data, revision: revisionOf(o.mark) };
+  const item = objectOf(raw);
+  return { key: stringOf(item.path), value: item.data, revision: revisionOf(item.mark) };
 }
 
 export function parsePage(raw: unknown): { items: KeyValue[]; more: boolean; revision: number } {
-  const o = objectOf(raw);
-  if (!Array.isArray(o.items)) throw new MalformedMessageError('items');
-  return { items: o.items.map(parseItem), more: o.more === true, revision: revisionOf(o.ledger) };
+  const page = objectOf(raw);
+  if (!Array.isArray(page.items)) throw new MalformedMessageError('items');
+  return {
+    items: page.items.map(parseItem),
+    more: page.more === true,
+    revision: revisionOf(page.ledger),
+  };
 }
 
 export function parseChanges(raw: unknown): { revision: number; changes: Change[] } {
-  const o = objectOf(raw);
-  if (!Array.isArray(o.log)) throw new MalformedMessageError('log');
+  const response = objectOf(raw);
+  if (!Array.isArray(response.log)) throw new MalformedMessageError('log');
   return {
-    revision: revisionOf(o.ledger),
-    changes: o.log.map((e): Change => {
-      const c = objectOf(e);
-      return c.put !== undefined
-        ? { kind: 'put', key: stringOf(c.put), value: c.data, revision: revisionOf(c.mark) }
-        : { kind: 'removed', key: stringOf(c.remove), revision: revisionOf(c.mark) };
+    revision: revisionOf(response.ledger),
+    changes: response.log.map((entry): Change => {
+      const change = objectOf(entry);
+      return change.put !== undefined
+        ? {
+            kind: 'put',
+            key: stringOf(change.put),
+            value: change.data,
+            revision: revisionOf(change.mark),
+          }
+        : { kind: 'removed', key: stringOf(change.remove), revision: revisionOf(change.mark) };
     }),
   };
 }
--- a/src/wire/last-heartbeat.ts
+++ b/src/wire/last-heartbeat.ts
@@ -1,9 +1,9 @@
-import { REQUEST_BOUNDS } from '../http/parser.js';
+import { REQUEST_LIMITS } from '../http/parser.js';
 import { readInteger, scanHeartbeat } from './heartbeat-scan.js';
 import type { Heartbeat } from './workers.js';
 
 /** Longer bodies are not kept: a sixteenth of the longest that is accepted. */
-const MAX_KEPT_BYTES = REQUEST_BOUNDS.bodyBytes / 16;
+const MAX_KEPT_BYTES = REQUEST_LIMITS.bodyBytes / 16;
 /** Memory for a body is had in steps, so that one a little longer than the last fits too. */
 const STEP_BYTES = MAX_KEPT_BYTES / 16;
 
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -44,35 +44,37 @@
 
 export function parseSubmission(body: Buffer): JobSpec {
   const raw = parseObject(body);
-  const r = v.safeParse(submission, raw);
-  if (!r.success) {
-    const issue = r.issues[0];
+  const result = v.safeParse(submission, raw);
+  if (!result.success) {
+    const issue = result.issues[0];
     throw new BadMessage(`${v.getDotPath(issue) ?? 'body'}: ${issue.message}`);
   }
-  const o = r.output;
+  const output = result.output;
   return {
-    id: o.ref,
-    class: o.guild,
-    team: o.crew,
-    kind: KINDS[o.form]!,
-    priority: PRIORITIES[o.rank]!,
-    tasks: o.pieces,
-    cores: o.cores,
-    gpus: o.gpus,
-    memGb: o.mem_gb,
-    image: o.mould,
-    imageGb: o.image_gb,
-    types: o.castings,
-    zone: o.yard,
-    oneZone: o.one_zone,
-    scatter: o.scatter,
-    spot: o.loaner,
-    estimateS: o.reckon_s,
-    checkpointS: o.stamp_s,
-    saveS: o.stamping_s,
-    deadlineS: o.due_s,
+    id: output.ref,
+    class: output.guild,
+    team: output.crew,
+    kind: KINDS[output.form]!,
+    priority: PRIORITIES[output.rank]!,
+    tasks: output.pieces,
+    cores: output.cores,
+    gpus: output.gpus,
+    memGb: output.mem_gb,
+    image: output.mould,
+    imageGb: output.image_gb,
+    types: output.castings,
+    zone: output.yard,
+    oneZone: output.one_zone,
+    scatter: output.scatter,
+    spot: output.loaner,
+    estimateS: output.reckon_s,
+    checkpointS: output.stamp_s,
+    saveS: output.stamping_s,
+    deadlineS: output.due_s,
     dependencies:
-      o.awaits === null || o.awaits.length === 0 ? NO_DEPENDENCIES : [...new Set(o.awaits)],
+      output.awaits === null || output.awaits.length === 0
+        ? NO_DEPENDENCIES
+        : [...new Set(output.awaits)],
   };
 }
 
@@ -132,10 +134,10 @@
   if (subsystem !== undefined) {
     return only(method === 'GET', { to: 'subsystem', name: subsystem });
   }
-  const m = /^\/submissions\/([^/]+)(\/withdraw)?$/.exec(path);
-  if (m !== null) {
-    const id = m[1]!;
-    return m[2] === undefined
+  const match = /^\/submissions\/([^/]+)(\/withdraw)?$/.exec(path);
+  if (match !== null) {
+    const id = match[1]!;
+    return match[2] === undefined
       ? only(method === 'GET', { to: 'poll', id })
       : only(method === 'POST', { to: 'cancel', id });
   }
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -57,14 +57,15 @@
   no_such: 'unknown',
 };
 
-const count = (x: unknown, name: string): number => {
-  if (typeof x !== 'number' || !Number.isSafeInteger(x) || x < 0) throw new BadMessage(name);
-  return x;
+const count = (value: unknown, name: string): number => {
+  if (typeof value !== 'number' || !Number.isSafeInteger(value) || value < 0)
+    throw new BadMessage(name);
+  return value;
 };
-const text = (x: unknown, name: string): string => {
-  if (typeof x !== 'string' || x.length === 0 || x.length > MAX_NAME_LENGTH)
+const text = (value: unknown, name: string): string => {
+  if (typeof value !== 'string' || value.length === 0 || value.length > MAX_NAME_LENGTH)
     throw new BadMessage(name);
-  return x;
+  return value;
 };
 
 export function parseTaskName(piece: string): { job: string; index: number } {
@@ -77,35 +78,35 @@
 /** Checked by hand: a report comes from every machine every second. */
 export function parseHeartbeat(raw: unknown): Heartbeat {
   if (raw === null || typeof raw !== 'object') throw new BadMessage('not an object');
-  const o = raw as Record<string, unknown>;
+  const heartbeat = raw as Record<string, unknown>;
   const tasks: TaskStatus[] = [];
-  if (!Array.isArray(o.pieces)) throw new BadMessage('pieces');
-  for (const p of o.pieces as unknown[]) {
-    if (p === null || typeof p !== 'object') throw new BadMessage('pieces');
-    const t = p as Record<string, unknown>;
-    const state = TASK_STATES[String(t.temper)];
+  if (!Array.isArray(heartbeat.pieces)) throw new BadMessage('pieces');
+  for (const rawPiece of heartbeat.pieces as unknown[]) {
+    if (rawPiece === null || typeof rawPiece !== 'object') throw new BadMessage('pieces');
+    const piece = rawPiece as Record<string, unknown>;
+    const state = TASK_STATES[String(piece.temper)];
     if (state === undefined) throw new BadMessage('temper');
     tasks.push({
-      ...parseTaskName(text(t.piece, 'piece')),
-      attempt: count(t.pour, 'pour'),
+      ...parseTaskName(text(piece.piece, 'piece')),
+      attempt: count(piece.pour, 'pour'),
       state,
-      cause: state === 'ended' ? (EXIT_CAUSES[String(t.cause)] ?? 'error') : null,
-      saved: t.saved === true,
+      cause: state === 'ended' ? (EXIT_CAUSES[String(piece.cause)] ?? 'error') : null,
+      saved: piece.saved === true,
     });
   }
-  const notice = o.recall_s;
+  const notice = heartbeat.recall_s;
   if (notice !== undefined && notice !== null && (typeof notice !== 'number' || !(notice >= 0))) {
     throw new BadMessage('recall_s');
   }
   return {
-    machine: text(o.bench, 'bench'),
-    addr: text(o.addr, 'addr'),
-    type: text(o.casting, 'casting'),
-    zone: text(o.yard, 'yard'),
-    spot: o.loaner === true,
-    agentEpoch: count(o.shift, 'shift'),
-    sequence: count(o.tally, 'tally'),
-    token: count(o.hallmark, 'hallmark'),
+    machine: text(heartbeat.bench, 'bench'),
+    addr: text(heartbeat.addr, 'addr'),
+    type: text(heartbeat.casting, 'casting'),
+    zone: text(heartbeat.yard, 'yard'),
+    spot: heartbeat.loaner === true,
+    agentEpoch: count(heartbeat.shift, 'shift'),
+    sequence: count(heartbeat.tally, 'tally'),
+    token: count(heartbeat.hallmark, 'hallmark'),
     reclaimNoticeS: (notice as number | null | undefined) ?? null,
     tasks,
   };
@@ -126,13 +127,13 @@
 const COMMAND_VERBS = { start: 'start', stop: 'kill', forget: 'reap' } as const;
 
 function encodeCommand(command: Command): Record<string, unknown> {
-  const o: Record<string, unknown> = {
+  const encoded: Record<string, unknown> = {
     verb: COMMAND_VERBS[command.kind],
     piece: `${command.job}/${command.index}`,
     pour: command.attempt,
   };
-  if (command.kind === 'stop') o.cooling_s = command.graceS;
-  return o;
+  if (command.kind === 'stop') encoded.cooling_s = command.graceS;
+  return encoded;
 }
 
 /** The last answer without commands. Most answers are of that kind, and most machines have the same token. */
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,4 +1,4 @@
-import { DRIFT } from '../clock.js';
+import { MAX_CLOCK_DRIFT } from '../clock.js';
 import type { Command, Heartbeat } from '../wire/workers.js';
 import { LastHeartbeat } from '../wire/last-heartbeat.js';
 import { MAX_COMMANDS_PER_MESSAGE } from '../wire/workers.js';
@@ -110,7 +110,7 @@
   }
 
   private leaseSpanS(): number {
-    return this.leaseS * (1 + 2 * DRIFT) + this.leaseS * 0.04;
+    return this.leaseS * (1 + 2 * MAX_CLOCK_DRIFT) + this.leaseS * 0.04;
   }
 
   changeState(to: MachineState): boolean {
@@ -436,7 +436,7 @@
     this.images.delete(image);
     this.images.set(image, { gb, at: now });
     let total = 0;
-    for (const i of this.images.values()) total += i.gb;
+    for (const image of this.images.values()) total += image.gb;
     for (const [name, i] of this.images) {
       if (total <= cacheGb || name === image) break;
       total -= i.gb;
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { JobSpec } from '../src/jobs/types.js';
 import { EstimateErrors } from '../src/lending/estimate-errors.js';
-import { replicasThere, seenOf, type LoanEvidence } from '../src/lending/loan-evidence.js';
+import { replicasThere, observeLoan, type LoanEvidence } from '../src/lending/loan-evidence.js';
 import { nextEvent } from '../src/lending/loan-steps.js';
 import {
   advanceLoan,
@@ -19,11 +19,11 @@
 import { Grants } from '../src/lending/grants.js';
 import { LoanTable } from '../src/lending/loan-table.js';
 import { planRecalls } from '../src/lending/recall-plan.js';
-import { judge, latestReturnS, type LenderWork } from '../src/lending/safety.js';
+import { assessLoan, latestReturnS, type LenderWork } from '../src/lending/loan-safety.js';
 import { loansView } from '../src/lending/view.js';
 import { loansTable } from '../src/lending/command.js';
 import { RequestRejectedError } from '../src/store/client.js';
-import { WayBackTimes } from '../src/lending/way-back.js';
+import { ReturnTimes } from '../src/lending/return-times.js';
 import { makeAttempt } from '../src/workers/attempt.js';
 import type { LiveJobView, TermView } from '../src/subsystems/subsystem.js';
 import { g8, settings, spec } from './helpers.js';
@@ -70,14 +70,14 @@
     ['it lends already', { lending: true }, 'lending already'],
   ];
   for (const [name, over, refusal] of cases) {
-    const judgement = judge(workOf(over));
+    const judgement = assessLoan(workOf(over));
     assert.equal(judgement.safe ? null : judgement.refusal, refusal, name);
   }
 });
 
 test('the least harm: more slack first, then whoever has not lent lately', () => {
   const harm = (over: Partial<LenderWork>): number => {
-    const judgement = judge(workOf(over));
+    const judgement = assessLoan(workOf(over));
     assert.ok(judgement.safe);
     assert.ok(judgement.harm >= 0 && judgement.harm < 1, 'below that of one that may not lend');
     return judgement.harm;
@@ -243,14 +243,14 @@
     });
   const errors = new EstimateErrors(1.2);
   assert.equal(errors.margin('marker'), 1.5, 'often wrong by half');
-  for (let i = 0; i < 6; i++) errors.look([job('wk-1', 26)]);
+  for (let i = 0; i < 6; i++) errors.update([job('wk-1', 26)]);
   assert.equal(errors.margin('marker'), 1.5, 'one job is counted once');
-  for (let i = 0; i < 12; i++) errors.look([job(`wk-${i}`, 26)]);
+  for (let i = 0; i < 12; i++) errors.update([job(`wk-${i}`, 26)]);
   assert.equal(errors.margin('marker'), 1.3);
   assert.equal(errors.margin('other'), 1.5);
-  for (let i = 0; i < 30; i++) errors.look([job(`wk-${i}`, 20)]);
+  for (let i = 0; i < 30; i++) errors.update([job(`wk-${i}`, 20)]);
   assert.equal(errors.margin('marker'), 1.2, 'not below what operators ask for');
-  for (let i = 0; i < 30; i++) errors.look([job(`wk-${i}`, 900)]);
+  for (let i = 0; i < 30; i++) errors.update([job(`wk-${i}`, 900)]);
   assert.equal(errors.margin('marker'), 3);
 });
 
@@ -271,14 +271,14 @@
       ...{ machineTypes: () => new Map([['g8', g8]]), machine: () => ({ type: 'g8' }) },
     });
     const errors = new EstimateErrors(1);
-    const wayBack = new WayBackTimes(view);
+    const returnTimes = new ReturnTimes(view);
     const table = new LoanTable({
       nowMs: () => 0,
       onStored: () => undefined,
       onChange: () => undefined,
     });
     const config = { maxOpen: 9, recallsAtOnce: 1, leastMargin: 1, keepEndedS: 1 };
-    const grants = new Grants({ view, table, config, errors, wayBack });
+    const grants = new Grants({ view, table, config, errors, returnTimes });
     const lender = spec({ checkpointS: 1, saveS: 0.1 });
     const attempt = makeAttempt(lender.id, 0, 5, 'm1', 'running', 0);
     const job = fake<LiveJobView>({
@@ -322,7 +322,7 @@
     });
     const loan = loanOf({ state: 'lent' });
     const there = replicasThere(loan, view).map(({ job }) => job);
-    return [seenOf(loan, view, freeGpus).borrower, there.join(' ')];
+    return [observeLoan(loan, view, freeGpus).borrower, there.join(' ')];
   };
   assert.deepEqual(look(['wk-2', 'wk-3'], 0), ['there', 'wk-2']);
   assert.deepEqual(look(['wk-3', 'wk-4'], 0), ['wants', 'wk-3'], 'another service');
--- a/test/meeting-witness.test.ts
+++ b/test/meeting-witness.test.ts
@@ -56,7 +56,7 @@
   const store = new MemoryStore();
   store.put(records.LEADER, records.encodeLeader({ node: 'b', incarnation: 'b-1' }));
   const { election } = controller(store);
-  const looks: ((e: Error) => void)[] = [];
+  const looks: ((error: Error) => void)[] = [];
   store.get = () => new Promise((_, reject) => looks.push(reject));
   const unsure = election.outage.answer(1, 1000, 0);
   const refused = election.outage.answer(1, 2000, 0);
--- a/test/parser.test.ts
+++ b/test/parser.test.ts
@@ -31,11 +31,11 @@
 test('requests are read whole or byte by byte', () => {
   for (const [name, bytes, want] of good) {
     for (const step of [Infinity, 7, 1]) {
-      const m = read('request', bytes, step);
-      assert.ok(m, name);
-      if (want.method !== undefined) assert.equal(m.method, want.method, name);
-      if (want.body !== undefined) assert.equal(m.body.toString(), want.body, name);
-      if (want.keepAlive !== undefined) assert.equal(m.keepAlive, want.keepAlive, name);
+      const message = read('request', bytes, step);
+      assert.ok(message, name);
+      if (want.method !== undefined) assert.equal(message.method, want.method, name);
+      if (want.body !== undefined) assert.equal(message.body.toString(), want.body, name);
+      if (want.keepAlive !== undefined) assert.equal(message.keepAlive, want.keepAlive, name);
     }
   }
 });
@@ -75,7 +75,7 @@
   const p = new HttpParser('request');
   p.push(Buffer.from('GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n'));
   assert.equal(p.next()?.target, '/a');
-  assert.ok(p.pending > 0);
+  assert.ok(p.pendingBytes > 0);
 });
 
 test('a response without a length ends with its connection', () => {
--- a/test/report-bytes.test.ts
+++ b/test/report-bytes.test.ts
@@ -94,8 +94,8 @@
 function mutated(text: string): Buffer {
   const bytes = Buffer.from(text);
   const at = Math.floor(random() * (bytes.length + 1));
-  const member = [...text.matchAll(/(?<=[{,])"/g)].map((m) => m.index);
-  const digit = [...text.matchAll(/\d/g)].map((m) => m.index);
+  const member = [...text.matchAll(/(?<=[{,])"/g)].map((match) => match.index);
+  const digit = [...text.matchAll(/\d/g)].map((match) => match.index);
   const change = (from: number, to: number, put: string): Buffer =>
     Buffer.concat([bytes.subarray(0, from), Buffer.from(put), bytes.subarray(to)]);
   switch (Math.floor(random() * 6)) {
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -9,7 +9,7 @@
 import type { ReplicaSync } from '../src/store/replica-sync.js';
 import { RequestWriter } from '../src/store/request-writer.js';
 import type { Replica } from '../src/store/replica.js';
-import { Budget, steadyClock } from '../src/clock.js';
+import { TokenBucket, steadyClock } from '../src/clock.js';
 import { silentLog } from '../src/log.js';
 import { spec } from './helpers.js';
 import { fake } from './support/fake.js';
@@ -143,7 +143,7 @@
     });
     const replica = fake<Replica>({ jobs: new Map() });
     const replicaSync = fake<ReplicaSync>({ sync: () => Promise.resolve(false) });
-    const budget = new Budget(100, steadyClock);
+    const budget = new TokenBucket(100, steadyClock);
     const requestWriter = new RequestWriter(
       'n',
       store,
@@ -172,7 +172,7 @@
       valueBytes,
       compareAndSwap: () => new Promise(() => undefined),
     });
-    const budget = new Budget(rate, { now: () => 0 });
+    const budget = new TokenBucket(rate, { now: () => 0 });
     const requestWriter = new RequestWriter(
       'n', store, null!, null!, budget, steadyClock, silentLog(),
     ); // prettier-ignore
--- a/test/state-shares.test.ts
+++ b/test/state-shares.test.ts
@@ -8,20 +8,20 @@
   const clock = { at: 0, now: () => clock.at };
   const s = settings();
   const limits = { ...s.state, write_rps: 20 };
-  const store = new KeyValueStoreClient({ ...s, nodes: 5, state: limits }, clock);
+  const store = new KeyValueStoreClient({ ...s, controllerCount: 5, state: limits }, clock);
   clock.at = 10;
   const taken = (): number => {
     let n = 0;
-    while (store.writes.take(1)) n++;
+    while (store.writeBudget.tryTake(1)) n++;
     return n;
   };
   assert.equal(taken(), 6, 'a burst of 0.3 s of all writes');
   clock.at = 11;
   assert.equal(taken(), 1, 'its share of a second');
   // All five together stay within the limit: a leader and four followers.
-  const shares = [1, 1, 1, 1].map(() => store.writes.perSecond);
+  const shares = [1, 1, 1, 1].map(() => store.writeBudget.perSecond);
   store.setRole('leader');
-  const sum = shares.reduce((a, b) => a + b, store.writes.perSecond);
+  const sum = shares.reduce((a, b) => a + b, store.writeBudget.perSecond);
   assert.ok(sum <= limits.write_rps, `${sum} writes a second`);
   store.close();
 });
--- a/test/users-helpers.ts
+++ b/test/users-helpers.ts
@@ -1,5 +1,5 @@
 /** A controller's side for users over a state service in memory. */
-import type { Budget } from '../src/clock.js';
+import type { TokenBucket } from '../src/clock.js';
 import { UserApi, type UserApiOptions } from '../src/api/user-api.js';
 import { silentLog } from '../src/log.js';
 import { ReplicaSync } from '../src/store/replica-sync.js';
@@ -38,7 +38,7 @@
   const replicaSync = new ReplicaSync(storeClient, replica, clock, log, () => 0, 0);
   replicaSync.ready = true;
   const force = (): void => undefined;
-  const budget = fake<Budget>({ take: () => true, perSecond: 100, force });
+  const budget = fake<TokenBucket>({ tryTake: () => true, perSecond: 100, force });
   const requestWriter = new RequestWriter(
     name,
     storeClient,
--- a/test/warm-slots.test.ts
+++ b/test/warm-slots.test.ts
@@ -8,7 +8,7 @@
 import { quantile } from '../src/subsystems/samples.js';
 import { LeadTimes } from '../src/warm-pools/lead-times.js';
 import {
-  bestRoom,
+  bestCapacity,
   cheapestPlace,
   slotShare,
   slotsPerMachine,
@@ -25,7 +25,7 @@
   type SlotEvent,
   type SlotState,
 } from '../src/warm-pools/slot.js';
-import { shareOut } from '../src/warm-pools/slot-rents.js';
+import { shareOut } from '../src/warm-pools/slot-rent-requests.js';
 import { SlotTable } from '../src/warm-pools/slot-table.js';
 import type { OwnedRecord, OwnedWrite } from '../src/subsystems/subsystem.js';
 import { emptyMachineCapacity } from '../src/cloud/scale-out-plan.js';
@@ -253,7 +253,7 @@
     room('barred', { gpus: 4 }),
   ];
   const best = (more: typeof capacities): string | undefined =>
-    bestRoom(pool, [...capacities, ...more], ({ id }) => id !== 'barred')?.id;
+    bestCapacity(pool, [...capacities, ...more], ({ id }) => id !== 'barred')?.id;
   assert.equal(best([]), 'fuller');
   assert.equal(best([room('cached', { imageDelayS: () => 0 })]), 'cached');
 });
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -86,7 +86,7 @@
   let answeredSentAt = -Infinity;
   const store = fake<KeyValueStoreClient>({
     answeredAt: 0,
-    writes: { force: () => undefined },
+    writeBudget: { force: () => undefined },
     grantLease: async () => 7,
     compareAndSwap: async () => ({ ok: true, revision: 1 }),
     get: async () => {
@@ -139,7 +139,7 @@
 
 test('a refusal is heard: nobody is cut off by an outage', async () => {
   const store = fake<KeyValueStoreClient>({
-    writes: { force: () => undefined },
+    writeBudget: { force: () => undefined },
     grantLease: async () => 7,
     compareAndSwap: async () => ({ ok: true, revision: 1 }),
     get: async () => {
