--- a/src/leader/attempts/command-dispatcher.ts
+++ b/src/leader/attempts/command-dispatcher.ts
@@ -69,7 +69,7 @@
     const { context } = term;
     const channel = this.channelTo(machine);
     if (channel === null || channel.busy) return;
-    const commands = machine.dueCommands(term.now, (attempt) => term.mayStart(attempt), false);
+    const commands = machine.dueCommands((attempt) => term.mayStart(attempt), false);
     term.machinesToCommand.delete(machine.id);
     if (commands.every((command) => command.kind === 'forget')) return;
     const { agentEpoch, token } = machine;
@@ -85,7 +85,7 @@
       if (response.status === 200 || response.status === 409) {
         const heartbeat = parseHeartbeat(JSON.parse(response.body.toString('utf8')));
         if (heartbeat.machine === machine.id)
-          term.reconcile(machine, machine.applyHeartbeat(heartbeat, false, term.now));
+          term.reconcile(machine, machine.applyHeartbeat(heartbeat, 'direct-answer', term.now));
       }
     } catch (error) {
       if (this.stopped) return;
--- a/src/leader/attempts/heartbeat-reconciler.ts
+++ b/src/leader/attempts/heartbeat-reconciler.ts
@@ -2,7 +2,8 @@
 
 import type { LiveJob } from '../../jobs/live-job.js';
 import { occupiesCapacity, type Attempt } from '../../workers/attempt.js';
-import type { HeartbeatChanges, Machine } from '../../workers/machine.js';
+import type { HeartbeatChanges } from '../../workers/heartbeat-changes.js';
+import type { Machine } from '../../workers/machine.js';
 import type { AttemptStopper } from './attempt-stopper.js';
 import type { MachineHealth } from './machine-health.js';
 import type { TermState } from '../term/term-state.js';
@@ -137,9 +138,7 @@
   }
 
   private taskDone(machine: Machine, job: LiveJob, attempt: Attempt): void {
-    machine.successes++;
-    machine.taskFailures.clear();
-    machine.cordonCount = 0;
+    machine.condition.taskSucceeded();
     const indexes = job.isGang ? [...Array(job.spec.tasks).keys()] : [attempt.index];
     // A gang completes together: if one task is done, all are.
     for (const index of indexes) job.markDone(index, this.term.now);
--- a/src/leader/attempts/machine-health.ts
+++ b/src/leader/attempts/machine-health.ts
@@ -37,11 +37,14 @@
   /** Places nothing new on a machine for a while: longer each time, until a task does well there. */
   cordon(machine: Machine, firstS: number): void {
     const most = this.options.workers.lease_s * MAX_CORDON_LEASES;
-    machine.cordonedUntil = Math.max(
-      machine.cordonedUntil,
-      this.options.clock.now() + Math.min(most, firstS * 2 ** machine.cordonCount),
+    machine.condition.cordonedUntil = Math.max(
+      machine.condition.cordonedUntil,
+      this.options.clock.now() + Math.min(most, firstS * 2 ** machine.condition.cordonCount),
+    );
+    machine.condition.cordonCount = Math.min(
+      machine.condition.cordonCount + 1,
+      MAX_CORDON_DOUBLINGS,
     );
-    machine.cordonCount = Math.min(machine.cordonCount + 1, MAX_CORDON_DOUBLINGS);
   }
 
   /** A task ended without being done. */
@@ -60,7 +63,7 @@
           lease_s * (jobSuspect ? MAX_RETRY_DELAY_LEASES : 1),
         );
         if (!jobSuspect) {
-          machine.taskFailures.set(`${attempt.job}/${attempt.index}`, now);
+          machine.condition.taskFailures.set(`${attempt.job}/${attempt.index}`, now);
           this.cordon(machine, report_s * 2);
         }
         this.quarantineIfFaulty(machine);
@@ -88,15 +91,15 @@
     const recent = this.options.clock.now() - this.options.workers.lease_s * FAILURE_MEMORY_LEASES;
     const doubted = new Set<string>();
     let against = 0;
-    for (const [task, at] of machine.taskFailures) {
+    for (const [task, at] of machine.condition.taskFailures) {
       const id = task.slice(0, task.lastIndexOf('/'));
-      if (at < recent) machine.taskFailures.delete(task);
+      if (at < recent) machine.condition.taskFailures.delete(task);
       else if (this.hasSucceeded(id)) against++;
       // Several tasks of a job with a mistake fail together where it is tried first: that counts once.
       else if (this.options.jobs.get(id)?.failedOn.size === 1) doubted.add(id);
     }
-    if (against + doubted.size >= QUARANTINE_JOBS && !machine.quarantined) {
-      machine.quarantined = true;
+    if (against + doubted.size >= QUARANTINE_JOBS && !machine.condition.quarantined) {
+      machine.condition.quarantined = true;
       this.options.log.info({ machine: machine.id }, 'faulty machine put aside');
     }
   }
--- a/src/leader/capacity/free-capacity.ts
+++ b/src/leader/capacity/free-capacity.ts
@@ -138,10 +138,10 @@
       zone: machine.zone,
       spot: machine.spot,
       total: type,
-      cached: new Set(machine.images.keys()),
+      cached: new Set(machine.images.names()),
       fetching: new Map(),
       running: new Set(),
-      nothingDropped: machine.fetchedGb <= type.cacheGb * CERTAIN_SHARE,
+      nothingDropped: machine.images.fetchedGb <= type.cacheGb * CERTAIN_SHARE,
       fetchGbPerS: Math.max(type.fetchGbPerS, 1e-9),
       hotImages: null,
       cachedHotImages: [],
@@ -177,7 +177,7 @@
     for (const machine of this.term.machines.values()) {
       if (!usable(machine)) continue;
       const entry = this.entry(machine);
-      if (entry !== null) out.push(entry.capacity.copy(machine.cordonCount));
+      if (entry !== null) out.push(entry.capacity.copy(machine.condition.cordonCount));
     }
     if (this.entries.size > this.term.machines.size * 2) {
       for (const id of [...this.entries.keys()]) {
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -111,7 +111,7 @@
     for (const machine of this.term.machines.values()) {
       if ((machine.state !== 'ready' && machine.state !== 'silent') || machine.attempts.size > 0)
         continue;
-      empty.push({ m: machine, gb: cachedGb(machine) });
+      empty.push({ m: machine, gb: machine.images.totalGb });
     }
     empty.sort((a, b) => a.gb - b.gb);
     return empty.map((entry) => entry.m);
@@ -122,7 +122,7 @@
       {
         machine: machine.id,
         idle: now - machine.idleSince,
-        faulty: machine.quarantined,
+        faulty: machine.condition.quarantined,
         state: machine.state,
       },
       'to be returned',
@@ -142,7 +142,7 @@
     spare: number[],
   ): boolean {
     const { lease_s, report_s } = this.term.context.settings.workers;
-    if (machine.quarantined) return true;
+    if (machine.condition.quarantined) return true;
     if (machine.state === 'silent') return now - machine.lastSeenAt > lease_s * SILENT_LEASES;
     if (this.subsystems.keeps(machine.id)) return false;
     // What is given back early is paid for all the same.
@@ -165,9 +165,3 @@
     return idle > type.bootS * (early ? IDLE_EARLY_BOOTS : IDLE_BOOTS);
   }
 }
-
-function cachedGb(machine: Machine): number {
-  let gb = 0;
-  for (const image of machine.images.values()) gb += image.gb;
-  return gb;
-}
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -187,16 +187,14 @@
     }
     // Fenced once by this term, forgotten, and back.
     if (heartbeat.token > machine.token) machine.raiseToken(term.latestRevision);
-    const changes = machine.applyHeartbeat(heartbeat, true, now);
+    const changes = machine.applyHeartbeat(heartbeat, 'heartbeat', now);
     if (!changes.stale) term.reconcile(machine, changes);
     const fresh =
       !changes.stale &&
       (machine.state === 'ready' || machine.state === 'returning') &&
       heartbeat.token === machine.token;
-    const commands = fresh
-      ? machine.dueCommands(now, (attempt) => term.mayStart(attempt), true)
-      : [];
-    machine.markSent(commands, 'checkin', now);
+    const commands = fresh ? machine.dueCommands((attempt) => term.mayStart(attempt), true) : [];
+    machine.markSent(commands, 'heartbeat', now);
     if (fresh) term.machinesToCommand.delete(machine.id);
     if (!repeated) machine.leaseRenewed(now);
     return { status: 200, body: encodeHeartbeatReply(machine.token, commands) };
--- a/src/leader/scheduling/job-placement.ts
+++ b/src/leader/scheduling/job-placement.ts
@@ -174,7 +174,11 @@
     const { spec } = job;
     const machine = term.machines.get(capacity.id)!;
     this.logPlaced(job, index, machine, capacity);
-    const attempt = makeAttempt(spec.id, index, number, machine.id, 'claiming', term.now);
+    const attempt = makeAttempt(
+      { job: spec.id, index, number, machine: machine.id },
+      'claiming',
+      term.now,
+    );
     const fetchS = capacity.imageDelayS(spec.image, spec.imageGb);
     if (fetchS === capacity.fetchS(spec.imageGb)) attempt.predictedFetchS = fetchS;
     machine.addClaim(attempt);
--- a/src/leader/scheduling/machine-eligibility.ts
+++ b/src/leader/scheduling/machine-eligibility.ts
@@ -22,12 +22,12 @@
   return (
     machine.state === 'ready' &&
     machine.reclaimedAt === null &&
-    !machine.quarantined &&
+    !machine.condition.quarantined &&
     machine.drainingSince === null &&
     // Not by answers to direct commands: a worker that reaches no controller gives those too, while
     // its lease runs out.
     now - machine.heartbeatAt < report_s * RECENT_HEARTBEATS &&
-    now >= machine.cordonedUntil
+    now >= machine.condition.cordonedUntil
   );
 }
 
--- a/src/leader/term/failover.ts
+++ b/src/leader/term/failover.ts
@@ -28,11 +28,11 @@
 ): void {
   const machine = machineFromRecord(term, id, stored);
   const { startedAt: now } = term;
-  for (const claim of stored.record.claims) {
-    const attempt = makeAttempt(claim.job, claim.index, claim.attempt, id, 'inherited', now);
+  for (const { job, index, attempt: number } of stored.record.claims) {
+    const attempt = makeAttempt({ job, index, number, machine: id }, 'inherited', now);
     machine.addClaim(attempt);
-    const job = term.jobs.get(claim.job);
-    if (job !== undefined && !job.done.has(claim.index)) job.addAttempt(attempt);
+    const liveJob = term.jobs.get(job);
+    if (liveJob !== undefined && !liveJob.done.has(index)) liveJob.addAttempt(attempt);
     else stopper.dismiss(attempt);
   }
   term.machines.set(id, machine);
@@ -52,8 +52,7 @@
   machine.recordRevision = revision;
   machine.recordTerm = record.term;
   for (const [image, gb] of record.images) {
-    machine.images.set(image, { gb, at: now });
-    machine.fetchedGb += gb;
+    machine.images.restore(image, gb, now);
   }
   // The record says so already: without this no round would ever name it to the cloud again.
   if (record.returning && machine.changeState('returning')) machine.returnRecorded = true;
--- a/src/leader/term/term.ts
+++ b/src/leader/term/term.ts
@@ -3,7 +3,8 @@
 import { LiveJob } from '../../jobs/live-job.js';
 import type { StoredJob } from '../../store/stored-job.js';
 import { advanceAttempt, type Attempt } from '../../workers/attempt.js';
-import type { HeartbeatChanges, Machine } from '../../workers/machine.js';
+import type { HeartbeatChanges } from '../../workers/heartbeat-changes.js';
+import type { Machine } from '../../workers/machine.js';
 import { AttemptStopper } from '../attempts/attempt-stopper.js';
 import { fenceUnanswered, isLaterToken } from '../attempts/fencing.js';
 import { restoreMachine, readyJobs } from './failover.js';
--- a/src/leader/writes/stored-machine.ts
+++ b/src/leader/writes/stored-machine.ts
@@ -29,6 +29,6 @@
     claims: machine
       .claims()
       .map((attempt) => ({ job: attempt.job, index: attempt.index, attempt: attempt.number })),
-    images: [...machine.images].slice(-MAX_IMAGES).map(([image, i]) => [image, i.gb]),
+    images: [...machine.images].slice(-MAX_IMAGES).map(([image, { gb }]) => [image, gb]),
   };
 }
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -53,7 +53,7 @@
     | 'zone'
     | 'spot'
     | 'state'
-    | 'quarantined'
+    | 'condition'
     | 'reclaimedAt'
     | 'drainingSince'
     | 'lastSeenAt'
--- a/src/warm-pools/slot-monitor.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -94,7 +94,7 @@
         uncertainMs: silentMs,
       };
     }
-    if (machine.quarantined)
+    if (machine.condition.quarantined)
       return { kind: 'lost', reason: 'faulty', atMs: nowMs(), uncertainMs: 0 };
     if (machine.reclaimedAt === null) return null;
     return { kind: 'lost', reason: 'taken back', atMs: nowMs(), uncertainMs: 0 };
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -246,7 +246,7 @@
   private mayAdopt(machine: string): boolean {
     const m = this.options.view.machine(machine);
     if (m === undefined || m.state !== 'ready') return false;
-    return !m.quarantined && m.reclaimedAt === null && m.drainingSince === null;
+    return !m.condition.quarantined && m.reclaimedAt === null && m.drainingSince === null;
   }
 
   /** What a slot gets with a machine. Replicas that are there already are not those it is kept for. */
--- a/src/warm-pools/slot-reservations.ts
+++ b/src/warm-pools/slot-reservations.ts
@@ -156,9 +156,7 @@
     if (machineView === undefined || type === undefined || machineView.images.has(spec.image))
       return false;
     if (!kept.some(({ pool }) => machineView.images.has(pool.image))) return false;
-    let cachedGb = 0;
-    for (const { gb } of machineView.images.values()) cachedGb += gb;
-    return cachedGb + spec.imageGb > type.cacheGb;
+    return machineView.images.totalGb + spec.imageGb > type.cacheGb;
   }
 
   /** Short best-effort work may use a place until shortly before the burst, where operators say so. */
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -77,11 +77,12 @@
   startSentAt: number | null;
 }
 
+/** Which try of which task, and where. */
+export type AttemptName = Pick<Attempt, 'job' | 'index' | 'number' | 'machine'>;
+
+/** A new attempt in this state. */
 export function makeAttempt(
-  job: string,
-  index: number,
-  number: number,
-  machine: string,
+  { job, index, number, machine }: AttemptName,
   state: AttemptState,
   now: number,
 ): Attempt {
--- /dev/null
+++ b/src/workers/image-cache.ts
@@ -0,0 +1,54 @@
+/** The images that a machine is believed to have cached. */
+
+/** A cached image: its size in GB, and when it was last used, in seconds of the steady clock. */
+export interface CachedImage {
+  gb: number;
+  at: number;
+}
+
+/** Evidence of a machine's image cache, least recently used first. */
+export class ImageCache implements Iterable<[string, CachedImage]> {
+  private readonly cached = new Map<string, CachedImage>();
+  /** All that was ever seen to be fetched there, in GB. */
+  fetchedGb = 0;
+
+  /** Whether the image is believed to be there. */
+  has(image: string): boolean {
+    return this.cached.has(image);
+  }
+
+  /** Names of the images, least recently used first. */
+  names(): IterableIterator<string> {
+    return this.cached.keys();
+  }
+
+  [Symbol.iterator](): IterableIterator<[string, CachedImage]> {
+    return this.cached.entries();
+  }
+
+  /** Size of all images together, in GB. */
+  get totalGb(): number {
+    let total = 0;
+    for (const { gb } of this.cached.values()) total += gb;
+    return total;
+  }
+
+  /** An image that a record of the store names. */
+  restore(image: string, gb: number, now: number): void {
+    this.cached.set(image, { gb, at: now });
+    this.fetchedGb += gb;
+  }
+
+  /** An image is used now: those used longest ago are dropped when the cache of `cacheGb` is full. */
+  noteUse(image: string, gb: number, cacheGb: number, now: number): void {
+    if (!this.cached.has(image)) this.fetchedGb += gb;
+    this.cached.delete(image);
+    this.cached.set(image, { gb, at: now });
+    let total = this.totalGb;
+    for (const [name, entry] of this.cached) {
+      if (total <= cacheGb || name === image) break;
+      total -= entry.gb;
+      this.cached.delete(name);
+    }
+  }
+}
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,15 +1,17 @@
 import { MAX_CLOCK_DRIFT } from '../clock.js';
-import type { Command, Heartbeat } from '../wire/workers.js';
+import type { Command, Heartbeat, TaskStatus } from '../wire/workers.js';
 import { LastHeartbeat } from '../wire/last-heartbeat.js';
-import { MAX_COMMANDS_PER_MESSAGE } from '../wire/workers.js';
 import {
   advanceAttempt,
   attemptKey,
   occupiesCapacity,
   makeAttempt,
-  mayBeOnMachine,
   type Attempt,
 } from './attempt.js';
+import { dueCommands } from './due-commands.js';
+import { noChanges, type HeartbeatChanges } from './heartbeat-changes.js';
+import { ImageCache } from './image-cache.js';
+import { MachineCondition } from './machine-condition.js';
 
 /**
  * What a leader knows of one machine, on evidence.
@@ -32,19 +34,22 @@
   returned: [],
 };
 
-export interface HeartbeatChanges {
-  /** Attempts that are provably not on the machine any more, or exited. */
-  exited: Attempt[];
-  /** Attempts whose state changed otherwise. */
-  changed: Attempt[];
-  /** On the machine by its report, but unknown here. */
-  unclaimed: Attempt[];
-  /** Starts that the worker did not take. */
-  rejectedStarts: number;
-  agentRestarted: boolean;
-  stale: boolean;
-}
+/**
+ * How a message of the worker came: by itself, or as the answer to a direct command. Only a heartbeat that
+ * came by itself proves that a start has not been carried out: one that is answered with it is over before
+ * the next is sent.
+ */
+export type MessageOrigin = 'heartbeat' | 'direct-answer';
+
+/** How a direct message ended: carried out or not, provably; or nobody knows. */
+export type DirectOutcome = 'done' | 'refused' | 'unknown';
 
+/** Share of a lease that a worker may need to notice that its lease has expired. */
+const EXPIRY_SHARE = 0.04;
+/** Share of a lease for which a substitute may still have renewed when a term began. */
+const SUBSTITUTE_SHARE = 0.1;
+
+/** One machine in a term of leadership: who it is, what its lease and token say, and its attempts. */
 export class Machine {
   state: MachineState = 'unheard';
   addr = '';
@@ -53,12 +58,12 @@
   spot = false;
   agentEpoch = 0;
   sequence = 0;
-  /** The last fenced check-in's number in this session; answers of /do count separately. */
+  /** Number of the last fenced heartbeat of this epoch; answers to direct commands count separately. */
   fencedSequence = 0;
-  /** The newest check-in that came by itself, fenced or not, and when. */
-  private newestHeartbeat = { session: 0, seq: -1 };
+  /** The newest heartbeat that came by itself, fenced or not, and when. */
+  private newestHeartbeat = { agentEpoch: 0, sequence: -1 };
   heartbeatAt = -Infinity;
-  /** The newest check-in that had to be parsed, to recognise those that only repeat it. */
+  /** The newest heartbeat that had to be parsed, to recognise those that only repeat it. */
   readonly lastHeartbeat = new LastHeartbeat();
   lastSeenAt: number;
   firstSeenAt: number | null = null;
@@ -67,19 +72,10 @@
   /** Time at which the cloud takes it, from its notice. */
   reclaimedAt: number | null = null;
   readonly attempts = new Map<string, Attempt>();
-  /** Images seen there and when last, the most recently used last. */
-  images = new Map<string, { gb: number; at: number }>();
-  /** All that was ever seen to be fetched there. */
-  fetchedGb = 0;
+  readonly images = new ImageCache();
   /** Since when nothing holds room on it. */
   idleSince: number;
-  /** No new work before this time, because it did not do what it was told. */
-  cordonedUntil = -Infinity;
-  cordonCount = 0;
-  /** Jobs whose tasks failed here, and when; emptied by a success. */
-  taskFailures = new Map<string, number>();
-  successes = 0;
-  quarantined = false;
+  readonly condition = new MachineCondition();
   /** Being emptied to be given back: nothing new until then. */
   drainingSince: number | null = null;
   /** Counts changes of what is on it, so that what is derived from that is reckoned anew only then. */
@@ -106,11 +102,11 @@
     this.idleSince = knownAt;
     // Whoever led before may have renewed its lease until this term began; a substitute, in an outage
     // that had just ended then, for a moment more.
-    this.leaseExpiresAt = knownAt + this.leaseSpanS() + this.leaseS * 0.1;
+    this.leaseExpiresAt = knownAt + this.leaseSpanS() + this.leaseS * SUBSTITUTE_SHARE;
   }
 
   private leaseSpanS(): number {
-    return this.leaseS * (1 + 2 * MAX_CLOCK_DRIFT) + this.leaseS * 0.04;
+    return this.leaseS * (1 + 2 * MAX_CLOCK_DRIFT) + this.leaseS * EXPIRY_SHARE;
   }
 
   changeState(to: MachineState): boolean {
@@ -151,117 +147,117 @@
   }
 
   /**
-   * Whether a check-in at least as new has come by itself before. Then it is a late copy: the worker
+   * Whether a heartbeat at least as new has come by itself before. Then it is a late copy: the worker
    * has long stopped waiting for its answer, which renews nothing.
    */
   isRepeated(heartbeat: Heartbeat): boolean {
-    const { session, seq } = this.newestHeartbeat;
-    return (
-      heartbeat.agentEpoch < session ||
-      (heartbeat.agentEpoch === session && heartbeat.sequence <= seq)
-    );
+    return !isNewer(heartbeat, this.newestHeartbeat);
   }
 
-  /** A 200 to a check-in is about to be sent: it renews the lease, counted from the sending. */
+  /** A 200 to a heartbeat is about to be sent: it renews the lease, counted from the sending. */
   leaseRenewed(now: number): void {
     this.leaseExpiresAt = Math.max(this.leaseExpiresAt, now + this.leaseSpanS());
   }
 
-  /**
-   * Takes in a report. `checkin`: it came by itself, not as the answer to a direct message. Only
-   * check-ins prove that a start has not been carried out: one that is answered with it is over
-   * before the next is sent.
-   */
-  applyHeartbeat(heartbeat: Heartbeat, checkin: boolean, now: number): HeartbeatChanges {
-    const changes: HeartbeatChanges = {
-      exited: [],
-      changed: [],
-      unclaimed: [],
-      rejectedStarts: 0,
-      agentRestarted: false,
-      stale: false,
-    };
-    if (checkin && !this.isRepeated(heartbeat)) {
-      this.newestHeartbeat = { session: heartbeat.agentEpoch, seq: heartbeat.sequence };
+  /** Takes in a heartbeat, and what it proves of the attempts here. */
+  applyHeartbeat(heartbeat: Heartbeat, origin: MessageOrigin, now: number): HeartbeatChanges {
+    const changes = noChanges();
+    if (origin === 'heartbeat' && !this.isRepeated(heartbeat)) {
+      const { agentEpoch, sequence } = heartbeat;
+      this.newestHeartbeat = { agentEpoch, sequence };
       this.heartbeatAt = now;
     }
-    if (
-      heartbeat.agentEpoch < this.agentEpoch ||
-      (heartbeat.agentEpoch === this.agentEpoch && heartbeat.sequence <= this.sequence)
-    ) {
+    if (!isNewer(heartbeat, this)) {
       // A late copy, or overtaken by the answer to a direct message. It proves nothing new.
       changes.stale = true;
       return changes;
     }
-    if (heartbeat.agentEpoch > this.agentEpoch) {
-      changes.agentRestarted = this.agentEpoch !== 0;
-      // Shown by the answer to a direct command perhaps, which renews nothing: but a session begins
-      // with a lease of its own, and what is started in it may be there until that has run out.
-      this.leaseRenewed(now);
-      this.agentEpoch = heartbeat.agentEpoch;
-      for (const attempt of [...this.attempts.values()]) {
-        // A session that has moved on takes everything with it, late messages included.
-        if (
-          attempt.agentEpoch !== null &&
-          attempt.agentEpoch < heartbeat.agentEpoch &&
-          attempt.state !== 'claiming'
-        ) {
-          this.endAttempt(attempt, now, changes);
-        }
-      }
-    }
-    this.sequence = heartbeat.sequence;
-    this.lastSeenAt = now;
-    this.firstSeenAt ??= now;
-    this.addr = heartbeat.addr;
-    this.type = heartbeat.type;
-    this.zone = heartbeat.zone;
-    this.spot = heartbeat.spot;
-    if (heartbeat.reclaimNoticeS !== null) {
-      const at = now + heartbeat.reclaimNoticeS;
-      this.reclaimedAt = this.reclaimedAt === null ? at : Math.min(this.reclaimedAt, at);
-    }
+    if (heartbeat.agentEpoch > this.agentEpoch) this.beginEpoch(heartbeat, now, changes);
+    this.noteIdentity(heartbeat, now);
     if (this.state === 'silent') this.changeState('fencing');
     if (heartbeat.token !== this.token) {
-      // Not fenced: an older leader's commands may still be carried out after this report.
+      // Not fenced: an older leader's commands may still be carried out after this heartbeat.
       this.changeState('fencing');
       return changes;
     }
     this.changeState('ready');
     this.clearUnansweredStarts();
-    if (checkin) this.fencedSequence = heartbeat.sequence;
-    this.reconcileTasks(heartbeat.tasks, checkin, now, changes);
+    if (origin === 'heartbeat') this.fencedSequence = heartbeat.sequence;
+    const shown = this.applyTasks(heartbeat.tasks, now, changes);
+    this.applyAbsences(shown, origin, now, changes);
     return changes;
   }
 
-  private reconcileTasks(
+  /** The agent began anew: an epoch that has moved on takes everything with it, late messages included. */
+  private beginEpoch({ agentEpoch }: Heartbeat, now: number, changes: HeartbeatChanges): void {
+    changes.agentRestarted = this.agentEpoch !== 0;
+    // Shown by the answer to a direct command perhaps, which renews nothing: but an epoch begins
+    // with a lease of its own, and what is started in it may be there until that has expired.
+    this.leaseRenewed(now);
+    this.agentEpoch = agentEpoch;
+    for (const attempt of [...this.attempts.values()]) {
+      const isOld = attempt.agentEpoch !== null && attempt.agentEpoch < agentEpoch;
+      if (isOld && attempt.state !== 'claiming') this.endAttempt(attempt, now, changes);
+    }
+  }
+
+  private noteIdentity(heartbeat: Heartbeat, now: number): void {
+    this.sequence = heartbeat.sequence;
+    this.lastSeenAt = now;
+    this.firstSeenAt ??= now;
+    this.addr = heartbeat.addr;
+    this.type = heartbeat.type;
+    this.zone = heartbeat.zone;
+    this.spot = heartbeat.spot;
+    if (heartbeat.reclaimNoticeS === null) return;
+    const at = now + heartbeat.reclaimNoticeS;
+    this.reclaimedAt = this.reclaimedAt === null ? at : Math.min(this.reclaimedAt, at);
+  }
+
+  /** Attempts that the heartbeat names. Returns their keys. */
+  private applyTasks(
     tasks: Heartbeat['tasks'],
-    checkin: boolean,
     now: number,
     changes: HeartbeatChanges,
-  ): void {
+  ): ReadonlySet<string> {
     const shown = new Set<string>();
     for (const task of tasks) {
       const key = attemptKey(task.job, task.index, task.attempt);
       shown.add(key);
-      let attempt = this.attempts.get(key);
-      if (attempt === undefined) {
-        attempt = makeAttempt(task.job, task.index, task.attempt, this.id, 'inherited', now);
-        attempt.agentEpoch = this.agentEpoch;
-        this.attempts.set(key, attempt);
-        this.markChanged();
-        changes.unclaimed.push(attempt);
-      }
+      const attempt = this.attempts.get(key) ?? this.addUnclaimed(key, task, now, changes);
       attempt.agentEpoch = this.agentEpoch;
       attempt.cause = task.cause;
       attempt.saved = task.saved;
       if (attempt.state === 'claiming' || attempt.state === 'gone') continue;
       if (attempt.state === 'ended' && task.state !== 'ended') continue;
-      if (advanceAttempt(attempt, task.state, now)) {
-        this.markChanged();
-        (task.state === 'ended' ? changes.exited : changes.changed).push(attempt);
-      }
+      if (!advanceAttempt(attempt, task.state, now)) continue;
+      this.markChanged();
+      (task.state === 'ended' ? changes.exited : changes.changed).push(attempt);
     }
+    return shown;
+  }
+
+  private addUnclaimed(
+    key: string,
+    task: TaskStatus,
+    now: number,
+    changes: HeartbeatChanges,
+  ): Attempt {
+    const { job, index, attempt: number } = task;
+    const attempt = makeAttempt({ job, index, number, machine: this.id }, 'inherited', now);
+    this.attempts.set(key, attempt);
+    this.markChanged();
+    changes.unclaimed.push(attempt);
+    return attempt;
+  }
+
+  /** Attempts that the heartbeat does not name. */
+  private applyAbsences(
+    shown: ReadonlySet<string>,
+    origin: MessageOrigin,
+    now: number,
+    changes: HeartbeatChanges,
+  ): void {
     for (const [key, attempt] of [...this.attempts]) {
       if (shown.has(key)) continue;
       switch (attempt.state) {
@@ -270,14 +266,7 @@
         case 'gone':
           break;
         case 'sent':
-          if (!checkin || attempt.sendingDirectly || attempt.unansweredToken !== null) break;
-          if (attempt.sentInHeartbeat !== null && this.fencedSequence <= attempt.sentInHeartbeat)
-            break;
-          // The answer that carried the start is over and it is not there: it never will be.
-          advanceAttempt(attempt, 'claimed', now);
-          attempt.rejectedStarts++;
-          changes.rejectedStarts++;
-          changes.changed.push(attempt);
+          if (origin === 'heartbeat') this.noteStartNotTaken(attempt, now, changes);
           break;
         default:
           this.endAttempt(attempt, now, changes);
@@ -285,24 +274,27 @@
     }
   }
 
+  /** The answer that carried the start is over and the task is not there: it never will be. */
+  private noteStartNotTaken(attempt: Attempt, now: number, changes: HeartbeatChanges): void {
+    if (attempt.sendingDirectly || attempt.unansweredToken !== null) return;
+    if (attempt.sentInHeartbeat !== null && this.fencedSequence <= attempt.sentInHeartbeat) return;
+    advanceAttempt(attempt, 'claimed', now);
+    attempt.rejectedStarts++;
+    changes.rejectedStarts++;
+    changes.changed.push(attempt);
+  }
+
   private endAttempt(attempt: Attempt, now: number, changes: HeartbeatChanges): void {
     const before = attempt.state;
     if (!advanceAttempt(attempt, 'gone', now)) return;
     this.markChanged();
-    this.attempts.delete(attemptKey(attempt.job, attempt.index, attempt.number));
+    this.attempts.delete(keyOf(attempt));
     if (before !== 'ended') changes.exited.push(attempt);
   }
 
   /** Everything on it is gone: the lease has run out for certain, or the cloud has confirmed it. */
   endAllAttempts(now: number): Attempt[] {
-    const changes: HeartbeatChanges = {
-      exited: [],
-      changed: [],
-      unclaimed: [],
-      rejectedStarts: 0,
-      agentRestarted: false,
-      stale: false,
-    };
+    const changes = noChanges();
     for (const attempt of [...this.attempts.values()]) this.endAttempt(attempt, now, changes);
     return changes.exited;
   }
@@ -311,12 +303,12 @@
   withdrawClaim(attempt: Attempt, now: number): void {
     advanceAttempt(attempt, 'gone', now);
     this.markChanged();
-    this.attempts.delete(attemptKey(attempt.job, attempt.index, attempt.number));
+    this.attempts.delete(keyOf(attempt));
   }
 
   addClaim(attempt: Attempt): void {
     this.markChanged();
-    this.attempts.set(attemptKey(attempt.job, attempt.index, attempt.number), attempt);
+    this.attempts.set(keyOf(attempt), attempt);
   }
 
   /** The claims that its stored record must name: everything that may be or may come on it. */
@@ -324,98 +316,52 @@
     return [...this.attempts.values()].filter((attempt) => attempt.state !== 'gone');
   }
 
-  /**
-   * The commands due now. Forgetting goes first, so that a task may come back to its machine; then
-   * stops, then starts.
-   */
-  dueCommands(
-    now: number,
-    mayStart: (attempt: Attempt) => boolean,
-    repeatStops: boolean,
-  ): Command[] {
-    const forget: Command[] = [];
-    const stops: Command[] = [];
-    const starts: Command[] = [];
-    const forgotten = new Set<string>();
-    for (const each of this.attempts.values()) {
-      const { job, index, number: attempt } = each;
-      if (each.state === 'ended') {
-        // A start that may still arrive would begin anew what has been forgotten.
-        if (each.settled && each.unansweredToken === null && !each.sendingDirectly) {
-          forget.push({ kind: 'forget', job, index, attempt });
-          forgotten.add(`${job}/${index}`);
-        }
-      } else if (each.stopRequest !== null) {
-        if (mayBeOnMachine(each) && (repeatStops || each.stopRequest.sentAt === null)) {
-          stops.push({ kind: 'stop', job, index, attempt, graceS: each.stopRequest.graceS });
-        }
-      }
-    }
-    for (const attempt of this.attempts.values()) {
-      const again =
-        attempt.state === 'sent' &&
-        attempt.unansweredToken !== null &&
-        !attempt.sendingDirectly &&
-        repeatStops;
-      if (attempt.stopRequest !== null || (attempt.state !== 'claimed' && !again)) continue;
-      if (attempt.sendingDirectly || !mayStart(attempt)) continue;
-      if (this.hasOtherAttempt(attempt) && !forgotten.has(`${attempt.job}/${attempt.index}`))
-        continue;
-      starts.push({
-        kind: 'start',
-        job: attempt.job,
-        index: attempt.index,
-        attempt: attempt.number,
-      });
-    }
-    return [...forget, ...stops, ...starts].slice(0, MAX_COMMANDS_PER_MESSAGE);
+  /** The commands due now; see `dueCommands`. */
+  dueCommands(mayStart: (attempt: Attempt) => boolean, repeatStops: boolean): Command[] {
+    return dueCommands(this.attempts, mayStart, repeatStops);
   }
 
-  private hasOtherAttempt(attempt: Attempt): boolean {
-    for (const each of this.attempts.values()) {
-      if (each !== attempt && each.index === attempt.index && each.job === attempt.job) return true;
-    }
-    return false;
-  }
-
-  /** Marks what goes out with the answer to a check-in, or straight to the worker. */
-  markSent(commands: Command[], via: 'checkin' | 'direct', now: number): void {
+  /** Marks what goes out with the answer to a heartbeat, or straight to the worker. */
+  markSent(commands: Command[], via: 'heartbeat' | 'direct', now: number): void {
     for (const command of commands) {
       const attempt = this.attempts.get(attemptKey(command.job, command.index, command.attempt));
       if (attempt === undefined) continue;
-      if (command.kind === 'stop' && attempt.stopRequest !== null)
+      if (command.kind === 'stop' && attempt.stopRequest !== null) {
         attempt.stopRequest.sentAt ??= now;
-      if (command.kind === 'start') {
-        if (attempt.state === 'claimed') advanceAttempt(attempt, 'sent', now);
-        attempt.startSentAt ??= now;
-        attempt.agentEpoch = this.agentEpoch;
-        if (via === 'checkin') attempt.sentInHeartbeat = this.fencedSequence;
-        else {
-          attempt.sendingDirectly = true;
-          attempt.sentInHeartbeat = null;
-        }
       }
+      if (command.kind === 'start') this.markStartSent(attempt, via, now);
+    }
+  }
+
+  private markStartSent(attempt: Attempt, via: 'heartbeat' | 'direct', now: number): void {
+    if (attempt.state === 'claimed') advanceAttempt(attempt, 'sent', now);
+    attempt.startSentAt ??= now;
+    attempt.agentEpoch = this.agentEpoch;
+    if (via === 'heartbeat') attempt.sentInHeartbeat = this.fencedSequence;
+    else {
+      attempt.sendingDirectly = true;
+      attempt.sentInHeartbeat = null;
     }
   }
 
-  /** How a direct message ended: carried out or not, provably; or nobody knows. */
+  /** How a direct message ended that carried this epoch and token. */
   directCommandsEnded(
     commands: Command[],
-    how: 'done' | 'refused' | 'unknown',
-    session: number,
+    outcome: DirectOutcome,
+    agentEpoch: number,
     now: number,
-    /** What the message carried. */
     token = this.token,
   ): void {
     for (const command of commands) {
       const attempt = this.attempts.get(attemptKey(command.job, command.index, command.attempt));
       if (attempt === undefined) continue;
-      if (command.kind === 'stop' && how !== 'done' && attempt.stopRequest !== null)
+      if (command.kind === 'stop' && outcome !== 'done' && attempt.stopRequest !== null)
         attempt.stopRequest.sentAt = null;
       if (command.kind !== 'start') continue;
       attempt.sendingDirectly = false;
-      if (how === 'unknown' && attempt.agentEpoch === session) attempt.unansweredToken = token;
-      if (how === 'refused' && attempt.state === 'sent' && attempt.unansweredToken === null) {
+      if (outcome === 'unknown' && attempt.agentEpoch === agentEpoch)
+        attempt.unansweredToken = token;
+      if (outcome === 'refused' && attempt.state === 'sent' && attempt.unansweredToken === null) {
         advanceAttempt(attempt, 'claimed', now);
       }
     }
@@ -430,17 +376,16 @@
     return [...this.attempts.values()].filter(occupiesCapacity);
   }
 
+  /** A task there uses this image. */
   noteImage(image: string, gb: number, cacheGb: number, now: number): void {
     this.markChanged();
-    if (!this.images.has(image)) this.fetchedGb += gb;
-    this.images.delete(image);
-    this.images.set(image, { gb, at: now });
-    let total = 0;
-    for (const image of this.images.values()) total += image.gb;
-    for (const [name, i] of this.images) {
-      if (total <= cacheGb || name === image) break;
-      total -= i.gb;
-      this.images.delete(name);
-    }
+    this.images.noteUse(image, gb, cacheGb, now);
   }
 }
+
+const keyOf = ({ job, index, number }: Attempt): string => attemptKey(job, index, number);
+
+/** Whether a heartbeat is newer than a point in the sequence of its worker's messages. */
+const isNewer = (heartbeat: Heartbeat, than: { agentEpoch: number; sequence: number }): boolean =>
+  heartbeat.agentEpoch > than.agentEpoch ||
+  (heartbeat.agentEpoch === than.agentEpoch && heartbeat.sequence > than.sequence);
--- a/test/evidence.test.ts
+++ b/test/evidence.test.ts
@@ -27,7 +27,7 @@
 
 function setup(state: AttemptState): { m: Machine; a: Attempt } {
   const machine = new Machine('m', TOKEN, LEASE, 0);
-  const attempt = makeAttempt('j', 0, 50, 'm', state, 0);
+  const attempt = makeAttempt({ job: 'j', index: 0, number: 50, machine: 'm' }, state, 0);
   machine.addClaim(attempt);
   return { m: machine, a: attempt };
 }
@@ -35,20 +35,20 @@
 /** A start in the answer to check-in 10. */
 function sent(): { m: Machine; a: Attempt } {
   const s = setup('claimed');
-  s.m.applyHeartbeat(report({ sequence: 10 }), true, 1);
-  const c = s.m.dueCommands(1, () => true, true);
+  s.m.applyHeartbeat(report({ sequence: 10 }), 'heartbeat', 1);
+  const c = s.m.dueCommands(() => true, true);
   assert.deepEqual(
     c.map((command) => command.kind),
     ['start'],
   );
-  s.m.markSent(c, 'checkin', 1);
+  s.m.markSent(c, 'heartbeat', 1);
   return s;
 }
 
 function sentDirect(): { m: Machine; a: Attempt; commands: ReturnType<Machine['dueCommands']> } {
   const s = setup('claimed');
-  s.m.applyHeartbeat(report({ sequence: 10 }), true, 1);
-  const commands = s.m.dueCommands(1, () => true, false);
+  s.m.applyHeartbeat(report({ sequence: 10 }), 'heartbeat', 1);
+  const commands = s.m.dueCommands(() => true, false);
   s.m.markSent(commands, 'direct', 1);
   return { ...s, commands };
 }
@@ -60,7 +60,7 @@
       'an older report does not show it',
       () => {
         const s = sent();
-        s.m.applyHeartbeat(report({ sequence: 9 }), true, 2);
+        s.m.applyHeartbeat(report({ sequence: 9 }), 'heartbeat', 2);
         return s;
       },
       false,
@@ -69,7 +69,7 @@
       'the session has moved on',
       () => {
         const s = sent();
-        s.m.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), true, 2);
+        s.m.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), 'heartbeat', 2);
         return s;
       },
       true,
@@ -78,8 +78,8 @@
       'a late copy from an older session says nothing',
       () => {
         const s = sent();
-        s.m.applyHeartbeat(report({ sequence: 11 }, [{}]), true, 2);
-        s.m.applyHeartbeat(report({ agentEpoch: 0, sequence: 99 }), true, 3);
+        s.m.applyHeartbeat(report({ sequence: 11 }, [{}]), 'heartbeat', 2);
+        s.m.applyHeartbeat(report({ agentEpoch: 0, sequence: 99 }), 'heartbeat', 3);
         return s;
       },
       false,
@@ -88,8 +88,8 @@
       'a running task is missing from a newer fenced report',
       () => {
         const s = sent();
-        s.m.applyHeartbeat(report({ sequence: 11 }, [{}]), true, 2);
-        s.m.applyHeartbeat(report({ sequence: 12 }), true, 3);
+        s.m.applyHeartbeat(report({ sequence: 11 }, [{}]), 'heartbeat', 2);
+        s.m.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 3);
         return s;
       },
       true,
@@ -98,7 +98,7 @@
       'it is missing from a report that is not fenced',
       () => {
         const s = setup('inherited');
-        s.m.applyHeartbeat(report({ sequence: 12, token: TOKEN - 1 }), true, 3);
+        s.m.applyHeartbeat(report({ sequence: 12, token: TOKEN - 1 }), 'heartbeat', 3);
         return s;
       },
       false,
@@ -107,7 +107,7 @@
       'inherited, and a fenced report does not show it',
       () => {
         const s = setup('inherited');
-        s.m.applyHeartbeat(report({ sequence: 12 }), true, 3);
+        s.m.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 3);
         return s;
       },
       true,
@@ -118,7 +118,7 @@
         const s = sent();
         s.m.applyHeartbeat(
           report({ sequence: 11 }, [{ state: 'ended', cause: 'stopped' }]),
-          true,
+          'heartbeat',
           2,
         );
         return s;
@@ -143,9 +143,9 @@
 
 test('a start that the next check-in lacks is sent again; a direct answer proves nothing', () => {
   const s = sent();
-  s.m.applyHeartbeat(report({ sequence: 11 }), false, 2);
+  s.m.applyHeartbeat(report({ sequence: 11 }), 'direct-answer', 2);
   assert.equal(s.a.state, 'sent', 'the answer to check-in 10 may still be under way');
-  s.m.applyHeartbeat(report({ sequence: 12 }), true, 2);
+  s.m.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 2);
   assert.equal(s.a.state, 'claimed');
 });
 
@@ -154,21 +154,21 @@
   // it started must not be forgotten, or it would start once more.
   const { m, a, commands } = sentDirect();
   m.directCommandsEnded(commands, 'unknown', 1, 2);
-  m.applyHeartbeat(report({ sequence: 11 }), true, 3);
+  m.applyHeartbeat(report({ sequence: 11 }), 'heartbeat', 3);
   assert.equal(a.state, 'sent');
   assert.deepEqual(
-    m.dueCommands(3, () => true, true).map((command) => command.kind),
+    m.dueCommands(() => true, true).map((command) => command.kind),
     ['start'],
     'sent again',
   );
-  m.applyHeartbeat(report({ sequence: 12 }, [{ state: 'ended', cause: 'done' }]), true, 4);
+  m.applyHeartbeat(report({ sequence: 12 }, [{ state: 'ended', cause: 'done' }]), 'heartbeat', 4);
   a.settled = true;
   assert.deepEqual(
-    m.dueCommands(4, () => true, true),
+    m.dueCommands(() => true, true),
     [],
     'not forgotten',
   );
-  m.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), true, 20);
+  m.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), 'heartbeat', 20);
   assert.equal(a.state, 'gone');
 });
 
@@ -180,16 +180,16 @@
 
 test('an ended task is forgotten only once it is settled, and started anew only after that', () => {
   const { m, a } = sent();
-  m.applyHeartbeat(report({ sequence: 11 }, [{ state: 'ended', cause: 'error' }]), true, 2);
-  const next = makeAttempt('j', 0, 51, 'm', 'claimed', 2);
+  m.applyHeartbeat(report({ sequence: 11 }, [{ state: 'ended', cause: 'error' }]), 'heartbeat', 2);
+  const next = makeAttempt({ job: 'j', index: 0, number: 51, machine: 'm' }, 'claimed', 2);
   m.addClaim(next);
   assert.deepEqual(
-    m.dueCommands(2, () => true, true),
+    m.dueCommands(() => true, true),
     [],
   );
   a.settled = true;
   assert.deepEqual(
-    m.dueCommands(2, () => true, true).map((command) => command.kind),
+    m.dueCommands(() => true, true).map((command) => command.kind),
     ['forget', 'start'],
   );
 });
@@ -205,7 +205,7 @@
 
 test('tasks nobody here knows of are told apart', () => {
   const machine = new Machine('m', TOKEN, LEASE, 0);
-  const changes = machine.applyHeartbeat(report({}, [{ job: 'x' }]), true, 1);
+  const changes = machine.applyHeartbeat(report({}, [{ job: 'x' }]), 'heartbeat', 1);
   assert.deepEqual(
     changes.unclaimed.map((attempt) => attempt.job),
     ['x'],
--- a/test/lending-helpers.ts
+++ b/test/lending-helpers.ts
@@ -374,7 +374,7 @@
 
   private lateCommands(old: Leader, id: string): void {
     const machine = old.term.machines.get(id)!;
-    const commands = machine.dueCommands(this.now, (attempt) => old.term.mayStart(attempt), true);
+    const commands = machine.dueCommands((attempt) => old.term.mayStart(attempt), true);
     this.fleet.workers.get(id)?.direct(machine.token, machine.agentEpoch, commands);
   }
 
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -280,7 +280,11 @@
     const config = { maxOpen: 9, recallsAtOnce: 1, leastMargin: 1, keepEndedS: 1 };
     const grants = new Grants({ view, table, config, errors, returnTimes });
     const lender = spec({ checkpointS: 1, saveS: 0.1 });
-    const attempt = makeAttempt(lender.id, 0, 5, 'm1', 'running', 0);
+    const attempt = makeAttempt(
+      { job: lender.id, index: 0, number: 5, machine: 'm1' },
+      'running',
+      0,
+    );
     const job = fake<LiveJobView>({
       spec: lender,
       attemptsByTask: new Map(),
@@ -300,7 +304,8 @@
 });
 
 test('what was lent is back once it is free; till then whatever replica is there has it', () => {
-  const replica = (job: string) => makeAttempt(job, 0, 9, 'm1', 'running', 0);
+  const replica = (job: string) =>
+    makeAttempt({ job, index: 0, number: 9, machine: 'm1' }, 'running', 0);
   const kinds: Record<string, JobSpec['kind']> = { 'wk-2': 'service', 'wk-3': 'service' };
   const look = (on: string[], freeGpus: number, pendingCount = 0) => {
     const attempts = on.map(replica);
--- a/test/meeting-helpers.ts
+++ b/test/meeting-helpers.ts
@@ -416,7 +416,7 @@
   sendDirect(id: string): { arrive(): void; unanswered(): void } {
     const machine = this.machine(id);
     const worker = this.fleet.workers.get(id)!;
-    const commands = machine.dueCommands(this.now, (attempt) => this.term.mayStart(attempt), false);
+    const commands = machine.dueCommands((attempt) => this.term.mayStart(attempt), false);
     const { agentEpoch } = machine;
     const { token } = this;
     machine.markSent(commands, 'direct', this.now);
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -530,7 +530,7 @@
   world.pass();
   const placed = world.term.jobs.get(JOB)!.attemptsByTask.get(0)![0]!.machine;
   // It would go back at once if it were empty.
-  world.machine(placed).quarantined = true;
+  world.machine(placed).condition.quarantined = true;
   assert.ok(!world.parts.capacity.machinesToReturn().includes(placed));
   assert.equal(world.machine(placed).state, 'ready');
   await world.run(1);
--- a/test/meeting-leases.test.ts
+++ b/test/meeting-leases.test.ts
@@ -36,7 +36,8 @@
       sequence: s.seq,
     });
     for (const s of heard) {
-      if (s.direct === true) world.machine('a').applyHeartbeat(report(s), false, world.now);
+      if (s.direct === true)
+        world.machine('a').applyHeartbeat(report(s), 'direct-answer', world.now);
       else world.leader.answerHeartbeat(report(s));
     }
     const before = world.machine('a').leaseExpiresAt;
@@ -53,10 +54,10 @@
     machine: 'm', addr: 'a:1', type: 'g8', zone: 'z1', spot: false, agentEpoch: 1, sequence: 1, token: 5,
     reclaimNoticeS: null, tasks: [],
   }; // prettier-ignore
-  machine.applyHeartbeat(heartbeat, true, 0);
+  machine.applyHeartbeat(heartbeat, 'heartbeat', 0);
   machine.leaseRenewed(0);
   const at = lease + 0.1;
-  machine.applyHeartbeat({ ...heartbeat, agentEpoch: 2, sequence: 1 }, false, at);
+  machine.applyHeartbeat({ ...heartbeat, agentEpoch: 2, sequence: 1 }, 'direct-answer', at);
   assert.ok(machine.leaseExpiresAt >= at + lease, 'the worker began it no later than now');
 });
 
@@ -67,7 +68,7 @@
   worker.mute = true;
   for (let i = 0; i < 8; i++) {
     world.fleet.now += world.settings.workers.report_s;
-    world.machine('a').applyHeartbeat(worker.report(), false, world.now);
+    world.machine('a').applyHeartbeat(worker.report(), 'direct-answer', world.now);
   }
   world.job({ id: JOB });
   world.pass();
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -135,7 +135,7 @@
   private direct(machine: Machine, troubles: boolean): void {
     const { w } = this;
     const worker = w.fleet.workers.get(machine.id)!;
-    const commands = machine.dueCommands(w.now, (attempt) => w.term.mayStart(attempt), false);
+    const commands = machine.dueCommands((attempt) => w.term.mayStart(attempt), false);
     if (commands.every((command) => command.kind === 'forget')) return;
     const { agentEpoch } = machine;
     const { token } = w;
@@ -151,7 +151,10 @@
       const answered = Number(how) > 0.6 ? 'unknown' : heartbeat === null ? 'refused' : 'done';
       machine.directCommandsEnded(commands, answered, agentEpoch, w.now);
       if (answered === 'unknown') return;
-      w.term.reconcile(machine, machine.applyHeartbeat(heartbeat ?? worker.report(), false, w.now));
+      w.term.reconcile(
+        machine,
+        machine.applyHeartbeat(heartbeat ?? worker.report(), 'direct-answer', w.now),
+      );
     }
   }
 
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -125,7 +125,7 @@
       world.cancel(id);
       await world.run(world.settings.workers.lease_s * 2);
     }
-    assert.equal(world.machine('a').quarantined, false, `${jobs} jobs`);
+    assert.equal(world.machine('a').condition.quarantined, false, `${jobs} jobs`);
     world.job({ id: JOB });
     await world.run(PATIENCE_S);
     assert.equal(world.fleet.running(JOB), 1, `${jobs} jobs`);
--- a/test/pass-helpers.ts
+++ b/test/pass-helpers.ts
@@ -100,9 +100,7 @@
       {
         machine: id, addr: '127.0.0.1:1', type: 'g8', zone: 'z1', spot: false, agentEpoch: 1,
         sequence: ++this.seq, token: TOKEN, reclaimNoticeS: null, tasks,
-      },
-      true,
-      this.now,
+      }, 'heartbeat', this.now,
     ); // prettier-ignore
     this.term.reconcile(machine, changes);
   }
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -110,7 +110,11 @@
     5,
   );
   assert.deepEqual(live.pendingTasks(0, 9), [0, 1]);
-  const attempt = makeAttempt('wk-000001', 0, live.nextNumber(0, 50), 'm', 'claiming', 0);
+  const attempt = makeAttempt(
+    { job: 'wk-000001', index: 0, number: live.nextNumber(0, 50), machine: 'm' },
+    'claiming',
+    0,
+  );
   live.taskClaimed(attempt);
   assert.deepEqual(live.pendingTasks(0, 9), [1]);
   attempt.state = 'gone';
