--- a/src/admission/leadership-transfer.ts
+++ b/src/admission/leadership-transfer.ts
@@ -55,7 +55,10 @@
     const fitter = health.healthier(latenessS);
     if (fitter === null) return;
     this.resignedAt = now;
-    log.info({ latenessS, relayWaitS, fitter }, 'too late to lead: hands over');
+    log.info(
+      { latenessS, forwardingDelayS: relayWaitS, successor: fitter },
+      'leadership transfer: overloaded',
+    );
     void stepDown();
   }
 
--- a/src/admission/request-queue.ts
+++ b/src/admission/request-queue.ts
@@ -1,3 +1,4 @@
+import { IllegalTransitionError } from '../illegal-transition.js';
 import type { Clock } from '../clock.js';
 import { refusedAboveS, REQUEST_CLASSES, type Overload, type RequestClass } from './overload.js';
 
@@ -105,7 +106,8 @@
   }
 
   private changeState(state: QueueState): void {
-    if (!ALLOWED[this.state].includes(state)) throw new Error(`${this.state} -> ${state}`);
+    if (!ALLOWED[this.state].includes(state))
+      throw new IllegalTransitionError('request queue', this.state, state);
     this.state = state;
   }
 
--- a/src/api/request-forwarder.ts
+++ b/src/api/request-forwarder.ts
@@ -15,6 +15,16 @@
 /** For so many leases nobody was of help: users are better served elsewhere. */
 const ALONE_LEASES = 0.2;
 
+export interface RequestForwarderOptions {
+  userApi: UserApi;
+  store: Pick<KeyValueStoreClient, 'health'>;
+  replicaSync: Pick<ReplicaSync, 'ready' | 'sync'>;
+  peers: Pick<PeerNetwork, 'byLatestAnswer' | 'ask'>;
+  workers: { lease_s: number };
+  now: () => number;
+  knowsPipelines: (node: string) => boolean;
+}
+
 /**
  * Users' requests as they come to any controller. One that the state service refuses, or that is cut
  * off from it, passes them on to a controller that is served: nothing is told but what that one has
@@ -23,47 +33,42 @@
 export class RequestForwarder {
   private aloneSince: number | null = null;
 
-  constructor(
-    private readonly userApi: UserApi,
-    private readonly store: Pick<KeyValueStoreClient, 'health'>,
-    private readonly replicaSync: Pick<ReplicaSync, 'ready' | 'sync'>,
-    private readonly peers: Pick<PeerNetwork, 'byLatestAnswer' | 'ask'>,
-    private readonly workers: { lease_s: number },
-    private readonly now: () => number,
-    private readonly knowsPipelines: (node: string) => boolean = () => true,
-  ) {}
+  constructor(private readonly options: RequestForwarderOptions) {}
 
   /** The state service serves this controller, and it has read the store. */
   get isServed(): boolean {
-    return this.store.health === 'served' && this.replicaSync.ready;
+    return this.options.store.health === 'served' && this.options.replicaSync.ready;
   }
 
   /** Whether users should be sent here. */
   isReady(): boolean {
-    if (!this.userApi.ready()) return false;
+    if (!this.options.userApi.ready()) return false;
     if (this.isServed) this.aloneSince = null;
     const { aloneSince } = this;
-    return aloneSince === null || this.now() - aloneSince < this.workers.lease_s * ALONE_LEASES;
+    return (
+      aloneSince === null ||
+      this.options.now() - aloneSince < this.options.workers.lease_s * ALONE_LEASES
+    );
   }
 
   async serve(request: UserRequest): Promise<Reply> {
-    if (this.isServed || this.userApi.knows(request)) {
+    if (this.isServed || this.options.userApi.knows(request)) {
       const reply = await this.serveLocally(request);
       if (reply.status !== 503 || this.isServed) return reply;
     }
     // Looks whether the state service is back, besides.
-    else void this.replicaSync.sync();
+    else void this.options.replicaSync.sync();
     return (await this.forward(request)) ?? (await this.serveLocally(request));
   }
 
   private async serveLocally(request: UserRequest): Promise<Reply> {
     switch (request.to) {
       case 'submit':
-        return this.userApi.submit(request.body);
+        return this.options.userApi.submit(request.body);
       case 'poll':
-        return this.userApi.poll(request.id);
+        return this.options.userApi.poll(request.id);
       case 'cancel':
-        return this.userApi.cancel(request.id);
+        return this.options.userApi.cancel(request.id);
     }
   }
 
@@ -73,9 +78,9 @@
     let reached = false;
     // A version that does not know them would take a job that needs others for one that does not.
     const awaits = request.to === 'submit' && mayHaveDependencies(request.body);
-    for (const node of this.peers.byLatestAnswer()) {
-      if (awaits && !this.knowsPipelines(node)) continue;
-      const answer = await this.peers.ask(node, question, FORWARD_TIMEOUT_S);
+    for (const node of this.options.peers.byLatestAnswer()) {
+      if (awaits && !this.options.knowsPipelines(node)) continue;
+      const answer = await this.options.peers.ask(node, question, FORWARD_TIMEOUT_S);
       reached ||= answer !== null;
       if (answer?.status === undefined) continue;
       this.aloneSince = null;
@@ -84,7 +89,7 @@
     }
     // In an outage the others answer that they are refused too: users are no better off there.
     if (reached) this.aloneSince = null;
-    else this.aloneSince ??= this.now();
+    else this.aloneSince ??= this.options.now();
     return null;
   }
 
--- a/src/cancellation/cancellation-broadcast.ts
+++ b/src/cancellation/cancellation-broadcast.ts
@@ -46,6 +46,15 @@
   }
 }
 
+export interface CancellationBroadcastOptions {
+  settings: Settings;
+  zoneLeaseHolders: [string, string][];
+  peers: PeerNetwork;
+  replica: Replica;
+  zoneLeases: ZoneLeaseWatch;
+  clock: Clock;
+}
+
 /** Cancellations that this controller has heard of before, or other than from, the store. */
 export class CancellationBroadcast {
   /** Stored, as another controller knows, but kept from this one by an outage. */
@@ -53,14 +62,8 @@
   /** About to be stored. */
   private readonly announced: RecentIds;
 
-  constructor(
-    private readonly settings: Settings,
-    private readonly zoneLeaseHolders: [string, string][],
-    private readonly peers: PeerNetwork,
-    private readonly replica: Replica,
-    private readonly zoneLeases: ZoneLeaseWatch,
-    private readonly clock: Clock,
-  ) {
+  constructor(private readonly options: CancellationBroadcastOptions) {
+    const { settings, replica, clock } = options;
     const forS = settings.workers.lease_s * REMEMBER_LEASES;
     const over = (id: string): boolean => {
       const storedJob = replica.jobs.get(id);
@@ -85,7 +88,7 @@
 
   /** Stored cancellations after a revision, by the store's copy and by what others have told. */
   storedSince(revision: number): string[] {
-    return [...new Set([...this.replica.cancelledSince(revision), ...this.stored.keys()])];
+    return [...new Set([...this.options.replica.cancelledSince(revision), ...this.stored.keys()])];
   }
 
   knows(id: string): boolean {
@@ -99,13 +102,19 @@
    * again; 0: it may be stored.
    */
   async announce(job: string): Promise<number> {
-    if (this.zoneLeaseHolders.length === 0) return 0;
+    if (this.options.zoneLeaseHolders.length === 0) return 0;
     this.noteAnnounced(job);
-    const others = this.zoneLeaseHolders.filter(([, node]) => node !== this.settings.node);
+    const others = this.options.zoneLeaseHolders.filter(
+      ([, node]) => node !== this.options.settings.node,
+    );
     const noted = new Set<string>();
     await Promise.all(
       others.map(async ([, node]) => {
-        const answer = await this.peers.ask(node, { q: 'cancelling', job }, NOTIFY_TIMEOUT_S);
+        const answer = await this.options.peers.ask(
+          node,
+          { q: 'cancelling', job },
+          NOTIFY_TIMEOUT_S,
+        );
         if (answer?.told === true) noted.add(node);
       }),
     );
@@ -114,27 +123,27 @@
 
   /** The same, where these controllers are known to have noted the cancellation. */
   remainingWaitS(job: string, noted: ReadonlySet<string>): number {
-    const unsure = this.zoneLeaseHolders.filter(
-      ([, node]) => node !== this.settings.node && !noted.has(node),
+    const unsure = this.options.zoneLeaseHolders.filter(
+      ([, node]) => node !== this.options.settings.node && !noted.has(node),
     );
     if (unsure.length === 0) return 0;
     const zones = new Set(unsure.map(([zone]) => zone));
     let wait = 0;
-    for (const { record } of this.replica.machines.values()) {
+    for (const { record } of this.options.replica.machines.values()) {
       if (!zones.has(record.zone) || !record.claims.some((claim) => claim.job === job)) continue;
       wait = Math.max(wait, this.zoneWaitS(record.zone));
     }
-    const { lease_s } = this.settings.workers;
+    const { lease_s } = this.options.settings.workers;
     return wait <= 0 ? 0 : Math.max(1, Math.ceil(Math.min(wait, lease_s / 2)));
   }
 
   /** Until what a zone's keeper may keep, and does not know to be cancelled, ends within `cancel_s`. */
   private zoneWaitS(zone: string): number {
-    const { lease_s, report_s, cancel_s } = this.settings.workers;
-    const { keptUntil, provenAt } = this.zoneLeases.zone(zone);
+    const { lease_s, report_s, cancel_s } = this.options.settings.workers;
+    const { keptUntil, provenAt } = this.options.zoneLeases.zone(zone);
     const present = provenAt < Infinity;
     // Kept to the bound, then a lease, all of it before the time allowed has passed.
     const gone = keptUntil + lease_s * 1.1 + report_s;
-    return present ? report_s : gone - (this.clock.now() + cancel_s);
+    return present ? report_s : gone - (this.options.clock.now() + cancel_s);
   }
 }
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -4,6 +4,18 @@
 import type { MachineType } from '../jobs/types.js';
 import * as wire from '../wire/cloud.js';
 
+/** The cloud answered with an error: nothing was done. */
+export class CloudError extends Error {
+  constructor(
+    /** What was asked for. */
+    operation: string,
+    readonly status: number,
+  ) {
+    super(`cloud: ${operation} answered ${status}`);
+    this.name = 'CloudError';
+  }
+}
+
 export type RentResult =
   | { how: 'rented'; ids: string[] }
   | { how: 'none' }
@@ -27,7 +39,7 @@
   }
 
   private static parseJson(response: Response): unknown {
-    if (response.status !== 200) throw new Error(`cloud answered ${response.status}`);
+    if (response.status !== 200) throw new CloudError('request', response.status);
     return JSON.parse(response.body.toString('utf8'));
   }
 
--- a/src/cloud/provisioner.ts
+++ b/src/cloud/provisioner.ts
@@ -3,7 +3,7 @@
 import type { Log } from '../log.js';
 import type { MachineType } from '../jobs/types.js';
 import { RENT_MAX, RETURN_MAX, type ListedMachine, type RentRequest } from '../wire/cloud.js';
-import type { CloudClient } from './client.js';
+import { CloudError, type CloudClient } from './client.js';
 import type { StoredRentRequest } from '../subsystems/subsystem.js';
 import type { MachineOrder } from './scale-out-plan.js';
 
@@ -32,6 +32,16 @@
   onMachineTypes(types: MachineType[]): void;
 }
 
+export interface MachineProvisionerOptions {
+  name: string;
+  cloud: CloudClient;
+  host: ProvisionerHost;
+  lagS: number;
+  bootS: (type: string) => number;
+  clock: Clock;
+  log: Log;
+}
+
 /** Renting and returning for the leader. Request names carry the incarnation: they never recur. */
 export class MachineProvisioner {
   readonly pending = new Map<string, PendingMachine>();
@@ -46,28 +56,22 @@
   private readonly pause = new WakeableSleep();
   listedOnce = false;
 
-  constructor(
-    private readonly name: string,
-    private readonly cloud: CloudClient,
-    private readonly host: ProvisionerHost,
-    private readonly lagS: number,
-    private readonly bootS: (type: string) => number,
-    private readonly clock: Clock,
-    private readonly log: Log,
-  ) {}
+  constructor(private readonly options: MachineProvisionerOptions) {}
 
   isShort(type: string, zone: string, spot: boolean): boolean {
     const shortage = this.shortages.get(`${type} ${zone} ${spot}`);
-    return shortage !== undefined && shortage.until > this.clock.now();
+    return shortage !== undefined && shortage.until > this.options.clock.now();
   }
 
   private recordShortage(kind: { type: string; zone: string; spot: boolean }): void {
     const key = `${kind.type} ${kind.zone} ${kind.spot}`;
     const shortage = this.shortages.get(key);
     const fails =
-      shortage === undefined || this.clock.now() - shortage.until > 60 ? 0 : shortage.fails + 1;
-    const pause = Math.min(this.bootS(kind.type), 5 * 2 ** fails);
-    this.shortages.set(key, { until: this.clock.now() + pause, fails });
+      shortage === undefined || this.options.clock.now() - shortage.until > 60
+        ? 0
+        : shortage.fails + 1;
+    const pause = Math.min(this.options.bootS(kind.type), 5 * 2 ** fails);
+    this.shortages.set(key, { until: this.options.clock.now() + pause, fails });
   }
 
   machineReported(id: string): void {
@@ -81,9 +85,9 @@
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
-        if (this.host.isEntitled()) await this.runRound();
+        if (this.options.host.isEntitled()) await this.runRound();
       } catch (error) {
-        this.log.debug({ err: String(error) }, 'cloud round failed');
+        this.options.log.debug({ err: error }, 'provisioning round failed');
         await sleep(0.5 + random() * 0.5);
       }
       await this.pause.wait(0.5);
@@ -91,40 +95,40 @@
   }
 
   private async runRound(): Promise<void> {
-    const now = this.clock.now();
+    const now = this.options.clock.now();
     if (now - this.typesAt > 120) {
-      this.host.onMachineTypes(await this.cloud.fetchMachineTypes());
+      this.options.host.onMachineTypes(await this.options.cloud.fetchMachineTypes());
       this.typesAt = now;
     }
-    const every = this.pending.size > 0 ? this.lagS / 2 : this.lagS;
+    const every = this.pending.size > 0 ? this.options.lagS / 2 : this.options.lagS;
     if (!this.listedOnce || now - this.listAt > every) {
       this.listAt = now;
-      this.applyList(await this.cloud.listMachines());
+      this.applyList(await this.options.cloud.listMachines());
     }
-    if (this.stopped || !this.host.isEntitled()) return;
-    const back = this.host.machinesToReturn().slice(0, RETURN_MAX);
-    if (back.length > 0 && (await this.cloud.returnMachines(back))) {
-      const at = this.clock.now();
+    if (this.stopped || !this.options.host.isEntitled()) return;
+    const back = this.options.host.machinesToReturn().slice(0, RETURN_MAX);
+    if (back.length > 0 && (await this.options.cloud.returnMachines(back))) {
+      const at = this.options.clock.now();
       for (const id of back) {
         this.returnedAt.set(id, at);
         this.pending.delete(id);
       }
-      this.log.info({ machines: back }, 'returned');
-      this.host.machinesReturned(back);
+      this.options.log.info({ machines: back }, 'scale-in: machines returned');
+      this.options.host.machinesReturned(back);
     }
     await this.retryUnanswered();
     await this.sendStoredRequests();
-    for (const wanted of this.host.machinesToRent()) {
+    for (const wanted of this.options.host.machinesToRent()) {
       for (let left = wanted.count; left > 0; left -= RENT_MAX) {
-        if (this.stopped || !this.host.isEntitled()) return;
+        if (this.stopped || !this.options.host.isEntitled()) return;
         const request: RentRequest = {
-          name: `${this.name}-${this.counter++}`,
+          name: `${this.options.name}-${this.counter++}`,
           type: wanted.type,
           zone: wanted.zone,
           spot: wanted.spot,
           count: Math.min(left, RENT_MAX),
         };
-        await this.rentMachines(request, this.clock.now());
+        await this.rentMachines(request, this.options.clock.now());
       }
     }
   }
@@ -133,18 +137,21 @@
     const again = this.unanswered.splice(0, this.unanswered.length);
     for (const unanswered of again) {
       // Given up after a while: whatever it rented shows up in the list and by its reports.
-      if (this.clock.now() - unanswered.since < 30)
+      if (this.options.clock.now() - unanswered.since < 30)
         await this.rentMachines(unanswered.request, unanswered.since);
     }
   }
 
   /** Each is asked for until it is answered, by whoever leads: the name is the same, and so is the answer. */
   private async sendStoredRequests(): Promise<void> {
-    for (const rentRequest of this.host.storedRentRequests()) {
-      if (this.stopped || !this.host.isEntitled()) return;
+    for (const rentRequest of this.options.host.storedRentRequests()) {
+      if (this.stopped || !this.options.host.isEntitled()) return;
       rentRequest.sending();
-      const result = await this.cloud.rentMachines(rentRequest.request);
-      this.log.info({ request: rentRequest.request, result: result.how }, 'rent, stored');
+      const result = await this.options.cloud.rentMachines(rentRequest.request);
+      this.options.log.info(
+        { request: rentRequest.request, result: result.how },
+        'scale-out: stored request sent',
+      );
       if (result.how === 'rented') this.machinesRented(rentRequest.request, result.ids);
       if (result.how === 'none') this.recordShortage(rentRequest.request);
       rentRequest.answered(result);
@@ -152,17 +159,17 @@
   }
 
   private machinesRented({ type, zone, spot, count }: RentRequest, ids: string[]): void {
-    const now = this.clock.now();
+    const now = this.options.clock.now();
     for (const id of ids) {
-      if (this.host.isKnown(id) || this.returnedAt.has(id)) continue;
+      if (this.options.host.isKnown(id) || this.returnedAt.has(id)) continue;
       this.pending.set(id, { id, type, zone, spot, since: now, listed: false, running: false });
     }
     if (ids.length < count) this.recordShortage({ type, zone, spot });
   }
 
   private async rentMachines(request: RentRequest, since: number): Promise<void> {
-    const result = await this.cloud.rentMachines(request);
-    this.log.info({ request, result: result.how }, 'rent');
+    const result = await this.options.cloud.rentMachines(request);
+    this.options.log.info({ request, result: result.how }, 'scale-out: request sent');
     switch (result.how) {
       case 'rented':
         this.machinesRented(request, result.ids);
@@ -175,7 +182,7 @@
         break;
       case 'refused':
         // An outage, or too many calls: nothing was rented.
-        throw new Error(`rent refused: ${result.status}`);
+        throw new CloudError('rent', result.status);
     }
   }
 
@@ -185,14 +192,14 @@
   }
 
   private applyList(all: ListedMachine[]): void {
-    const now = this.clock.now();
+    const now = this.options.clock.now();
     this.listedOnce = true;
     const names = new Set<string>();
     for (const listed of all) {
       names.add(listed.id);
       if (
         this.returnedAt.has(listed.id) ||
-        this.host.isKnown(listed.id) ||
+        this.options.host.isKnown(listed.id) ||
         listed.state === 'failed'
       ) {
         this.pending.delete(listed.id);
@@ -215,12 +222,15 @@
       }
     }
     for (const pending of [...this.pending.values()]) {
-      if (!names.has(pending.id) && now - pending.since > this.lagS * (pending.listed ? 2 : 4))
+      if (
+        !names.has(pending.id) &&
+        now - pending.since > this.options.lagS * (pending.listed ? 2 : 4)
+      )
         this.pending.delete(pending.id);
     }
     for (const [id, at] of [...this.returnedAt])
-      if (now - at > this.lagS * 20) this.returnedAt.delete(id);
-    this.host.applyList(all.filter((listed) => !this.returnedAt.has(listed.id)));
+      if (now - at > this.options.lagS * 20) this.returnedAt.delete(id);
+    this.options.host.applyList(all.filter((listed) => !this.returnedAt.has(listed.id)));
   }
 
   stop(): void {
--- /dev/null
+++ b/src/controller/composition.ts
@@ -0,0 +1,382 @@
+/** The composition root: builds the parts of a controller and tells them of each other. */
+
+import { HealthTable } from '../admission/controller-health.js';
+import { LeadershipTransfer } from '../admission/leadership-transfer.js';
+import { Overload } from '../admission/overload.js';
+import { RequestQueue } from '../admission/request-queue.js';
+import type { RequestForwarder } from '../api/request-forwarder.js';
+import { CancellationBroadcast } from '../cancellation/cancellation-broadcast.js';
+import type { Clock } from '../clock.js';
+import { CloudClient } from '../cloud/client.js';
+import type { Settings } from '../config/settings.js';
+import { HeartbeatHandler } from '../heartbeat/heartbeat-handler.js';
+import { HttpServer } from '../http/server.js';
+import { LatencyHistograms } from '../latency-histograms.js';
+import { Election } from '../leadership/election.js';
+import { LeaderAcknowledgements } from '../leadership/leader-acknowledgements.js';
+import { ZoneLeaseHolder, ZoneLeaseWatch, zoneLeaseHolders } from '../leadership/zone-lease.js';
+import type { Log } from '../log.js';
+import type { Policy } from '../operator/policy.js';
+import { PeerNetwork } from '../peers/peer-network.js';
+import { uniqueName } from '../random.js';
+import { KeyValueStoreClient } from '../store/client.js';
+import type { FeaturesFileRecord } from '../store/records.js';
+import { ReplicaSync } from '../store/replica-sync.js';
+import { Replica } from '../store/replica.js';
+import type { Subsystem } from '../subsystems/subsystem.js';
+import { ControllerVersions } from './controller-versions.js';
+import { HttpRouter, type HttpRouterOptions } from './http-router.js';
+import { MachineTypeCache } from './machine-type-cache.js';
+import { PeerQuestionHandler } from './peer-question-handler.js';
+import { makeRequestForwarder } from './request-path.js';
+import { TermRunner } from './term-runner.js';
+
+/**
+ * Heartbeats that are forwarded wait for others for this share of a heartbeat interval: a controller that
+ * does not lead then writes, and the leader reads, a batch of them at once.
+ */
+const BATCHING_SHARE = 0.1;
+/** Of the sockets, those for users and workers. */
+const SERVER_SOCKETS = 0.6;
+/** Seconds between two reads of the store's changes, for a leader and for others. */
+const LEADER_WATCH_PAUSE_S = 0.01;
+const FOLLOWER_WATCH_PAUSE_S = 0.15;
+/** Least time between two synchronising reads: at most so many seconds, or requests of each controller. */
+const MAX_READ_GAP_S = 0.1;
+const READ_GAP_REQUESTS = 3;
+/** Seconds for which a connection may take to send a request, or stay idle. */
+const READ_TIMEOUT_S = 5;
+const IDLE_TIMEOUT_S = 120;
+
+/** What a controller is made of. */
+export interface CompositionOptions {
+  settings: Settings;
+  policy: Policy;
+  log: Log;
+  clock: Clock;
+  /** Time of day in ms. */
+  wallMs: () => number;
+  subsystems: readonly Subsystem[];
+  /** This controller's features file; undefined: it has none. */
+  featuresFile: FeaturesFileRecord | undefined;
+  /** What operators are shown. */
+  views: Pick<HttpRouterOptions, 'metrics' | 'subsystemView'>;
+}
+
+/** All parts of a controller. None of them has begun to work. */
+export class Composition {
+  readonly incarnation: string;
+  readonly overload = new Overload();
+  readonly latencies: LatencyHistograms;
+  readonly requests: RequestQueue;
+  readonly health: HealthTable;
+  readonly store: KeyValueStoreClient;
+  readonly replica: Replica;
+  readonly terms: TermRunner;
+  readonly replicaSync: ReplicaSync;
+  readonly cloud: CloudClient;
+  readonly machineTypes: MachineTypeCache;
+  readonly peers: PeerNetwork;
+  readonly election: Election;
+  readonly acknowledgements: LeaderAcknowledgements;
+  readonly versions: ControllerVersions;
+  readonly leadershipTransfer: LeadershipTransfer;
+  readonly zoneLeases: ZoneLeaseWatch;
+  /** Null: this controller is not the only one of its zone. */
+  readonly zoneLeaseHolder: ZoneLeaseHolder | null;
+  readonly cancellations: CancellationBroadcast;
+  readonly heartbeats: HeartbeatHandler;
+  readonly forwarder: RequestForwarder;
+  readonly server: HttpServer;
+  private readonly questionHandler: PeerQuestionHandler;
+
+  constructor(private readonly options: CompositionOptions) {
+    const { settings, clock } = options;
+    // Never the same twice: names of requests and of stored batches begin with it.
+    this.incarnation = `${settings.node}-${uniqueName()}`;
+    this.latencies = new LatencyHistograms(() => clock.now());
+    this.requests = this.makeRequestQueue();
+    this.health = this.makeHealthTable();
+    this.store = new KeyValueStoreClient(settings, clock);
+    this.replica = new Replica(Math.floor(settings.progressValueKb * 1024));
+    this.replicaSync = this.makeReplicaSync();
+    this.cloud = new CloudClient(settings, clock);
+    this.terms = this.makeTermRunner();
+    this.machineTypes = this.makeMachineTypeCache();
+    this.election = this.makeElection();
+    this.acknowledgements = this.makeAcknowledgements();
+    this.peers = this.makePeerNetwork();
+    this.versions = this.makeVersions();
+    this.leadershipTransfer = this.makeLeadershipTransfer();
+    const holders = zoneLeaseHolders([settings, ...settings.peers]);
+    this.zoneLeases = this.makeZoneLeaseWatch(holders);
+    this.zoneLeaseHolder =
+      holders.get(settings.zone) === settings.node ? this.makeZoneLeaseHolder() : null;
+    this.cancellations = this.makeCancellationBroadcast(holders);
+    this.heartbeats = this.makeHeartbeatHandler();
+    this.forwarder = makeRequestForwarder({ ...options, ...this.requestPathParts() });
+    this.questionHandler = this.makeQuestionHandler();
+    this.server = this.makeServer();
+    this.listenToReplica();
+  }
+
+  /** Cancellations that another controller knows to be stored. */
+  private cancellationsHeard(ids: string[]): void {
+    for (const id of ids) {
+      this.cancellations.noteStored(id);
+      this.terms.leader?.onCancellationHeard(id);
+    }
+  }
+
+  private listenToReplica(): void {
+    this.replica.listener = {
+      onReady: (storedJob) => this.terms.leader?.onReady(storedJob),
+      onCancelled: (storedJob) => this.terms.leader?.onCancelled(storedJob),
+      onLeader: () => {
+        this.election.wake();
+        void this.acknowledgements.acknowledgeLeader();
+      },
+      onAcknowledgement: (node, record) => this.acknowledgements.noteStored(node, record),
+      onPresence: (node) => this.zoneLeases.keyChanged(node),
+    };
+  }
+
+  private requestPathParts(): Pick<
+    Composition,
+    'incarnation' | 'store' | 'replica' | 'replicaSync' | 'peers' | 'cancellations' | 'versions'
+  > & { knownTypes: () => MachineTypeCache['known'] } {
+    const { incarnation, store, replica, replicaSync, peers, cancellations, versions } = this;
+    const knownTypes = (): MachineTypeCache['known'] => this.machineTypes.known;
+    return {
+      ...{ incarnation, store, replica, replicaSync, peers, cancellations, versions },
+      knownTypes,
+    };
+  }
+
+  private makeRequestQueue(): RequestQueue {
+    const { settings, clock, log } = this.options;
+    return new RequestQueue({
+      clock,
+      leaseS: settings.workers.lease_s,
+      capacity: settings.limits.sockets,
+      overload: this.overload,
+      onError: (error) => log.error({ err: error }, 'serving requests failed'),
+    });
+  }
+
+  private makeHealthTable(): HealthTable {
+    const { settings, clock } = this.options;
+    return new HealthTable({
+      clock,
+      reportS: settings.workers.report_s,
+      own: () => ({
+        latenessS: this.overload.latenessS,
+        served: this.forwarder.isServed,
+        relayS: this.heartbeats.forwardingDelay.meanS,
+      }),
+    });
+  }
+
+  private makeReplicaSync(): ReplicaSync {
+    const { settings, clock, log } = this.options;
+    return new ReplicaSync({
+      store: this.store,
+      replica: this.replica,
+      clock,
+      log,
+      pauseS: () => (this.terms.leader === null ? FOLLOWER_WATCH_PAUSE_S : LEADER_WATCH_PAUSE_S),
+      syncGapS: Math.min(
+        MAX_READ_GAP_S,
+        (READ_GAP_REQUESTS * settings.controllerCount) / settings.state.rps,
+      ),
+    });
+  }
+
+  private makeTermRunner(): TermRunner {
+    return new TermRunner({
+      ...this.options,
+      incarnation: this.incarnation,
+      store: this.store,
+      replica: this.replica,
+      replicaSync: this.replicaSync,
+      cloud: this.cloud,
+      latencies: this.latencies,
+      overload: this.overload,
+      election: () => this.election,
+      acknowledgements: () => this.acknowledgements,
+      zoneLeases: () => this.zoneLeases,
+      versions: () => this.versions,
+      machineTypes: () => this.machineTypes,
+    });
+  }
+
+  private makeMachineTypeCache(): MachineTypeCache {
+    return new MachineTypeCache({
+      cloud: this.cloud,
+      replicaSync: this.replicaSync,
+      replica: this.replica,
+      leader: () => this.terms.leader,
+      log: this.options.log,
+    });
+  }
+
+  private makeElection(): Election {
+    const { settings, clock, log } = this.options;
+    return new Election({
+      node: settings.node,
+      incarnation: this.incarnation,
+      controllerCount: settings.controllerCount,
+      workers: settings.workers,
+      store: this.store,
+      replicaSync: this.replicaSync,
+      replica: this.replica,
+      peers: () => this.peers,
+      clock,
+      log,
+      events: {
+        onElected: (token) => this.terms.begin(token),
+        onDeposed: () => this.terms.end(),
+        onKnownCancelled: (ids) => this.cancellationsHeard(ids),
+        cancelledSince: (revision) => this.cancellations.storedSince(revision),
+      },
+      healthierCanCampaign: () => this.overload.late && this.health.healthier() !== null,
+    });
+  }
+
+  private makeAcknowledgements(): LeaderAcknowledgements {
+    const { settings, clock, log } = this.options;
+    const { election, store, replica } = this;
+    const peers = (): PeerNetwork => this.peers;
+    return new LeaderAcknowledgements({ settings, election, peers, store, replica, clock, log });
+  }
+
+  private makePeerNetwork(): PeerNetwork {
+    const { settings, log } = this.options;
+    return new PeerNetwork({
+      self: settings.node,
+      peers: settings.peers,
+      handler: (_from, question) => this.questionHandler.answer(question),
+      log,
+      maxPending: settings.limits.sockets,
+      health: this.health,
+      batchingDelayS: settings.workers.report_s * BATCHING_SHARE,
+    });
+  }
+
+  private makeVersions(): ControllerVersions {
+    const { settings, clock, log, featuresFile } = this.options;
+    return new ControllerVersions({
+      node: settings.node,
+      others: settings.peers.map((peer) => peer.node),
+      leaseS: settings.workers.lease_s,
+      replica: this.replica,
+      peers: () => this.peers,
+      health: this.health,
+      store: this.store,
+      replicaSync: this.replicaSync,
+      clock,
+      log,
+      ...(featuresFile === undefined ? {} : { file: featuresFile }),
+    });
+  }
+
+  private makeLeadershipTransfer(): LeadershipTransfer {
+    const { settings, clock, log } = this.options;
+    return new LeadershipTransfer({
+      overload: this.overload,
+      health: this.health,
+      clock,
+      log,
+      leaseS: settings.workers.lease_s,
+      leads: () => this.election.canWrite,
+      electedAt: () => this.terms.leader?.term.startedAt ?? clock.now(),
+      stepDown: () => this.election.stepDown(),
+    });
+  }
+
+  private makeZoneLeaseWatch(byZone: Map<string, string>): ZoneLeaseWatch {
+    const { settings, clock } = this.options;
+    const { replica, replicaSync, store } = this;
+    const leaseS = settings.workers.lease_s;
+    return new ZoneLeaseWatch({ byZone, leaseS, replica, replicaSync, store, clock });
+  }
+
+  private makeZoneLeaseHolder(): ZoneLeaseHolder {
+    const { settings, clock, log } = this.options;
+    return new ZoneLeaseHolder({
+      node: settings.node,
+      incarnation: this.incarnation,
+      leaseS: settings.workers.lease_s,
+      store: this.store,
+      replicaSync: this.replicaSync,
+      replica: this.replica,
+      peers: () => this.peers,
+      clock,
+      log,
+    });
+  }
+
+  private makeCancellationBroadcast(holders: Map<string, string>): CancellationBroadcast {
+    const { settings, clock } = this.options;
+    const { peers, replica, zoneLeases } = this;
+    return new CancellationBroadcast({
+      ...{ settings, peers, replica, zoneLeases, clock },
+      zoneLeaseHolders: [...holders],
+    });
+  }
+
+  private makeHeartbeatHandler(): HeartbeatHandler {
+    const { settings, clock, log } = this.options;
+    return new HeartbeatHandler({
+      settings,
+      election: this.election,
+      store: this.store,
+      replica: this.replica,
+      peers: this.peers,
+      zoneLeaseHolder: this.zoneLeaseHolder,
+      zoneLeases: this.zoneLeases,
+      isLate: (node) => this.health.isLate(node),
+      leader: () => this.terms.leader,
+      isKnownCancelled: (job) => this.cancellations.knows(job),
+      clock,
+      log,
+    });
+  }
+
+  private makeQuestionHandler(): PeerQuestionHandler {
+    return new PeerQuestionHandler({
+      requests: this.requests,
+      latencies: this.latencies,
+      heartbeats: this.heartbeats,
+      forwarder: this.forwarder,
+      election: this.election,
+      acknowledgements: this.acknowledgements,
+      cancellations: this.cancellations,
+      cancellationsHeard: (ids) => this.cancellationsHeard(ids),
+    });
+  }
+
+  private makeServer(): HttpServer {
+    const { settings, clock, log, views } = this.options;
+    const router = new HttpRouter({
+      clock,
+      latencies: this.latencies,
+      requests: this.requests,
+      heartbeats: this.heartbeats,
+      forwarder: this.forwarder,
+      isLeader: () => this.terms.leader !== null,
+      ...views,
+    });
+    const limits = {
+      sockets: Math.floor(settings.limits.sockets * SERVER_SOCKETS),
+      readS: READ_TIMEOUT_S,
+      idleS: IDLE_TIMEOUT_S,
+    };
+    return new HttpServer(
+      (message) => router.handle(message),
+      limits,
+      () => clock.now(),
+      (error) => log.error({ err: error }, 'request failed'),
+    );
+  }
+}
--- a/src/controller/controller-versions.ts
+++ b/src/controller/controller-versions.ts
@@ -94,7 +94,7 @@
           await replicaSync.sync();
         }
       } catch (error) {
-        log.debug({ err: String(error) }, 'version not stored');
+        log.debug({ err: error }, 'version not stored');
       }
       await sleep(leaseS * PUBLISH_LEASES);
     }
--- a/src/controller/machine-type-cache.ts
+++ b/src/controller/machine-type-cache.ts
@@ -49,7 +49,7 @@
         leader()?.onMachineTypes(this.fetched);
         return;
       } catch (error) {
-        log.debug({ err: String(error) }, 'machine types not had');
+        log.debug({ err: error }, 'machine types unavailable');
         await sleep(RETRY_S + random());
       }
     }
--- /dev/null
+++ b/src/controller/request-path.ts
@@ -0,0 +1,86 @@
+/** Builds the path of users' requests: validated, stored, confirmed, or forwarded. */
+
+import { RequestForwarder } from '../api/request-forwarder.js';
+import { UserApi } from '../api/user-api.js';
+import type { CancellationBroadcast } from '../cancellation/cancellation-broadcast.js';
+import { CancellationQuorum } from '../cancellation/cancellation-quorum.js';
+import type { Clock } from '../clock.js';
+import type { Settings } from '../config/settings.js';
+import type { MachineType } from '../jobs/types.js';
+import type { Log } from '../log.js';
+import type { PeerNetwork } from '../peers/peer-network.js';
+import type { KeyValueStoreClient } from '../store/client.js';
+import type { ReplicaSync } from '../store/replica-sync.js';
+import type { Replica } from '../store/replica.js';
+import { RequestWriter } from '../store/request-writer.js';
+import type { ControllerVersions } from './controller-versions.js';
+
+/** What is known of the confirmation of cancellations is kept for so many leases. */
+const CONFIRMED_LEASES = 20;
+
+/** The parts that users' requests go through. */
+export interface RequestPathOptions {
+  settings: Settings;
+  clock: Clock;
+  /** Time of day in ms. */
+  wallMs: () => number;
+  log: Log;
+  incarnation: string;
+  store: KeyValueStoreClient;
+  replica: Replica;
+  replicaSync: ReplicaSync;
+  peers: PeerNetwork;
+  cancellations: CancellationBroadcast;
+  versions: ControllerVersions;
+  /** Machine types by which submissions are validated; null: none are known yet. */
+  knownTypes: () => MachineType[] | null;
+}
+
+/** What answers users' requests here, or has another controller answer them. */
+export function makeRequestForwarder(options: RequestPathOptions): RequestForwarder {
+  const { settings, clock, store, replicaSync, peers, versions } = options;
+  return new RequestForwarder({
+    userApi: makeUserApi(options),
+    store,
+    replicaSync,
+    peers,
+    workers: settings.workers,
+    now: () => clock.now(),
+    knowsPipelines: (node) => versions.knows(node, 'pipelines'),
+  });
+}
+
+function makeUserApi(options: RequestPathOptions): UserApi {
+  const { settings, wallMs, log, replica, replicaSync, cancellations, versions } = options;
+  const quorum = makeCancellationQuorum(options);
+  return new UserApi({
+    settings,
+    replicaSync,
+    replica,
+    requestWriter: makeRequestWriter(options),
+    types: options.knownTypes,
+    announceCancellation: (job) => cancellations.announce(job),
+    confirmCancellation: (storedJob, job) => quorum.confirm(storedJob, job),
+    isOldVersionPresent: () => versions.isOldPresent('pipelines'),
+    wallMs,
+    log,
+  });
+}
+
+function makeRequestWriter(options: RequestPathOptions): RequestWriter {
+  const { incarnation, store, replicaSync, replica, clock, log } = options;
+  const budget = store.writeBudget;
+  return new RequestWriter({ incarnation, store, replicaSync, replica, budget, clock, log });
+}
+
+function makeCancellationQuorum(options: RequestPathOptions): CancellationQuorum {
+  const { settings, peers, replica, clock, cancellations } = options;
+  return new CancellationQuorum({
+    controllerCount: settings.controllerCount,
+    peers,
+    replica,
+    clock,
+    remainingWaitS: (job, noted) => cancellations.remainingWaitS(job, noted),
+    rememberS: settings.workers.lease_s * CONFIRMED_LEASES,
+  });
+}
--- a/src/controller/run.ts
+++ b/src/controller/run.ts
@@ -23,12 +23,8 @@
   if (wrong !== null) giveUp(wrong);
   const log = makeLog(settings.node);
   // Whatever goes wrong in one request or one round must not end the controller.
-  process.on('uncaughtException', (error) =>
-    log.error({ err: String(error), stack: error.stack }, 'uncaught'),
-  );
-  process.on('unhandledRejection', (reason) =>
-    log.error({ err: String(reason) }, 'unhandled rejection'),
-  );
+  process.on('uncaughtException', (error) => log.error({ err: error }, 'uncaught exception'));
+  process.on('unhandledRejection', (reason) => log.error({ err: reason }, 'unhandled rejection'));
   try {
     await new Controller(settings, policy, log, await controllerOptions(features)).start();
   } catch (error) {
--- /dev/null
+++ b/src/controller/term-runner.ts
@@ -0,0 +1,122 @@
+/** Begins and ends terms of leadership on this controller. */
+
+import type { Overload } from '../admission/overload.js';
+import type { Clock } from '../clock.js';
+import type { CloudClient } from '../cloud/client.js';
+import type { Settings } from '../config/settings.js';
+import type { LatencyHistograms } from '../latency-histograms.js';
+import { Leader } from '../leader/leader.js';
+import type { TermContext } from '../leader/term/term-state.js';
+import type { Election } from '../leadership/election.js';
+import type { LeaderAcknowledgements } from '../leadership/leader-acknowledgements.js';
+import type { ZoneLeaseWatch } from '../leadership/zone-lease.js';
+import type { Log } from '../log.js';
+import type { Policy } from '../operator/policy.js';
+import type { KeyValueStoreClient } from '../store/client.js';
+import type { ReplicaSync } from '../store/replica-sync.js';
+import type { Replica } from '../store/replica.js';
+import type { Subsystem } from '../subsystems/subsystem.js';
+import type { ControllerVersions } from './controller-versions.js';
+import type { MachineTypeCache } from './machine-type-cache.js';
+
+/** What a term works with; see `TermContext`. */
+export interface TermRunnerOptions {
+  settings: Settings;
+  policy: Policy;
+  clock: Clock;
+  /** Time of day in ms. */
+  wallMs: () => number;
+  log: Log;
+  /** Names of requests begin with it; no other process ever has it. */
+  incarnation: string;
+  store: KeyValueStoreClient;
+  replica: Replica;
+  replicaSync: ReplicaSync;
+  cloud: CloudClient;
+  latencies: LatencyHistograms;
+  overload: Overload;
+  subsystems: readonly Subsystem[];
+  /** Parts that know this one; asked for only once a term begins. */
+  election: () => Election;
+  acknowledgements: () => LeaderAcknowledgements;
+  zoneLeases: () => ZoneLeaseWatch;
+  versions: () => ControllerVersions;
+  machineTypes: () => MachineTypeCache;
+}
+
+/** Holds the leader of the present term, while this controller leads. */
+export class TermRunner {
+  /** Null: this controller does not lead. */
+  leader: Leader | null = null;
+  private lostInEarlierTerms = 0;
+
+  constructor(private readonly options: TermRunnerOptions) {}
+
+  /** Machines whose leases this controller as leader counted as expired, since its start. */
+  get machinesLost(): number {
+    return this.lostInEarlierTerms + (this.leader?.term.machinesLost ?? 0);
+  }
+
+  /** This controller was elected: its term with this fencing token begins. */
+  begin(token: number): void {
+    this.end();
+    const { store, cloud, latencies, overload, subsystems, election } = this.options;
+    this.leader = new Leader(this.termContext(token), {
+      store,
+      cloud,
+      onLeadershipLost: () => election().wake(),
+      latencies,
+      overload,
+      subsystems,
+    });
+    void this.options.acknowledgements().collect(token);
+    this.leader.start();
+    const { fetched } = this.options.machineTypes();
+    if (fetched !== null && this.leader.term.machineTypes.size === 0) {
+      this.leader.onMachineTypes(fetched);
+    }
+  }
+
+  private termContext(token: number): TermContext {
+    const { settings, policy, clock, wallMs, log, incarnation, store } = this.options;
+    const { replica, replicaSync } = this.options;
+    const election = this.options.election();
+    const acknowledgements = this.options.acknowledgements();
+    const zoneLeases = this.options.zoneLeases();
+    return {
+      settings,
+      clock,
+      wallMs,
+      log,
+      replica,
+      policy,
+      token,
+      incarnation,
+      allReadDenseRecords: () => this.options.versions().everyoneKnows('pipelines'),
+      isEntitled: () => election.isEntitled && election.token === token,
+      othersRenewUntil: () =>
+        Math.max(
+          store.rejectedAt + election.outage.substituteS,
+          acknowledgements.othersRenewUntil(token),
+        ),
+      zoneRenewal: (zone) => zoneLeases.zone(zone),
+      requestProof: () =>
+        void replicaSync.sync().then((isFresh) => isFresh && this.leader?.term.requestCycle()),
+      canWrite: () => election.canWrite && election.token === token,
+    };
+  }
+
+  /** The term is over, if there is one. */
+  end(): void {
+    if (this.leader === null) return;
+    this.leader.stop();
+    this.lostInEarlierTerms += this.leader.term.machinesLost;
+    this.leader = null;
+  }
+
+  /** The process ends: what the term counted is of no use any more. */
+  stop(): void {
+    this.leader?.stop();
+    this.leader = null;
+  }
+}
--- a/src/heartbeat/heartbeat-handler.ts
+++ b/src/heartbeat/heartbeat-handler.ts
@@ -101,7 +101,7 @@
     const refuse = (error: unknown): Reply => {
       if (!(error instanceof BadMessage)) throw error;
       // Garbage goes no further than here.
-      this.options.log.info({ err: error.message }, 'report dropped');
+      this.options.log.info({ reason: error.message }, 'heartbeat rejected: malformed');
       return { status: 400, body: '{}' };
     };
     try {
--- a/src/jobs/live-job.ts
+++ b/src/jobs/live-job.ts
@@ -1,3 +1,4 @@
+import { IllegalTransitionError } from '../illegal-transition.js';
 import type { Attempt } from '../workers/attempt.js';
 import { occupiesCapacity } from '../workers/attempt.js';
 import type { StoredJob } from '../store/stored-job.js';
@@ -86,7 +87,7 @@
     const ok =
       (this.phase === 'active' && phase === 'closing') ||
       (this.phase === 'closing' && phase === 'closed');
-    if (!ok) throw new Error(`job: ${this.phase} -> ${phase}`);
+    if (!ok) throw new IllegalTransitionError(`job ${this.spec.id}`, this.phase, phase);
     this.phase = phase;
   }
 
--- a/src/leader/attempts/command-dispatcher.ts
+++ b/src/leader/attempts/command-dispatcher.ts
@@ -97,10 +97,7 @@
         term.now,
         token,
       );
-      context.log.debug(
-        { machine: machine.id, err: String(error) },
-        'direct commands not answered',
-      );
+      context.log.debug({ machine: machine.id, err: error }, 'direct commands unanswered');
     } finally {
       channel.busy = false;
     }
--- a/src/leader/attempts/heartbeat-reconciler.ts
+++ b/src/leader/attempts/heartbeat-reconciler.ts
@@ -43,14 +43,14 @@
     const job = this.term.jobs.get(attempt.job);
     this.term.machinesToWrite.add(machine.id);
     if (job === undefined || job.phase !== 'active') {
-      this.dismiss(machine, attempt, 'unwanted task found');
+      this.dismiss(machine, attempt, 'unclaimed task dismissed: job over');
       return;
     }
     const others = job.isGang
       ? [...job.activeAttempts()].length > 0
       : job.attemptsByTask.has(attempt.index);
     if (job.done.has(attempt.index) || others || attempt.index >= job.spec.tasks) {
-      this.dismiss(machine, attempt, 'second copy of a task found');
+      this.dismiss(machine, attempt, 'unclaimed task dismissed: duplicate');
       return;
     }
     job.addAttempt(attempt);
@@ -99,7 +99,7 @@
         machine: machine.id,
         ageS: now - job.readySince,
       },
-      'runs',
+      'task running',
     );
   }
 
--- a/src/leader/attempts/lease-expiry.ts
+++ b/src/leader/attempts/lease-expiry.ts
@@ -42,7 +42,7 @@
     }
     this.term.context.log.info(
       { machine: machine.id, attempts: machine.attempts.size },
-      'machine lost',
+      'machine lease expired',
     );
     this.term.machinesLost++;
     this.loseMachine(machine);
--- a/src/leader/attempts/machine-health.ts
+++ b/src/leader/attempts/machine-health.ts
@@ -100,7 +100,7 @@
     }
     if (against + doubted.size >= QUARANTINE_JOBS && !machine.condition.quarantined) {
       machine.condition.quarantined = true;
-      this.options.log.info({ machine: machine.id }, 'faulty machine put aside');
+      this.options.log.info({ machine: machine.id }, 'machine quarantined');
     }
   }
 
--- a/src/leader/capacity/capacity-manager.ts
+++ b/src/leader/capacity/capacity-manager.ts
@@ -69,15 +69,15 @@
   private makeProvisioner(): MachineProvisioner {
     const { term, cloud } = this.options;
     const { context } = term;
-    return new MachineProvisioner(
-      `${context.incarnation}-${context.token}`,
+    return new MachineProvisioner({
+      name: `${context.incarnation}-${context.token}`,
       cloud,
-      this,
-      context.settings.cloud.list_lag_s,
-      (type) => term.machineTypes.get(type)?.bootS ?? context.settings.workers.lease_s,
-      context.clock,
-      context.log,
-    );
+      host: this,
+      lagS: context.settings.cloud.list_lag_s,
+      bootS: (type) => term.machineTypes.get(type)?.bootS ?? context.settings.workers.lease_s,
+      clock: context.clock,
+      log: context.log,
+    });
   }
 
   isEntitled(): boolean {
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -125,7 +125,7 @@
         faulty: machine.condition.quarantined,
         state: machine.state,
       },
-      'to be returned',
+      'scale-in: machine marked for return',
     );
     machine.changeState('returning');
     if (machine.recordRevision > 0) this.term.machinesToWrite.add(machine.id);
--- a/src/leader/capacity/scale-out-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -125,7 +125,7 @@
           (machine) => machine.activeAttempts().length > 0,
         ).length,
       },
-      'fleet',
+      'capacity',
     );
   }
 
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -206,7 +206,7 @@
     if (!known) {
       this.context.log.info(
         { machine: machine.id, type: heartbeat.type, zone: heartbeat.zone },
-        'machine reports',
+        'machine joined',
       );
       this.capacity.provisioner.machineReported(machine.id);
       this.term.requestCycle();
@@ -224,10 +224,7 @@
       try {
         this.latencies.time('pass', () => this.runCycle());
       } catch (error) {
-        this.context.log.error(
-          { err: String(error), stack: (error as Error).stack },
-          'pass failed',
-        );
+        this.context.log.error({ err: error }, 'scheduling cycle failed');
       }
     }, wait * 1000);
   }
--- a/src/leader/scheduling/gang-reservations.ts
+++ b/src/leader/scheduling/gang-reservations.ts
@@ -36,7 +36,10 @@
       const chosen = chooseReservation(job.spec, machines);
       if (chosen === null) continue;
       this.reservation = { job, machines: chosen };
-      this.term.context.log.info({ job: job.spec.id, machines: chosen.size }, 'machines reserved');
+      this.term.context.log.info(
+        { job: job.spec.id, machines: chosen.size },
+        'gang reservation made',
+      );
       return;
     }
   }
--- a/src/leader/scheduling/job-placement.ts
+++ b/src/leader/scheduling/job-placement.ts
@@ -199,7 +199,7 @@
         imageWaitS: capacity.imageDelayS(job.spec.image, job.spec.imageGb),
         ageS: this.term.now - job.readySince,
       },
-      'placed',
+      'task placed',
     );
   }
 }
--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -155,7 +155,7 @@
       const { id, class: cls } = spec;
       log.debug(
         { job: id, class: cls, tasks, got: got.length, stopped, how, inTime, ageS },
-        'room is made',
+        'preemption planned',
       );
     }
     // A gang gains nothing from room for some of its tasks.
--- a/src/leader/scheduling/replica-migrations.ts
+++ b/src/leader/scheduling/replica-migrations.ts
@@ -133,7 +133,10 @@
     const machine = this.term.machines.get(chosen.candidate.capacity.id)!;
     machine.drainingSince = now;
     machine.activeAttempts().forEach((attempt, i) => this.startMigration(attempt, chosen.to[i]!));
-    this.term.context.log.info({ machine: machine.id, replicas: chosen.to.length }, 'emptied');
+    this.term.context.log.info(
+      { machine: machine.id, replicas: chosen.to.length },
+      'drain started',
+    );
     return machine;
   }
   /**
--- a/src/leader/writes/record-writer.ts
+++ b/src/leader/writes/record-writer.ts
@@ -63,7 +63,7 @@
     const mostBytes = term.context.settings.state.value_kb * 1024;
     this.writes.machineTypesDirty = bytes <= mostBytes;
     if (!this.writes.machineTypesDirty)
-      log.info({ bytes, mostBytes }, 'machine types are not stored');
+      log.info({ bytes, mostBytes }, 'machine types not stored: too large');
   }
 
   wake(): void {
@@ -76,10 +76,7 @@
         if (!this.options.term.context.canWrite() || !(await this.writeBatch()))
           await this.pause.wait(IDLE_S);
       } catch (error) {
-        this.options.log.error(
-          { err: String(error), stack: (error as Error).stack },
-          'store round failed',
-        );
+        this.options.log.error({ err: error }, 'record writer failed');
         await sleep(RETRY_S);
       }
     }
@@ -149,7 +146,7 @@
         onLeadershipLost();
         return;
       }
-      log.info({ failed: result.failed }, 'records differ from what was known');
+      log.info({ failed: result.failed }, 'compare-and-swap failed');
       const differs = ({ key }: { key: string }): boolean => result.failed.includes(key);
       await this.readBack(
         batch.filter((write) => differs(write) || write.alsoOperations.some(differs)),
@@ -169,7 +166,7 @@
 
   /** One malformed write must not keep the others of its batch from being stored. */
   private async retryOneByOne(batch: RecordWrite[]): Promise<void> {
-    this.options.log.error({ keys: batch.map((write) => write.key) }, 'commit malformed');
+    this.options.log.error({ keys: batch.map((write) => write.key) }, 'transaction malformed');
     if (batch.length === 1) return;
     for (const write of batch) {
       if (this.stopped) return;
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -1,50 +1,42 @@
 import { random } from '../random.js';
 import { MAX_CLOCK_DRIFT, WakeableSleep, sleep, type Clock } from '../clock.js';
+import { IllegalTransitionError } from '../illegal-transition.js';
 import type { Log } from '../log.js';
 import { RequestRejectedError, type KeyValueStoreClient } from '../store/client.js';
 import type { ReplicaSync } from '../store/replica-sync.js';
 import type { Replica } from '../store/replica.js';
-import * as records from '../store/records.js';
 import type { PeerNetwork } from '../peers/peer-network.js';
+import { mayBecome, type ElectionRole } from './election-role.js';
+import { acquireLeaderKey } from './leader-key.js';
 import { OutageQuorum, type OutageEvents } from './outage-quorum.js';
 import { renewalAllowanceS, type WorkerTimes } from './renewal-allowance.js';
 
-/**
- * Who leads. The leader's key hangs on a lease; its revision is the token, so tokens only rise.
- *
- *   follower -> candidate -> leader <-> leader-in-outage -> follower
- *
- * `leader`: entitled by the lease. `leader-in-outage`: the state service refuses this node, and a majority
- * of controllers (this one among them) has just been refused too, which only an outage does; leases
- * stand still in one. Whatever the state, `entitled` is what counts for every answer and command.
- */
-export type ElectionRole = 'follower' | 'candidate' | 'leader' | 'leader-in-outage';
-
-/** What `/metrics` and the load lines of the log call each role: operators' scripts know these words. */
-export const ROLE_IN_METRICS: Record<ElectionRole, string> = {
-  follower: 'following',
-  candidate: 'standing',
-  leader: 'leading',
-  'leader-in-outage': 'continuing',
-};
-
 /** A late controller leaves leadership to a fitter one for so many lives of the leader's lease, at most. */
 const DEFER_TTLS = 0.5;
 /** It looks so many times in that life whether it still has to. */
 const DEFER_CHECKS_PER_TTL = 20;
 
-const TRANSITIONS: Record<ElectionRole, ElectionRole[]> = {
-  follower: ['candidate'],
-  candidate: ['leader', 'follower'],
-  leader: ['leader-in-outage', 'follower'],
-  'leader-in-outage': ['leader', 'follower'],
-};
-
 export interface ElectionEvents extends OutageEvents {
   onElected(token: number): void;
   onDeposed(): void;
 }
 
+export interface ElectionOptions {
+  node: string;
+  incarnation: string;
+  controllerCount: number;
+  workers: WorkerTimes;
+  store: KeyValueStoreClient;
+  replicaSync: ReplicaSync;
+  replica: Replica;
+  peers: () => PeerNetwork;
+  clock: Clock;
+  log: Log;
+  events: ElectionEvents;
+  /** This controller is late, and another one that could be elected is fitter. */
+  healthierCanCampaign: () => boolean;
+}
+
 export class Election {
   role: ElectionRole = 'follower';
   token = 0;
@@ -67,21 +59,9 @@
   /** Seconds for which leases may be renewed after the last proof of knowing every cancellation. */
   private readonly allowanceS: number;
 
-  constructor(
-    private readonly node: string,
-    private readonly incarnation: string,
-    controllerCount: number,
-    workers: WorkerTimes,
-    private readonly store: KeyValueStoreClient,
-    private readonly replicaSync: ReplicaSync,
-    private readonly replica: Replica,
-    peers: () => PeerNetwork,
-    private readonly clock: Clock,
-    private readonly log: Log,
-    private readonly events: ElectionEvents,
-    /** This controller is late, and another one that could be elected is fitter. */
-    private readonly healthierCanCampaign: () => boolean = () => false,
-  ) {
+  constructor(private readonly options: ElectionOptions) {
+    const { workers, controllerCount, store, replicaSync, replica, peers, clock, log, events } =
+      options;
     // A third of the workers' lease: the successor has two thirds to reach them all.
     this.leaseTtlS = workers.lease_s * 0.3;
     this.allowanceS = renewalAllowanceS(workers, this.leaseTtlS);
@@ -94,15 +74,20 @@
 
   private changeRole(role: ElectionRole): void {
     if (role === this.role) return;
-    if (!TRANSITIONS[this.role].includes(role)) throw new Error(`${this.role} -> ${role}`);
-    this.log.info({ from: this.role, to: role, token: this.token }, 'role');
+    if (!mayBecome(this.role, role)) {
+      throw new IllegalTransitionError('election', this.role, role);
+    }
+    this.options.log.info(
+      { from: this.role, to: role, token: this.token },
+      'election role changed',
+    );
     const led = this.isLeading;
     this.role = role;
     if (role === 'leader') this.vacantSince = null;
     if (role === 'follower' && led) {
       this.leaseValidUntil = -Infinity;
-      this.store.setRole('follower');
-      this.events.onDeposed();
+      this.options.store.setRole('follower');
+      this.options.events.onDeposed();
     }
   }
 
@@ -113,7 +98,7 @@
   /** Whether this node may act for the controllers at this moment. */
   get isEntitled(): boolean {
     if (!this.isLeading) return false;
-    return this.clock.now() < this.entitledUntil;
+    return this.options.clock.now() < this.entitledUntil;
   }
 
   /**
@@ -122,7 +107,7 @@
    */
   private get entitledUntil(): number {
     if (this.role === 'leader-in-outage') return this.leaseValidUntil;
-    return Math.min(this.leaseValidUntil, this.replicaSync.freshAt + this.allowanceS);
+    return Math.min(this.leaseValidUntil, this.options.replicaSync.freshAt + this.allowanceS);
   }
 
   /** Entitled, and commits can be expected to go through. */
@@ -140,7 +125,7 @@
         if (this.role === 'follower') await this.stepAsFollower();
         else await this.stepAsLeader();
       } catch (error) {
-        this.log.debug({ err: String(error), role: this.role }, 'election step failed');
+        this.options.log.debug({ err: error, role: this.role }, 'election step failed');
         if (this.role === 'candidate') this.changeRole('follower');
         await sleep(0.2);
       }
@@ -148,17 +133,17 @@
   }
 
   private async stepAsFollower(): Promise<void> {
-    const leader = this.replica.leader;
-    if (!this.replicaSync.ready) {
+    const leader = this.options.replica.leader;
+    if (!this.options.replicaSync.ready) {
       await sleep(0.05);
       return;
     }
-    if (this.clock.now() < Math.max(this.outage.promisedUntil, this.campaignsFrom)) {
+    if (this.options.clock.now() < Math.max(this.outage.promisedUntil, this.campaignsFrom)) {
       await sleep(0.1);
       return;
     }
     // My own former process is dead for certain: nothing to wait for.
-    const mine = leader !== null && leader.node === this.node;
+    const mine = leader !== null && leader.node === this.options.node;
     if (leader !== null && !mine) {
       this.vacantSince = null;
       await this.pause.wait(0.5);
@@ -171,7 +156,7 @@
     if (!mine) {
       // Apart from one another, so that a single node stands as a rule.
       await sleep(random() * 0.05 * this.leaseTtlS);
-      if (this.replica.leader !== null) return;
+      if (this.options.replica.leader !== null) return;
     }
     this.changeRole('candidate');
     const won = await this.campaign(leader?.revision ?? 0);
@@ -186,57 +171,48 @@
    * somebody has to stand.
    */
   private defersToHealthier(): boolean {
-    const now = this.clock.now();
+    const now = this.options.clock.now();
     this.vacantSince ??= now;
     if (now - this.vacantSince >= this.leaseTtlS * DEFER_TTLS) return false;
-    return this.healthierCanCampaign();
+    return this.options.healthierCanCampaign();
   }
 
-  private async campaign(guard: number): Promise<boolean> {
-    const grantSentAt = this.clock.now();
-    const lease = await this.store.grantLease(this.leaseTtlS, 1);
-    // An earlier attempt's key may turn up late. It hangs on that one's lease, which nobody renews.
-    const incarnation = `${this.incarnation}/${++this.campaigns}`;
-    let token = 0;
-    try {
-      const result = await this.store.compareAndSwap(
-        [{ key: records.LEADER, revision: guard }],
-        [
-          {
-            put: records.LEADER,
-            value: records.encodeLeader({ node: this.node, incarnation }),
-            lease,
-          },
-        ],
-        1,
-      );
-      if (!result.ok) return false;
-      token = result.revision;
-    } catch (error) {
-      if (error instanceof RequestRejectedError) return false;
-      // Not answered: read it back.
-      const item = await this.store.get(records.LEADER, 1);
-      if (item === null || records.decodeLeader(item.value).incarnation !== incarnation) {
-        return false;
-      }
-      token = item.revision;
-    }
+  /** Stands for election over the key as it was seen last. Returns whether this controller leads now. */
+  private async campaign(expectedRevision: number): Promise<boolean> {
+    const { store, clock, node, incarnation, events } = this.options;
+    const grantSentAt = clock.now();
+    const lease = await store.grantLease(this.leaseTtlS, 1);
+    // An earlier campaign's key may turn up late. It hangs on that one's lease, which nobody renews.
+    const claim = `${incarnation}/${++this.campaigns}`;
+    const token = await acquireLeaderKey(store, {
+      node,
+      incarnation: claim,
+      lease,
+      expectedRevision,
+    });
+    if (token === null) return false;
     this.lease = lease;
     this.token = token;
     this.leaseValidUntil = this.leaseEnd(grantSentAt);
-    this.store.setRole('leader');
-    // Everything that former leaders stored must be in the picture before anything is decided.
-    while (this.replica.applied < token || this.replicaSync.freshAt < grantSentAt) {
-      if (this.stopped || this.clock.now() >= this.leaseValidUntil) {
-        this.store.setRole('follower');
-        return false;
-      }
-      if (!(await this.replicaSync.sync())) await sleep(0.05);
-    }
+    store.setRole('leader');
+    if (!(await this.catchUp(token, grantSentAt))) return false;
     // Stopped while it was being elected: it would lead on with nobody to stop it again.
     if (this.stopped) return false;
     this.changeRole('leader');
-    this.events.onElected(token);
+    events.onElected(token);
+    return true;
+  }
+
+  /** Everything that former leaders stored must be in the replica before anything is decided. */
+  private async catchUp(token: number, grantSentAt: number): Promise<boolean> {
+    const { store, clock, replica, replicaSync } = this.options;
+    while (replica.applied < token || replicaSync.freshAt < grantSentAt) {
+      if (this.stopped || clock.now() >= this.leaseValidUntil) {
+        store.setRole('follower');
+        return false;
+      }
+      if (!(await replicaSync.sync())) await sleep(0.05);
+    }
     return true;
   }
 
@@ -246,31 +222,33 @@
   }
 
   private async stepAsLeader(): Promise<void> {
-    const sentAt = this.clock.now();
+    const sentAt = this.options.clock.now();
     const left = this.leaseValidUntil - sentAt;
     let refused = false;
     try {
-      if (await this.store.keepLeaseAlive(this.lease, Math.max(0.3, Math.min(1, left / 2)))) {
+      if (
+        await this.options.store.keepLeaseAlive(this.lease, Math.max(0.3, Math.min(1, left / 2)))
+      ) {
         this.leaseValidUntil = Math.max(this.leaseValidUntil, this.leaseEnd(sentAt));
         if (this.role === 'leader-in-outage') this.changeRole('leader');
         this.refreshReplica();
       } else {
-        this.log.info({ token: this.token }, 'lease has ended');
+        this.options.log.info({ token: this.token }, 'leader lease expired');
         this.changeRole('follower');
         return;
       }
     } catch (error) {
       refused = error instanceof RequestRejectedError && error.status === 503;
-      this.log.debug({ err: String(error), left }, 'lease not renewed');
+      this.options.log.debug({ err: error, left }, 'leader lease not renewed');
     }
-    const leader = this.replica.leader;
+    const leader = this.options.replica.leader;
     if (leader !== null && leader.revision > this.token) {
       this.changeRole('follower');
       return;
     }
     if (refused) await this.continueInOutage(sentAt);
-    if (this.clock.now() >= this.entitledUntil) {
-      this.log.info({ token: this.token }, 'entitlement has run out');
+    if (this.options.clock.now() >= this.entitledUntil) {
+      this.options.log.info({ token: this.token }, 'leader entitlement expired');
       this.changeRole('follower');
       return;
     }
@@ -286,15 +264,16 @@
   async stepDown(): Promise<void> {
     if (this.role !== 'leader') return;
     const { lease } = this;
-    this.campaignsFrom = this.clock.now() + this.leaseTtlS / 2;
+    this.campaignsFrom = this.options.clock.now() + this.leaseTtlS / 2;
     this.changeRole('follower');
     // Without an answer the key goes by itself, when the lease ends.
-    await this.store.endLease(lease, this.leaseTtlS / 2).catch(() => undefined);
+    await this.options.store.endLease(lease, this.leaseTtlS / 2).catch(() => undefined);
   }
 
   /** Reads the store when the watch has had nothing to show for a while. */
   private refreshReplica(): void {
-    if (this.clock.now() - this.replicaSync.freshAt > this.leaseTtlS) void this.replicaSync.sync();
+    if (this.options.clock.now() - this.options.replicaSync.freshAt > this.leaseTtlS)
+      void this.options.replicaSync.sync();
   }
 
   /**
@@ -311,7 +290,7 @@
       askedAt + forS * (1 - 2 * MAX_CLOCK_DRIFT),
       this.outage.renewalBound(majority),
     );
-    if (until <= this.clock.now()) return;
+    if (until <= this.options.clock.now()) return;
     this.leaseValidUntil = Math.max(this.leaseValidUntil, until);
     if (this.role === 'leader') this.changeRole('leader-in-outage');
   }
@@ -322,12 +301,12 @@
    * far have ended.
    */
   acknowledge(token: number): number {
-    const now = this.clock.now();
+    const now = this.options.clock.now();
     const known = token <= this.outage.acknowledged;
     let until = this.outage.acknowledge(token);
     if (!known && token > this.token && this.isLeading) {
       until = Math.max(until, Math.min(now, this.leaseValidUntil));
-      this.log.info({ token: this.token, later: token }, 'a later leader');
+      this.options.log.info({ token: this.token, later: token }, 'newer leader acknowledged');
       this.changeRole('follower');
     }
     return until - now;
--- a/src/leadership/leader-acknowledgements.ts
+++ b/src/leadership/leader-acknowledgements.ts
@@ -14,44 +14,50 @@
 /** A leader that has not asked by the peer link within so many leases is told by the store. */
 const STORE_LEASES = 0.1;
 
+export interface LeaderAcknowledgementsOptions {
+  settings: Settings;
+  election: Election;
+  peers: () => PeerNetwork;
+  store: KeyValueStoreClient;
+  replica: Replica;
+  clock: Clock;
+  log: Log;
+}
+
 /** Acknowledgements of a leader: collected as the leader, and given by the peer link or the store. */
 export class LeaderAcknowledgements {
   private quorum: QuorumAcknowledgement | null = null;
   private stopped = false;
 
-  constructor(
-    private readonly settings: Settings,
-    private readonly election: Election,
-    private readonly peers: () => PeerNetwork,
-    private readonly store: KeyValueStoreClient,
-    private readonly replica: Replica,
-    private readonly clock: Clock,
-    private readonly log: Log,
-  ) {}
+  constructor(private readonly options: LeaderAcknowledgementsOptions) {}
 
   /** Until when others may renew leases in the place of a leader before this one. */
   othersRenewUntil(token: number): number {
-    return this.quorum?.token === token ? this.quorum.othersRenewUntil : this.clock.now();
+    return this.quorum?.token === token ? this.quorum.othersRenewUntil : this.options.clock.now();
   }
 
   /** This controller was elected. */
   async collect(token: number): Promise<void> {
-    const quorum = new QuorumAcknowledgement(token, this.settings.controllerCount, this.clock);
+    const quorum = new QuorumAcknowledgement(
+      token,
+      this.options.settings.controllerCount,
+      this.options.clock,
+    );
     this.quorum = quorum;
-    for (const [node, { ack }] of this.replica.acknowledgements) this.noteStored(node, ack);
-    const pause = this.settings.workers.lease_s / ASKS_PER_LEASE;
+    for (const [node, { ack }] of this.options.replica.acknowledgements) this.noteStored(node, ack);
+    const pause = this.options.settings.workers.lease_s / ASKS_PER_LEASE;
     while (!this.stopped && this.quorum === quorum && quorum.state === 'pending') {
-      const missing = this.peers().names.filter((node) => !quorum.has(node));
+      const missing = this.options.peers().names.filter((node) => !quorum.has(node));
       await Promise.all(
         missing.map(async (node) => {
-          const answer = await this.peers().ask(node, { q: 'elected', token }, pause);
+          const answer = await this.options.peers().ask(node, { q: 'elected', token }, pause);
           const remains = answer?.remainsS;
           if (remains !== undefined) quorum.record(node, { remainsS: remains });
         }),
       );
       if (quorum.state === 'pending') await sleep(pause);
     }
-    if (this.quorum === quorum) this.log.debug({ token }, 'backed by a majority');
+    if (this.quorum === quorum) this.options.log.debug({ token }, 'leader acknowledged by quorum');
   }
 
   /** Seen in the store. */
@@ -61,7 +67,7 @@
 
   /** Asked by a leader over the peer link. */
   answer(token: number): ElectedAnswer {
-    return { remainsS: this.election.acknowledge(token) };
+    return { remainsS: this.options.election.acknowledge(token) };
   }
 
   /**
@@ -69,30 +75,34 @@
    * from the store that this controller is not refused, and is on its side.
    */
   async acknowledgeLeader(): Promise<void> {
-    const leader = this.replica.leader;
-    if (leader === null || leader.node === this.settings.node) return;
+    const leader = this.options.replica.leader;
+    if (leader === null || leader.node === this.options.settings.node) return;
     const token = leader.revision;
-    await sleep(this.settings.workers.lease_s * STORE_LEASES);
-    if (this.election.outage.acknowledged >= token) return;
-    const key = records.acknowledgementKey(this.settings.node);
-    const remainsS = this.election.acknowledge(token);
+    await sleep(this.options.settings.workers.lease_s * STORE_LEASES);
+    if (this.options.election.outage.acknowledged >= token) return;
+    const key = records.acknowledgementKey(this.options.settings.node);
+    const remainsS = this.options.election.acknowledge(token);
     const value = records.encodeAcknowledgement({ token, remainsS });
-    while (!this.stopped && this.replica.leader?.revision === token) {
-      const revision = this.replica.acknowledgements.get(this.settings.node)?.revision ?? 0;
+    while (!this.stopped && this.options.replica.leader?.revision === token) {
+      const revision =
+        this.options.replica.acknowledgements.get(this.options.settings.node)?.revision ?? 0;
       try {
-        this.store.writeBudget.force(1);
-        const result = await this.store.compareAndSwap(
+        this.options.store.writeBudget.force(1);
+        const result = await this.options.store.compareAndSwap(
           [{ key, revision }],
           [{ put: key, value }],
-          this.settings.workers.lease_s * STORE_LEASES,
+          this.options.settings.workers.lease_s * STORE_LEASES,
         );
         if (result.ok) return;
       } catch (error) {
-        this.log.debug({ err: String(error) }, 'acknowledgement not stored');
+        this.options.log.debug({ err: error }, 'acknowledgement not stored');
       }
       // Carried out without an answer, or refused: what the store shows next tells which.
-      await sleep(this.settings.workers.lease_s * STORE_LEASES);
-      if (this.replica.acknowledgements.get(this.settings.node)?.ack.token === token) return;
+      await sleep(this.options.settings.workers.lease_s * STORE_LEASES);
+      if (
+        this.options.replica.acknowledgements.get(this.options.settings.node)?.ack.token === token
+      )
+        return;
     }
   }
 
--- /dev/null
+++ b/src/leadership/leader-key.ts
@@ -0,0 +1,42 @@
+/** The key of the store that its holder leads by. */
+
+import { RequestRejectedError, type KeyValueStoreClient } from '../store/client.js';
+import * as records from '../store/records.js';
+
+/** Seconds within which a write or read of the key has to be answered. */
+const TIMEOUT_S = 1;
+
+export interface LeaderKeyClaim {
+  /** Name of the controller that claims the key. */
+  node: string;
+  /** Names this claim: no other one, of any process, has it. */
+  incarnation: string;
+  /** Lease that the key is attached to. */
+  lease: number;
+  /** Revision of the key that was seen last; 0: there is none. */
+  expectedRevision: number;
+}
+
+/**
+ * Takes the leader's key by compare-and-swap. Returns its revision, which is the fencing token; null:
+ * another controller was first, or the store refused. A write that was not answered is read back.
+ */
+export async function acquireLeaderKey(
+  store: Pick<KeyValueStoreClient, 'compareAndSwap' | 'get'>,
+  { node, incarnation, lease, expectedRevision }: LeaderKeyClaim,
+): Promise<number | null> {
+  const value = records.encodeLeader({ node, incarnation });
+  try {
+    const result = await store.compareAndSwap(
+      [{ key: records.LEADER, revision: expectedRevision }],
+      [{ put: records.LEADER, value, lease }],
+      TIMEOUT_S,
+    );
+    return result.ok ? result.revision : null;
+  } catch (error) {
+    if (error instanceof RequestRejectedError) return null;
+    const item = await store.get(records.LEADER, TIMEOUT_S);
+    if (item === null) return null;
+    return records.decodeLeader(item.value).incarnation === incarnation ? item.revision : null;
+  }
+}
--- a/src/leadership/outage-quorum.ts
+++ b/src/leadership/outage-quorum.ts
@@ -164,7 +164,7 @@
     const until = askedAt + this.substituteS * (1 - 2 * MAX_CLOCK_DRIFT);
     this.renewsUntil = Math.min(until, this.renewalBound(majority));
     if (this.now >= this.renewsUntil) return false;
-    this.options.log.info({ token: leader.revision }, 'leases are kept for a leader that is gone');
+    this.options.log.info({ token: leader.revision }, 'renewing leases for a failed leader');
     return true;
   }
 
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -1,3 +1,4 @@
+import { IllegalTransitionError } from '../illegal-transition.js';
 import { MAX_CLOCK_DRIFT, sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import * as records from '../store/records.js';
@@ -81,6 +82,18 @@
   alone: ['present', 'doubting'],
 };
 
+export interface ZoneLeaseHolderOptions {
+  node: string;
+  incarnation: string;
+  leaseS: number;
+  store: KeyValueStoreClient;
+  replicaSync: ReplicaSync;
+  replica: Replica;
+  peers: () => PeerNetwork;
+  clock: Clock;
+  log: Log;
+}
+
 export class ZoneLeaseHolder {
   state: ZoneLeaseHolderState = 'away';
   /** When the last renewal that was carried out had been sent. */
@@ -89,31 +102,22 @@
   private stopped = false;
   private readonly times: ZoneLeaseTimes;
 
-  constructor(
-    private readonly node: string,
-    private readonly incarnation: string,
-    leaseS: number,
-    private readonly store: KeyValueStoreClient,
-    private readonly replicaSync: ReplicaSync,
-    private readonly replica: Replica,
-    private readonly peers: () => PeerNetwork,
-    private readonly clock: Clock,
-    private readonly log: Log,
-  ) {
+  constructor(private readonly options: ZoneLeaseHolderOptions) {
+    const { leaseS } = options;
     this.times = zoneLeaseTimes(leaseS);
   }
 
   private changeState(to: ZoneLeaseHolderState): void {
     if (to === this.state) return;
     if (!TRANSITIONS[this.state].includes(to))
-      throw new Error(`zoneKeeper: ${this.state} -> ${to}`);
-    this.log.info({ from: this.state, to }, 'zoneKeeper');
+      throw new IllegalTransitionError('zone lease', this.state, to);
+    this.options.log.info({ from: this.state, to }, 'zone lease state changed');
     this.state = to;
   }
 
   /** Whether leases of the zone's machines may be renewed at this moment. */
   mayRenewLeases(): boolean {
-    const now = this.clock.now();
+    const now = this.options.clock.now();
     return (
       this.state === 'alone' &&
       now > this.provenAt + this.times.beginS * (1 + 2 * MAX_CLOCK_DRIFT) &&
@@ -123,7 +127,7 @@
 
   /** Waits for as long as it may still turn out that this zone is alone. */
   async waitUntilDecided(deadline: number): Promise<boolean> {
-    while (!this.stopped && this.clock.now() < deadline) {
+    while (!this.stopped && this.options.clock.now() < deadline) {
       if (this.mayRenewLeases()) return true;
       if (this.state === 'away' || this.state === 'present') return false;
       await sleep(this.times.ttlS / RENEWALS_PER_TTL);
@@ -139,7 +143,8 @@
         else {
           // A renewal that was not answered may still be carried out: a second one would let the key
           // live on while this zone is being kept.
-          if (this.state !== 'present') await this.store.get(records.LEADER, this.times.ttlS / 2);
+          if (this.state !== 'present')
+            await this.options.store.get(records.LEADER, this.times.ttlS / 2);
           await this.renew();
         }
       } catch (error) {
@@ -153,18 +158,18 @@
   }
 
   private async register(): Promise<void> {
-    if (!this.replicaSync.ready) return;
-    const sentAt = this.clock.now();
-    const lease = await this.store.grantLease(this.times.ttlS, this.times.ttlS);
-    const key = records.controllerKey(this.node);
-    this.store.writeBudget.force(1);
-    const result = await this.store.compareAndSwap(
-      [{ key, revision: this.replica.controllers.get(this.node) ?? 0 }],
-      [{ put: key, value: { i: this.incarnation }, lease }],
+    if (!this.options.replicaSync.ready) return;
+    const sentAt = this.options.clock.now();
+    const lease = await this.options.store.grantLease(this.times.ttlS, this.times.ttlS);
+    const key = records.controllerKey(this.options.node);
+    this.options.store.writeBudget.force(1);
+    const result = await this.options.store.compareAndSwap(
+      [{ key, revision: this.options.replica.controllers.get(this.options.node) ?? 0 }],
+      [{ put: key, value: { i: this.options.incarnation }, lease }],
       this.times.ttlS,
     );
     if (!result.ok) {
-      await this.replicaSync.sync();
+      await this.options.replicaSync.sync();
       return;
     }
     this.lease = lease;
@@ -173,8 +178,8 @@
   }
 
   private async renew(): Promise<void> {
-    const sentAt = this.clock.now();
-    const there = await this.store.keepLeaseAlive(this.lease, this.times.ttlS / 2);
+    const sentAt = this.options.clock.now();
+    const there = await this.options.store.keepLeaseAlive(this.lease, this.times.ttlS / 2);
     this.changeState('present');
     if (there) this.provenAt = sentAt;
     else this.changeState('away');
@@ -183,7 +188,7 @@
   /** The store is silent: is anybody else there? */
   private async askPeers(): Promise<void> {
     if (this.state !== 'doubting' && this.state !== 'alone') return;
-    const peers = this.peers();
+    const peers = this.options.peers();
     const timeout = this.times.ttlS / 2;
     const answers = await Promise.all(
       peers.names.map((node) => peers.ask(node, { q: 'there' }, timeout)),
@@ -196,39 +201,44 @@
   }
 }
 
+export interface ZoneLeaseWatchOptions {
+  byZone: Map<string, string>;
+  leaseS: number;
+  replica: Pick<Replica, 'controllers'>;
+  replicaSync: Pick<ReplicaSync, 'ready' | 'freshAt'>;
+  store: Pick<KeyValueStoreClient, 'rejectedAt'>;
+  clock: Clock;
+}
+
 /** What a controller knows of the zone keepers, itself included. */
 export class ZoneLeaseWatch {
   private readonly seenAt = new Map<string, number>();
   private readonly goneAt = new Map<string, number>();
   private readonly times: ZoneLeaseTimes;
 
-  constructor(
-    private readonly byZone: Map<string, string>,
-    leaseS: number,
-    private readonly replica: Pick<Replica, 'controllers'>,
-    private readonly replicaSync: Pick<ReplicaSync, 'ready' | 'freshAt'>,
-    private readonly store: Pick<KeyValueStoreClient, 'rejectedAt'>,
-    private readonly clock: Clock,
-  ) {
+  constructor(private readonly options: ZoneLeaseWatchOptions) {
+    const { leaseS } = options;
     this.times = zoneLeaseTimes(leaseS);
   }
 
   holderOf(zone: string): string | null {
-    return this.byZone.get(zone) ?? null;
+    return this.options.byZone.get(zone) ?? null;
   }
 
   /** Its key has been there for so long, as seen from here. */
   isSteady(node: string, forS: number): boolean {
     const seen = this.seenAt.get(node);
     return (
-      this.replica.controllers.has(node) && seen !== undefined && this.clock.now() - seen >= forS
+      this.options.replica.controllers.has(node) &&
+      seen !== undefined &&
+      this.options.clock.now() - seen >= forS
     );
   }
 
   /** A zone keeper's key was put anew or is gone. */
   keyChanged(node: string): void {
-    const now = this.clock.now();
-    if (this.replica.controllers.has(node)) this.seenAt.set(node, now);
+    const now = this.options.clock.now();
+    if (this.options.replica.controllers.has(node)) this.seenAt.set(node, now);
     else this.goneAt.set(node, now);
   }
 
@@ -237,22 +247,23 @@
    * `provenAt`: up to which moment that is certain.
    */
   zone(zone: string): { keptUntil: number; provenAt: number } {
-    const node = this.byZone.get(zone);
+    const node = this.options.byZone.get(zone);
     if (node === undefined) return { keptUntil: -Infinity, provenAt: Infinity };
-    const now = this.clock.now();
-    if (this.replica.controllers.has(node)) {
+    const now = this.options.clock.now();
+    if (this.options.replica.controllers.has(node)) {
       // Leases stand still in an outage: what a read shows right after one proves nothing.
-      const sure = this.replicaSync.freshAt - this.store.rejectedAt > this.times.beginS;
+      const sure =
+        this.options.replicaSync.freshAt - this.options.store.rejectedAt > this.times.beginS;
       return {
         keptUntil: this.seenAt.get(node) ?? now,
-        provenAt: sure ? this.replicaSync.freshAt : -Infinity,
+        provenAt: sure ? this.options.replicaSync.freshAt : -Infinity,
       };
     }
     let gone = this.goneAt.get(node);
     if (gone === undefined) {
       gone = now;
       // It may have gone just before this controller had read the store for the first time.
-      if (this.replicaSync.ready) this.goneAt.set(node, now);
+      if (this.options.replicaSync.ready) this.goneAt.set(node, now);
     }
     return {
       keptUntil: gone + this.times.renewForS * (1 + 2 * MAX_CLOCK_DRIFT),
--- a/src/lending/lending-term.ts
+++ b/src/lending/lending-term.ts
@@ -51,7 +51,7 @@
     const due = dueMs === null ? null : new Date(dueMs).toISOString();
     this.view.log.info(
       { loan: loanId(loan), lender, borrower, machine, gpus, state, due, reason },
-      'loan',
+      'loan state changed',
     );
   }
 
--- a/src/lending/loan.ts
+++ b/src/lending/loan.ts
@@ -1,5 +1,6 @@
 /** A loan: GPUs that running finite work gave up for a service, and until when they have to be back. */
 
+import { IllegalTransitionError } from '../illegal-transition.js';
 import * as v from 'valibot';
 
 /**
@@ -70,9 +71,6 @@
   | { kind: 'cancelled'; reason: string }
   | { kind: 'waived'; reason: string };
 
-/** An event that a loan in this state cannot meet. */
-export class LoanTransitionError extends Error {}
-
 const OPEN: readonly LoanState[] = ['requested', 'saving', 'lent', 'recalled', 'returned'];
 const AWAY: readonly LoanState[] = ['lent', 'recalled', 'returned'];
 
@@ -91,10 +89,10 @@
   waived: AWAY,
 };
 
-/** The one function by which a loan changes. Throws LoanTransitionError. */
+/** The one function by which a loan changes. Throws IllegalTransitionError. */
 export function advanceLoan(loan: Loan, event: LoanEvent, atMs: number): Loan {
   if (!MET_IN[event.kind].includes(loan.state)) {
-    throw new LoanTransitionError(`${loanId(loan)}: ${event.kind} while ${loan.state}`);
+    throw new IllegalTransitionError(`loan ${loanId(loan)}`, loan.state, event.kind);
   }
   const changed = { ...loan, changedMs: atMs };
   switch (event.kind) {
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -7,6 +7,14 @@
 export const MAX_FRAME = 256 * 1024;
 const LENGTH_BYTES = 4;
 
+/** A frame that is empty or longer than any controller sends: its connection is closed. */
+export class FrameSizeError extends Error {
+  constructor(readonly bytes: number) {
+    super(`frame of ${bytes} bytes`);
+    this.name = 'FrameSizeError';
+  }
+}
+
 const encoder = new Encoder({ useRecords: false, structuredClone: false });
 const decoder = new Decoder({ useRecords: false, structuredClone: false });
 
@@ -84,7 +92,7 @@
     const out: unknown[] = [];
     while (this.held.length >= LENGTH_BYTES) {
       const size = this.held.readUInt32BE(0);
-      if (size === 0 || size > MAX_FRAME) throw new Error(`frame of ${size} bytes`);
+      if (size === 0 || size > MAX_FRAME) throw new FrameSizeError(size);
       const end = LENGTH_BYTES + size;
       if (this.held.length < end) break;
       out.push(decoder.decode(this.held.subarray(LENGTH_BYTES, end)));
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -102,7 +102,7 @@
       try {
         for (const frame of reader.push(data)) this.received(frame);
       } catch (error) {
-        log.info({ err: String(error) }, 'broken frame from a peer');
+        log.info({ err: error }, 'malformed peer frame');
         down();
       }
     });
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -17,6 +17,18 @@
 /** Answers a question; the answer is of the question's kind. What it throws is an empty answer. */
 export type QuestionHandler = (from: string, question: Question) => Promise<Answer> | Answer;
 
+export interface PeerNetworkOptions {
+  self: string;
+  peers: { node: string; addr: Endpoint }[];
+  handler: QuestionHandler;
+  log: Log;
+  /** Questions under way on one link: each comes from a connection of this controller's. */
+  maxPending: number;
+  health: HealthExchange;
+  /** Seconds for which reports that are passed on may wait for others. */
+  batchingDelayS: number;
+}
+
 /**
  * The links between controllers: CBOR frames with a length before them, over TCP. Each node asks
  * over connections that it opened itself and answers on those that it accepted. Nothing that must
@@ -30,17 +42,8 @@
   /** What each of the others said of its version when it opened its latest connection. */
   private readonly features = new Map<string, ReadonlySet<string>>();
 
-  constructor(
-    self: string,
-    peers: { node: string; addr: Endpoint }[],
-    private readonly handler: QuestionHandler,
-    private readonly log: Log,
-    /** Questions under way on one link: each comes from a connection of this controller's. */
-    private readonly maxPending: number,
-    private readonly health: HealthExchange,
-    /** Seconds for which reports that are passed on may wait for others. */
-    private readonly batchingDelayS = 0,
-  ) {
+  constructor(private readonly options: PeerNetworkOptions) {
+    const { peers, self, log, maxPending, batchingDelayS, health } = options;
     for (const { node, addr } of peers) {
       this.links.set(
         node,
@@ -56,7 +59,7 @@
       );
     }
     this.server = createServer((socket) => this.accept(socket));
-    this.server.on('error', (error) => log.error({ err: error.message }, 'peer server'));
+    this.server.on('error', (error) => log.error({ err: error }, 'peer server failed'));
   }
 
   private accept(socket: Socket): void {
@@ -68,7 +71,11 @@
     this.accepted.add(socket);
     socket.setNoDelay(true);
     const reader = new FrameReader();
-    const writer = new FrameWriter(socket, healthAttachment(this.health), this.batchingDelayS);
+    const writer = new FrameWriter(
+      socket,
+      healthAttachment(this.options.health),
+      this.options.batchingDelayS,
+    );
     let from: string | null = null;
     let busy = 0;
     const received = (raw: unknown): void => {
@@ -78,10 +85,10 @@
       }
       const frame = parseFromAsker(raw);
       if (frame.kind === 'fitness') {
-        this.health.note(from, frame.fitness);
+        this.options.health.note(from, frame.fitness);
         return;
       }
-      if (++busy > this.maxPending) throw new MalformedFrameError('too many questions');
+      if (++busy > this.options.maxPending) throw new MalformedFrameError('too many questions');
       void this.answer(writer, from, frame.id, frame.question).finally(() => busy--);
     };
     socket.on('error', () => socket.destroy());
@@ -90,7 +97,7 @@
       try {
         for (const frame of reader.push(data)) received(frame);
       } catch (error) {
-        this.log.info({ err: String(error) }, 'broken frame from a peer');
+        this.options.log.info({ err: error }, 'malformed peer frame');
         socket.destroy();
       }
     });
@@ -112,9 +119,9 @@
   ): Promise<void> {
     let answer: Answer = {};
     try {
-      if (question !== null) answer = await this.handler(from, question);
+      if (question !== null) answer = await this.options.handler(from, question);
     } catch (error) {
-      this.log.info({ err: String(error) }, 'question from a peer');
+      this.options.log.info({ err: error }, 'peer question failed');
     }
     writer.write({ id, a: answer } satisfies AnswerFrame);
   }
--- a/src/store/machine-record.ts
+++ b/src/store/machine-record.ts
@@ -1,5 +1,10 @@
 /** A machine's record in the store: what may be on it, and who commands it. */
 
+/** A stored record that no version of this program wrote. */
+export class MalformedRecordError extends Error {
+  override readonly name = 'MalformedRecordError';
+}
+
 export interface Claim {
   job: string;
   index: number;
@@ -160,6 +165,6 @@
 /** Throws where it is no whole number: the record is garbage then. */
 function parseInteger(text: string, radix: number): number {
   const value = Number.parseInt(text, radix);
-  if (!Number.isSafeInteger(value)) throw new Error('no number');
+  if (!Number.isSafeInteger(value)) throw new MalformedRecordError('no number');
   return value;
 }
--- a/src/store/replica-sync.ts
+++ b/src/store/replica-sync.ts
@@ -5,6 +5,25 @@
 import { Replica } from './replica.js';
 import * as records from './records.js';
 
+/** The store has dropped the changes since the first page of a listing: it was read too slowly. */
+export class OutdatedListingError extends Error {
+  constructor() {
+    super('listing too slow');
+    this.name = 'OutdatedListingError';
+  }
+}
+
+export interface ReplicaSyncOptions {
+  store: KeyValueStoreClient;
+  replica: Replica;
+  clock: Clock;
+  log: Log;
+  /** Pause between two watches: a follower has no hurry, a leader has. */
+  pauseS: () => number;
+  /** Least time between two synchronising reads. */
+  syncGapS: number;
+}
+
 /** Keeps a replica up with the store, and answers "is it as new as now?". */
 export class ReplicaSync {
   ready = false;
@@ -16,58 +35,55 @@
   private nextRead: Promise<boolean> | null = null;
   private lastReadAt = -Infinity;
 
-  constructor(
-    private readonly store: KeyValueStoreClient,
-    readonly replica: Replica,
-    private readonly clock: Clock,
-    private readonly log: Log,
-    /** Pause between two watches: a follower has no hurry, a leader has. */
-    private readonly pauseS: () => number,
-    /** Least time between two synchronising reads. */
-    private readonly syncGapS: number,
-  ) {}
+  readonly replica: Replica;
+  constructor(private readonly options: ReplicaSyncOptions) {
+    this.replica = options.replica;
+  }
 
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
         if (!this.ready) await this.load();
         const from = this.replica.applied;
-        const sentAt = this.clock.now();
-        const response = await this.store.changes(records.ROOT, from, 10, 30);
+        const sentAt = this.options.clock.now();
+        const response = await this.options.store.changes(records.ROOT, from, 10, 30);
         if (response === null) {
           this.ready = false;
           continue;
         }
         this.replica.advance(response.revision, response.changes);
         this.freshAt = Math.max(this.freshAt, sentAt);
-        await sleep(this.pauseS());
+        await sleep(this.options.pauseS());
       } catch (error) {
         if (this.stopped) return;
-        this.log.debug({ err: String(error) }, 'watch interrupted');
+        this.options.log.debug({ err: error }, 'watch interrupted');
         await sleep(0.1 + random() * 0.1);
       }
     }
   }
 
   private async load(): Promise<void> {
-    const began = this.clock.now();
+    const began = this.options.clock.now();
     const keys = new Set<string>();
-    const first = await this.store.list(records.ROOT, (item) => {
+    const first = await this.options.store.list(records.ROOT, (item) => {
       keys.add(item.key);
       this.replica.applyListed(item);
     });
     this.replica.removeMissing(keys, first);
     this.replica.applied = Math.max(this.replica.applied, first);
     // Pages differ in age: only with the changes since the first one do they make one picture.
-    const response = await this.store.changes(records.ROOT, first, 0, 5);
-    if (response === null) throw new Error('listing too slow');
+    const response = await this.options.store.changes(records.ROOT, first, 0, 5);
+    if (response === null) throw new OutdatedListingError();
     this.replica.advance(response.revision, response.changes);
     this.replica.listingComplete();
     this.freshAt = Math.max(this.freshAt, began);
     this.ready = true;
     const { applied: revision, jobs, machines } = this.replica;
-    const tookS = this.clock.now() - began;
-    this.log.info({ revision, jobs: jobs.size, machines: machines.size, tookS }, 'store read');
+    const tookS = this.options.clock.now() - began;
+    this.options.log.info(
+      { revision, jobs: jobs.size, machines: machines.size, tookS },
+      'replica loaded',
+    );
   }
 
   /**
@@ -91,15 +107,15 @@
   }
 
   private async readNow(): Promise<boolean> {
-    const wait = this.lastReadAt + this.syncGapS - this.clock.now();
+    const wait = this.lastReadAt + this.options.syncGapS - this.options.clock.now();
     if (wait > 0) await sleep(wait);
     // The read is sent after this point; whoever joins later waits for the next one.
     this.currentReadSent = true;
-    const sentAt = this.clock.now();
+    const sentAt = this.options.clock.now();
     this.lastReadAt = sentAt;
     if (!this.ready) return false;
     try {
-      const response = await this.store.changes(records.ROOT, this.replica.applied, 0, 1.5);
+      const response = await this.options.store.changes(records.ROOT, this.replica.applied, 0, 1.5);
       if (response === null) {
         this.ready = false;
         return false;
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -29,6 +29,16 @@
 const acceptedJobBytes = (accepted: records.AcceptedJob): number =>
   Buffer.byteLength(JSON.stringify(records.encodeJob(accepted))) + 1;
 
+export interface RequestWriterOptions {
+  incarnation: string;
+  store: KeyValueStoreClient;
+  replicaSync: ReplicaSync;
+  replica: Replica;
+  budget: TokenBucket;
+  clock: Clock;
+  log: Log;
+}
+
 /**
  * Stores what users ask for: accepted jobs and cancellations. What arrives while a batch is under
  * way goes into the next one, so that an answer waits for milliseconds and costs a fraction of a
@@ -39,25 +49,17 @@
   private running = false;
   private counter = 0;
 
-  constructor(
-    private readonly incarnation: string,
-    private readonly store: KeyValueStoreClient,
-    private readonly replicaSync: ReplicaSync,
-    private readonly replica: Replica,
-    private readonly budget: TokenBucket,
-    private readonly clock: Clock,
-    private readonly log: Log,
-  ) {}
+  constructor(private readonly options: RequestWriterOptions) {}
 
   /** Whether the state service takes a record with this job, alone if need be. */
   fits(accepted: records.AcceptedJob): boolean {
-    return RECORD_BYTES + acceptedJobBytes(accepted) <= this.store.valueBytes * VALUE_SHARE;
+    return RECORD_BYTES + acceptedJobBytes(accepted) <= this.options.store.valueBytes * VALUE_SHARE;
   }
 
   /** Whether more waits than can be stored within this time: what comes now would wait in vain. */
   full(timeoutS: number): boolean {
     const bytes = this.queue.reduce((sum, request) => sum + request.size, 0);
-    return bytes > this.budget.perSecond * timeoutS * this.store.valueBytes;
+    return bytes > this.options.budget.perSecond * timeoutS * this.options.store.valueBytes;
   }
 
   /** Resolves with the job's outcome once it is stored and read back; null: unsure. */
@@ -77,13 +79,13 @@
     timeoutS: number,
   ): Promise<JobOutcome | null> {
     return new Promise((resolve) => {
-      this.queue.push({ ...request, deadline: this.clock.now() + timeoutS, resolve });
+      this.queue.push({ ...request, deadline: this.options.clock.now() + timeoutS, resolve });
       if (!this.running) void this.drain();
     });
   }
 
   private nextBatch(): PendingRequest[] {
-    const now = this.clock.now();
+    const now = this.options.clock.now();
     const late = this.queue.filter((request) => request.deadline <= now);
     for (const request of late) request.resolve(null);
     this.queue = this.queue.filter((request) => request.deadline > now);
@@ -91,7 +93,8 @@
     let bytes = RECORD_BYTES;
     while (this.queue.length > 0) {
       const request = this.queue[0]!;
-      if (batch.length > 0 && bytes + request.size > this.store.valueBytes * VALUE_SHARE) break;
+      if (batch.length > 0 && bytes + request.size > this.options.store.valueBytes * VALUE_SHARE)
+        break;
       bytes += request.size;
       batch.push(this.queue.shift()!);
     }
@@ -109,7 +112,7 @@
     );
     const dependent = jobs.filter((job) => job.spec.dependencies.length > 0);
     const others = jobs.filter((job) => job.spec.dependencies.length === 0);
-    const name = `${this.incarnation}-${this.counter++}`;
+    const name = `${this.options.incarnation}-${this.counter++}`;
     const puts: { put: string; value: unknown }[] = [];
     if (others.length + cancelledIds.length > 0) {
       const value = records.encodeRequestBatch({ jobs: others, cancelledIds });
@@ -126,7 +129,7 @@
     this.running = true;
     try {
       while (this.queue.length > 0) {
-        while (!this.budget.tryTake(1)) await sleep(this.budget.secondsUntil(1));
+        while (!this.options.budget.tryTake(1)) await sleep(this.options.budget.secondsUntil(1));
         const batch = this.nextBatch();
         if (batch.length > 0) await this.storeBatch(batch);
       }
@@ -139,21 +142,27 @@
     const puts = this.puts(batch);
     const guards = puts.map(({ put }) => ({ key: put, revision: 0 }));
     // One write is taken already; with dependent jobs beside others it is two.
-    if (puts.length > 1) this.budget.force(puts.length - 1);
+    if (puts.length > 1) this.options.budget.force(puts.length - 1);
     const deadline = Math.max(...batch.map((request) => request.deadline));
     let stored = false;
     let first = true;
     // A submission that can't be taken is answered at once: a refused service, or two requests
     // without an answer, end the wait. Another controller may be served, and the user may come back.
     let failures = 0;
-    while (!stored && failures < MAX_FAILURES && this.clock.now() < deadline) {
-      if (!first) while (!this.budget.tryTake(1)) await sleep(this.budget.secondsUntil(1));
+    while (!stored && failures < MAX_FAILURES && this.options.clock.now() < deadline) {
+      if (!first)
+        while (!this.options.budget.tryTake(1)) await sleep(this.options.budget.secondsUntil(1));
       first = false;
       try {
-        const result: CompareAndSwapResult = await this.store.compareAndSwap(guards, puts, 1.5);
+        const result: CompareAndSwapResult = await this.options.store.compareAndSwap(
+          guards,
+          puts,
+          1.5,
+        );
         // A failed condition: an attempt that was not answered has been carried out after all.
         stored = true;
-        if (!result.ok) this.log.debug({ keys: result.failed }, 'stored by an earlier attempt');
+        if (!result.ok)
+          this.options.log.debug({ keys: result.failed }, 'stored by an earlier attempt');
       } catch (error) {
         if (error instanceof RequestRejectedError && (error.status === 400 || error.status === 503))
           break;
@@ -164,12 +173,12 @@
     // Nobody is told anything before this node's picture holds what was stored.
     let synced = false;
     failures = 0;
-    while (stored && !synced && failures++ < MAX_FAILURES && this.clock.now() < deadline) {
-      synced = await this.replicaSync.sync();
+    while (stored && !synced && failures++ < MAX_FAILURES && this.options.clock.now() < deadline) {
+      synced = await this.options.replicaSync.sync();
       if (!synced) await sleep(0.05);
     }
     for (const request of batch) {
-      const storedJob = this.replica.jobs.get(
+      const storedJob = this.options.replica.jobs.get(
         request.kind === 'job' ? request.accepted.spec.id : request.id,
       );
       request.resolve(synced && storedJob !== undefined ? outcome(storedJob) : null);
--- a/src/subsystems/active-subsystems.ts
+++ b/src/subsystems/active-subsystems.ts
@@ -134,10 +134,7 @@
     try {
       return ask();
     } catch (error) {
-      this.log?.error(
-        { subsystem: name, err: String(error), stack: (error as Error).stack },
-        'subsystem',
-      );
+      this.log?.error({ subsystem: name, err: error }, 'subsystem');
       return otherwise;
     }
   }
--- a/src/warm-pools/model-server-loader.ts
+++ b/src/warm-pools/model-server-loader.ts
@@ -14,6 +14,14 @@
 /** Failures after which a machine is given up. */
 const FAILURES_MOST = 3;
 
+/** A model server answered with another status than 200. */
+export class ModelServerError extends Error {
+  constructor(readonly status: number) {
+    super(`model server answered ${status}`);
+    this.name = 'ModelServerError';
+  }
+}
+
 export interface ModelServerLoaderOptions {
   /** Port of the model server on every machine. */
   port: number;
@@ -74,10 +82,7 @@
     const body = JSON.stringify({ model: image, token: this.options.token });
     server.client.request('POST', '/models/unload', body, this.options.timeoutS).catch((error) => {
       // It stays loaded: that costs memory there, and nothing here rests on it.
-      this.options.log.debug(
-        { machine: machine.id, image, err: String(error) },
-        'unload unanswered',
-      );
+      this.options.log.debug({ machine: machine.id, image, err: error }, 'model unload unanswered');
     });
   }
 
@@ -114,11 +119,11 @@
     try {
       const body = JSON.stringify({ model: image, size_gb: imageGb, token });
       const response = await client.request('POST', '/models/load', body, timeoutS);
-      if (response.status !== 200) throw new Error(`model server answered ${response.status}`);
+      if (response.status !== 200) throw new ModelServerError(response.status);
       take(model, v.parse(answer, JSON.parse(response.body.toString('utf8'))).state);
     } catch (error) {
       // Silence says nothing about a model that was ready: the machine's own reports decide.
-      log.debug({ machine, image, err: String(error) }, 'model server');
+      log.debug({ machine, image, err: error }, 'model server unavailable');
     } finally {
       model.asking = false;
     }
--- a/src/warm-pools/slot.ts
+++ b/src/warm-pools/slot.ts
@@ -1,5 +1,6 @@
 /** A warm slot: a place for one replica that is kept ready for a burst. Its record and its states. */
 
+import { IllegalTransitionError } from '../illegal-transition.js';
 import * as v from 'valibot';
 
 /**
@@ -102,9 +103,6 @@
   /** `atMs`: the last evidence of the machine; it may have been there for `uncertainMs` more. */
   | { kind: 'lost'; reason: string; atMs: number; uncertainMs: number };
 
-/** An event that a slot in this state cannot meet. */
-export class SlotTransitionError extends Error {}
-
 /** The states in which a slot can meet an event. */
 const MET_IN: Record<SlotEvent['kind'], readonly SlotState[]> = {
   'rent-named': ['planned'],
@@ -120,16 +118,21 @@
   lost: ['loading', 'warm'],
 };
 
-/** The one function by which a slot changes. Throws SlotTransitionError. */
+/** The one function by which a slot changes. Throws IllegalTransitionError. */
 export function advanceSlot(slot: Slot, event: SlotEvent): Slot {
   if (!MET_IN[event.kind].includes(slot.state)) {
-    throw new SlotTransitionError(`${slotId(slot)}: ${event.kind} while ${slot.state}`);
+    throw new IllegalTransitionError(`slot ${slotId(slot)}`, slot.state, event.kind);
   }
   switch (event.kind) {
     case 'rent-named':
       return { ...slot, rent: event.rent };
     case 'rent-due':
-      if (slot.rent === null) throw new SlotTransitionError(`${slotId(slot)}: no request is named`);
+      if (slot.rent === null)
+        throw new IllegalTransitionError(
+          `slot ${slotId(slot)}`,
+          slot.state,
+          `${event.kind} without a named request`,
+        );
       return { ...slot, state: 'renting' };
     case 'not-rented':
       return { ...slot, state: 'planned', rent: null };
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -1,3 +1,4 @@
+import { IllegalTransitionError } from '../illegal-transition.js';
 import type { ExitCause } from '../wire/workers.js';
 
 /**
@@ -112,8 +113,14 @@
 /** The one function through which an attempt changes its state. False: not a change. */
 export function advanceAttempt(attempt: Attempt, to: AttemptState, now: number): boolean {
   if (attempt.state === to) return false;
-  if (!TRANSITIONS[attempt.state].includes(to))
-    throw new Error(`attempt: ${attempt.state} -> ${to}`);
+  if (!TRANSITIONS[attempt.state].includes(to)) {
+    const { job, index, number } = attempt;
+    throw new IllegalTransitionError(
+      `attempt ${attemptKey(job, index, number)}`,
+      attempt.state,
+      to,
+    );
+  }
   attempt.state = to;
   if (to === 'running' && attempt.startedAt === null) attempt.startedAt = now;
   if ((to === 'ended' || to === 'gone') && attempt.endedAt === null) attempt.endedAt = now;
--- a/test/confirmation.test.ts
+++ b/test/confirmation.test.ts
@@ -59,8 +59,7 @@
     });
     const keepers: [string, string][] = [['z1', 'b'], ['z2', 'd']]; // prettier-ignore
     const zoneLeases = fake<ZoneLeaseWatch>({ zone: () => kept });
-    const cancellations = new CancellationBroadcast(
-      settings(), keepers, peers, replica, zoneLeases, clock,
+    const cancellations = new CancellationBroadcast({ settings: settings(), zoneLeaseHolders: keepers, peers, replica, zoneLeases, clock }
     ); // prettier-ignore
     const cancellationQuorum = new CancellationQuorum({
       controllerCount: 4, peers, replica, clock, rememberS: 100,
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -1,6 +1,7 @@
 /** Lending in its parts: tables of what is safe, when recalls begin, how a loan changes, what is promised. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { IllegalTransitionError } from '../src/illegal-transition.js';
 import type { JobSpec } from '../src/jobs/types.js';
 import { EstimateErrors } from '../src/lending/estimate-errors.js';
 import { replicasThere, observeLoan, type LoanEvidence } from '../src/lending/loan-evidence.js';
@@ -11,7 +12,6 @@
   encodeLoan,
   isOpen,
   LOAN_STATES,
-  LoanTransitionError,
   type Loan,
   type LoanEvent,
   type LoanState,
@@ -146,7 +146,7 @@
       try {
         made.push(`${event.kind}>${advanceLoan(loanOf({ state }), event, 20_000).state}`);
       } catch (error) {
-        assert.ok(error instanceof LoanTransitionError);
+        assert.ok(error instanceof IllegalTransitionError);
       }
     }
     assert.equal(made.join(' '), next[state] ?? '', state);
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -42,22 +42,31 @@
 
 test('a hostile connection is closed and harms no other', async () => {
   const at = { host: '127.0.0.1', port: 0 };
-  const server = new PeerNetwork(
-    'a',
-    [{ node: 'b', addr: at }],
-    (_f, q) => {
+  const server = new PeerNetwork({
+    self: 'a',
+    peers: [{ node: 'b', addr: at }],
+    handler: (_f, q) => {
       if (q.q === 'there') return new Promise(() => undefined);
       return q.q === 'elected' ? { remainsS: q.token } : { status: 200, body: q.q };
     },
-    silentLog(),
-    500,
-    fitness('a'),
-  );
+    log: silentLog(),
+    maxPending: 500,
+    health: fitness('a'),
+    batchingDelayS: 0,
+  });
   await server.listen(at);
   const port = (server as unknown as { server: { address(): { port: number } } }).server.address()
     .port;
   const to = [{ node: 'a', addr: { ...at, port } }];
-  const client = new PeerNetwork('b', to, () => ({}), silentLog(), 500, fitness('b'));
+  const client = new PeerNetwork({
+    self: 'b',
+    peers: to,
+    handler: () => ({}),
+    log: silentLog(),
+    maxPending: 500,
+    health: fitness('b'),
+    batchingDelayS: 0,
+  });
   assert.deepEqual(await client.ask('a', { q: 'report', body: Buffer.from('x'), hop: false }, 2), {
     ...SAW_REPORT,
   });
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -52,25 +52,25 @@
       names,
       ask: (to: string, _q: Question) => Promise.resolve(this.others()[names.indexOf(to)] ?? null),
     });
-    this.election = new Election(
-      this.name,
-      `${this.name}-1`,
-      3,
-      WORKERS,
-      store.client(),
-      fake<ReplicaSync>(follower),
+    this.election = new Election({
+      node: this.name,
+      incarnation: `${this.name}-1`,
+      controllerCount: 3,
+      workers: WORKERS,
+      store: store.client(),
+      replicaSync: fake<ReplicaSync>(follower),
       replica,
-      () => peers,
-      { now: () => this.now },
-      silentLog(),
-      {
+      peers: () => peers,
+      clock: { now: () => this.now },
+      log: silentLog(),
+      events: {
         onElected: () => undefined,
         onDeposed: () => void this.deposed++,
         onKnownCancelled: (ids) => void this.told.push(...ids),
         cancelledSince: (revision) => [...replica.cancelledSince(revision)],
       },
-      fitterCanStand,
-    );
+      healthierCanCampaign: fitterCanStand,
+    });
     this.steps = this.election as unknown as Steps;
     this.now = 100;
   }
--- a/test/meeting-witness.test.ts
+++ b/test/meeting-witness.test.ts
@@ -23,24 +23,25 @@
   const clock = { now: LONG_AGO };
   const replica = ready ? store.listed() : new Replica(store.valueBytes);
   const sync = (): Promise<boolean> => Promise.resolve(store.feed(replica) !== null);
-  const election = new Election(
-    'a',
-    'a-1',
-    3,
-    WORKERS,
-    store.client(),
-    fake<ReplicaSync>({ ready, sync, freshAt: 0 }),
+  const election = new Election({
+    node: 'a',
+    incarnation: 'a-1',
+    controllerCount: 3,
+    workers: WORKERS,
+    store: store.client(),
+    replicaSync: fake<ReplicaSync>({ ready, sync, freshAt: 0 }),
     replica,
-    () => fake<PeerNetwork>({ names: [] }),
-    { now: () => clock.now },
-    silentLog(),
-    {
+    peers: () => fake<PeerNetwork>({ names: [] }),
+    clock: { now: () => clock.now },
+    log: silentLog(),
+    events: {
       onElected: () => undefined,
       onDeposed: () => undefined,
       onKnownCancelled: () => undefined,
       cancelledSince: (revision) => [...replica.cancelledSince(revision)],
     },
-  );
+    healthierCanCampaign: () => false,
+  });
   clock.now = 0;
   const parts = election as unknown as { campaign(guard: number): Promise<boolean> };
   const campaign = async (): Promise<boolean> => {
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -77,7 +77,14 @@
   let now = 0;
   const jobs = new Map<string, unknown>();
   const make = (): CancellationBroadcast =>
-    new CancellationBroadcast(settings(), [], null!, fake<Replica>({ jobs }), null!, clock);
+    new CancellationBroadcast({
+      settings: settings(),
+      zoneLeaseHolders: [],
+      peers: null!,
+      replica: fake<Replica>({ jobs }),
+      zoneLeases: null!,
+      clock,
+    });
   const c = make();
   const id = (i: number): string => `wk-${i}`;
   // A thousand were remembered once; a cut of a large fleet's zone sees more.
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -44,7 +44,15 @@
   const follower = { ready: true, sync: () => Promise.resolve(false) };
   const times = { lease_s: 10 };
   const now = (): number => clock.now;
-  const f = new RequestForwarder(userApi, state, follower, net, times, now, knowsPipelines);
+  const f = new RequestForwarder({
+    userApi,
+    store: state,
+    replicaSync: follower,
+    peers: net,
+    workers: times,
+    now,
+    knowsPipelines,
+  });
   return { f, asked, clock, state };
 }
 
@@ -144,15 +152,15 @@
     const replica = fake<Replica>({ jobs: new Map() });
     const replicaSync = fake<ReplicaSync>({ sync: () => Promise.resolve(false) });
     const budget = new TokenBucket(100, steadyClock);
-    const requestWriter = new RequestWriter(
-      'n',
+    const requestWriter = new RequestWriter({
+      incarnation: 'n',
       store,
       replicaSync,
       replica,
       budget,
-      steadyClock,
-      silentLog(),
-    );
+      clock: steadyClock,
+      log: silentLog(),
+    });
     // A minute would be the time allowed: the test ends long before if it is not used up.
     assert.equal(await requestWriter.accept({ spec: spec(), atMs: 0 }, 60), null, name);
     assert.equal(commits, tries, name);
@@ -173,8 +181,7 @@
       compareAndSwap: () => new Promise(() => undefined),
     });
     const budget = new TokenBucket(rate, { now: () => 0 });
-    const requestWriter = new RequestWriter(
-      'n', store, null!, null!, budget, steadyClock, silentLog(),
+    const requestWriter = new RequestWriter({ incarnation: 'n', store, replicaSync: null!, replica: null!, budget, clock: steadyClock, log: silentLog() }
     ); // prettier-ignore
     for (let i = 0; i < jobs; i++)
       void requestWriter.accept({ spec: spec({ id: `wk-${i}` }), atMs: 0 }, 60);
--- a/test/users-helpers.ts
+++ b/test/users-helpers.ts
@@ -35,19 +35,26 @@
   const log = silentLog();
   const replica = store.listed();
   const storeClient = store.client();
-  const replicaSync = new ReplicaSync(storeClient, replica, clock, log, () => 0, 0);
+  const replicaSync = new ReplicaSync({
+    store: storeClient,
+    replica,
+    clock,
+    log,
+    pauseS: () => 0,
+    syncGapS: 0,
+  });
   replicaSync.ready = true;
   const force = (): void => undefined;
   const budget = fake<TokenBucket>({ tryTake: () => true, perSecond: 100, force });
-  const requestWriter = new RequestWriter(
-    name,
-    storeClient,
+  const requestWriter = new RequestWriter({
+    incarnation: name,
+    store: storeClient,
     replicaSync,
     replica,
     budget,
     clock,
     log,
-  );
+  });
   const userApi = new UserApi({
     settings: settings(),
     replicaSync,
--- a/test/warm-slots.test.ts
+++ b/test/warm-slots.test.ts
@@ -20,13 +20,13 @@
   plannedSlot,
   SLOT_STATES,
   slotKey,
-  SlotTransitionError,
   type Slot,
   type SlotEvent,
   type SlotState,
 } from '../src/warm-pools/slot.js';
 import { shareOut } from '../src/warm-pools/slot-rent-requests.js';
 import { SlotTable } from '../src/warm-pools/slot-table.js';
+import { IllegalTransitionError } from '../src/illegal-transition.js';
 import type { OwnedRecord, OwnedWrite } from '../src/subsystems/subsystem.js';
 import { emptyMachineCapacity } from '../src/cloud/scale-out-plan.js';
 import type { FreeCapacity } from '../src/scheduler/bin-packing.js';
@@ -85,7 +85,7 @@
       const to = table[state][event.kind];
       const name = `${state}, ${event.kind}`;
       if (to === undefined) {
-        assert.throws(() => advanceSlot(slotIn(state), event), SlotTransitionError, name);
+        assert.throws(() => advanceSlot(slotIn(state), event), IllegalTransitionError, name);
         continue;
       }
       const next = advanceSlot(slotIn(state), event);
@@ -93,7 +93,7 @@
       assert.deepEqual(decodeSlot(JSON.parse(JSON.stringify(encodeSlot(next)))), next, name);
     }
   }
-  assert.throws(() => advanceSlot(planned(), EVENTS[1]!), SlotTransitionError, 'no name');
+  assert.throws(() => advanceSlot(planned(), EVENTS[1]!), IllegalTransitionError, 'no name');
   assert.equal(decodeSlot({ p: 'x' }), null);
 });
 
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -50,14 +50,14 @@
   const at = { now: 100 };
   const setup = (present: boolean, freshAt: number, rejectedAt: number): ZoneLeaseWatch => {
     const replica = { controllers: new Map(present ? [['a', 5]] : []) };
-    const w = new ZoneLeaseWatch(
-      new Map([['x', 'a']]),
-      lease,
+    const w = new ZoneLeaseWatch({
+      byZone: new Map([['x', 'a']]),
+      leaseS: lease,
       replica,
-      { ready: true, freshAt },
-      { rejectedAt },
-      { now: () => at.now },
-    );
+      replicaSync: { ready: true, freshAt },
+      store: { rejectedAt },
+      clock: { now: () => at.now },
+    });
     at.now = 90;
     w.keyChanged('a');
     at.now = 100;
@@ -108,17 +108,17 @@
   const replicaSync = fake<ReplicaSync>({ ready: true, sync: async () => true });
   const replica = fake<Replica>({ controllers: new Map() });
   const peers = fake<PeerNetwork>({ names: ['b'], ask: async () => null });
-  const zoneLeaseHolder = new ZoneLeaseHolder(
-    'a',
-    'a-1',
-    lease,
+  const zoneLeaseHolder = new ZoneLeaseHolder({
+    node: 'a',
+    incarnation: 'a-1',
+    leaseS: lease,
     store,
     replicaSync,
     replica,
-    () => peers,
-    steadyClock,
+    peers: () => peers,
+    clock: steadyClock,
     log,
-  );
+  });
   void zoneLeaseHolder.run();
   await until('present', () => zoneLeaseHolder.state === 'present' && answeredSentAt > 0);
   assert.equal(zoneLeaseHolder.mayRenewLeases(), false);
@@ -151,17 +151,17 @@
   });
   const replicaSync = fake<ReplicaSync>({ ready: true, sync: async () => true });
   const peers = fake<PeerNetwork>({ names: ['b'], ask: async () => null });
-  const zoneLeaseHolder = new ZoneLeaseHolder(
-    'a',
-    'a-1',
-    0.2,
+  const zoneLeaseHolder = new ZoneLeaseHolder({
+    node: 'a',
+    incarnation: 'a-1',
+    leaseS: 0.2,
     store,
     replicaSync,
-    fake<Replica>({ controllers: new Map() }),
-    () => peers,
-    steadyClock,
-    silentLog(),
-  );
+    replica: fake<Replica>({ controllers: new Map() }),
+    peers: () => peers,
+    clock: steadyClock,
+    log: silentLog(),
+  });
   void zoneLeaseHolder.run();
   await until('present', () => zoneLeaseHolder.state === 'present');
   await wait(300);
