--- /dev/null
+++ b/src/leader/heartbeat-answerer.ts
@@ -0,0 +1,69 @@
+/** The leader's answers to heartbeats: leases renewed, and commands. */
+
+import type { Reply } from '../http/server.js';
+import { scanMachineId } from '../wire/heartbeat-scan.js';
+import { decodeHeartbeat, encodeHeartbeatReply, type Heartbeat } from '../wire/workers.js';
+import type { Machine } from '../workers/machine.js';
+import type { Term } from './term/term.js';
+
+/** Takes heartbeats into a term and answers them. */
+export class HeartbeatAnswerer {
+  constructor(
+    private readonly term: Term,
+    /** Called with a machine that was not known in this term. */
+    private readonly onJoined: (machine: Machine) => void,
+  ) {}
+
+  /** The heartbeat in a body, parsed unless it repeats the machine's last one. Throws BadMessage. */
+  decode(body: Buffer): Heartbeat {
+    const machine = scanMachineId(body);
+    const known = machine === null ? undefined : this.term.machines.get(machine);
+    return known?.lastHeartbeat.decodeRepetition(body) ?? decodeHeartbeat(body);
+  }
+
+  /**
+   * Answers a worker's heartbeat, straight from it or forwarded by another controller. `body`: what it was
+   * decoded from, if the machine's next heartbeat is to be compared with it.
+   */
+  answer(heartbeat: Heartbeat, body?: Buffer): Reply {
+    const { term } = this;
+    if (!term.context.isEntitled()) return { status: 503, retryAfter: 1 };
+    // Of a later leader: it would drop an answer from here, and its lease would run out meanwhile.
+    if (term.isLaterToken(heartbeat.token)) return { status: 503, retryAfter: 1 };
+    // A copy that was held back. Taken for a machine, work would be placed on it.
+    if (term.returnedMachines.has(heartbeat.machine)) return { status: 503, retryAfter: 1 };
+    const now = term.now;
+    const machine = this.machineOf(heartbeat);
+    const repeated = machine.isRepeated(heartbeat);
+    if (body !== undefined && !repeated && !machine.lastHeartbeat.wasDecodedFrom(heartbeat)) {
+      machine.lastHeartbeat.keep(heartbeat, body);
+    }
+    // Fenced once by this term, forgotten, and back.
+    if (heartbeat.token > machine.token) machine.raiseToken(term.latestRevision);
+    const changes = machine.applyHeartbeat(heartbeat, 'heartbeat', now);
+    if (!changes.stale) term.reconcile(machine, changes);
+    const fresh =
+      !changes.stale &&
+      (machine.state === 'ready' || machine.state === 'returning') &&
+      heartbeat.token === machine.token;
+    const commands = fresh ? machine.dueCommands((attempt) => term.mayStart(attempt), true) : [];
+    machine.markSent(commands, 'heartbeat', now);
+    if (fresh) term.machinesToCommand.delete(machine.id);
+    if (!repeated) machine.leaseRenewed(now);
+    return { status: 200, body: encodeHeartbeatReply(machine.token, commands) };
+  }
+
+  private machineOf(heartbeat: Heartbeat): Machine {
+    const known = this.term.machines.has(heartbeat.machine);
+    const machine = this.term.machine(heartbeat.machine);
+    if (!known) {
+      this.term.context.log.info(
+        { machine: machine.id, type: heartbeat.type, zone: heartbeat.zone },
+        'machine joined',
+      );
+      this.onJoined(machine);
+      this.term.requestCycle();
+    }
+    return machine;
+  }
+}
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -4,8 +4,8 @@
 import type { MachineType } from '../jobs/types.js';
 import type { KeyValueStoreClient } from '../store/client.js';
 import type { StoredJob } from '../store/stored-job.js';
-import { scanMachineId } from '../wire/heartbeat-scan.js';
-import { decodeHeartbeat, encodeHeartbeatReply, type Heartbeat } from '../wire/workers.js';
+import type { Heartbeat } from '../wire/workers.js';
+import { HeartbeatAnswerer } from './heartbeat-answerer.js';
 import { ActiveSubsystems } from '../subsystems/active-subsystems.js';
 import type { Subsystem, TermView } from '../subsystems/subsystem.js';
 import type { Machine } from '../workers/machine.js';
@@ -19,7 +19,7 @@
 import { SubsystemView } from './term/subsystem-view.js';
 import { RecordWriter } from './writes/record-writer.js';
 import { closeFinishedJobs, machinesToForget } from './term/garbage-collection.js';
-import { Term, type TermDeps } from './term/term.js';
+import { Term, type TermContext } from './term/term.js';
 import { CapacityManager } from './capacity/capacity-manager.js';
 
 /** What a leader works with, beside what its term rests on. */
@@ -42,6 +42,7 @@
   private readonly writer: RecordWriter;
   private readonly capacity: CapacityManager;
   private readonly dispatcher: CommandDispatcher;
+  private readonly answerer: HeartbeatAnswerer;
   private readonly forecast: DemandForecast;
   private readonly subsystems: ActiveSubsystems;
   private readonly latencies: LatencyHistograms;
@@ -52,7 +53,7 @@
   private fencedLogged = false;
 
   constructor(
-    private readonly context: TermDeps,
+    private readonly context: TermContext,
     {
       store,
       cloud,
@@ -66,12 +67,7 @@
     this.term = new Term(context);
     this.cyclePacing = new CyclePacing({ leaseS: context.settings.workers.lease_s, overload });
     this.term.onCycleRequested = () => this.scheduleCycle();
-    this.forecast = new DemandForecast(context.wallMs, context.settings.workers.report_s, () => [
-      ...this.term.machineTypes.values(),
-    ]);
-    for (const storedJob of context.replica.jobs.values()) {
-      if (storedJob.readyAt !== null) this.forecast.jobArrived(storedJob.spec, storedJob.readyMs);
-    }
+    this.forecast = makeForecast(this.term);
     this.subsystems = new ActiveSubsystems(context.log);
     this.capacity = new CapacityManager({
       term: this.term,
@@ -89,6 +85,9 @@
       (spot) => this.capacity.warmTarget(spot),
       this.subsystems,
     );
+    this.answerer = new HeartbeatAnswerer(this.term, ({ id }) =>
+      this.capacity.provisioner.machineReported(id),
+    );
     this.dispatcher = new CommandDispatcher(this.term, () => this.scheduleCycle());
     this.writer = new RecordWriter({
       term: this.term,
@@ -159,62 +158,19 @@
     this.term.cancellationHeard(id);
   }
 
-  // Reports
+  // Heartbeats
 
-  /** The report in a body, parsed unless it repeats the machine's last one. Throws BadMessage. */
+  /** See `HeartbeatAnswerer.decode`. */
   decodeHeartbeat(body: Buffer): Heartbeat {
-    const machine = scanMachineId(body);
-    const known = machine === null ? undefined : this.term.machines.get(machine);
-    return known?.lastHeartbeat.decodeRepetition(body) ?? decodeHeartbeat(body);
+    return this.answerer.decode(body);
   }
 
-  /**
-   * A worker's check-in, straight from it or passed on by another controller. `body`: what it was read from,
-   * if the machine's next report is to be compared with it.
-   */
+  /** See `HeartbeatAnswerer.answer`. */
   answerHeartbeat(heartbeat: Heartbeat, body?: Buffer): Reply {
-    const { term, context } = this;
-    if (!context.isEntitled()) return { status: 503, retryAfter: 1 };
-    // Of a later leader: it would drop an answer from here, and its lease would run out meanwhile.
-    if (term.isLaterToken(heartbeat.token)) return { status: 503, retryAfter: 1 };
-    // A copy that was held back. Taken for a machine, work would be placed on it.
-    if (term.returnedMachines.has(heartbeat.machine)) return { status: 503, retryAfter: 1 };
-    const now = term.now;
-    const machine = this.machineOf(heartbeat);
-    const repeated = machine.isRepeated(heartbeat);
-    if (body !== undefined && !repeated && !machine.lastHeartbeat.wasDecodedFrom(heartbeat)) {
-      machine.lastHeartbeat.keep(heartbeat, body);
-    }
-    // Fenced once by this term, forgotten, and back.
-    if (heartbeat.token > machine.token) machine.raiseToken(term.latestRevision);
-    const changes = machine.applyHeartbeat(heartbeat, 'heartbeat', now);
-    if (!changes.stale) term.reconcile(machine, changes);
-    const fresh =
-      !changes.stale &&
-      (machine.state === 'ready' || machine.state === 'returning') &&
-      heartbeat.token === machine.token;
-    const commands = fresh ? machine.dueCommands((attempt) => term.mayStart(attempt), true) : [];
-    machine.markSent(commands, 'heartbeat', now);
-    if (fresh) term.machinesToCommand.delete(machine.id);
-    if (!repeated) machine.leaseRenewed(now);
-    return { status: 200, body: encodeHeartbeatReply(machine.token, commands) };
+    return this.answerer.answer(heartbeat, body);
   }
 
-  private machineOf(heartbeat: Heartbeat): Machine {
-    const known = this.term.machines.has(heartbeat.machine);
-    const machine = this.term.machine(heartbeat.machine);
-    if (!known) {
-      this.context.log.info(
-        { machine: machine.id, type: heartbeat.type, zone: heartbeat.zone },
-        'machine joined',
-      );
-      this.capacity.provisioner.machineReported(machine.id);
-      this.term.requestCycle();
-    }
-    return machine;
-  }
-
-  // Passes
+  // Scheduling cycles
 
   private scheduleCycle(): void {
     if (this.stopped || this.timer !== null) return;
@@ -300,3 +256,14 @@
     return { ...termStatistics(this.term, this.capacity), ...this.subsystems.statistics() };
   }
 }
+
+/** A forecast that knows of all jobs that have become ready so far. */
+function makeForecast(term: Term): DemandForecast {
+  const { wallMs, settings, replica } = term.context;
+  const types = (): MachineType[] => [...term.machineTypes.values()];
+  const forecast = new DemandForecast(wallMs, settings.workers.report_s, types);
+  for (const { readyAt, readyMs, spec } of replica.jobs.values()) {
+    if (readyAt !== null) forecast.jobArrived(spec, readyMs);
+  }
+  return forecast;
+}
--- a/src/leader/term/term.ts
+++ b/src/leader/term/term.ts
@@ -15,7 +15,7 @@
 import { mayStart } from '../attempts/start-permission.js';
 import { TermState, type TermContext } from './term-state.js';
 
-export type { TermContext as TermDeps } from './term-state.js';
+export type { TermContext } from './term-state.js';
 
 /**
  * One term of leadership: machines, jobs and what is known of where tasks may be. All changes of
--- /dev/null
+++ b/src/warm-pools/slot-groups.ts
@@ -0,0 +1,55 @@
+/** Which slots are rented for together. */
+
+import type { TermView } from '../subsystems/subsystem.js';
+import { RENT_MAX } from '../wire/cloud.js';
+import type { PoolDeclaration } from './declaration.js';
+import { cheapestPlace, slotsPerMachine, type RentPlace } from './machine-choice.js';
+import type { SlotEntry } from './slot-table.js';
+
+/** Slots whose machines are rented by one request. */
+export interface SlotGroup {
+  place: RentPlace;
+  group: SlotEntry[];
+}
+
+/** The slots by the kind of machine that is rented for them; each group is one request. */
+export function groupByPlace(
+  view: TermView,
+  pool: PoolDeclaration,
+  open: readonly SlotEntry[],
+  entries: SlotEntry[],
+): { found: SlotGroup[]; left: SlotEntry[] } {
+  const inZone = slotsInZones(view, open);
+  const groups = new Map<string, SlotGroup>();
+  const isShort = (type: string, zone: string): boolean => view.isShort(type, zone);
+  let next = 0;
+  while (next < entries.length) {
+    const place = cheapestPlace(pool, view.machineTypes(), isShort, inZone);
+    if (place === null) break;
+    const some = entries.slice(next, next + slotsPerMachine(pool.shape, place.type));
+    next += some.length;
+    inZone.set(place.zone, (inZone.get(place.zone) ?? 0) + some.length);
+    const kind = `${place.type.name} ${place.zone}`;
+    let key = kind;
+    for (let i = 1; isFull(groups.get(key), pool); i++) key = `${kind} ${i}`;
+    const group = groups.get(key) ?? { place, group: [] };
+    groups.set(key, group);
+    group.group.push(...some);
+  }
+  return { found: [...groups.values()], left: entries.slice(next) };
+}
+
+function isFull(group: SlotGroup | undefined, pool: PoolDeclaration): boolean {
+  if (group === undefined) return false;
+  return group.group.length >= RENT_MAX * slotsPerMachine(pool.shape, group.place.type);
+}
+
+function slotsInZones(view: TermView, open: readonly SlotEntry[]): Map<string, number> {
+  const inZone = new Map<string, number>();
+  for (const { current } of open) {
+    const machine = current.machine === null ? undefined : view.machine(current.machine);
+    const zone = machine?.zone ?? current.rent?.zone;
+    if (zone !== undefined) inZone.set(zone, (inZone.get(zone) ?? 0) + 1);
+  }
+  return inZone;
+}
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -1,21 +1,19 @@
 /** How many slots each burst should have, and where: what is wanted becomes changes of slots. */
 
-import { isWithinLimit } from '../jobs/types.js';
 import type { TermView } from '../subsystems/subsystem.js';
-import { RENT_MAX } from '../wire/cloud.js';
 import type { Alarms } from './alarms.js';
-import { spentInPeriod, type MoneyByDay } from './bill.js';
+import type { MoneyByDay } from './bill.js';
 import { burstId, type Burst } from './bursts.js';
 import type { PoolDeclaration } from './declaration.js';
 import {
   allowedTypes,
   bestCapacity,
-  cheapestPlace,
   isAllowed,
   slotShare,
   slotsPerMachine,
-  type RentPlace,
 } from './machine-choice.js';
+import { SlotAllowance } from './slot-allowance.js';
+import { groupByPlace } from './slot-groups.js';
 import { isHeld, isOpen, plannedSlot, type Slot, type SlotPlace, type SlotRent } from './slot.js';
 import { shareOut, type SlotRentRequests } from './slot-rent-requests.js';
 import { modelTasks, type SlotReservations } from './slot-reservations.js';
@@ -36,12 +34,6 @@
   nowMs: () => number;
 }
 
-/** What teams may start beside all that they run and all slots that were counted before. */
-interface TeamHeadroom {
-  cores: number;
-  gpus: number;
-}
-
 /** Slots of a burst: those that are to be, and what became of the others. */
 interface BurstSlots {
   open: SlotEntry[];
@@ -63,10 +55,10 @@
   /** One round. `bursts`: in the order in which they get what there is. */
   plan(bursts: readonly Burst[], money: MoneyByDay): void {
     const slots = this.slotsByBurst();
-    const teams = new Map<string, TeamHeadroom>();
+    const allowance = new SlotAllowance(this.options);
     for (const burst of bursts) {
       const of = slots.get(burstId(burst.pool.name, burst.burstMs));
-      this.planBurst(burst, of ?? { open: [], used: 0, lost: 0, nextIndex: 0 }, teams, money);
+      this.planBurst(burst, of ?? { open: [], used: 0, lost: 0, nextIndex: 0 }, allowance, money);
     }
     this.releaseOthers(new Set(bursts.map((burst) => burstId(burst.pool.name, burst.burstMs))));
   }
@@ -89,7 +81,7 @@
   private planBurst(
     burst: Burst,
     of: BurstSlots,
-    teams: Map<string, TeamHeadroom>,
+    allowance: SlotAllowance,
     money: MoneyByDay,
   ): void {
     const { pool } = burst;
@@ -98,8 +90,8 @@
       this.options.alarms.raise('unknown_type', pool.name, `${wanted}: none fits`);
     }
     const wanted = Math.max(0, Math.min(pool.slots, pool.slots + pool.refills - of.used));
-    const affordable = this.slotsWithinBudget(burst, of, wanted, money);
-    const allowed = this.slotsWithinTeamLimit(burst, affordable, teams);
+    const affordable = allowance.withinBudget(burst, of.open, wanted, money);
+    const allowed = allowance.withinTeamLimit(burst.pool, affordable);
     if (of.open.length > allowed) {
       const reason = allowed < affordable ? 'team limit' : affordable < wanted ? 'budget' : 'fewer';
       this.giveUp(burst, of, of.open.length - allowed, reason);
@@ -108,58 +100,6 @@
     this.noteLate(burst, of, wanted);
   }
 
-  /** What the budget leaves of the slots that are wanted. */
-  private slotsWithinBudget(
-    burst: Burst,
-    of: BurstSlots,
-    wanted: number,
-    money: MoneyByDay,
-  ): number {
-    const { pool, burstMs } = burst;
-    if (pool.budget === null) return wanted;
-    const spent = spentInPeriod(money, pool, burstMs);
-    if (spent < pool.budget) return wanted;
-    const detail = `${spent.toFixed(2)} of ${pool.budget} a ${pool.budgetPeriod}`;
-    this.options.alarms.raise('budget_exhausted', pool.name, detail);
-    if (pool.onExhausted === 'alarm') return wanted;
-    if (pool.onExhausted === 'release') return 0;
-    return Math.min(wanted, of.open.filter(({ current }) => isHeld(current)).length);
-  }
-
-  /** What the payer could start at once, the slots of pools that come before this one counted. */
-  private slotsWithinTeamLimit(
-    { pool }: Burst,
-    wanted: number,
-    teams: Map<string, TeamHeadroom>,
-  ): number {
-    const { view, alarms } = this.options;
-    const left = teams.get(pool.team) ?? this.teamHeadroom(pool.team);
-    teams.set(pool.team, left);
-    const { cores, gpus } = pool.shape;
-    let allowed = 0;
-    while (allowed < wanted && left.cores >= cores - 1e-6 && left.gpus >= gpus - 1e-6) {
-      left.cores -= cores;
-      left.gpus -= gpus;
-      allowed++;
-    }
-    if (allowed < wanted && view.settings.teams.has(pool.team)) {
-      alarms.raise('over_team_limit', pool.name, `${allowed} of ${wanted} slots`);
-    }
-    return allowed;
-  }
-
-  private teamHeadroom(name: string): TeamHeadroom {
-    const { view } = this.options;
-    const team = view.settings.teams.get(name);
-    if (team === undefined) return { cores: 0, gpus: 0 };
-    const { cores, gpus } = view.usage(name);
-    const left = (most: number, used: number): number => {
-      if (most <= 0) return Infinity;
-      return isWithinLimit(used, most) ? most - used : 0;
-    };
-    return { cores: left(team.coresMax, cores), gpus: left(team.gpusMax, gpus) };
-  }
-
   private add({ pool, burstMs, leadS }: Burst, of: BurstSlots, allowed: number): void {
     const { view, table, alarms } = this.options;
     if ((this.addFrom.get(pool.name) ?? -Infinity) > view.now()) return;
@@ -268,7 +208,7 @@
   private nameRents(burst: Burst, of: BurstSlots, entries: SlotEntry[], isDue: boolean): void {
     const { table } = this.options;
     const { pool } = burst;
-    const { found, left } = this.groupByPlace(pool, of, entries);
+    const { found, left } = groupByPlace(this.options.view, pool, of.open, entries);
     for (const { place, group } of found) {
       const name = `${this.options.view.uniquePrefix}-${this.requests++}`;
       const request = { name, type: place.type.name, zone: place.zone };
@@ -283,52 +223,6 @@
     this.takeFromLowerPrecedence(burst, left.length);
   }
 
-  /** The slots by the kind of machine that is rented for them; each group is one request. */
-  private groupByPlace(
-    pool: PoolDeclaration,
-    of: BurstSlots,
-    entries: SlotEntry[],
-  ): { found: { place: RentPlace; group: SlotEntry[] }[]; left: SlotEntry[] } {
-    const { view } = this.options;
-    const inZone = this.slotsInZones(of);
-    const groups = new Map<string, { place: RentPlace; group: SlotEntry[] }>();
-    const isShort = (type: string, zone: string): boolean => view.isShort(type, zone);
-    let next = 0;
-    while (next < entries.length) {
-      const place = cheapestPlace(pool, view.machineTypes(), isShort, inZone);
-      if (place === null) break;
-      const some = entries.slice(next, next + slotsPerMachine(pool.shape, place.type));
-      next += some.length;
-      inZone.set(place.zone, (inZone.get(place.zone) ?? 0) + some.length);
-      const kind = `${place.type.name} ${place.zone}`;
-      let key = kind;
-      for (let i = 1; this.isFull(groups.get(key), pool); i++) key = `${kind} ${i}`;
-      const group = groups.get(key) ?? { place, group: [] };
-      groups.set(key, group);
-      group.group.push(...some);
-    }
-    return { found: [...groups.values()], left: entries.slice(next) };
-  }
-
-  private isFull(
-    group: { place: RentPlace; group: SlotEntry[] } | undefined,
-    pool: PoolDeclaration,
-  ): boolean {
-    if (group === undefined) return false;
-    return group.group.length >= RENT_MAX * slotsPerMachine(pool.shape, group.place.type);
-  }
-
-  private slotsInZones({ open }: BurstSlots): Map<string, number> {
-    const inZone = new Map<string, number>();
-    for (const { current } of open) {
-      const machine =
-        current.machine === null ? undefined : this.options.view.machine(current.machine);
-      const zone = machine?.zone ?? current.rent?.zone;
-      if (zone !== undefined) inZone.set(zone, (inZone.get(zone) ?? 0) + 1);
-    }
-    return inZone;
-  }
-
   /**
    * The cloud has nothing for slots that are due: a pool of lower precedence gives up its own. It cannot
    * take them back, so nothing goes to and fro; the machine is found by `adopt` in the next round.
