--- a/scripts/costs.ts
+++ b/scripts/costs.ts
@@ -12,8 +12,8 @@
  *
  * A measurement starts three controllers, settles, and then loads them in phases:
  *
- * 1. `passed on`: all machines report to one follower, once a second each; the other follower idles.
- * 2. `direct`: the same reports go to the leader.
+ * 1. `forwarded`: all machines report to one follower, once a second each; the other follower idles.
+ * 2. `direct`: the same heartbeats go to the leader.
  * 3. `slow`: the leader gets a quarter of them.
  * 4. `users`: as 3, and jobs of three short tasks are submitted to one follower.
  *
@@ -21,13 +21,13 @@
  *
  * - A follower's cost of passing on is its processor time less that of the idle follower in the same phase:
  *   renewals, reading the store, timers and garbage of these are out of it; garbage collected later is not in it.
- * - The leader's cost of a direct report is the slope between phases 2 and 3. Passes that reports ask for are in it.
- *   `leader, all that it does` is its time divided by its reports: passes, renewals, store and timers too.
- * - The leader's cost of a report that was passed on is its time in phase 1 less what it spends in phase 3
+ * - The leader's cost of a direct heartbeat is the slope between phases 2 and 3. Passes that heartbeats ask for are in it.
+ *   `leader, all that it does` is its time divided by its heartbeats: passes, renewals, store and timers too.
+ * - The leader's cost of a heartbeat that was forwarded is its time in phase 1 less what it spends in phase 3
  *   without reports. It takes for granted that phases 1 and 3 differ in reports alone.
  * - A submission is what the accepting follower spends beyond the idle one, and the leader beyond phase 3. Placing,
  *   starting and storing its tasks are in it, as far as they fall into the phase; how long the user waits is not.
- * - A pass is a median of elapsed time, as `/metrics` has it, since the start: on a busy machine others' time is in it.
+ * - A scheduling cycle is a median of elapsed time, as `/metrics` has it, since the start: on a busy machine others' time is in it.
  * - Linux accounts processor time in steps of 0.01 s. With few machines a phase holds some tens of these, so
  *   single figures are coarse and a slope may even be below zero; take medians of many pairs.
  * - The stand-ins and the machines run in this process, with the controllers' processors shared by all.
@@ -41,12 +41,12 @@
 const DIRECT_S = 3;
 const SLOW_S = 2;
 const USERS_S = 2;
-/** Reports in the slow phase, of those in the others. */
+/** Heartbeats in the slow phase, of those in the others. */
 const SLOW_SHARE = 0.25;
 const SUBMITTED_PER_S = 20;
-/** A measurement in which leadership changed, or reports went unanswered, is repeated so often. */
+/** A measurement in which leadership changed, or heartbeats went unanswered, is repeated so often. */
 const ATTEMPTS = 3;
-/** Reports that may go without an answer by the end of a phase: those under way, at least some. */
+/** Heartbeats that may go without an answer by the end of a phase: those under way, at least some. */
 const UNANSWERED_SHARE = 0.02;
 const UNDER_WAY = 5;
 
@@ -98,7 +98,7 @@
     private readonly leader: number,
   ) {}
 
-  /** Throws `Unusable` when leadership changed or reports went unanswered. */
+  /** Throws `Unusable` when leadership changed or heartbeats went unanswered. */
   static async run(checkout: string, machines: number): Promise<Costs> {
     const fleet = new Fleet({ machines, checkout, zones: ZONES, machineZone: MACHINE_ZONE });
     try {
--- a/scripts/fleet-load.ts
+++ b/scripts/fleet-load.ts
@@ -91,7 +91,7 @@
   return () => clearInterval(timer);
 }
 
-/** A machine that reports, and runs what it is told to. */
+/** A machine that heartbeats, and runs what it is told to. */
 export class Machine {
   private readonly pieces: Piece[];
   private tally = 0;
--- a/scripts/mixed-versions.ts
+++ b/scripts/mixed-versions.ts
@@ -11,7 +11,7 @@
  * Rolls a cluster of real processes from the version in production to the present one, on loopback and
  * against the stand-ins of the tests: work of the old version goes on, both serve side by side, one process
  * ends and comes back old, pipelines are submitted and one is cancelled in the middle, the limits of the
- * state service are lowered. Fails where a rule of the protocol is broken or a job has the wrong end.
+ * key-value store are lowered. Fails where a rule of the protocol is broken or a job has the wrong end.
  *
  *     npm run mixed-versions -- --rounds 3
  */
--- a/src/admission/controller-health.ts
+++ b/src/admission/controller-health.ts
@@ -5,18 +5,19 @@
 import { ANSWER_WAIT_S } from '../wire/workers.js';
 import { LATE_S } from './overload.js';
 
-/** A connection carries this controller's figure once in so many report intervals, at most. */
+/** A connection carries this controller's figure once in so many heartbeat intervals, at most. */
 const SEND_REPORTS = 0.25;
-/** Another controller that has told no figure for so many report intervals is asked. */
+/** Another controller that has told no figure for so many heartbeat intervals is asked. */
 const ASK_REPORTS = 1;
-/** A figure that is older than so many report intervals says nothing of the present. */
+/** A figure that is older than so many heartbeat intervals says nothing of the present. */
 const FRESH_REPORTS = 3;
-/** Another controller is fitter when it is late by less than this share of this one's lateness. */
+/** Another controller is healthier when it is late by less than this share of this one's lateness. */
 const HEALTHIER_SHARE = 0.5;
 
+/** What a `HealthTable` works with. */
 export interface HealthTableOptions {
   clock: Clock;
-  /** The workers' report interval, in seconds. */
+  /** The workers' heartbeat interval, in seconds. */
   reportS: number;
   /** This controller's figure now. */
   own: () => ControllerHealth;
@@ -40,6 +41,7 @@
 
   constructor(private readonly options: HealthTableOptions) {}
 
+  /** See `HealthExchange.nextToSend`. */
   nextToSend(): () => ControllerHealth | null {
     const { clock, reportS, own } = this.options;
     let sentAt = -Infinity;
@@ -51,6 +53,7 @@
     };
   }
 
+  /** See `HealthExchange.note`. */
   note(node: string, health: ControllerHealth): void {
     const entry = this.entry(node);
     entry.health = health;
@@ -58,7 +61,7 @@
   }
 
   /**
-   * Asks those that have told no figure for a report interval; called regularly. The question carries
+   * Asks those that have told no figure for a heartbeat interval; called regularly. The question carries
    * this controller's figure, so that of a pair of controllers one asks.
    */
   refresh(peers: Pick<PeerNetwork, 'names' | 'ask'>): void {
@@ -74,7 +77,7 @@
   }
 
   /**
-   * The controller that is best off by a fresh figure, where the state service serves it and it is less than
+   * The controller that is best off by a fresh figure, where the key-value store serves it and it is less than
    * half as late as `latenessS`, this one's lateness. Null: none is known.
    */
   healthier(latenessS = this.options.own().latenessS): string | null {
@@ -96,7 +99,7 @@
   }
 
   /**
-   * Seconds that reports passed on to this controller wait for its answers, by fresh figures of the others:
+   * Seconds that heartbeats forwarded to this controller wait for its answers, by fresh figures of the others:
    * the least of them, since one that is slow itself waits longer. 0: none has told.
    */
   forwardingDelayS(): number {
--- a/src/admission/leadership-transfer.ts
+++ b/src/admission/leadership-transfer.ts
@@ -3,15 +3,16 @@
 import type { HealthTable } from './controller-health.js';
 import { TRANSFER_AFTER_S, FORWARDING_LATE_S, type Overload } from './overload.js';
 
-/** A controller hands over no more than once in so many workers' leases. */
+/** A controller transfers leadership no more than once in so many workers' leases. */
 const GAP_LEASES = 2;
 /**
  * Nor within so many workers' leases of its election. Whoever takes over is late for some seconds: it hears
- * of every machine anew, on code that has not been compiled yet. It once handed over because of that, so
+ * of every machine anew, on code that has not been compiled yet. It once transferred leadership because of that, so
  * did the next one, and machines lost their leases to five changes of leader in forty seconds.
  */
 const SETTLE_LEASES = 2;
 
+/** What a `LeadershipTransfer` works with. */
 export interface LeadershipTransferOptions {
   overload: Overload;
   health: Pick<HealthTable, 'healthier' | 'forwardingDelayS'>;
@@ -27,9 +28,9 @@
 }
 
 /**
- * An overloaded leader hands over. It renews its own lease, which is little work, while workers' reports
+ * An overloaded leader transfers leadership. It renews its own lease, which is little work, while workers' heartbeats
  * wait longer than the workers do: on a controller that had become three times slower, leadership was
- * kept like this until the leases of all machines had run out. Where no other controller is better
+ * kept like this until the leases of all machines had expired. Where no other controller is better
  * off it stays.
  *
  * It decides at once, on the figures that the others have told. When it asked them first, the answers
@@ -37,7 +38,7 @@
  */
 export class LeadershipTransfer {
   private resignedAt = -Infinity;
-  /** Since when reports passed on to this controller have waited for too long; null: they have not. */
+  /** Since when reports forwarded to this controller have waited for too long; null: they have not. */
   private forwardingLateSince: number | null = null;
 
   constructor(private readonly options: LeadershipTransferOptions) {}
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -4,18 +4,19 @@
  * What a controller that can't keep up does first, and what last. docs/overload.md has the order, the
  * thresholds and the reasons.
  *
- * All thresholds are shares of the time that a worker waits for the answer to its report: work that is
- * given up below it leaves that time to the reports.
+ * All thresholds are shares of the time that a worker waits for the answer to its heartbeat: work that is
+ * given up below it leaves that time to the heartbeats.
  */
 
 /** Requests in the order in which they are served, and in the reverse of that in which they are refused. */
 export const REQUEST_CLASSES = ['report', 'cancellation', 'poll', 'submission'] as const;
+/** One of the classes of requests that are admitted or refused alike. */
 export type RequestClass = (typeof REQUEST_CLASSES)[number];
 
 /** A delay above this share: the leader places less often. */
 const PLACE_LESS_SHARE = 0.125;
 /**
- * A delay above this share: requests of the class are refused when they arrive. Reports are never
+ * A delay above this share: requests of the class are refused when they arrive. Heartbeats are never
  * refused on arrival: one is dropped when it has waited for so long that the worker has given it up.
  */
 const REFUSE_SHARES: Record<RequestClass, number> = {
@@ -25,7 +26,7 @@
   submission: 0.25,
 };
 
-/** The share of time that passes of placing may take, so that reports and users never wait for it. */
+/** The share of time that scheduling cycles may take, so that heartbeats and users never wait for it. */
 const PASS_SHARE = 0.2;
 /** The same on a controller that is late. */
 const LATE_PASS_SHARE = 0.05;
@@ -34,10 +35,10 @@
 export const refusedAboveS = (kind: RequestClass): number => ANSWER_WAIT_S * REFUSE_SHARES[kind];
 
 /**
- * A leader that has been late by this share of a worker's wait, for so long a share, hands over. Late is
+ * A leader that has been late by this share of a worker's wait, for so long a share, transfers leadership. Late is
  * what its timers show on average: a whole turn of the event loop then takes as long, reading what
  * has arrived takes another, and other controllers wait no more than a quarter of a worker's wait for
- * the reports that they pass on. With twice and four times this share machines lost their leases while
+ * the heartbeats that they pass on. With twice and four times this share machines lost their leases while
  * their leader was not yet late enough.
  */
 const TRANSFER_SHARE = 0.0625;
@@ -46,11 +47,11 @@
 const TRANSFER_AFTER_SHARE = 0.25;
 /** Seconds of lateness above which a controller is too late for a leader. */
 export const LATE_S = ANSWER_WAIT_S * TRANSFER_SHARE;
-/** How long a controller is too late before it hands over, in seconds. */
+/** How long a controller is too late before it transfers leadership, in seconds. */
 export const TRANSFER_AFTER_S = ANSWER_WAIT_S * TRANSFER_AFTER_SHARE;
 /**
- * Seconds that reports passed on to a leader may wait for their answers: half of what other controllers wait
- * for one (`ASK_SHARE` of the reports).
+ * Seconds that heartbeats forwarded to a leader may wait for their answers: half of what other controllers wait
+ * for one (`ASK_SHARE` of the heartbeats).
  */
 export const FORWARDING_LATE_S = ANSWER_WAIT_S * 0.125;
 
@@ -104,7 +105,7 @@
     return this.delayS > refusedAboveS(kind);
   }
 
-  /** The share of time that passes of placing may take now. */
+  /** The share of time that scheduling cycles may take now. */
   get passShare(): number {
     return this.delayS > ANSWER_WAIT_S * PLACE_LESS_SHARE ? LATE_PASS_SHARE : PASS_SHARE;
   }
--- a/src/admission/request-queue.ts
+++ b/src/admission/request-queue.ts
@@ -5,7 +5,7 @@
 /**
  * A slice's share of the workers' lease: a sixth of the time between two renewals of the leader's own
  * lease (see `Election`), so that a renewal is late by a few slices at most. A controller that found
- * hundreds of reports in one turn of the event loop once answered them all before its timers and the
+ * hundreds of heartbeats in one turn of the event loop once answered them all before its timers and the
  * store's answers had their turn, and lost its leadership to a lease that it had not renewed.
  */
 const SLICE_LEASES = 0.01;
@@ -34,6 +34,7 @@
   refuse: () => void;
 }
 
+/** What a `RequestQueue` works with. */
 export interface RequestQueueOptions {
   clock: Clock;
   leaseS: number;
@@ -50,18 +51,22 @@
   private items: WaitingRequest[] = [];
   private first = 0;
 
+  /** The oldest item; undefined: it is empty. */
   get head(): WaitingRequest | undefined {
     return this.items[this.first];
   }
 
+  /** Items that wait. */
   get length(): number {
     return this.items.length - this.first;
   }
 
+  /** Adds an item at the end. */
   push(item: WaitingRequest): void {
     this.items.push(item);
   }
 
+  /** Removes the oldest item. */
   shift(): void {
     this.first++;
     // Served requests would be held in memory until the queue runs empty, which under load it may not.
@@ -78,7 +83,7 @@
  * reads input: the leader's lease, the store's answers and the other controllers come first.
  *
  * Requests of one class keep the order in which they came, and none overtakes one that waits: a
- * machine's reports are never reordered.
+ * machine's heartbeats are never reordered.
  */
 export class RequestQueue {
   private state: QueueState = 'idle';
@@ -111,6 +116,7 @@
     this.state = state;
   }
 
+  /** Requests that wait, of all classes. */
   get size(): number {
     return REQUEST_CLASSES.reduce((n, kind) => n + this.waiting[kind].length, 0);
   }
@@ -194,7 +200,7 @@
 
   /**
    * By class. But what was let in is served in time: a user's request that has waited for as long as
-   * makes newer ones of its class be refused goes first, or a steady stream of reports would hold it
+   * makes newer ones of its class be refused goes first, or a steady stream of heartbeats would hold it
    * back until its user gives up. No more of its class are let in meanwhile, so these are few.
    */
   private next(now: number): WaitingRequest | undefined {
@@ -209,6 +215,7 @@
     return head;
   }
 
+  /** Figures for `/metrics`. */
   statistics(): Record<string, number> {
     const out: Record<string, number> = { requests_waiting: this.size };
     for (const kind of REQUEST_CLASSES) out[`${kind}s_refused`] = this.refused[kind];
--- a/src/api/request-forwarder.ts
+++ b/src/api/request-forwarder.ts
@@ -6,7 +6,7 @@
 import { mayHaveDependencies, SUBMIT_WAIT_S } from '../wire/users.js';
 import type { UserApi } from './user-api.js';
 
-/** What a user asks for, in a form that can be passed on to another controller. */
+/** What a user asks for, in a form that can be forwarded to another controller. */
 export type UserRequest =
   { to: 'submit'; body: Buffer } | { to: 'poll'; id: string } | { to: 'cancel'; id: string };
 
@@ -15,6 +15,7 @@
 /** For so many leases nobody was of help: users are better served elsewhere. */
 const ALONE_LEASES = 0.2;
 
+/** What a `RequestForwarder` works with. */
 export interface RequestForwarderOptions {
   userApi: UserApi;
   store: Pick<KeyValueStoreClient, 'health'>;
@@ -26,7 +27,7 @@
 }
 
 /**
- * Users' requests as they come to any controller. One that the state service refuses, or that is cut
+ * Users' requests as they come to any controller. One that the key-value store refuses, or that is cut
  * off from it, passes them on to a controller that is served: nothing is told but what that one has
  * read or stored. Where nobody is served the answer is 503 at once, never a wait for better times.
  */
@@ -35,7 +36,7 @@
 
   constructor(private readonly options: RequestForwarderOptions) {}
 
-  /** The state service serves this controller, and it has read the store. */
+  /** The key-value store serves this controller, and it has read the store. */
   get isServed(): boolean {
     return this.options.store.health === 'served' && this.options.replicaSync.ready;
   }
@@ -51,6 +52,7 @@
     );
   }
 
+  /** Answers a user's request here, or has another controller answer it. */
   async serve(request: UserRequest): Promise<Reply> {
     if (this.isServed || this.options.userApi.knows(request)) {
       const reply = await this.serveLocally(request);
@@ -93,7 +95,7 @@
     return null;
   }
 
-  /** Passed on by another controller; it goes no further. Without a status: ask somebody else. */
+  /** Forwarded by another controller; it goes no further. Without a status: ask somebody else. */
   async serveForwarded(to: UserRequest['to'], text: string): Promise<ReplyAnswer> {
     if (!this.isServed) return {};
     const request: UserRequest =
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -29,6 +29,7 @@
 const invalid = (why: string): Reply => ({ status: 422, body: encodeError(why) });
 const TOO_LARGE = 'larger than what the state service takes of one job';
 
+/** What a `UserApi` works with. */
 export interface UserApiOptions {
   settings: Settings;
   replicaSync: Pick<ReplicaSync, 'ready' | 'sync'>;
@@ -61,6 +62,7 @@
     this.types = options.types;
   }
 
+  /** Whether the replica holds the store, so that requests can be answered. */
   ready(): boolean {
     return this.replicaSync.ready && this.types() !== null;
   }
@@ -77,6 +79,7 @@
     return storedJob.claimCount > 0 || storedJob.doneTasks > 0 ? 'running' : 'queued';
   }
 
+  /** Answers a submission: 201 once it is stored, 200 for a repeated one, 4xx where it can never run. */
   async submit(body: Buffer): Promise<Reply> {
     let spec: JobSpec;
     try {
@@ -172,6 +175,7 @@
     return this.replica.jobs.get(id);
   }
 
+  /** Answers a question about a job; 404: it was never accepted. */
   async poll(id: string): Promise<Reply> {
     if (!validId(id)) return { status: 404, body: encodeError('no such job') };
     const storedJob = await this.fresh(id);
@@ -185,6 +189,7 @@
     return { status: 200, body: encodeStatus(id, state, done, running) };
   }
 
+  /** Answers a cancellation: 200 once it is stored and confirmed, 503 while that is not certain. */
   async cancel(id: string): Promise<Reply> {
     if (!validId(id)) return { status: 404, body: encodeError('no such job') };
     const storedJob = await this.fresh(id);
--- a/src/cancellation/cancellation-broadcast.ts
+++ b/src/cancellation/cancellation-broadcast.ts
@@ -23,6 +23,7 @@
     private readonly over: (id: string) => boolean,
   ) {}
 
+  /** Remembers an id from now on, and drops those that need not be remembered any more. */
   add(id: string): void {
     const now = this.clock.now();
     this.ids.delete(id);
@@ -33,19 +34,23 @@
     }
   }
 
+  /** Whether the id is remembered. */
   has(id: string): boolean {
     return this.ids.has(id);
   }
 
+  /** How many are remembered. */
   get size(): number {
     return this.ids.size;
   }
 
+  /** The ids, oldest first. */
   keys(): IterableIterator<string> {
     return this.ids.keys();
   }
 }
 
+/** What a `CancellationBroadcast` works with. */
 export interface CancellationBroadcastOptions {
   settings: Settings;
   zoneLeaseHolders: [string, string][];
@@ -78,10 +83,12 @@
     return this.stored.size + this.announced.size;
   }
 
+  /** Another controller knows that the cancellation is stored. */
   noteStored(id: string): void {
     this.stored.add(id);
   }
 
+  /** Another controller is about to store the cancellation. */
   noteAnnounced(id: string): void {
     this.announced.add(id);
   }
@@ -91,13 +98,14 @@
     return [...new Set([...this.options.replica.cancelledSince(revision), ...this.stored.keys()])];
   }
 
+  /** Whether a cancellation of the job was heard of, stored or announced. */
   knows(id: string): boolean {
     return this.stored.has(id) || this.announced.has(id);
   }
 
   /**
-   * A zone that is cut off does not hear of a cancellation, and its zone keeper would keep the job's
-   * tasks alive for longer than is allowed after it has been told. So either the zone keepers know of it
+   * A zone that is cut off does not hear of a cancellation, and its zone lease holder would keep the job's
+   * tasks alive for longer than is allowed after it has been told. So either the zone lease holders know of it
    * before it is stored, or what they may keep ends in time. Returns the seconds after which to ask
    * again; 0: it may be stored.
    */
@@ -137,7 +145,7 @@
     return wait <= 0 ? 0 : Math.max(1, Math.ceil(Math.min(wait, lease_s / 2)));
   }
 
-  /** Until what a zone's keeper may keep, and does not know to be cancelled, ends within `cancel_s`. */
+  /** Until what a zone's lease holder may keep, and does not know to be cancelled, ends within `cancel_s`. */
   private zoneWaitS(zone: string): number {
     const { lease_s, report_s, cancel_s } = this.options.settings.workers;
     const { keptUntil, provenAt } = this.options.zoneLeases.zone(zone);
--- a/src/cancellation/cancellation-quorum.ts
+++ b/src/cancellation/cancellation-quorum.ts
@@ -11,6 +11,7 @@
  */
 export const NOTIFY_TIMEOUT_S = SUBMIT_WAIT_S * 0.2;
 
+/** What a `CancellationQuorum` works with. */
 export interface CancellationQuorumOptions {
   /** Number of controllers, this one included. */
   controllerCount: number;
@@ -18,7 +19,7 @@
   replica: Pick<Replica, 'lastToken'>;
   clock: Clock;
   /**
-   * Seconds to wait until no zone's keeper can keep tasks of the job too long, when these controllers
+   * Seconds to wait until no zone's lease holder can keep tasks of the job too long, when these controllers
    * have noted its cancellation; 0: none can.
    */
   remainingWaitS: (job: string, noted: ReadonlySet<string>) => number;
@@ -35,7 +36,7 @@
 
 /**
  * Decides when users may be told that a job is cancelled. The cancellation is stored by then; before
- * anybody is told, a majority of controllers has to know of it. In an outage of the state service
+ * anybody is told, a majority of controllers has to know of it. In an outage of the key-value store
  * leases are renewed on the word of a majority, and any two majorities share a controller: so none of
  * them renews the lease of a task whose user counts on its end.
  */
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -3,8 +3,10 @@
   now(): number;
 }
 
+/** The process's own steady clock. */
 export const steadyClock: Clock = { now: () => performance.now() / 1000 };
 
+/** Resolves after so many seconds. */
 export const sleep = (seconds: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, Math.max(0, seconds * 1000)));
 
@@ -21,6 +23,7 @@
 export class WakeableSleep {
   private wake: (() => void) | null = null;
 
+  /** Resolves after so many seconds, or at the next `wakeUp`. */
   wait(seconds: number): Promise<void> {
     return new Promise((resolve) => {
       const done = (): void => {
@@ -33,6 +36,7 @@
     });
   }
 
+  /** Ends the present sleep, if there is one. */
   wakeUp(): void {
     this.wake?.();
   }
@@ -86,6 +90,7 @@
     return this.level;
   }
 
+  /** Takes so much if it is there; false: it is not, and nothing is taken. */
   tryTake(amount: number): boolean {
     this.fill();
     if (this.level < amount) return false;
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -16,6 +16,7 @@
   }
 }
 
+/** What became of a rental request; `unknown`: it may have been carried out, or may still be. */
 export type RentResult =
   | { how: 'rented'; ids: string[] }
   | { how: 'none' }
@@ -23,6 +24,7 @@
   | { how: 'unknown' }
   | { how: 'refused'; status: number };
 
+/** The cloud's interface, within its limit of requests. */
 export class CloudClient {
   private readonly http: HttpClient;
   private readonly budget: TokenBucket;
@@ -43,10 +45,12 @@
     return JSON.parse(response.body.toString('utf8'));
   }
 
+  /** Machine types with their present prices. Throws CloudError, NoResponseError. */
   async fetchMachineTypes(): Promise<MachineType[]> {
     return wire.parseTypes(CloudClient.parseJson(await this.call('GET', wire.TYPES_PATH)));
   }
 
+  /** All machines that the cloud lists. Throws CloudError, NoResponseError. */
   async listMachines(): Promise<wire.ListedMachine[]> {
     const all: wire.ListedMachine[] = [];
     let after = '';
@@ -59,6 +63,7 @@
     }
   }
 
+  /** Sends a rental request. A request name that was answered gets the same answer for ever. */
   async rentMachines(request: wire.RentRequest): Promise<RentResult> {
     let response: Response;
     try {
@@ -88,6 +93,7 @@
     }
   }
 
+  /** Ends all connections. */
   close(): void {
     this.http.close();
   }
--- a/src/cloud/demand-forecast.ts
+++ b/src/cloud/demand-forecast.ts
@@ -5,13 +5,13 @@
 /** Windows of observation, in boots of the slowest machine type. */
 const HOT_BOOTS = 12;
 const WARM_BOOTS = 8;
-/** What is to be bridged by warm room: a boot and the slower ones among them. */
+/** What is to be bridged by warm capacity: a boot and the slower ones among them. */
 const AHEAD_BOOTS = 1.2;
 /** Images that are told apart as wanted soon, at most. */
 const HOT_MOST = 32;
-/** Of the room that ended work leaves, the share that fits those that come. */
+/** Of the capacity that ended work leaves, the share that fits those that come. */
 const REUSED = 0.7;
-/** One job counts for so many tasks at most: what is larger than that is not kept room for. */
+/** One job counts for so many tasks at most: what is larger than that is not kept capacity for. */
 const TASKS_MOST = 50;
 
 /** GPUs or, without any, cores: what machines and tasks are measured in. */
@@ -41,12 +41,13 @@
     private readonly types: () => MachineType[],
   ) {}
 
-  /** A service has ended: the room that it leaves serves those that come. */
+  /** A service has ended: the capacity that it leaves serves those that come. */
   jobLeft(spec: JobSpec): void {
     if (spec.priority === 3) return;
     this.gone.push({ spec, atMs: this.wallMs() });
   }
 
+  /** A job became ready at this time of day, in ms. */
   jobArrived(spec: JobSpec, atMs: number): void {
     if (spec.priority === 3) return;
     this.firstMs.set(spec.spot, Math.min(atMs, this.firstMs.get(spec.spot) ?? Infinity));
@@ -113,7 +114,7 @@
     return this.hotList;
   }
 
-  /** Free room to keep, in machines. */
+  /** Free capacity to keep, in machines. */
   warmTarget(spot: boolean): number {
     this.refresh();
     return this.targets.get(spot) ?? 0;
--- a/src/cloud/provisioner.ts
+++ b/src/cloud/provisioner.ts
@@ -18,6 +18,7 @@
   running: boolean;
 }
 
+/** What a `MachineProvisioner` asks and tells its term. */
 export interface ProvisionerHost {
   isEntitled(): boolean;
   /** Requests under names that are stored: sent before all others. */
@@ -32,6 +33,7 @@
   onMachineTypes(types: MachineType[]): void;
 }
 
+/** What a `MachineProvisioner` works with. */
 export interface MachineProvisionerOptions {
   name: string;
   cloud: CloudClient;
@@ -58,6 +60,7 @@
 
   constructor(private readonly options: MachineProvisionerOptions) {}
 
+  /** Whether the cloud has just had no machine of this type, zone and kind. */
   isShort(type: string, zone: string, spot: boolean): boolean {
     const shortage = this.shortages.get(`${type} ${zone} ${spot}`);
     return shortage !== undefined && shortage.until > this.options.clock.now();
@@ -74,14 +77,17 @@
     this.shortages.set(key, { until: this.options.clock.now() + pause, fails });
   }
 
+  /** A rented machine has sent its first heartbeat. */
   machineReported(id: string): void {
     this.pending.delete(id);
   }
 
+  /** There is something to rent or return: the next round begins at once. */
   wake(): void {
     this.pause.wakeUp();
   }
 
+  /** Rents and returns, round after round, until `stop`. */
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -136,7 +142,7 @@
   private async retryUnanswered(): Promise<void> {
     const again = this.unanswered.splice(0, this.unanswered.length);
     for (const unanswered of again) {
-      // Given up after a while: whatever it rented shows up in the list and by its reports.
+      // Given up after a while: whatever it rented shows up in the list and by its heartbeats.
       if (this.options.clock.now() - unanswered.since < 30)
         await this.rentMachines(unanswered.request, unanswered.since);
     }
@@ -233,6 +239,7 @@
     this.options.host.applyList(all.filter((listed) => !this.returnedAt.has(listed.id)));
   }
 
+  /** Ends after the call that is under way. */
   stop(): void {
     this.stopped = true;
     this.pause.wakeUp();
--- a/src/cloud/scale-out-plan.ts
+++ b/src/cloud/scale-out-plan.ts
@@ -10,7 +10,7 @@
   type PlacementWeights,
 } from '../scheduler/bin-packing.js';
 
-/** Tasks that found no room, in the order in which they are wanted. */
+/** Tasks that found no capacity, in the order in which they are wanted. */
 export interface Demand {
   spec: JobSpec;
   tasks: number;
@@ -21,6 +21,7 @@
 /** Where the cloud had nothing, and until when not to ask again. */
 export type Shortage = (type: string, zone: string, spot: boolean) => boolean;
 
+/** Machines to rent of one type, zone and kind. */
 export interface MachineOrder {
   type: string;
   zone: string;
@@ -28,9 +29,10 @@
   count: number;
 }
 
+/** What a plan of machines to rent rests on. */
 export interface ScaleOutInput {
   demand: Demand[];
-  /** Machines on their way, and room that is free. They are used up. */
+  /** Machines on their way, and capacity that is free. They are used up. */
   capacities: FreeCapacity[];
   types: MachineType[];
   zones: string[];
@@ -98,7 +100,7 @@
   return best;
 }
 
-/** What to rent so that all demand finds room. Pure: the rooms given are used up. */
+/** What to rent so that all demand finds capacity. Pure: the free capacities given are used up. */
 export function planScaleOut(input: ScaleOutInput): MachineOrder[] {
   const wanted = new Map<string, MachineOrder>();
   let count = 0;
--- a/src/cloud/warm-capacity.ts
+++ b/src/cloud/warm-capacity.ts
@@ -1,23 +1,25 @@
 /**
- * How much room to keep free for work that is to come. New machines take a boot to arrive; until
- * then what comes must find room that is there. The room expected to be wanted within that time is
+ * How much capacity to keep free for work that is to come. New machines take a boot to arrive; until
+ * then what comes must find capacity that is there. The capacity expected to be wanted within that time is
  * estimated from recent arrivals, as a compound Poisson process: its mean and a deviation more.
  * `firstMs`: when the very first came.
  */
 export interface Arrival {
   atMs: number;
-  /** Room it takes, in machines. */
+  /** Capacity it takes, in machines. */
   size: number;
 }
 
+/** How carefully capacity is kept free; `least`: in machines. */
 export interface WarmFactors {
   mean: number;
   deviations: number;
   least: number;
-  /** Of the room that is left meanwhile, the share that serves those that come. */
+  /** Of the capacity that is left meanwhile, the share that serves those that come. */
   reused: number;
 }
 
+/** Machines to keep free for what arrives within `aheadS`, from what was seen within `windowS`. */
 export function warmTarget(
   arrivals: Arrival[],
   departures: Arrival[],
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -68,8 +68,10 @@
   }),
 });
 
+/** A settings file after validation, by the names of the file. */
 export type Parsed = v.InferOutput<typeof schema>;
 
+/** A team: guaranteed and most CPUs and GPUs; 0: none. */
 export interface Team {
   name: string;
   cores: number;
@@ -78,6 +80,7 @@
   gpusMax: number;
 }
 
+/** The platform's settings as the program uses them. */
 export interface Settings {
   node: string;
   zone: string;
@@ -101,6 +104,7 @@
   limits: Parsed['settings']['limits'];
 }
 
+/** What is wrong with a settings file, in one line. */
 export class SettingsError extends Error {}
 
 /** Checks a settings file. Throws SettingsError, which names the first field that is wrong. */
@@ -158,6 +162,7 @@
   };
 }
 
+/** Reads and checks a settings file. Throws SettingsError. */
 export function loadSettings(file: string): Settings {
   let text: string;
   try {
--- a/src/config/state-limits.ts
+++ b/src/config/state-limits.ts
@@ -1,4 +1,4 @@
-/** What the state service takes, for all controllers together. */
+/** What the key-value store takes, for all controllers together. */
 export interface StateLimits {
   /** Requests a second. */
   rps: number;
--- a/src/controller/controller-versions.ts
+++ b/src/controller/controller-versions.ts
@@ -15,6 +15,7 @@
 /** The record of this controller's version is tried again after so many leases. */
 const PUBLISH_LEASES = 0.1;
 
+/** What a `ControllerVersions` works with. */
 export interface ControllerVersionsOptions {
   /** Names of this controller and of all others. */
   node: string;
@@ -134,6 +135,7 @@
     this.options.log.info({ node: this.options.node }, message);
   }
 
+  /** Ends `publish`. */
   stop(): void {
     this.stopped = true;
   }
--- a/src/controller/features.ts
+++ b/src/controller/features.ts
@@ -7,6 +7,7 @@
 import { WarmPools } from '../warm-pools/warm-pools.js';
 import { featuresRecord, type Features } from '../features/features-file.js';
 
+/** The subsystems that a features file switches on. */
 export function controllerFeatures(features: Features, clock: Clock): ControllerFeatures {
   const subsystems: Subsystem[] = [];
   if (features.warmPools !== null) subsystems.push(new WarmPools(features.warmPools, clock));
--- a/src/controller/http-router.ts
+++ b/src/controller/http-router.ts
@@ -10,24 +10,28 @@
 import { route } from '../wire/users.js';
 import { CLASS_OF, FORWARD_PATIENCE_S, HEARTBEAT_PATIENCE_S } from './request-classes.js';
 
+/** Try again in a second, here or elsewhere. */
 export const UNAVAILABLE: Reply = { status: 503, retryAfter: 1 };
 
+/** What an `HttpRouter` works with. */
 export interface HttpRouterOptions {
   clock: Clock;
   latencies: LatencyHistograms;
   requests: RequestQueue;
   heartbeats: HeartbeatHandler;
   forwarder: RequestForwarder;
-  /** Whether this controller leads: then reports are taken in, not passed on. */
+  /** Whether this controller leads: then reports are taken in, not forwarded. */
   isLeader: () => boolean;
   metrics: () => Record<string, unknown>;
   /** What operators are shown of a subsystem. */
   subsystemView: (name: string) => Reply;
 }
 
+/** Gives each request to the part that answers it, in its turn. */
 export class HttpRouter {
   constructor(private readonly options: HttpRouterOptions) {}
 
+  /** Answers a request. */
   handle(message: Message): Reply | Promise<Reply> {
     const { forwarder, metrics, subsystemView } = this.options;
     const to = route(message.method, message.target);
--- a/src/controller/load-log.ts
+++ b/src/controller/load-log.ts
@@ -8,7 +8,7 @@
 import type { Log } from '../log.js';
 
 /**
- * A line of the log for each report interval, level `debug`, message `load`: what this controller did
+ * A line of the log for each heartbeat interval, level `debug`, message `load`: what this controller did
  * since the line before and how it stands. docs/operators.md lists the fields. At any other level this is
  * not constructed: what is left then are the counters that it reads, an addition each.
  */
@@ -22,7 +22,7 @@
   heartbeats: HeartbeatCounts;
   /** Machines whose leases this controller as leader counted as lost, since its start. */
   machinesLost: () => number;
-  /** Messages to and from the state service. */
+  /** Messages to and from the key-value store. */
   stateTraffic: () => Traffic;
   passes: WorkTotal;
 }
@@ -60,6 +60,7 @@
   cpu_ms: number;
 }
 
+/** The fields of a load line; docs/operators.md explains each. */
 export type LoadLine = Levels & Totals;
 
 const BYTES_PER_MB = 1e6;
@@ -92,6 +93,7 @@
     this.log.debug(line, 'load');
   }
 
+  /** Stops watching garbage collections. */
   stop(): void {
     this.gcObserver.disconnect();
   }
--- a/src/controller/machine-type-cache.ts
+++ b/src/controller/machine-type-cache.ts
@@ -12,6 +12,7 @@
 /** Seconds before the cloud is asked again, with as much again at random. */
 const RETRY_S = 1;
 
+/** What a `MachineTypeCache` works with. */
 export interface MachineTypeCacheOptions {
   cloud: Pick<CloudClient, 'fetchMachineTypes'>;
   replicaSync: Pick<ReplicaSync, 'ready'>;
@@ -55,6 +56,7 @@
     }
   }
 
+  /** Ends `fetch`. */
   stop(): void {
     this.stopped = true;
   }
--- a/src/controller/peer-question-handler.ts
+++ b/src/controller/peer-question-handler.ts
@@ -8,6 +8,7 @@
 import type { Answer, Question, QuestionOf, ReplyAnswer } from '../peers/messages.js';
 import { CLASS_OF, FORWARDED_PATIENCE_S } from './request-classes.js';
 
+/** What a `PeerQuestionHandler` works with. */
 export interface PeerQuestionHandlerOptions {
   requests: RequestQueue;
   latencies: LatencyHistograms;
@@ -24,6 +25,7 @@
 export class PeerQuestionHandler {
   constructor(private readonly options: PeerQuestionHandlerOptions) {}
 
+  /** Answers a question of another controller; the answer is of the question's kind. */
   answer(question: Question): Promise<Answer> | Answer {
     const { acknowledgements, cancellations, election, cancellationsHeard } = this.options;
     switch (question.q) {
--- a/src/controller/pipeline-statistics.ts
+++ b/src/controller/pipeline-statistics.ts
@@ -1,6 +1,7 @@
 import { isWaiting, neverStarted, outcome } from '../store/stored-job.js';
 import type { Replica } from '../store/replica.js';
 
+/** Figures of pipelines, by the names that `/metrics` gives them. */
 export interface PipelineStatistics {
   /** Open jobs that wait for others. */
   jobs_waiting: number;
--- a/src/controller/profile.ts
+++ b/src/controller/profile.ts
@@ -28,6 +28,7 @@
   /** Of each bundle: where its modules begin. */
   private readonly bundles = new Map<string, { line: number; module: string }[]>();
 
+  /** The module that a line of a script is of. */
   of(url: string, line: number): string {
     if (url === '') return 'built-in functions';
     if (url.startsWith('node:')) return url;
--- a/src/controller/request-classes.ts
+++ b/src/controller/request-classes.ts
@@ -9,10 +9,12 @@
 } as const;
 
 /**
- * How long a report may wait here for its turn: served later, its answer would come after whoever asked
- * has given up. To pass a report on takes a while too, and so does the way back of the answer to one
- * that was passed on.
+ * How long a heartbeat may wait here for its turn: served later, its answer would come after whoever asked
+ * has given up. To pass a heartbeat on takes a while too, and so does the way back of the answer to one
+ * that was forwarded.
  */
 export const HEARTBEAT_PATIENCE_S = ANSWER_WAIT_S * RENEWAL_WAIT_SHARE;
+/** Seconds for which a heartbeat that has to be forwarded may wait for its turn. */
 export const FORWARD_PATIENCE_S = ANSWER_WAIT_S * (RENEWAL_WAIT_SHARE - LEADER_WAIT_SHARE);
+/** Seconds for which a heartbeat that another controller forwarded may wait for its turn. */
 export const FORWARDED_PATIENCE_S = ANSWER_WAIT_S * LEADER_WAIT_SHARE * 0.75;
--- a/src/features/features-file.ts
+++ b/src/features/features-file.ts
@@ -19,6 +19,7 @@
 /** Hexadecimal digits of a file's hash that controllers tell one another. */
 const HASH_DIGITS = 16;
 
+/** A features file after validation. */
 export interface Features {
   /** Tells the file, whatever its layout and comments: equal for equal contents. */
   hash: string;
--- a/src/heartbeat/forwarding-delay.ts
+++ b/src/heartbeat/forwarding-delay.ts
@@ -1,12 +1,12 @@
 import type { Clock } from '../clock.js';
 
-/** What the latest report counts in the mean. */
+/** What the latest heartbeat counts in the mean. */
 const WEIGHT = 0.1;
-/** A mean to which nothing was added for so many report intervals says nothing of the present. */
+/** A mean to which nothing was added for so many heartbeat intervals says nothing of the present. */
 const FRESH_REPORTS = 2;
 
 /**
- * How long reports that this controller passes on to the leader wait for their answers, those that got none
+ * How long reports that this controller forwards to the leader wait for their answers, those that got none
  * included. A leader that falls behind may not see it itself: while its timers are hardly late, others
  * give up waiting for it.
  */
@@ -16,7 +16,7 @@
 
   constructor(
     private readonly clock: Clock,
-    /** The workers' report interval, in seconds. */
+    /** The workers' heartbeat interval, in seconds. */
     private readonly reportS: number,
   ) {}
 
@@ -30,7 +30,7 @@
     return this.clock.now() - this.notedAt < this.reportS * FRESH_REPORTS;
   }
 
-  /** The mean of the latest, in seconds; undefined: none was passed on lately. */
+  /** The mean of the latest, in seconds; undefined: none was forwarded lately. */
   get meanS(): number | undefined {
     return this.isFresh ? this.mean : undefined;
   }
--- a/src/heartbeat/heartbeat-handler.ts
+++ b/src/heartbeat/heartbeat-handler.ts
@@ -26,10 +26,11 @@
 
 /**
  * Of the time that a worker waits for an answer, what it may be left waiting here, and what one of the
- * others may take. These were report intervals once. With reports every 2.5 s the answers came after
+ * others may take. These were heartbeat intervals once. With reports every 2.5 s the answers came after
  * workers had given up: those of a zone just cut off went to look elsewhere, which took a lease.
  */
 export const RENEWAL_WAIT_SHARE = 0.875;
+/** Of the time that a worker waits for an answer, what the leader may take for it. */
 export const LEADER_WAIT_SHARE = 0.25;
 const RELAY_WAIT_SHARE = 0.3;
 
@@ -39,7 +40,7 @@
   store: KeyValueStoreClient;
   replica: Replica;
   peers: PeerNetwork;
-  /** Only where this controller is its zone's keeper. */
+  /** Only where this controller is its zone's lease holder. */
   zoneLeaseHolder: ZoneLeaseHolder | null;
   zoneLeases: ZoneLeaseWatch;
   /** Whether another controller, as far as it has told lately, does not keep up. */
@@ -51,7 +52,7 @@
   log: Log;
 }
 
-/** Workers' reports as they come to any controller: answered, passed on, or sent elsewhere. */
+/** Workers' heartbeats as they come to any controller: answered, forwarded, or sent elsewhere. */
 /** What became of asking other controllers. */
 interface ForwardingOutcome {
   /** Null: nobody settled it. */
@@ -62,6 +63,7 @@
   answered: boolean;
 }
 
+/** Workers' heartbeats: answered by the leader, forwarded to it, or renewed in its place. */
 export class HeartbeatHandler {
   private readonly redirects: Redirects;
   readonly counts = new HeartbeatCounts();
@@ -98,7 +100,7 @@
     return this.forward(heartbeat, alone ? null : (leads?.node ?? settings.node), deadline);
   }
 
-  /** A report straight from a worker to the leader. */
+  /** A heartbeat straight from a worker to the leader. */
   private answerAsLeader(leader: Leader, body: Buffer): Reply {
     const heartbeat = leader.decodeHeartbeat(body);
     const target = this.redirects.redirectTarget(heartbeat);
@@ -106,7 +108,7 @@
     return this.counts.countReply(leader.answerHeartbeat(heartbeat, body), 'worker');
   }
 
-  /** Answers a malformed report with 400, whatever part of the work finds it to be so. */
+  /** Answers a malformed heartbeat with 400, whatever part of the work finds it to be so. */
   private rejectMalformed<S, A>(work: () => S | Promise<A>): S | Reply | Promise<A | Reply> {
     const refuse = (error: unknown): Reply => {
       if (!(error instanceof BadMessage)) throw error;
@@ -214,7 +216,7 @@
     const record = replica.machines.get(heartbeat.machine)?.record;
     const token = (record?.term === leaderToken ? record.token : undefined) ?? leaderToken;
     // It knows of a leader that this controller does not: what it got from here it would drop, and
-    // stay here while its lease runs out.
+    // stay here while its lease expires.
     if (heartbeat.token > token) return { status: 503, retryAfter: 1 };
     const stops: Command[] = [];
     for (const task of heartbeat.tasks) {
@@ -236,7 +238,7 @@
     };
   }
 
-  /** Passed on by another controller. */
+  /** Forwarded by another controller. */
   handleForwarded(body: Buffer, hop: boolean): Promise<ReplyAnswer | null> | ReplyAnswer {
     return this.rejectMalformed(() => this.answerOrForward(body, hop));
   }
--- a/src/heartbeat/received-heartbeat.ts
+++ b/src/heartbeat/received-heartbeat.ts
@@ -1,14 +1,14 @@
 import { scanHeartbeat } from '../wire/heartbeat-scan.js';
 import { decodeHeartbeat, type Heartbeat } from '../wire/workers.js';
 
-/** What decides where a report goes. */
+/** What decides where a heartbeat goes. */
 export interface Routing {
   machine: string;
   zone: string;
 }
 
 /**
- * A report as it came from a worker, parsed only when that is needed. Whoever answers it without the leader's
+ * A heartbeat as it came from a worker, parsed only when that is needed. Whoever answers it without the leader's
  * word must have parsed it first, so that malformed bytes get 400 by every way.
  */
 export class ReceivedHeartbeat {
--- a/src/heartbeat/redirects.ts
+++ b/src/heartbeat/redirects.ts
@@ -10,9 +10,10 @@
  * zone's controller while the leader was late were still away when their zone was cut off, 25 s later.
  */
 const REDIRECT_LEASES = 1.5;
-/** The controller of a zone has been there for so many report intervals before workers are sent to it. */
+/** The controller of a zone has been there for so many heartbeat intervals before workers are sent to it. */
 const HOME_REPORTS = 2;
 
+/** What `Redirects` work with. */
 export interface RedirectOptions {
   settings: Pick<Settings, 'node' | 'workers'>;
   replica: Pick<Replica, 'leader'>;
@@ -27,7 +28,7 @@
  * Which workers are told to report to another controller. Seldom for each worker, so that none is sent back
  * and forth: by one controller once in one and a half leases. The answer is a 421, which renews nothing.
  *
- * A late controller that sent its own workers to a fitter one was tried: they were away when their zone was
+ * A late controller that sent its own workers to a healthier one was tried: they were away when their zone was
  * cut off, or lost their leases on the way, see docs/results.md.
  */
 export class Redirects {
@@ -45,8 +46,8 @@
   /**
    * The controller of a worker's own zone, when the worker should go there. Should the zone be cut off, it is
    * already where it can be kept; to look for that controller only then takes it longer than its lease. Not
-   * while that controller is late: it could not pass the report on in time. A late leader answers by itself, and
-   * hands over where another one is fitter; kept from it, workers were away when their zone was cut off.
+   * while that controller is late: it could not pass the heartbeat on in time. A late leader answers by itself, and
+   * transfers leadership where another one is healthier; kept from it, workers were away when their zone was cut off.
    */
   private homeOf(zone: string): string | null {
     const { settings, replica, store, zoneLeases, isLate } = this.options;
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -3,6 +3,7 @@
 import { HttpParser } from './parser.js';
 import type { Endpoint } from '../config/endpoint.js';
 
+/** A response, its body in memory. */
 export interface Response {
   status: number;
   body: Buffer;
@@ -53,6 +54,7 @@
     this.socket.on('close', () => this.fail('connection closed'));
   }
 
+  /** Sends a request; the connection must be idle. */
   start(job: QueuedRequest): void {
     this.job = job;
     const wait = Math.max(1, job.deadline - performance.now());
@@ -119,6 +121,7 @@
     if (first) this.owner.free(this);
   }
 
+  /** Closes the socket; the connection is not used again. */
   destroy(): void {
     this.dead = true;
     this.socket.destroy();
@@ -139,6 +142,7 @@
     private readonly maxQueue = 200,
   ) {}
 
+  /** Rejects with NoResponseError where nothing usable came back in time. */
   request(
     method: string,
     path: string,
@@ -160,6 +164,7 @@
     });
   }
 
+  /** A connection has done its request, or is dead. */
   free(line: PooledConnection): void {
     if (line.dead) {
       this.connections.delete(line);
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -15,10 +15,12 @@
   keepAlive: boolean;
 }
 
+/** A whole message. */
 export interface Message extends Head {
   body: Buffer;
 }
 
+/** What is wrong with a message, and the status to answer it with. */
 export class HttpError extends Error {
   constructor(
     readonly status: number,
@@ -28,12 +30,15 @@
   }
 }
 
+/** The longest head and body that are accepted, in bytes. */
 export interface ParserLimits {
   headBytes: number;
   bodyBytes: number;
 }
 
+/** The longest request (protocol). */
 export const REQUEST_LIMITS: ParserLimits = { headBytes: 16 * 1024, bodyBytes: 64 * 1024 };
+/** The longest response: changes of the store have no bound of their own. */
 export const RESPONSE_LIMITS: ParserLimits = { headBytes: 16 * 1024, bodyBytes: 16 * 1024 * 1024 };
 
 type State = 'head' | 'sized' | 'chunkSize' | 'chunkData' | 'chunkEnd' | 'trailer' | 'close';
@@ -54,6 +59,7 @@
 const STATUS_LINE = /^(HTTP\/1\.[01]) (\d{3})( .*)?$/;
 const TOKEN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
 
+/** Parses messages of one connection as their bytes come. */
 export class HttpParser {
   private state: State = 'head';
   private chunks: Buffer[] = [];
@@ -79,6 +85,7 @@
     return this.state !== 'head' || this.pendingBytes > 0;
   }
 
+  /** Bytes that came and belong to no complete message yet. */
   get pendingBytes(): number {
     let bytes = this.held.length;
     for (const data of this.chunks) bytes += data.length;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -2,6 +2,7 @@
 import { HttpError, HttpParser, type Message } from './parser.js';
 import type { Endpoint } from '../config/endpoint.js';
 
+/** What a request is answered with. */
 export interface Reply {
   status: number;
   /** Already encoded JSON, or an empty string. */
@@ -10,6 +11,7 @@
   close?: boolean;
 }
 
+/** Answers a request; what it throws is answered with 503. */
 export type Handler = (request: Message) => Reply | Promise<Reply>;
 
 const REASONS: Record<number, string> = {
@@ -27,6 +29,7 @@
   503: 'Service Unavailable',
 };
 
+/** A reply's bytes, as text. */
 export function encodeReply(reply: Reply): string {
   const body = reply.body ?? '';
   let head =
@@ -109,6 +112,7 @@
     }
   }
 
+  /** Answers with this status and closes the connection. */
   fail(status: number): void {
     if (this.state === 'closing') return;
     this.socket.write(encodeReply({ status, close: true }));
@@ -117,6 +121,7 @@
   }
 }
 
+/** Connections at most, and seconds for sending a request and for staying idle. */
 export interface ServerLimits {
   sockets: number;
   readS: number;
@@ -141,7 +146,7 @@
 
   private accept(socket: Socket): void {
     if (this.open.size >= this.bounds.sockets) {
-      // Make room by dropping the connection that has been idle longest, else refuse.
+      // Make capacity by dropping the connection that has been idle longest, else refuse.
       let oldest: Connection | undefined;
       for (const connection of this.open) {
         if (
@@ -160,14 +165,17 @@
     this.open.add(new Connection(socket, this));
   }
 
+  /** A connection is gone. */
   connectionClosed(connection: Connection): void {
     this.open.delete(connection);
   }
 
+  /** Open connections. */
   get connections(): number {
     return this.open.size;
   }
 
+  /** Rejects when the address cannot be had. */
   listen(at: Endpoint): Promise<void> {
     this.idleTimer = setInterval(() => {
       const now = this.now();
@@ -189,11 +197,13 @@
     });
   }
 
+  /** The port it listens on; 0: it does not listen. */
   get port(): number {
     const address = this.server.address();
     return address !== null && typeof address === 'object' ? address.port : 0;
   }
 
+  /** Closes all connections. */
   close(): void {
     clearInterval(this.idleTimer);
     this.server.close();
--- a/src/jobs/bit-set.ts
+++ b/src/jobs/bit-set.ts
@@ -20,10 +20,12 @@
     return true;
   }
 
+  /** Adds all numbers. */
   fill(): void {
     for (let i = 0; i < this.size; i++) this.add(i);
   }
 
+  /** Whether it has all numbers. */
   get full(): boolean {
     return this.count === this.size;
   }
--- a/src/jobs/chunks.ts
+++ b/src/jobs/chunks.ts
@@ -3,7 +3,7 @@
 /** What a record takes beside its bits. */
 const FRAME_BYTES = 64;
 
-/** Tasks in one stored chunk: in base64 and with its frame, half a value of the state service. */
+/** Tasks in one stored chunk: in base64 and with its frame, half a value of the key-value store. */
 export const chunkTasks = (valueBytes: number): number => Math.floor(valueBytes * 0.5 * 0.75) * 8;
 
 /** Bytes of the record of a chunk with so many tasks, at most. */
--- a/src/jobs/live-job.ts
+++ b/src/jobs/live-job.ts
@@ -23,6 +23,7 @@
   notBefore: number;
 }
 
+/** An accepted job as its leader sees it: tasks that are done, run, or wait to be started. */
 export class LiveJob {
   /** What the user asked for, with the priority of the most important job that needs this one. */
   spec: JobSpec;
@@ -31,7 +32,7 @@
   readonly progress: JobProgress;
   /** Tasks that are done, stored or not: those of `progress`, asked for very often. */
   readonly done: BitSet;
-  /** Attempts of each task that hold room somewhere, or that may. */
+  /** Attempts of each task that hold capacity somewhere, or that may. */
   readonly attemptsByTask = new Map<number, Attempt[]>();
   /** Done tasks whose end is not stored yet. */
   endsToStore: Attempt[] = [];
@@ -79,10 +80,12 @@
     this.requestKind = requestKindOf(this.spec);
   }
 
+  /** Whether its tasks start and end together. */
   get isGang(): boolean {
     return this.spec.kind === 'gang';
   }
 
+  /** The one function that changes its phase. Throws IllegalTransitionError. */
   changePhase(phase: JobPhase): void {
     const ok =
       (this.phase === 'active' && phase === 'closing') ||
@@ -91,6 +94,7 @@
     this.phase = phase;
   }
 
+  /** An attempt of one of its tasks that holds capacity somewhere, or may. */
   addAttempt(attempt: Attempt): void {
     const list = this.attemptsByTask.get(attempt.index);
     if (list === undefined) this.attemptsByTask.set(attempt.index, [attempt]);
@@ -106,6 +110,7 @@
     return Math.max(token, (this.lastAttemptNumbers.get(index) ?? 0) + 1);
   }
 
+  /** A new attempt's number for all tasks of a gang. */
   nextGangNumber(token: number): number {
     let number = token;
     for (const last of this.lastAttemptNumbers.values()) number = Math.max(number, last + 1);
@@ -120,7 +125,7 @@
       if (rest.length > 0) this.attemptsByTask.set(attempt.index, rest);
       else this.attemptsByTask.delete(attempt.index);
     }
-    // A worker's report may show a task that the job does not have.
+    // A worker's heartbeat may show a task that the job does not have.
     if (attempt.index >= this.spec.tasks) return;
     if (!this.done.has(attempt.index) && !this.attemptsByTask.has(attempt.index))
       this.requeued.add(attempt.index);
@@ -144,6 +149,7 @@
     this.failedOn.clear();
   }
 
+  /** A task is done; false: it was before. */
   markDone(index: number, now: number): boolean {
     this.hasSucceeded = true;
     if (!this.progress.markDone(index, now)) return false;
@@ -176,16 +182,18 @@
     return progressPartKey(id, this.progress.range(unit).first);
   }
 
-  /** Attempts that hold room. */
+  /** Attempts that hold capacity. */
   *activeAttempts(): IterableIterator<Attempt> {
     for (const list of this.attemptsByTask.values())
       for (const attempt of list) if (occupiesCapacity(attempt)) yield attempt;
   }
 
+  /** Attempts that hold capacity. */
   get activeAttemptCount(): number {
     return [...this.activeAttempts()].length;
   }
 
+  /** Tasks that are neither done nor on any machine. */
   get pendingTaskCount(): number {
     let busy = 0;
     for (const index of this.attemptsByTask.keys()) if (!this.done.has(index)) busy++;
@@ -215,11 +223,13 @@
     return out;
   }
 
+  /** A task was placed: it waits no more. */
   taskClaimed(attempt: Attempt): void {
     this.requeued.delete(attempt.index);
     this.addAttempt(attempt);
   }
 
+  /** Whether all tasks are done, stored or not. */
   get isFinished(): boolean {
     return this.done.full;
   }
@@ -229,6 +239,7 @@
     return this.isGang ? 0 : this.done.count * this.spec.estimateS;
   }
 
+  /** Predicted time of what is not done, for the ranking. */
   get unfinishedPredictedS(): number {
     return this.isGang
       ? this.spec.estimateS
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -42,6 +42,7 @@
     }
   }
 
+  /** Whether a stored record names the task as done. */
   isStored(index: number): boolean {
     return this.storedDone.has(index);
   }
--- a/src/jobs/types.ts
+++ b/src/jobs/types.ts
@@ -1,3 +1,4 @@
+/** Arrays run tasks one by one, gangs together, services for ever. */
 export type JobKind = 'array' | 'gang' | 'service';
 
 /** 0 is the most important. */
@@ -34,6 +35,7 @@
 /** What most jobs need: no other one. Shared, since there are very many of them. */
 export const NO_DEPENDENCIES: readonly string[] = Object.freeze([]);
 
+/** A machine type as the cloud offers it. It is stored as it is: its names are part of the stored format. */
 export interface MachineType {
   name: string;
   cores: number;
@@ -47,6 +49,7 @@
   zones: string[];
 }
 
+/** CPUs, GPUs and memory in GB. */
 export interface Resources {
   cores: number;
   gpus: number;
@@ -56,6 +59,7 @@
 /** Amounts are decimal: sums of them carry rounding errors, which must not decide. */
 const ROUNDING_SLACK = 1e-6;
 
+/** Whether a task fits into what is free. */
 export function fits(task: Resources, room: Resources): boolean {
   return (
     task.cores <= room.cores + ROUNDING_SLACK &&
@@ -64,6 +68,7 @@
   );
 }
 
+/** Whether a sum is within a limit; a limit of 0 is none. */
 export const isWithinLimit = (used: number, limit: number): boolean =>
   limit <= 0 || used <= limit + ROUNDING_SLACK;
 
--- a/src/latency-histograms.ts
+++ b/src/latency-histograms.ts
@@ -1,6 +1,6 @@
 import { createHistogram, type RecordableHistogram } from 'node:perf_hooks';
 
-/** What is measured: a worker's report, a user's submission, a pass of ranking and placing. */
+/** What is measured: a worker's heartbeat, a user's submission, a scheduling cycle. */
 export type MeasuredWork = 'report' | 'submission' | 'pass' | 'lag';
 
 /** How often a piece of work was done since the start, and how long it took in all. */
@@ -21,6 +21,7 @@
 
   constructor(private readonly nowS: () => number) {}
 
+  /** A piece of work took so many seconds. */
   record(kind: MeasuredWork, seconds: number): void {
     if (kind === 'pass') {
       this.cycles.count++;
@@ -36,6 +37,7 @@
     histogram.record(Math.min(LONGEST_US, Math.max(1, microseconds)));
   }
 
+  /** Does a piece of work and records how long it took. */
   time<T>(kind: MeasuredWork, work: () => T): T {
     const began = this.nowS();
     try {
--- a/src/leader/attempts/command-dispatcher.ts
+++ b/src/leader/attempts/command-dispatcher.ts
@@ -9,7 +9,7 @@
  * than a large fleet's leader has: the ones not used for longest go.
  */
 const SOCKETS_SHARE = 0.25;
-/** Direct messages wait for an answer for so many report intervals. */
+/** Direct messages wait for an answer for so many heartbeat intervals. */
 const ANSWER_TIMEOUT_HEARTBEATS = 1.5;
 
 interface Channel {
@@ -18,7 +18,7 @@
   busy: boolean;
 }
 
-/** Commands sent straight to workers, when they should not wait for the next check-in. */
+/** Commands sent straight to workers, when they should not wait for the next heartbeat. */
 export class CommandDispatcher {
   private readonly channels = new Map<string, Channel>();
   private stopped = false;
@@ -28,6 +28,7 @@
     private readonly onMoreDue: () => void,
   ) {}
 
+  /** Sends what is due to all machines that should not wait for their next heartbeat. */
   dispatch(): void {
     const { term } = this;
     for (const id of [...term.machinesToCommand]) {
@@ -41,7 +42,7 @@
     }
   }
 
-  /** Null: all are busy, and what there is to say waits for the machine's next check-in. */
+  /** Null: all are busy, and what there is to say waits for the machine's next heartbeat. */
   private channelTo(machine: Machine): Channel | null {
     const known = this.channels.get(machine.id);
     this.channels.delete(machine.id);
@@ -104,11 +105,13 @@
     if (term.machinesToCommand.has(machine.id)) this.onMoreDue();
   }
 
+  /** The machine is gone. */
   closeChannel(id: string): void {
     this.channels.get(id)?.client.close();
     this.channels.delete(id);
   }
 
+  /** Closes all connections; answers that still come are ignored. */
   stop(): void {
     this.stopped = true;
     for (const channel of this.channels.values()) channel.client.close();
--- a/src/leader/attempts/heartbeat-reconciler.ts
+++ b/src/leader/attempts/heartbeat-reconciler.ts
@@ -8,7 +8,7 @@
 import type { MachineHealth } from './machine-health.js';
 import type { TermState } from '../term/term-state.js';
 
-/** Nothing new goes to a machine that is told in vain for so many report intervals, at first. */
+/** Nothing new goes to a machine that is told in vain for so many heartbeat intervals, at first. */
 const REJECTED_START_CORDON_HEARTBEATS = 2;
 /** The same for a machine whose worker started anew. */
 const RESTART_CORDON_HEARTBEATS = 1;
@@ -21,7 +21,7 @@
     private readonly health: MachineHealth,
   ) {}
 
-  /** What a report, a lapsed lease or a returned machine has shown. */
+  /** What a heartbeat, a lapsed lease or a returned machine has shown. */
   reconcile(machine: Machine, changes: HeartbeatChanges): void {
     const { now } = this.term;
     for (const attempt of changes.unclaimed) this.adoptOrDismiss(machine, attempt);
@@ -30,7 +30,7 @@
     for (const attempt of changes.changed) this.attemptChanged(machine, attempt, now);
     for (const attempt of changes.exited) this.attemptExited(machine, attempt);
     const { report_s } = this.term.context.settings.workers;
-    // Its reports come, but what it is told does not arrive.
+    // Its heartbeats come, but what it is told does not arrive.
     if (changes.rejectedStarts > 0)
       this.health.cordon(machine, report_s * REJECTED_START_CORDON_HEARTBEATS);
     if (changes.agentRestarted) this.health.cordon(machine, report_s * RESTART_CORDON_HEARTBEATS);
@@ -73,7 +73,7 @@
   }
 
   private attemptChanged(machine: Machine, attempt: Attempt, now: number): void {
-    // Its start provably went nowhere, and it is not wanted any more. Left as it was, it held its room
+    // Its start provably went nowhere, and it is not wanted any more. Left as it was, it held its capacity
     // and its task for the rest of the term.
     if (attempt.state === 'claimed' && attempt.stopRequest !== null)
       this.stopper.withdrawClaim(machine, attempt);
--- a/src/leader/attempts/lease-expiry.ts
+++ b/src/leader/attempts/lease-expiry.ts
@@ -1,4 +1,4 @@
-/** Leases of machines that have run out for certain. */
+/** Leases of machines that have expired for certain. */
 
 import type { Machine } from '../../workers/machine.js';
 import type { HeartbeatReconciler } from './heartbeat-reconciler.js';
@@ -11,13 +11,13 @@
     private readonly reconciler: HeartbeatReconciler,
   ) {}
 
-  /** Leases that have run out for certain, with nobody else entitled to renew them. */
+  /** Leases that have expired for certain, with nobody else entitled to renew them. */
   expire(): void {
     const { context, machines, now } = this.term;
     const kept = context.othersRenewUntil();
     let unproven = false;
     for (const machine of machines.values()) {
-      // While the state service is down others may renew leases in this controller's place.
+      // While the key-value store is down others may renew leases in this controller's place.
       if (kept > machine.knownAt) machine.leaseRenewed(kept);
       if (
         now <= machine.leaseExpiresAt ||
--- a/src/leader/attempts/machine-health.ts
+++ b/src/leader/attempts/machine-health.ts
@@ -19,6 +19,7 @@
 /** So many jobs that do well elsewhere, or are doubted, make a machine faulty. */
 const QUARANTINE_JOBS = 2;
 
+/** What a `MachineHealth` works with. */
 export interface MachineHealthOptions {
   workers: { report_s: number; lease_s: number };
   jobs: ReadonlyMap<string, LiveJob>;
--- a/src/leader/capacity/capacity-manager.ts
+++ b/src/leader/capacity/capacity-manager.ts
@@ -18,6 +18,7 @@
 import type { Term } from '../term/term.js';
 import { WarmReserve } from './warm-reserve.js';
 
+/** What a `CapacityManager` works with. */
 export interface CapacityManagerOptions {
   term: Term;
   cloud: CloudClient;
@@ -35,7 +36,7 @@
   readonly provisioner: MachineProvisioner;
   demand: Demand[] = [];
   capacities: FreeCapacity[] = [];
-  /** What teams used after the latest pass; null: there was none. */
+  /** What teams used after the latest scheduling cycle; null: there was none. */
   usages: TeamUsages | null = null;
   private readonly warmReserve: WarmReserve;
   private readonly scaleOut: ScaleOutPlanner;
@@ -80,14 +81,17 @@
     });
   }
 
+  /** See `ProvisionerHost.isEntitled`. */
   isEntitled(): boolean {
     return this.options.term.context.isEntitled();
   }
 
+  /** See `ProvisionerHost.isKnown`. */
   isKnown(id: string): boolean {
     return this.options.term.machines.has(id);
   }
 
+  /** See `ProvisionerHost.onMachineTypes`. */
   onMachineTypes(types: MachineType[]): void {
     this.options.onMachineTypes(types);
   }
@@ -116,14 +120,17 @@
     return this.isListed(id) === false;
   }
 
+  /** See `ProvisionerHost.storedRentRequests`. */
   storedRentRequests(): StoredRentRequest[] {
     return this.subsystems.rentRequests();
   }
 
+  /** See `ProvisionerHost.machinesToRent`. */
   machinesToRent(): MachineOrder[] {
     return this.scaleOut.plan(this);
   }
 
+  /** See `ProvisionerHost.machinesToReturn`. */
   machinesToReturn(): string[] {
     return this.scaleIn.plan(this.capacities);
   }
@@ -141,12 +148,13 @@
     }
   }
 
+  /** See `ProvisionerHost.applyList`. */
   applyList(all: ListedMachine[]): void {
     this.scaleIn.applyList(all);
     this.options.term.requestCycle();
   }
 
-  /** When there is a machine's worth of room too much, a machine is emptied to be given back. */
+  /** When there is a machine's worth of capacity too much, a machine is drained to be given back. */
   consolidate(): void {
     this.consolidation.consolidate(this);
   }
--- a/src/leader/capacity/consolidation.ts
+++ b/src/leader/capacity/consolidation.ts
@@ -1,4 +1,4 @@
-/** Emptying machines while more is free than is needed. */
+/** Draining machines while more is free than is needed. */
 
 import type { FreeCapacity } from '../../scheduler/bin-packing.js';
 import { freeMachines } from './free-capacity.js';
@@ -9,15 +9,15 @@
 
 /** Right after a change of leader the picture is not whole: for so many leases. */
 const SETTLE_LEASES = 2;
-/** Leases between two machines that are emptied: as a rule, and while there is much room too much. */
+/** Leases between two machines that are drained: as a rule, and while there is much capacity too much. */
 const EMPTY_SELDOM = 0.5;
 const EMPTY_OFTEN = 0.2;
-/** A machine that was emptied is used again when it was not given back within so many leases. */
+/** A machine that was drained is used again when it was not given back within so many leases. */
 const EMPTIED_LEASES = 3;
-/** Free machines above the reserve from which one is emptied. */
+/** Free machines above the reserve from which one is drained. */
 const SURPLUS = 1.5;
 
-/** Has one machine at a time emptied, to be given back. */
+/** Has one machine at a time drained, to be given back. */
 export class Consolidation {
   private latestAt = -Infinity;
 
@@ -30,7 +30,7 @@
     private readonly keeps: (machine: string) => boolean,
   ) {}
 
-  /** When there is a machine's worth of room too much, a machine is emptied to be given back. */
+  /** When there is a machine's worth of capacity too much, a machine is drained to be given back. */
   consolidate({ demand, capacities }: CycleRemainder): void {
     const { term } = this;
     const { now } = term;
--- a/src/leader/capacity/free-capacity.ts
+++ b/src/leader/capacity/free-capacity.ts
@@ -12,7 +12,7 @@
 import type { Machine } from '../../workers/machine.js';
 import type { Term } from '../term/term.js';
 
-/** What does not change within a pass about a machine; shared by all copies of its free capacity. */
+/** What does not change within a scheduling cycle about a machine; shared by all copies of its free capacity. */
 interface MachineDetails {
   readonly id: string;
   readonly type: string;
@@ -33,7 +33,7 @@
   cachedHotImages: HotImage[];
 }
 
-/** What is free on a machine that reports. Copies are cheap: a pass takes from copies. */
+/** What is free on a machine that heartbeats. Copies are cheap: a scheduling cycle takes from copies. */
 class MachineFreeCapacity implements FreeCapacity {
   readonly id: string;
   readonly type: string;
@@ -57,6 +57,7 @@
     this.total = facts.total;
   }
 
+  /** A copy that a scheduling cycle may allocate from. */
   copy(penaltyS: number): MachineFreeCapacity {
     const copy = new MachineFreeCapacity(this.facts, this.cores, this.gpus, this.memGb);
     copy.penaltyS = penaltyS;
@@ -64,15 +65,18 @@
     return copy;
   }
 
+  /** See `FreeCapacity.fetchS`. */
   fetchS(gb: number): number {
     return gb / this.facts.fetchGbPerS;
   }
 
+  /** See `FreeCapacity.hasImage`. */
   hasImage(image: string): boolean {
     const { running, cached, nothingDropped } = this.facts;
     return running.has(image) || (nothingDropped && cached.has(image));
   }
 
+  /** See `FreeCapacity.imageDelayS`. */
   imageDelayS(image: string, gb: number): number {
     const { cached, fetching, fetchGbPerS } = this.facts;
     if (cached.has(image)) return 0;
@@ -80,6 +84,7 @@
     return (gb / fetchGbPerS) * (1 + fetching.size);
   }
 
+  /** See `FreeCapacity.cachedHotImages`. */
   cachedHotImages(hot: HotImage[]): HotImage[] {
     const { facts } = this;
     if (facts.hotImages !== hot) {
@@ -97,7 +102,7 @@
   changeCount: number;
   type: MachineType;
   capacity: MachineFreeCapacity;
-  /** One spec for each attempt that holds room. */
+  /** One spec for each attempt that holds capacity. */
   specs: JobSpec[];
   /** Work that is not best effort is on it. */
   hasImportantWork: boolean;
@@ -105,7 +110,7 @@
 
 /**
  * What is free on all machines, and what their teams use. A machine is looked at again only after
- * something on it has changed: with some hundred machines and a pass many times a second, reckoning
+ * something on it has changed: with some hundred machines and a scheduling cycle many times a second, reckoning
  * all of them anew in each took most of a controller's share of a core.
  */
 export class FreeCapacityIndex {
@@ -171,7 +176,7 @@
     return { changeCount: machine.changeCount, type, capacity, specs, hasImportantWork };
   }
 
-  /** Copies for those machines that may be used now: a pass takes from them. */
+  /** Copies for those machines that may be used now: a scheduling cycle takes from them. */
   capacities(usable: (machine: Machine) => boolean): FreeCapacity[] {
     const out: FreeCapacity[] = [];
     for (const machine of this.term.machines.values()) {
@@ -219,6 +224,7 @@
     return left;
   }
 
+  /** Whether work that is not best effort is on the machine. */
   hasImportantWork(id: string): boolean {
     return this.entries.get(id)?.hasImportantWork ?? false;
   }
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -11,7 +11,7 @@
 
 /** Given back after so many boots: a machine still booting, and one that runs but does not report. */
 const NEVER_BOOTS = { booting: 6, running: 4, failed: 0 } as const;
-/** Leases beyond that, for the reports of a machine that has come. */
+/** Leases beyond that, for the heartbeats of a machine that has come. */
 const NEVER_LEASES = 2;
 /** A term judges so only after so many leases: its machines have reported by then. */
 const JUDGE_LEASES = 3;
@@ -19,6 +19,7 @@
 const SILENT_LEASES = 4;
 /** Free machines above the reserve from which one goes back, and from which it goes early. */
 const SURPLUS = 1.2;
+/** Free machines above the reserve from which one goes back early. */
 export const MUCH_SURPLUS = 2.5;
 /** The same where nothing is kept: the last one goes too. */
 const LAST_SURPLUS = 0.9;
--- a/src/leader/capacity/scale-out-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -22,7 +22,7 @@
 const LATE_BOOTS = 2.5;
 /**
  * A machine that has been silent for this share of a lease will hardly be back in time. What must be
- * started elsewhere once its lease has run out needs a boot: that begins now.
+ * started elsewhere once its lease has expired needs a boot: that begins now.
  */
 const SILENT_LEASE_SHARE = 0.4;
 /** When more of the fleet than this is silent, it is this controller that hears nothing. */
@@ -33,7 +33,7 @@
 /** What a machine in a zone makes the next one there dearer by, as a share: new ones are spread. */
 const SPREAD_SHARE = 0.001;
 
-/** What the latest pass of placing left. */
+/** What the latest scheduling cycle left. */
 export interface CycleRemainder {
   /** What found no place. */
   demand: Demand[];
@@ -41,6 +41,7 @@
   capacities: FreeCapacity[];
 }
 
+/** What a `ScaleOutPlanner` works with. */
 export interface ScaleOutPlannerOptions {
   term: Term;
   provisioner: MachineProvisioner;
@@ -130,7 +131,7 @@
   }
 
   /**
-   * Replicas and gangs on machines that have fallen silent, as if their leases had run out already. Of a
+   * Replicas and gangs on machines that have fallen silent, as if their leases had expired already. Of a
    * fleet of hundreds a fifth was cut off at once and more: their replicas were away for a lease, as they
    * must be, and then for a boot, which could have passed meanwhile. Not where a cut zone's own
    * controller may be keeping them, and not while it is rather this controller that hears nothing.
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -29,7 +29,7 @@
   /** The leader's key has changed: this term is over. */
   onLeadershipLost: () => void;
   latencies: LatencyHistograms;
-  /** What a pass may take of the processor; shared by the leaders of a controller. */
+  /** What a scheduling cycle may take of the processor; shared by the leaders of a controller. */
   overload?: Overload;
   /** Those that this controller's features file switches on. */
   subsystems?: readonly Subsystem[];
@@ -114,12 +114,14 @@
     });
   }
 
+  /** Begins to write, to rent and to schedule. */
   start(): void {
     void this.writer.run();
     void this.capacity.provisioner.run();
     this.scheduleCycle();
   }
 
+  /** The term is over: nothing more is written, commanded or rented. */
   stop(): void {
     this.stopped = true;
     this.writer.stop();
@@ -129,6 +131,7 @@
     this.subsystems.stop();
   }
 
+  /** The cloud's machine types, with their present prices. */
   onMachineTypes(types: MachineType[]): void {
     const before = JSON.stringify(
       [...this.term.machineTypes.values()].map((type) => ({ ...type, spotPrice: 0 })),
@@ -148,6 +151,7 @@
     this.term.addJob(storedJob);
   }
 
+  /** The store shows a cancellation. */
   onCancelled(storedJob: StoredJob): void {
     if (this.term.jobs.has(storedJob.spec.id)) this.forecast.jobLeft(storedJob.spec);
     this.term.jobCancelled(storedJob);
@@ -185,7 +189,7 @@
     }, wait * 1000);
   }
 
-  /** Called about twice a report interval, for what comes with time alone. */
+  /** Called about twice a heartbeat interval, for what comes with time alone. */
   tick(): void {
     if (this.stopped) return;
     if (!this.fencedLogged) this.logFencingDone();
@@ -252,6 +256,7 @@
 
   // Figures
 
+  /** Figures for `/metrics`. */
   statistics(): Record<string, number | string> {
     return { ...termStatistics(this.term, this.capacity), ...this.subsystems.statistics() };
   }
--- a/src/leader/scheduling/claim-limit.ts
+++ b/src/leader/scheduling/claim-limit.ts
@@ -36,6 +36,7 @@
     this.maxBytes = machineRecordBytes(term.context.settings);
   }
 
+  /** A scheduling cycle begins. */
   beginCycle(): void {
     const form: ClaimForm = this.term.context.allReadDenseRecords() ? 'dense' : 'plain';
     if (form !== this.form) this.measured.clear();
@@ -45,14 +46,14 @@
     for (const machine of this.term.machines.values()) this.noteClaimed(machine);
   }
 
-  /** A claim was added to a machine, in a pass. */
+  /** A claim was added to a machine, in a scheduling cycle. */
   noteClaimed(machine: Machine): void {
     if (!this.certainlyFits(machine.attempts.size + 1)) this.nearLimit.add(machine.id);
   }
 
   /** Whether a task of the job, or of a gang all that fit there, can be claimed on a machine. */
   allows(job: LiveJob, capacity: FreeCapacity): boolean {
-    // Asked for each job and machine of each pass: as a rule this is all.
+    // Asked for each job and machine of each scheduling cycle: as a rule this is all.
     if (this.nearLimit.size === 0 && !job.isGang) return true;
     const machine = this.term.machines.get(capacity.id)!;
     const held = machine.attempts.size;
--- a/src/leader/scheduling/cycle-context.ts
+++ b/src/leader/scheduling/cycle-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of one pass of placing share. */
+/** What the parts of one scheduling cycle share. */
 
 import type { LiveJob } from '../../jobs/live-job.js';
 import type { FreeCapacity, PlacementWeights } from '../../scheduler/bin-packing.js';
@@ -13,8 +13,9 @@
 /** What work of a priority must leave free of each machine type, in GPUs or (without any) cores. */
 export type LongWorkShares = (priority: number) => Map<string, number>;
 
+/** What the parts of one scheduling cycle share. */
 export interface CycleContext {
-  /** When the pass began, in seconds of the steady clock. */
+  /** When the scheduling cycle began, in seconds of the steady clock. */
   readonly now: number;
   /** Free capacity of the machines that may be used. Placing takes from it. */
   readonly capacities: FreeCapacity[];
@@ -26,7 +27,7 @@
   readonly unplaced: UnplacedRequests;
 }
 
-/** How a job fared in a pass. */
+/** How a job fared in a scheduling cycle. */
 export interface PlacementOutcome {
   /** Tasks that were placed. */
   placed: number;
--- a/src/leader/scheduling/job-placement.ts
+++ b/src/leader/scheduling/job-placement.ts
@@ -1,4 +1,4 @@
-/** Placing the tasks of one job within a pass. */
+/** Placing the tasks of one job within a scheduling cycle. */
 
 import type { LiveJob } from '../../jobs/live-job.js';
 import type { StartLatencyObjectives } from '../../scheduler/service-level-objectives.js';
@@ -32,7 +32,7 @@
   leftS: number | null;
 }
 
-/** A machine; none, since the task fits nowhere; or room that is being made for it. */
+/** A machine; none, since the task fits nowhere; or capacity that is being made for it. */
 type FoundCapacity = FreeCapacity | 'no-fit' | 'being made';
 
 /** Places jobs' tasks: what it finds for them becomes claims on machines. */
@@ -129,7 +129,7 @@
     if (room === null) return 'no-fit';
     if (!this.isLate(search, room)) return room;
     // Too late there, because the image has to be fetched. Better where it is, whatever others
-    // may want of that place, or where lesser work can make room in time.
+    // may want of that place, or where lower-priority work can make capacity in time.
     const mayUse = (capacity: FreeCapacity): boolean =>
       where.mayUse(capacity) && !this.isLate(search, capacity);
     const inTime = bestFit(job.spec, capacities, { ...where, mayUse }, weights);
--- a/src/leader/scheduling/job-queue.ts
+++ b/src/leader/scheduling/job-queue.ts
@@ -80,7 +80,7 @@
   /** Ranks open jobs that have tasks to start. */
   rankedJobs(now: number): LiveJob[] {
     const { policy, replica } = this.term.context;
-    // Most fleets have no pipelines at most times, and passes are many.
+    // Most fleets have no pipelines at most times, and scheduling cycles are many.
     const noPipelines = replica.dependencies.isEmpty;
     const asReady = noPipelines
       ? withoutSuccessors
--- a/src/leader/scheduling/long-work-share.ts
+++ b/src/leader/scheduling/long-work-share.ts
@@ -19,7 +19,7 @@
 
 /**
  * GPUs (or cores) of each type that short work must leave to long work that waits: for work of each
- * priority, that of its own and of higher ones. Gangs once waited for half a minute beside room that
+ * priority, that of its own and of higher ones. Gangs once waited for half a minute beside capacity that
  * was held for long arrays of the least priority, and evicted others in vain meanwhile.
  */
 export function longWorkShares(
--- a/src/leader/scheduling/machine-eligibility.ts
+++ b/src/leader/scheduling/machine-eligibility.ts
@@ -25,12 +25,13 @@
     !machine.condition.quarantined &&
     machine.drainingSince === null &&
     // Not by answers to direct commands: a worker that reaches no controller gives those too, while
-    // its lease runs out.
+    // its lease expires.
     now - machine.heartbeatAt < report_s * RECENT_HEARTBEATS &&
     now >= machine.condition.cordonedUntil
   );
 }
 
+/** What a `MachineEligibility` works with. */
 export interface EligibilityOptions {
   term: Term;
   freeCapacities: FreeCapacityIndex;
@@ -48,7 +49,7 @@
 export class MachineEligibility {
   /** Free capacity beyond what is kept warm, on ordinary and on spot machines; in machines. */
   private readonly excess = new Map<boolean, number>();
-  /** Answers of `spotShort` within a pass. */
+  /** Answers of `spotShort` within a scheduling cycle. */
   private readonly shortTypes = new Map<string, boolean>();
 
   private readonly claimLimit: ClaimLimit;
@@ -57,6 +58,7 @@
     this.claimLimit = new ClaimLimit(options.term);
   }
 
+  /** A scheduling cycle begins with this free capacity. */
   beginCycle(capacities: FreeCapacity[]): void {
     this.claimLimit.beginCycle();
     for (const spot of [false, true]) {
@@ -90,13 +92,13 @@
   /**
    * Best-effort work goes to spot machines while they can be had. Of ordinary ones it gets what
    * others leave over on machines that stay anyway: a hole costs nothing, an empty machine that
-   * could be given back does. The room that is kept warm is left alone on both kinds: gangs that
+   * could be given back does. The capacity that is kept warm is left alone on both kinds: gangs that
    * found it full of arrays waited until those had saved, which took longer than they may wait.
    */
   private sparesWarmReserve(job: LiveJob): MachineFilter {
     if (job.spec.priority < 3 || !job.spec.spot) return ANY;
     const { gpus } = job.spec;
-    // What leaves at once when others come may use even the room that is kept for them.
+    // What leaves at once when others come may use even the capacity that is kept for them.
     const soft = this.options.stopsQuickly(job.spec);
     return (capacity) => {
       const beyond =
--- a/src/leader/scheduling/preemption-candidates.ts
+++ b/src/leader/scheduling/preemption-candidates.ts
@@ -17,10 +17,10 @@
   unsavedS: number;
 }
 
-/** A machine, as making room sees it. */
+/** A machine, as making capacity sees it. */
 export interface PreemptionCandidate {
   capacity: FreeCapacity;
-  /** What is being stopped there. Together with what is free: room that is there or on its way. */
+  /** What is being stopped there. Together with what is free: capacity that is there or on its way. */
   stopping: Resources;
   /** Seconds until that is gone. */
   stoppingS: number;
@@ -29,6 +29,7 @@
   lowestPriority: number;
 }
 
+/** A machine as preemption sees it now. */
 export function preemptionCandidate(
   term: Term,
   capacity: FreeCapacity,
--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -44,10 +44,10 @@
 const LATE_PENALTY_S = 1e3;
 /** What the greatest harm that subsystems see counts for: less than a late start. */
 const MAX_HARM_S = LATE_PENALTY_S * 0.5;
-/** What commands and starts take: they are sent straight, and shown by a report of the change. */
+/** What commands and starts take: they are sent straight, and shown by a heartbeat. */
 export const COMMAND_LATENCY_S = MIN_HEARTBEAT_GAP_S * 0.6;
 
-/** Making room within one pass, by the protocol's rules on preemption. */
+/** Making capacity within one scheduling cycle, by the protocol's rules on preemption. */
 export class Preemptor {
   private candidates: PreemptionCandidate[] | null = null;
 
@@ -59,7 +59,7 @@
     private readonly subsystems: ActiveSubsystems = NO_SUBSYSTEMS,
   ) {}
 
-  /** What stopping a task costs. Lesser work first; within it what loses least. */
+  /** What stopping a task costs. Lower-priority work first; within it what loses least. */
   private withCost(borrower: LiveJob, victim: VictimTask, how: PreemptionMode): VictimTask {
     const { job } = victim;
     const saves = job.spec.checkpointS > 0 && how !== 'immediate';
@@ -205,7 +205,7 @@
     candidate.victims = candidate.victims.filter((victim) => !gone.has(victim.id));
   }
 
-  /** Stops what is still there, unless the job that wanted the room is over or has a place by now. */
+  /** Stops what is still there, unless the job that wanted the capacity is over or has a place by now. */
   private carryOut(borrower: LiveJob, victims: readonly VictimTask[], saves: boolean): boolean {
     if (borrower.phase !== 'active' || borrower.pendingTaskCount === 0) return false;
     for (const { job, attempt } of victims) {
--- a/src/leader/scheduling/replica-migrations.ts
+++ b/src/leader/scheduling/replica-migrations.ts
@@ -22,7 +22,7 @@
 const MIN_MIGRATIONS = 1;
 /** Replicas that ran for so many leases are steady enough to be moved. */
 const STEADY_LEASES = 4;
-/** For how many report intervals a place is kept for a replica on its way. */
+/** For how many heartbeat intervals a place is kept for a replica on its way. */
 const RESERVED_HEARTBEATS = 2;
 /** The same for one that is moved by itself: it must not come back to where it was asked to leave. */
 const RESERVED_ALONE_HEARTBEATS = 6;
@@ -36,7 +36,7 @@
   weights: PlacementWeights;
 }
 
-/** Emptying machines: which replicas move, and the places that are kept for them. */
+/** Draining machines: which replicas move, and the places that are kept for them. */
 export class ReplicaMigrations {
   private readonly reservations = new Map<string, { to: string; until: number }>();
   private readonly recent: { at: number; class: string }[] = [];
--- a/src/leader/scheduling/scheduler.ts
+++ b/src/leader/scheduling/scheduler.ts
@@ -25,7 +25,7 @@
 import { UnplacedRequests } from './unplaced-requests.js';
 
 /**
- * Tasks placed in one pass, at most, for each change a second that the store takes: a machine's
+ * Tasks placed in one scheduling cycle, at most, for each change a second that the store takes: a machine's
  * record takes many claims, and what is placed before it can be stored only waits.
  */
 const CLAIMS_PER_WRITE = 12;
@@ -36,18 +36,19 @@
 /** What telling a task to stop, and hearing that it has, take. */
 const LEAVE_S = MIN_HEARTBEAT_GAP_S * 2;
 
+/** What a scheduling cycle did, and what it left. */
 export interface CycleResult {
   /** Tasks that were placed. */
   placed: number;
   /** What found no place and cannot have one made for it. */
   demand: Demand[];
-  /** What is free after the pass. */
+  /** What is free after the scheduling cycle. */
   capacities: FreeCapacity[];
-  /** What teams use after the pass. */
+  /** What teams use after the scheduling cycle. */
   usages: TeamUsages;
 }
 
-/** One pass of placing over a term: rank, place, make room, and say what is missing. */
+/** One scheduling cycle over a term: rank, place, make capacity, and say what is missing. */
 export class Scheduler {
   private readonly jobQueue: JobQueue;
   private readonly freeCapacities: FreeCapacityIndex;
@@ -86,6 +87,7 @@
     this.placement = new JobPlacement(term, this.eligibility, this.startObjectives);
   }
 
+  /** What places cost at present, in seconds. */
   weights(): PlacementWeights {
     const bootS = this.term.slowestBootS;
     const hot = this.forecast.hotImages();
@@ -95,6 +97,7 @@
     return { ...weights, preferenceS: (spec, capacity) => subsystems.preferenceS(spec, capacity) };
   }
 
+  /** Ranks and places all that is ready, by bin packing and preemption. */
   runCycle(): CycleResult {
     const { term } = this;
     const { now } = term;
@@ -130,7 +133,7 @@
     return { placed, demand, capacities, usages };
   }
 
-  /** What a subsystem keeps is not emptied for a gang, nor to be given back, nor filled with what moves. */
+  /** What a subsystem keeps is not drained for a gang, nor to be given back, nor filled with what moves. */
   private withoutKeptMachines(capacities: FreeCapacity[]): FreeCapacity[] {
     const { subsystems } = this;
     return subsystems.hasAny
@@ -138,7 +141,7 @@
       : capacities;
   }
 
-  /** Places jobs in their order. Returns the tasks placed in this pass, with those placed before. */
+  /** Places jobs in their order. Returns the tasks placed in this scheduling cycle, with those placed before. */
   private placeJobs(
     jobs: LiveJob[],
     cycle: CycleContext,
@@ -159,7 +162,7 @@
   }
 
   /**
-   * What finds no capacity may take it from lesser work; the rest is for the fleet to grow. Returns the
+   * What finds no capacity may take it from lower-priority work; the rest is for the fleet to grow. Returns the
    * tasks for which none can be made.
    */
   private preemptFor(job: LiveJob, cycle: CycleContext, tasks: number): number {
--- a/src/leader/scheduling/unplaced-requests.ts
+++ b/src/leader/scheduling/unplaced-requests.ts
@@ -1,16 +1,16 @@
-/** Requests that found no capacity earlier in a pass. */
+/** Requests that found no capacity earlier in a scheduling cycle. */
 
 import type { LiveJob } from '../../jobs/live-job.js';
 import { fits, type Resources } from '../../jobs/types.js';
 
 /**
- * What found no capacity in this pass, so that what asks for as much or more is not looked for again.
+ * What found no capacity in this scheduling cycle, so that what asks for as much or more is not looked for again.
  *
- * Within a pass capacity only shrinks: free capacity is taken, never given back, the share beyond what is kept
+ * Within a scheduling cycle capacity only shrinks: free capacity is taken, never given back, the share beyond what is kept
  * warm only falls, and what may be stopped for a job gets less with each task that is. So where a task
  * of one job fits nowhere and nothing can be stopped for it, neither can a task that is at least as
  * large in each resource and that may use the same machines and stop the same work. In a burst of
- * arrays most of a pass was spent on looking through all machines, for each job that waited, in vain.
+ * arrays most of a scheduling cycle was spent on looking through all machines, for each job that waited, in vain.
  *
  * Not for gangs, jobs bound to one zone or spread over several, and jobs that avoid machines: what
  * they may use differs from job to job.
--- a/src/leader/term/subsystem-view.ts
+++ b/src/leader/term/subsystem-view.ts
@@ -19,6 +19,7 @@
 import type { CapacityManager } from '../capacity/capacity-manager.js';
 import type { Term } from './term.js';
 
+/** What a `SubsystemView` works with. */
 export interface SubsystemViewOptions {
   term: Term;
   capacity: CapacityManager;
@@ -27,6 +28,7 @@
   migrationGapS: (jobClass: string) => number;
 }
 
+/** The term as a subsystem sees it. */
 export class SubsystemView implements TermView {
   readonly settings: Settings;
   readonly log: Log;
@@ -46,38 +48,47 @@
     this.uniquePrefix = `${context.incarnation}-${context.token}-${subsystem}`;
   }
 
+  /** See `TermView.now`. */
   now(): number {
     return this.options.term.now;
   }
 
+  /** See `TermView.wallMs`. */
   wallMs(): number {
     return this.options.term.context.wallMs();
   }
 
+  /** See `TermView.canWrite`. */
   canWrite(): boolean {
     return this.options.term.context.canWrite();
   }
 
+  /** See `TermView.machineTypes`. */
   machineTypes(): ReadonlyMap<string, MachineType> {
     return this.options.term.machineTypes;
   }
 
+  /** See `TermView.machine`. */
   machine(id: string): MachineView | undefined {
     return this.options.term.machines.get(id);
   }
 
+  /** See `TermView.isPending`. */
   isPending(id: string): boolean {
     return this.options.capacity.provisioner.pending.has(id);
   }
 
+  /** See `TermView.isListed`. */
   isListed(id: string): boolean | null {
     return this.options.capacity.isListed(id);
   }
 
+  /** See `TermView.isShort`. */
   isShort(type: string, zone: string): boolean {
     return this.options.capacity.provisioner.isShort(type, zone, false);
   }
 
+  /** See `TermView.spec`. */
   spec(job: string): JobSpec | null {
     const { term } = this.options;
     const live = term.jobs.get(job);
@@ -86,19 +97,23 @@
     return storedJob === undefined ? null : specOf(storedJob);
   }
 
+  /** See `TermView.job`. */
   job(id: string): LiveJobView | undefined {
     return this.options.term.jobs.get(id);
   }
 
+  /** See `TermView.jobs`. */
   jobs(): Iterable<LiveJobView> {
     return this.options.term.jobs.values();
   }
 
+  /** See `TermView.latestEndMs`. */
   latestEndMs(id: string): number {
     const job = this.options.term.jobs.get(id);
     return job === undefined ? Infinity : this.downstreamPaths.of(job.storedJob).latestEndMs;
   }
 
+  /** See `TermView.migrateReplica`. */
   migrateReplica({ job, index, from, mayFetch }: ReplicaMigration): boolean {
     const attempts = this.options.term.jobs.get(job)?.attemptsByTask.get(index) ?? [];
     const attempt = attempts.find(
@@ -107,10 +122,12 @@
     return attempt !== undefined && this.options.migrateReplica(attempt, mayFetch);
   }
 
+  /** See `TermView.migrationGapS`. */
   migrationGapS(jobClass: string): number {
     return this.options.migrationGapS(jobClass);
   }
 
+  /** See `TermView.endStopped`. */
   endStopped({ job, index, number }: AttemptView): void {
     const { term } = this.options;
     const live = term.jobs.get(job);
@@ -120,22 +137,27 @@
     term.stopImmediately(live, attempt);
   }
 
+  /** See `TermView.freeCapacities`. */
   freeCapacities(): readonly FreeCapacity[] {
     return this.options.capacity.capacities;
   }
 
+  /** See `TermView.usage`. */
   usage(team: string): TeamUsage {
     return this.options.capacity.usages?.of(team) ?? { cores: 0, gpus: 0 };
   }
 
+  /** See `TermView.records`. */
   records(): ReadonlyMap<string, OwnedRecord> {
     return this.options.term.context.replica.subsystems.of(this.subsystem);
   }
 
+  /** See `TermView.wakeWriter`. */
   wakeWriter(): void {
     this.options.wakeWriter();
   }
 
+  /** See `TermView.wakeProvisioner`. */
   wakeProvisioner(): void {
     this.options.capacity.provisioner.wake();
   }
--- a/src/leader/term/term-state.ts
+++ b/src/leader/term/term-state.ts
@@ -10,6 +10,7 @@
 import type { Replica } from '../../store/replica.js';
 import { Machine } from '../../workers/machine.js';
 
+/** What a term rests on: this controller's settings, clocks, replica and entitlement. */
 export interface TermContext {
   settings: Settings;
   clock: Clock;
@@ -23,9 +24,9 @@
   allReadDenseRecords: () => boolean;
   isEntitled: () => boolean;
   canWrite: () => boolean;
-  /** Until when another controller may have renewed leases because the state service was down. */
+  /** Until when another controller may have renewed leases because the key-value store was down. */
   othersRenewUntil: () => number;
-  /** Until when a zone's zone keeper may renew leases there, and up to which moment that is certain. */
+  /** Until when a zone's zone lease holder may renew leases there, and up to which moment that is certain. */
   zoneRenewal: (zone: string) => { keptUntil: number; provenAt: number };
   /** Asks for a fresh proof of that. */
   requestProof: () => void;
@@ -43,7 +44,7 @@
   readonly returnedMachines = new Set<string>();
   /** Machines whose leases were counted as lost. */
   machinesLost = 0;
-  /** Machines with commands that should not wait for the next check-in. */
+  /** Machines with commands that should not wait for the next heartbeat. */
   readonly machinesToCommand = new Set<string>();
   readonly fetchTimes = new FetchTimes();
   readonly startedAt: number;
@@ -70,11 +71,13 @@
     return this.context.clock.now();
   }
 
+  /** Something happened that scheduling should look at. */
   requestCycle(): void {
     this.cycleRequested = true;
     this.onCycleRequested();
   }
 
+  /** The machine types that tasks may be placed on from now on. */
   setMachineTypes(types: MachineType[]): void {
     this.machineTypes = new Map(types.map((type) => [type.name, type]));
     this.slowestBootS = Math.max(0, ...types.map((type) => type.bootS));
--- a/src/leader/term/term.ts
+++ b/src/leader/term/term.ts
@@ -40,6 +40,7 @@
 
   // Jobs
 
+  /** A job that may start; the one that is known already, if there is one. */
   addJob(storedJob: StoredJob): LiveJob {
     let job = this.jobs.get(storedJob.spec.id);
     if (job === undefined) {
@@ -91,6 +92,7 @@
       for (const other of job.activeAttempts()) this.machinesToCommand.add(other.machine);
   }
 
+  /** See `mayStart` in attempts/start-permission. */
   mayStart(attempt: Attempt): boolean {
     return mayStart(this, attempt);
   }
@@ -112,12 +114,12 @@
 
   // Machines
 
-  /** What a report, a lapsed lease or a returned machine has shown. */
+  /** What a heartbeat, a lapsed lease or a returned machine has shown. */
   reconcile(machine: Machine, changes: HeartbeatChanges): void {
     this.reconciler.reconcile(machine, changes);
   }
 
-  /** Leases that have run out for certain, with nobody else entitled to renew them. */
+  /** Leases that have expired for certain, with nobody else entitled to renew them. */
   expireLeases(): void {
     this.leaseExpiry.expire();
   }
--- a/src/leader/writes/due-writes.ts
+++ b/src/leader/writes/due-writes.ts
@@ -10,12 +10,14 @@
 /** 0 to 3: claims of that priority; the ends of jobs go with the highest. */
 const URGENT = 0;
 const SOON = 4;
+/** Urgency from which on a write can wait. */
 export const LATER = 5;
 /** Records of subsystems go after all others, but for those that somebody waits for. */
 const SUBSYSTEMS = 6;
 /** A record of done tasks is written at most once in so many seconds while it grows. */
 const PROGRESS_GAP_S = 1;
 
+/** A record that is to be written. */
 export interface DueWrite {
   /** The lowest goes first; what has `LATER` or more can wait. */
   urgency: number;
--- a/src/leader/writes/record-writer.ts
+++ b/src/leader/writes/record-writer.ts
@@ -24,6 +24,7 @@
 const RETRY_S = 0.2;
 const REFUSED_S = 0.1;
 
+/** What a `RecordWriter` works with. */
 export interface RecordWriterOptions {
   term: Term;
   store: KeyValueStoreClient;
@@ -66,10 +67,12 @@
       log.info({ bytes, mostBytes }, 'machine types not stored: too large');
   }
 
+  /** There is something to write. */
   wake(): void {
     this.pause.wakeUp();
   }
 
+  /** Writes batch after batch until `stop`. */
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -178,6 +181,7 @@
     }
   }
 
+  /** Nothing more is written; outcomes that still come are ignored. */
   stop(): void {
     this.stopped = true;
     this.pause.wakeUp();
--- a/src/leader/writes/stored-machine.ts
+++ b/src/leader/writes/stored-machine.ts
@@ -7,7 +7,7 @@
 
 /** Images that a machine's record names, at most: those used last. */
 const MAX_IMAGES = 32;
-/** Of the largest value that the state service takes, what a machine's record may fill. */
+/** Of the largest value that the key-value store takes, what a machine's record may fill. */
 const RECORD_SHARE = 0.95;
 
 /** The most that a machine's record may take, in bytes. */
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -11,16 +11,18 @@
 import { OutageQuorum, type OutageEvents } from './outage-quorum.js';
 import { renewalAllowanceS, type WorkerTimes } from './renewal-allowance.js';
 
-/** A late controller leaves leadership to a fitter one for so many lives of the leader's lease, at most. */
+/** A late controller leaves leadership to a healthier one for so many lives of the leader's lease, at most. */
 const DEFER_TTLS = 0.5;
 /** It looks so many times in that life whether it still has to. */
 const DEFER_CHECKS_PER_TTL = 20;
 
+/** What an election tells its controller. */
 export interface ElectionEvents extends OutageEvents {
   onElected(token: number): void;
   onDeposed(): void;
 }
 
+/** What an `Election` works with. */
 export interface ElectionOptions {
   node: string;
   incarnation: string;
@@ -33,10 +35,11 @@
   clock: Clock;
   log: Log;
   events: ElectionEvents;
-  /** This controller is late, and another one that could be elected is fitter. */
+  /** This controller is late, and another one that could be elected is healthier. */
   healthierCanCampaign: () => boolean;
 }
 
+/** This controller's part in the election of a leader, by a key of the store that hangs on a lease. */
 export class Election {
   role: ElectionRole = 'follower';
   token = 0;
@@ -49,7 +52,7 @@
    * former process of its own. Null: it might not.
    */
   private vacantSince: number | null = null;
-  /** It has handed over, and does not stand before. */
+  /** It has transferred leadership, and does not stand before. */
   private campaignsFrom = -Infinity;
   /** Tells outages from refusals of this controller alone. */
   readonly outage: OutageQuorum;
@@ -115,10 +118,12 @@
     return this.role === 'leader' && this.isEntitled;
   }
 
+  /** The leader's key has changed: look at once. */
   wake(): void {
     this.pause.wakeUp();
   }
 
+  /** Campaigns, leads and follows until `stop`. */
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -167,7 +172,7 @@
   }
 
   /**
-   * Whether to let a fitter controller be elected first. Not for long: that one may have ended, and
+   * Whether to let a healthier controller be elected first. Not for long: that one may have ended, and
    * somebody has to stand.
    */
   private defersToHealthier(): boolean {
@@ -277,7 +282,7 @@
   }
 
   /**
-   * Refused by the state service: an outage, or this node alone? Only in an outage do leases stand
+   * Refused by the key-value store: an outage, or this node alone? Only in an outage do leases stand
    * still. A node that is served says so, and then this one yields when its time is up.
    */
   private async continueInOutage(askedAt: number): Promise<void> {
@@ -312,6 +317,7 @@
     return until - now;
   }
 
+  /** Ends `run`; an election that is under way is not won any more. */
   stop(): void {
     this.stopped = true;
     this.pause.wakeUp();
--- a/src/leadership/leader-acknowledgements.ts
+++ b/src/leadership/leader-acknowledgements.ts
@@ -14,6 +14,7 @@
 /** A leader that has not asked by the peer link within so many leases is told by the store. */
 const STORE_LEASES = 0.1;
 
+/** What `LeaderAcknowledgements` work with. */
 export interface LeaderAcknowledgementsOptions {
   settings: Settings;
   election: Election;
@@ -106,6 +107,7 @@
     }
   }
 
+  /** Ends `collect`. */
   stop(): void {
     this.stopped = true;
   }
--- a/src/leadership/leader-key.ts
+++ b/src/leadership/leader-key.ts
@@ -6,6 +6,7 @@
 /** Seconds within which a write or read of the key has to be answered. */
 const TIMEOUT_S = 1;
 
+/** A claim to the leader's key. */
 export interface LeaderKeyClaim {
   /** Name of the controller that claims the key. */
   node: string;
--- a/src/leadership/outage-quorum.ts
+++ b/src/leadership/outage-quorum.ts
@@ -13,7 +13,7 @@
 const CANCELLATIONS_SHARE = 0.9;
 /** What a job's id takes in a frame beside its characters, in bytes. */
 const ID_FRAME_BYTES = 3;
-/** Seconds that a look at the state service may take before it is taken for silent. */
+/** Seconds that a look at the key-value store may take before it is taken for silent. */
 const PROBE_TIMEOUT_S = 0.5;
 /** Seconds that another controller may take to say whether it is refused. */
 const PEER_TIMEOUT_S = 0.8;
@@ -25,12 +25,13 @@
   return bytes <= MAX_FRAME * CANCELLATIONS_SHARE;
 }
 
-/** A majority's word that the state service refuses it. */
+/** A majority's word that the key-value store refuses it. */
 export interface MajorityRejected {
   /** Steady time up to which the majority together knows every stored cancellation. */
   freshAt: number;
 }
 
+/** What an outage quorum asks and tells its controller. */
 export interface OutageEvents {
   /** Cancellations that another controller knows to be stored. */
   onKnownCancelled(ids: string[]): void;
@@ -38,6 +39,7 @@
   cancelledSince(revision: number): string[];
 }
 
+/** What an `OutageQuorum` works with. */
 export interface OutageQuorumOptions {
   /** Number of controllers, this one included. */
   controllerCount: number;
@@ -57,9 +59,9 @@
 }
 
 /**
- * Tells an outage of the state service from a refusal of this controller alone, by the word of a
+ * Tells an outage of the key-value store from a refusal of this controller alone, by the word of a
  * majority, and bears witness for others. Only in an outage do leases stand still, so that work may be
- * kept running without the state service. docs/design.md, "Cancellations and outages".
+ * kept running without the key-value store. docs/design.md, "Cancellations and outages".
  */
 export class OutageQuorum {
   /** The latest leader that this controller has acknowledged: it bears witness for no older one. */
@@ -78,7 +80,7 @@
     return this.options.clock.now();
   }
 
-  /** Asked by another node: looks at the state service now, not at what it said before. */
+  /** Asked by another node: looks at the key-value store now, not at what it said before. */
   async answer(token: number, forMs: number, applied: number): Promise<RefusedAnswer> {
     // A process that has not read the store knows neither the leader nor the cancellations that the
     // one before it had acknowledged: its word would make a majority that knows of neither.
@@ -133,7 +135,7 @@
   }
 
   /**
-   * Substituting: nobody leads, nobody can take over, because the state service is down for all. Then
+   * Substituting: nobody leads, nobody can take over, because the key-value store is down for all. Then
    * workers' leases are kept alive with the last leader's token and nothing else is done. It takes
    * what continuing takes, a majority that is being refused, for longer than a leader takes to notice
    * the outage itself; every later decision on leases counts with what was renewed here.
--- a/src/leadership/quorum-acknowledgement.ts
+++ b/src/leadership/quorum-acknowledgement.ts
@@ -8,7 +8,7 @@
 
 /**
  * The acknowledgement of a leader by a majority. Whoever renews leases for a former leader, because it
- * takes a refusal for an outage (`Election.continueInOutage`, `OutageQuorum.mayKeep`), needs a majority of
+ * takes a refusal for an outage (`Election.continueInOutage`, `OutageQuorum.mayRenewLeases`), needs a majority of
  * controllers that say they are refused too. Two that are each refused alone can make one, beside a
  * third that is served and elected. So before this leader counts any lease as run out, a majority must
  * have acknowledged it: whoever has gives no such word for an older leader any more, and any two
@@ -26,6 +26,7 @@
     private readonly clock: Clock,
   ) {}
 
+  /** Whether a majority has acknowledged the leader. */
   get state(): 'pending' | 'reached' {
     return this.promiseEnds.size >= this.needed ? 'reached' : 'pending';
   }
@@ -35,10 +36,12 @@
     return Math.floor(this.controllerCount / 2);
   }
 
+  /** Whether this controller has acknowledged it. */
   has(node: string): boolean {
     return this.promiseEnds.has(node);
   }
 
+  /** A controller has acknowledged the leader; its first word counts. */
   record(node: string, acknowledged: Acknowledged): void {
     if (!this.promiseEnds.has(node))
       this.promiseEnds.set(node, this.clock.now() + acknowledged.remainsS);
--- a/src/leadership/renewal-allowance.ts
+++ b/src/leadership/renewal-allowance.ts
@@ -22,6 +22,7 @@
  */
 export const UNHEARD_CONFIRM_S = 45;
 
+/** The workers' lease, and the time within which a cancelled task has to be gone; in seconds. */
 export interface WorkerTimes {
   lease_s: number;
   cancel_s: number;
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -10,29 +10,29 @@
 
 /**
  * Zones that go on working by themselves. Where a zone has exactly one controller, that one is its
- * zone keeper: cut off together with its zone, it keeps renewing the leases of the zone's machines with
+ * zone lease holder: cut off together with its zone, it keeps renewing the leases of the zone's machines with
  * the last token, so that what runs there goes on. It starts nothing.
  *
- * What the others must know is when a zone keeper may be doing so. Each zone keeper holds a key on a short
+ * What the others must know is when a zone lease holder may be doing so. Each zone lease holder holds a key on a short
  * lease; it keeps no machine before that key is certainly gone, and none for longer than a bound
  * after the last proof that the key was there:
  *
- *   key there, by a fresh read      the zone keeper keeps nothing, and has not since the key was put
+ *   key there, by a fresh read      the zone lease holder keeps nothing, and has not since the key was put
  *   key gone                        it may keep until the bound has passed since it went
  *
- * So a silent machine counts as lost only when its lease has run out and either is proven since, and
- * a cancellation is taken only if the zone keeper has been told, or if the bound ends in time.
+ * So a silent machine counts as lost only when its lease has expired and either is proven since, and
+ * a cancellation is taken only if the zone lease holder has been told, or if the bound ends in time.
  */
 
 /**
  * Life of the key's lease: so much of a worker's lease, and of the time that a worker waits for an answer.
  * A worker must get one before it looks for other controllers, all of them outside the cut. By its lease
- * alone, one of 15 s, the zone keeper began when those that had reported in the cut's first moments had gone.
+ * alone, one of 15 s, the zone lease holder began when those that had reported in the cut's first moments had gone.
  */
 const TTL_LEASES = 0.1;
 const TTL_ANSWER_WAITS = 0.25;
 /**
- * When a zone keeper may begin, counted from the sending of the last renewal that was answered. Until then
+ * When a zone lease holder may begin, counted from the sending of the last renewal that was answered. Until then
  * the key is certainly gone: its life, once more for a renewal that was carried out without an answer
  * (there is never more than one of them), once more for an outage too short to be noticed, after
  * which leases have their full time again, and half a life for late ends. In lives.
@@ -43,12 +43,14 @@
 /** Renewals within one life of the key. */
 const RENEWALS_PER_TTL = 4;
 
+/** The times of a zone lease, in seconds. */
 export interface ZoneLeaseTimes {
   ttlS: number;
   beginS: number;
   renewForS: number;
 }
 
+/** The times of a zone lease, as ratios to the workers' lease. */
 export function zoneLeaseTimes(leaseS: number): ZoneLeaseTimes {
   const ttlS = Math.min(leaseS * TTL_LEASES, ANSWER_WAIT_S * TTL_ANSWER_WAITS);
   return { ttlS, beginS: ttlS * BEGIN_TTLS, renewForS: leaseS * RENEW_LEASES };
@@ -66,7 +68,7 @@
 }
 
 /**
- * A zone keeper's own side:
+ * A zone lease holder's own side:
  *
  *   away     no key of this process is known to be in the store
  *   present  it is
@@ -82,6 +84,7 @@
   alone: ['present', 'doubting'],
 };
 
+/** What a `ZoneLeaseHolder` works with. */
 export interface ZoneLeaseHolderOptions {
   node: string;
   incarnation: string;
@@ -94,6 +97,7 @@
   log: Log;
 }
 
+/** The zone lease of the only controller of a zone. */
 export class ZoneLeaseHolder {
   state: ZoneLeaseHolderState = 'away';
   /** When the last renewal that was carried out had been sent. */
@@ -135,6 +139,7 @@
     return this.mayRenewLeases();
   }
 
+  /** Holds the key, and finds out when the zone is cut off, until `stop`. */
   async run(): Promise<void> {
     const pause = this.times.ttlS / RENEWALS_PER_TTL;
     while (!this.stopped) {
@@ -196,11 +201,13 @@
     this.changeState(answers.some((answer) => answer !== null) ? 'doubting' : 'alone');
   }
 
+  /** Ends `run`. */
   stop(): void {
     this.stopped = true;
   }
 }
 
+/** What a `ZoneLeaseWatch` works with. */
 export interface ZoneLeaseWatchOptions {
   byZone: Map<string, string>;
   leaseS: number;
@@ -210,7 +217,7 @@
   clock: Clock;
 }
 
-/** What a controller knows of the zone keepers, itself included. */
+/** What a controller knows of the zone lease holders, itself included. */
 export class ZoneLeaseWatch {
   private readonly seenAt = new Map<string, number>();
   private readonly goneAt = new Map<string, number>();
@@ -221,6 +228,7 @@
     this.times = zoneLeaseTimes(leaseS);
   }
 
+  /** The only controller of a zone; null: it has none, or several. */
   holderOf(zone: string): string | null {
     return this.options.byZone.get(zone) ?? null;
   }
@@ -235,7 +243,7 @@
     );
   }
 
-  /** A zone keeper's key was put anew or is gone. */
+  /** A zone lease holder's key was put anew or is gone. */
   keyChanged(node: string): void {
     const now = this.options.clock.now();
     if (this.options.replica.controllers.has(node)) this.seenAt.set(node, now);
@@ -243,7 +251,7 @@
   }
 
   /**
-   * `keptUntil`: until when a zone's zone keeper may renew, or may have renewed, leases of its machines.
+   * `keptUntil`: until when a zone's zone lease holder may renew, or may have renewed, leases of its machines.
    * `provenAt`: up to which moment that is certain.
    */
   zone(zone: string): { keptUntil: number; provenAt: number } {
--- a/src/lending/command.ts
+++ b/src/lending/command.ts
@@ -29,6 +29,7 @@
   }),
 };
 
+/** Loans as a table for a terminal. */
 export function loansTable(loans: readonly LoanRow[]): string {
   const head = ['loan', 'tasks', 'borrower', 'machine', 'gpus', 'state', 'due', 'changed'];
   const rows = loans.map(
@@ -39,6 +40,7 @@
   return table([...head, 'reason'], rows);
 }
 
+/** The command's options. */
 export interface LoansCommandOptions {
   /** A controller's address for users, HOST:PORT. */
   at: string;
--- a/src/lending/declaration.ts
+++ b/src/lending/declaration.ts
@@ -8,8 +8,9 @@
 /** The design was measured up to so many open loans. */
 const LOANS_MOST = 500;
 
+/** The table `lending` of the features file. */
 export const lendingSchema = v.strictObject({
-  /** Open loans at a time; beyond it room is made without a promise. */
+  /** Open loans at a time; beyond it capacity is made without a promise. */
   max_open: v.optional(v.pipe(count, v.maxValue(LOANS_MOST)), LOANS_MOST),
   /** Recalls under way at a time. */
   recalls_at_once: v.optional(count, 4),
@@ -19,6 +20,7 @@
   keep_ended_s: v.optional(positive, 3600),
 });
 
+/** What operators declare of lending, as the program uses it. */
 export interface LendingConfig {
   maxOpen: number;
   recallsAtOnce: number;
@@ -26,6 +28,7 @@
   keepEndedS: number;
 }
 
+/** The configuration of a validated table. */
 export function toLendingConfig(table: v.InferOutput<typeof lendingSchema>): LendingConfig {
   return {
     maxOpen: table.max_open,
--- a/src/lending/estimate-errors.ts
+++ b/src/lending/estimate-errors.ts
@@ -9,6 +9,7 @@
 const LEAST = 1;
 const MOST = 3;
 
+/** By how much jobs of a class take longer than their estimates. */
 export class EstimateErrors {
   private readonly byClass = new Map<string, number[]>();
   /** Jobs that have been counted and are still open. */
--- a/src/lending/grants.ts
+++ b/src/lending/grants.ts
@@ -17,10 +17,10 @@
 import { assessLoan, type LoanAssessment } from './loan-safety.js';
 import type { ReturnTimes } from './return-times.js';
 
-/** Report intervals within which a grant has to be stored; then room is made without a promise. */
+/** Report intervals within which a grant has to be stored; then capacity is made without a promise. */
 const STORE_REPORTS = 1;
 
-/** An eviction whose loans are on their way into the store. */
+/** An preemption whose loans are on their way into the store. */
 interface PendingGrant {
   preemption: Preemption;
   loans: LoanEntry[];
@@ -29,6 +29,7 @@
   since: number;
 }
 
+/** What `Grants` work with. */
 export interface GrantOptions {
   view: TermView;
   table: LoanTable;
@@ -37,13 +38,15 @@
   returnTimes: ReturnTimes;
 }
 
+/** Weighs whom to preempt for a service, and stores loans before anybody is told to stop. */
 export class Grants implements PreemptionRules {
   private pending: PendingGrant[] = [];
-  /** Evictions of services by which room was made without any promise. */
+  /** Preemptions of services by which capacity was made without any promise. */
   withoutPromise = 0;
 
   constructor(private readonly options: GrantOptions) {}
 
+  /** See `PreemptionRules.harm`. */
   harm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
     if (!isLoan(borrower, victim)) return 0;
     const judgement = this.assess(victim, saves);
@@ -60,6 +63,7 @@
     return assessLoan(lenderWork(victim, saves, known, this.options));
   }
 
+  /** See `PreemptionRules.isStopping`. */
   isStopping({ job, index, number, state }: AttemptView): boolean {
     const key = attemptKey(job, index, number);
     if (this.pending.some(({ attempts }) => attempts.has(key))) return true;
@@ -67,7 +71,7 @@
     return state === 'saving' && this.options.table.openLoanOf(job, index) !== undefined;
   }
 
-  /** Where not all victims may lend, the room is made at once and nothing is promised. */
+  /** Where not all victims may lend, the capacity is made at once and nothing is promised. */
   takesOver(preemption: Preemption): boolean {
     const { borrower, victims } = preemption;
     if (!victims.every((victim) => isLoan(borrower, victim))) return false;
@@ -114,7 +118,7 @@
 
   /**
    * A new loan, or the one that an earlier term stored and did not carry out. One that is being granted stays
-   * as it is: both machines of a gang were once wanted in one pass, and its loan named the second borrower
+   * as it is: both machines of a gang were once wanted in one scheduling cycle, and its loan named the second borrower
    * with the first one's machine.
    */
   private request(loan: Loan): LoanEntry {
@@ -148,7 +152,7 @@
     for (const loan of loans) if (loan.stored === null) this.options.table.forget(loan);
   }
 
-  /** Carries out the evictions that are ready. Returns how many. */
+  /** Carries out the preemptions that are ready. Returns how many. */
   private carryOutReady(isReady: (pending: PendingGrant) => boolean): number {
     const ready = this.pending.filter(isReady);
     if (ready.length === 0) return 0;
@@ -171,7 +175,7 @@
   }
 }
 
-/** Serving borrows from finite work. Anything else that makes room does so without a loan. */
+/** Serving borrows from finite work. Anything else that makes capacity does so without a loan. */
 const isLoan = (borrower: LiveJobView, { job }: PreemptionVictim): boolean =>
   borrower.spec.kind === 'service' && job.spec.kind !== 'service';
 
--- a/src/lending/lender-work.ts
+++ b/src/lending/lender-work.ts
@@ -22,6 +22,7 @@
   return job.unfinishedPredictedS / Math.max(1, job.activeAttemptCount - 1);
 }
 
+/** What a lender's remaining work is computed with. */
 export interface LenderWorkContext {
   view: TermView;
   errors: EstimateErrors;
--- a/src/lending/lending-term.ts
+++ b/src/lending/lending-term.ts
@@ -18,6 +18,7 @@
 import { ReturnHolds } from './return-holds.js';
 import { ReturnTimes } from './return-times.js';
 
+/** Lending in one term of leadership. */
 export class LendingTerm implements SubsystemTerm {
   readonly preemption: PreemptionRules;
   private readonly table: LoanTable;
@@ -70,30 +71,37 @@
     this.table.removeEnded(this.config.keepEndedS * 1000);
   }
 
+  /** See `SubsystemTerm.rentRequests`. */
   rentRequests(): StoredRentRequest[] {
     return [];
   }
 
+  /** See `SubsystemTerm.keeps`. */
   keeps(machine: string): boolean {
     return this.holds.keeps(machine);
   }
 
+  /** See `SubsystemTerm.keptMachines`. */
   keptMachines(): number {
     return 0;
   }
 
+  /** See `SubsystemTerm.mayUse`. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
     return this.holds.mayUse(spec, capacity);
   }
 
+  /** See `SubsystemTerm.preferenceS`. */
   preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
     return this.holds.preferenceS(spec, capacity);
   }
 
+  /** See `SubsystemTerm.dueWrites`. */
   dueWrites(): OwnedWrite[] {
     return this.table.dueWrites();
   }
 
+  /** See `SubsystemTerm.statistics`. */
   statistics(): Record<string, number | string> {
     const states = noLoans();
     let openGpus = 0;
@@ -106,6 +114,7 @@
     return figures;
   }
 
+  /** See `SubsystemTerm.stop`. */
   stop(): void {
     // It has no timers and no connections.
   }
--- a/src/lending/loan-evidence.ts
+++ b/src/lending/loan-evidence.ts
@@ -13,6 +13,7 @@
 /** `wants`: it is not there, but what was lent has not come back: a task of it has no place, or others took it. */
 export type BorrowerPresence = 'there' | 'wants' | 'away';
 
+/** What is known of both sides of a loan at one moment. */
 export interface LoanEvidence {
   /** Null: its job is open and the tasks are not done. */
   lenderOver: string | null;
--- a/src/lending/loan-monitor.ts
+++ b/src/lending/loan-monitor.ts
@@ -21,6 +21,7 @@
 /** Of the time for a recall, what passes before places without the image are taken. */
 const PRESSING_SHARE = 0.5;
 
+/** What a `LoanMonitor` works with. */
 export interface LoanMonitorOptions {
   view: TermView;
   table: LoanTable;
@@ -39,6 +40,7 @@
   };
 }
 
+/** Carries open loans on by what is seen of both sides. */
 export class LoanMonitor {
   private readonly startedAt: number;
   /** Time of day in ms since when this leader has been able to bring something back. */
@@ -54,6 +56,7 @@
     this.ableFromMs = this.options.view.wallMs();
   }
 
+  /** One round over all open loans. */
   update(): void {
     const { table, view, config, returnTimes } = this.options;
     const away = [...table.open()].filter(({ current }) => isAway(current));
--- a/src/lending/loan-safety.ts
+++ b/src/lending/loan-safety.ts
@@ -30,9 +30,11 @@
   borrowerWaits: boolean;
 }
 
+/** Why a loan would not be safe. */
 export type Refusal =
   'no checkpoints' | 'guaranteed' | 'lending already' | 'saving takes too long' | 'no slack';
 
+/** Whether a loan is safe, until when it has to be back, and how much harm it does, from 0 to 1. */
 export type LoanAssessment =
   { safe: true; latestReturnS: number; harm: number } | { safe: false; refusal: Refusal };
 
--- a/src/lending/loan-table.ts
+++ b/src/lending/loan-table.ts
@@ -14,6 +14,7 @@
   type LoanEvent,
 } from './loan.js';
 
+/** A loan as it is, and as the store holds it. */
 export type LoanEntry = TableEntry<Loan>;
 
 const LOAN_FORM: RecordForm<Loan> = {
@@ -27,6 +28,7 @@
 
 const isGrant = ({ current }: LoanEntry): boolean => current.state === 'requested';
 
+/** What a `LoanTable` works with. */
 export interface LoanTableOptions {
   /** Time of day in ms. */
   nowMs: () => number;
@@ -50,28 +52,34 @@
     });
   }
 
+  /** See `RecordTable.reconcile`. */
   reconcile(records: ReadonlyMap<string, OwnedRecord>): void {
     this.table.reconcile(records);
   }
 
+  /** The loan of this name. */
   get(id: string): LoanEntry | undefined {
     return this.table.get(id);
   }
 
+  /** All loans, also those that are over. */
   values(): IterableIterator<LoanEntry> {
     return this.table.values();
   }
 
+  /** Loans of which something is still owed. */
   *open(): IterableIterator<LoanEntry> {
     for (const entry of this.table.values()) if (isOpen(entry.current)) yield entry;
   }
 
+  /** A new loan; it is stored later. */
   add(loan: Loan): LoanEntry {
     const entry = this.table.add(loan);
     this.options.onChange(loan);
     return entry;
   }
 
+  /** Changes a loan; the change is stored later. Throws IllegalTransitionError. */
   apply(entry: LoanEntry, event: LoanEvent): void {
     const loan = advanceLoan(entry.current, event, this.options.nowMs());
     this.table.change(entry, loan);
@@ -83,6 +91,7 @@
     this.table.removed(entry.id);
   }
 
+  /** Whether the store holds the loan's latest change. */
   isStored(entry: LoanEntry): boolean {
     return this.table.isStored(entry);
   }
--- a/src/lending/loan.ts
+++ b/src/lending/loan.ts
@@ -28,6 +28,7 @@
   'waived',
 ] as const;
 
+/** The states of a loan, see `LOAN_STATES`. */
 export type LoanState = (typeof LOAN_STATES)[number];
 
 /** A task of the lender, and the attempt of it that was to stop. */
@@ -37,6 +38,7 @@
   machine: string;
 }
 
+/** A loan; times are times of day in ms. */
 export interface Loan {
   lender: string;
   /** One task of an array, or all tasks of a gang. */
@@ -58,6 +60,7 @@
   reason: string;
 }
 
+/** What a loan meets. */
 export type LoanEvent =
   /** Chosen anew for another borrower by a later leader, which finds the lender running. */
   | { kind: 'granted-again'; borrower: string; reason: string }
@@ -125,6 +128,7 @@
   return `${lender}/${index}/${attempt}`;
 }
 
+/** Keys of loans begin with it, below the subsystem's own prefix. */
 export const LOAN_PREFIX = 'loan/';
 
 /** A count of 0 for each state. */
@@ -149,6 +153,7 @@
   y: v.optional(text, ''),
 });
 
+/** The stored form of a loan. */
 export function encodeLoan(loan: Loan): unknown {
   return {
     l: loan.lender,
--- a/src/lending/recall-plan.ts
+++ b/src/lending/recall-plan.ts
@@ -8,6 +8,7 @@
   group: string;
 }
 
+/** How fast loans can be recalled; times in ms. */
 export interface RecallPace {
   /** What one recall takes. */
   wayBackMs: number;
--- a/src/lending/return-holds.ts
+++ b/src/lending/return-holds.ts
@@ -1,4 +1,4 @@
-/** Room that came back for a lender is not taken by work that is no more important. */
+/** Capacity that came back for a lender is not taken by work that is no more important. */
 
 import { fits, type JobSpec } from '../jobs/types.js';
 import { isAllowedOn, type FreeCapacity } from '../scheduler/bin-packing.js';
@@ -20,6 +20,7 @@
   gpus: number;
 }
 
+/** Capacity that came back is kept for the lender whose it was. */
 export class ReturnHolds {
   private byMachine = new Map<string, Hold[]>();
   /** Replicas that have to leave what was recalled. */
@@ -30,7 +31,7 @@
     private readonly table: LoanTable,
   ) {}
 
-  /** Looks again which loans hold room. */
+  /** Looks again which loans hold capacity. */
   update(): void {
     this.byMachine = new Map();
     this.recalledBorrowers = [];
@@ -78,7 +79,7 @@
 
   /**
    * A replica that has been moved had better not come back, where there is another place for it. It once
-   * did as soon as its booking had run out.
+   * did as soon as its booking had expired.
    */
   preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
     const isBorrowers = this.byMachine
--- a/src/lending/return-times.ts
+++ b/src/lending/return-times.ts
@@ -8,11 +8,13 @@
 /** Report intervals until a stop is told, carried out and heard of, and a start likewise. */
 const COMMAND_REPORTS = 4;
 
+/** How long it takes to bring lent GPUs back, from what was measured. */
 export class ReturnTimes {
   private readonly samples: number[] = [];
 
   constructor(private readonly view: TermView) {}
 
+  /** A recall took so many seconds. */
   record(seconds: number): void {
     remember(this.samples, seconds);
   }
--- a/src/lending/view.ts
+++ b/src/lending/view.ts
@@ -3,6 +3,7 @@
 import type { OwnedRecord } from '../subsystems/subsystem.js';
 import { decodeLoan, isOpen, LOAN_PREFIX, loanId, type Loan, type LoanState } from './loan.js';
 
+/** A loan as operators are shown it. */
 export interface LoanRow {
   loan: string;
   lender: string;
@@ -18,6 +19,7 @@
   reason: string;
 }
 
+/** All loans as operators are shown them. */
 export interface LoansView {
   /** Open ones first, the earliest due first; then those that are over, the latest first. */
   loans: LoanRow[];
@@ -58,6 +60,7 @@
   return loans;
 }
 
+/** What the records of the subsystem say. */
 export function loansView(records: ReadonlyMap<string, OwnedRecord>): LoansView {
   return { loans: storedLoans(records).sort(inOrder).map(rowOf) };
 }
--- a/src/log.ts
+++ b/src/log.ts
@@ -1,5 +1,6 @@
 import { destination, pino, type Logger } from 'pino';
 
+/** A logger of structured lines. */
 export type Log = Logger;
 
 /** Structured lines on standard error, written at once so that none is lost when the process ends. */
@@ -11,4 +12,5 @@
   );
 }
 
+/** A logger that writes nothing. */
 export const silentLog = (): Log => pino({ level: 'silent' });
--- a/src/main.ts
+++ b/src/main.ts
@@ -2,6 +2,7 @@
 import { loadSettings, SettingsError, type Settings } from './config/settings.js';
 import type { Features } from './features/features-file.js';
 
+/** The program's version, as `--version` prints it. */
 export const VERSION = '0.1.0';
 
 interface Args {
--- a/src/operator/policy.ts
+++ b/src/operator/policy.ts
@@ -14,6 +14,7 @@
   heavy: number;
 }
 
+/** What holds where no script says otherwise; docs/design.md gives the sources. */
 export const DEFAULT_POLICY: Policy = {
   omega: [1, 1, 1],
   eta: 1,
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -18,6 +18,7 @@
 const encoder = new Encoder({ useRecords: false, structuredClone: false });
 const decoder = new Decoder({ useRecords: false, structuredClone: false });
 
+/** A frame's bytes. */
 export function encodeFrame(value: unknown): Buffer {
   const body = encoder.encode(value) as Buffer;
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
@@ -38,7 +39,7 @@
 
 /**
  * Writes frames to a connection, those of one turn of the event loop together: a controller that falls
- * behind finds many reports in a turn, and each write is a system call and a packet. Frames that can wait
+ * behind finds many heartbeats in a turn, and each write is a system call and a packet. Frames that can wait
  * for others go out with the next urgent one, or once `gatherS` is over: on both ends a batch is one
  * system call, one turn of the event loop and one packet.
  */
@@ -55,6 +56,7 @@
     private readonly batchingDelayS: number,
   ) {}
 
+  /** Adds a frame; one that is not urgent may wait for others. */
   write(value: object, urgent = true): void {
     this.frames.push(encodeFrame(value));
     if (this.state === 'flushing') return;
@@ -83,6 +85,7 @@
   }
 }
 
+/** Takes frames out of the bytes of a connection. */
 export class FrameReader {
   private held: Buffer = Buffer.alloc(0);
 
--- a/src/peers/health-exchange.ts
+++ b/src/peers/health-exchange.ts
@@ -1,6 +1,6 @@
 import type { ControllerHealth, HealthFrame } from './messages.js';
 
-/** Where the figures of fitness that travel between controllers come from and go to. */
+/** Where the figures of health that travel between controllers come from and go to. */
 export interface HealthExchange {
   /**
    * Called once for each connection. What it returns is called with each flush, and gives this
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -33,6 +33,7 @@
   timer: NodeJS.Timeout;
 }
 
+/** What a `Link` works with. */
 export interface LinkOptions {
   /** Names of this controller and of the other one. */
   self: string;
@@ -41,7 +42,7 @@
   log: Log;
   /** Questions under way at a time, at most. */
   maxPending: number;
-  /** Seconds for which reports that are passed on may wait for others. */
+  /** Seconds for which heartbeats that are forwarded may wait for others. */
   batchingDelayS: number;
   health: HealthExchange;
 }
@@ -142,7 +143,7 @@
         if (!this.pending.delete(id)) return;
         resolve(null);
         // Hanging, perhaps cut off: a new connection is the only way to find out. Not when others were
-        // answered meanwhile: hundreds of reports may be under way on this one.
+        // answered meanwhile: hundreds of heartbeats may be under way on this one.
         if (this.socket === socket && this.answeredAt < sentAt) this.become('down');
       }, timeoutS * 1000);
       // `answered` parses the answer by the kind of the question.
@@ -152,6 +153,7 @@
     });
   }
 
+  /** Ends the connection; questions under way have no answer. */
   close(): void {
     this.become('down');
   }
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -2,7 +2,7 @@
 
 /**
  * Messages between controllers, and their validation. A connection carries questions one way and their
- * answers the other way; both ways carry the sender's fitness now and then.
+ * answers the other way; both ways carry the sender's health now and then.
  */
 
 /**
@@ -14,8 +14,9 @@
 /** Longest id of a job in a message, in characters. */
 const MAX_JOB_ID = 200;
 
+/** What one controller asks another. Field names are part of the protocol between controllers. */
 export type Question =
-  /** A worker's report, passed on as it came. `hop`: pass it on to the leader if you do not lead. */
+  /** A worker's heartbeat, forwarded as it came. `hop`: pass it on to the leader if you do not lead. */
   | { q: 'report'; body: Buffer; hop: boolean }
   /**
    * Does the state service refuse you too? Promise not to take over for a while if it does, and tell
@@ -33,7 +34,9 @@
   /** A cancellation is stored: note it, whatever the state service shows you. */
   | { q: 'cancelled'; job: string };
 
+/** Names the kinds of questions. */
 export type QuestionKind = Question['q'];
+/** The question of one kind. */
 export type QuestionOf<K extends QuestionKind> = Extract<Question, { q: K }>;
 
 /** What an HTTP request is answered with, told to the controller that has passed the request on. */
@@ -44,8 +47,9 @@
   retryAfter?: number;
 }
 
+/** The answer to `refused`. */
 export interface RefusedAnswer {
-  /** Whether the state service refuses the one asked. */
+  /** Whether the key-value store refuses the one asked. */
   refused?: boolean;
   /** Ids of jobs. */
   cancelled?: string[];
@@ -53,6 +57,7 @@
   freshAgeS?: number;
 }
 
+/** The answer to `elected`. */
 export interface ElectedAnswer {
   /** Seconds until the last promise of the one asked has ended; negative: it has. */
   remainsS?: number;
@@ -72,16 +77,18 @@
   cancelled: { noted?: boolean };
 }
 
+/** The answer to any question. */
 export type Answer = AnswerByKind[QuestionKind];
+/** The answer to one question. */
 export type AnswerTo<Q extends Question> = AnswerByKind[Q['q']];
 
 /** How well a controller is able to lead. */
 export interface ControllerHealth {
   /** Seconds by which it is behind, see `Overload.latenessS`. */
   latenessS: number;
-  /** Whether the state service serves it. */
+  /** Whether the key-value store serves it. */
   served: boolean;
-  /** Seconds that reports it passed on to the leader waited lately; none: it passed none on. */
+  /** Seconds that heartbeats it forwarded to the leader waited lately; none: it passed none on. */
   relayS?: number;
 }
 
@@ -92,6 +99,7 @@
 export type Feature =
   /** Jobs that need other jobs, and all forms of records that came with them. */
   'pipelines';
+/** The features of this version. */
 export const FEATURES: readonly Feature[] = ['pipelines'];
 
 /** The first frame of a connection. */
@@ -106,14 +114,17 @@
   from: string;
   features: ReadonlySet<string>;
 }
+/** A question with the number that its answer has. */
 export interface QuestionFrame {
   id: number;
   q: Question;
 }
+/** An answer with the number of its question. */
 export interface AnswerFrame {
   id: number;
   a: Answer;
 }
+/** The sender's health, which goes both ways. Its key is part of the protocol. */
 export interface HealthFrame {
   fitness: ControllerHealth;
 }
@@ -157,7 +168,7 @@
 
 /** Null: malformed, or of a kind that is not known. */
 export function parseQuestion(raw: Fields): Question | null {
-  // Checked by hand: reports come hundreds of times a second.
+  // Checked by hand: heartbeats come hundreds of times a second.
   if (raw.q === 'report') return parseReportQuestion(raw);
   const result = v.safeParse(question, raw);
   return result.success ? result.output : null;
@@ -218,6 +229,7 @@
   relayS: v.optional(amount),
 });
 
+/** The first frame of a connection. Throws MalformedFrameError. */
 export function parseHello(frame: unknown): Hello {
   const result = v.safeParse(hello, frame);
   if (!result.success) throw new MalformedFrameError('unknown version');
@@ -236,6 +248,7 @@
   | { kind: 'question'; id: number; question: Question | null }
   | { kind: 'fitness'; fitness: ControllerHealth };
 
+/** A later frame of the controller that asks. Throws MalformedFrameError. */
 export function parseFromAsker(raw: unknown): FromAsker {
   const frame = objectOf(raw);
   if ('fitness' in frame) return { kind: 'fitness', fitness: parseHealth(frame.fitness) };
@@ -248,6 +261,7 @@
 export type FromAnswerer =
   { kind: 'answer'; id: number; answer: unknown } | { kind: 'fitness'; fitness: ControllerHealth };
 
+/** A frame of the controller that answers. Throws MalformedFrameError. */
 export function parseFromAnswerer(raw: unknown): FromAnswerer {
   const frame = objectOf(raw);
   if ('fitness' in frame) return { kind: 'fitness', fitness: parseHealth(frame.fitness) };
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -17,6 +17,7 @@
 /** Answers a question; the answer is of the question's kind. What it throws is an empty answer. */
 export type QuestionHandler = (from: string, question: Question) => Promise<Answer> | Answer;
 
+/** What a `PeerNetwork` works with. */
 export interface PeerNetworkOptions {
   self: string;
   peers: { node: string; addr: Endpoint }[];
@@ -25,7 +26,7 @@
   /** Questions under way on one link: each comes from a connection of this controller's. */
   maxPending: number;
   health: HealthExchange;
-  /** Seconds for which reports that are passed on may wait for others. */
+  /** Seconds for which heartbeats that are forwarded may wait for others. */
   batchingDelayS: number;
 }
 
@@ -126,6 +127,7 @@
     writer.write({ id, a: answer } satisfies AnswerFrame);
   }
 
+  /** Rejects when the address cannot be had. */
   listen(at: Endpoint): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -136,6 +138,7 @@
     });
   }
 
+  /** Names of the other controllers. */
   get names(): string[] {
     return [...this.links.keys()];
   }
--- a/src/pipelines/dependency-graph.ts
+++ b/src/pipelines/dependency-graph.ts
@@ -40,6 +40,7 @@
     return this.dependents.size === 0;
   }
 
+  /** Whether any job needs this one. */
   hasDependents(id: string): boolean {
     return this.dependents.has(id);
   }
--- a/src/pipelines/downstream-path.ts
+++ b/src/pipelines/downstream-path.ts
@@ -28,6 +28,7 @@
 
   constructor(private readonly graph: DependencyGraph) {}
 
+  /** What comes after a job, derived anew only after the graph has changed. */
   of(job: StoredJob): DownstreamPath {
     if (this.graph.version !== this.version) {
       this.known.clear();
--- a/src/random.ts
+++ b/src/random.ts
@@ -18,6 +18,7 @@
 /** Randomness for spreading retries. One generator for the process; tests may seed it. */
 let generator: RandomGenerator = xoroshiro128plus(randomInt32());
 
+/** Makes the numbers that follow repeatable, for tests. */
 export function seedRandom(seed: number): void {
   generator = xoroshiro128plus(seed);
 }
--- a/src/scheduler/bin-packing.ts
+++ b/src/scheduler/bin-packing.ts
@@ -26,6 +26,7 @@
 export const copyFreeCapacity = (capacity: FreeCapacity): FreeCapacity =>
   Object.assign(Object.create(Object.getPrototypeOf(capacity) as object) as FreeCapacity, capacity);
 
+/** Where tasks of a job may go at this moment. */
 export interface PlacementConstraints {
   /** Tasks of the job in each zone at this moment. */
   zones: Map<string, number>;
@@ -35,6 +36,7 @@
   mayUse?: (capacity: FreeCapacity) => boolean;
 }
 
+/** Whether a job allows a machine's type, zone and kind. */
 export function isAllowedOn(
   spec: JobSpec,
   room: { type: string; zone: string; spot: boolean },
@@ -44,6 +46,7 @@
   return spec.spot || !room.spot;
 }
 
+/** Whether a job with tasks in these zones may have another one in this zone. */
 export function isZoneAllowed(spec: JobSpec, zone: string, zones: Map<string, number>): boolean {
   if (spec.oneZone) {
     for (const [z, n] of zones) if (n > 0 && z !== zone) return false;
@@ -61,7 +64,7 @@
   return least === Infinity ? 0 : least;
 }
 
-/** Share of a machine that is free, by its scarcer resource: no GPU left is no room left. */
+/** Share of a machine that is free, by its scarcer resource: no GPU left is no capacity left. */
 export function freeShare(room: Resources & { total: Resources }): number {
   const { total } = room;
   const gpus = total.gpus > 0 ? room.gpus / total.gpus : 1;
@@ -105,6 +108,7 @@
   return lost;
 }
 
+/** What places cost, in seconds. */
 export interface PlacementWeights {
   /** Seconds that work which may run on spot machines rather waits than to take an ordinary one. */
   ordinaryS: number;
@@ -155,12 +159,14 @@
   return best;
 }
 
+/** Takes a task's resources from what is free. */
 export function allocate(spec: Resources, room: Resources): void {
   room.cores -= spec.cores;
   room.gpus -= spec.gpus;
   room.memGb -= spec.memGb;
 }
 
+/** Gives a task's resources back to what is free. */
 export function release(spec: Resources, room: Resources): void {
   room.cores += spec.cores;
   room.gpus += spec.gpus;
--- a/src/scheduler/drain-selection.ts
+++ b/src/scheduler/drain-selection.ts
@@ -9,7 +9,7 @@
 import type { JobSpec } from '../jobs/types.js';
 
 /**
- * Emptying a machine whose few replicas fit elsewhere, so that it can be given back. A replica that
+ * Draining a machine whose few replicas fit elsewhere, so that it can be given back. A replica that
  * moves is away for a moment; how many of a class may move at a time is the caller's bound.
  */
 export interface MovableReplica {
@@ -17,12 +17,13 @@
   zones: Map<string, number>;
 }
 
+/** A machine with the replicas on it, all of which can be moved. */
 export interface DrainCandidate {
   capacity: FreeCapacity;
   replicas: MovableReplica[];
 }
 
-/** A machine of which so much is free is worth emptying. */
+/** A machine of which so much is free is worth draining. */
 const EMPTY_SHARE = 0.5;
 
 /** Which machine to empty; null: none whose replicas all find a place with their image elsewhere. */
--- a/src/scheduler/fetch-times.ts
+++ b/src/scheduler/fetch-times.ts
@@ -14,6 +14,7 @@
   private readonly ratios: number[] = [];
   private cached: number | null = null;
 
+  /** A fetch that was predicted to take so long took so long, in seconds. */
   record(predictedS: number, tookS: number): void {
     if (predictedS <= 0 || tookS <= 0) return;
     const ratio = tookS / predictedS;
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,6 +1,7 @@
 import { fits, type JobSpec, type Resources } from '../jobs/types.js';
 import { isAllowedOn, isZoneAllowed } from './bin-packing.js';
 
+/** A task that may be stopped. */
 export interface Victim extends Resources {
   id: string;
   /** What must stop together with it: the tasks of one gang. */
@@ -9,6 +10,7 @@
   lossS: number;
 }
 
+/** What is free on a machine, and who could be stopped there. */
 export interface OccupiedMachine extends Resources {
   id: string;
   type: string;
@@ -19,12 +21,13 @@
   victims: Victim[];
 }
 
+/** Whom to stop on which machine. */
 export interface PreemptionPlan {
   machine: string;
   victims: Victim[];
 }
 
-/** The machine on which making room for one task loses least, and whom to stop there. */
+/** The machine on which making capacity for one task loses least, and whom to stop there. */
 export function cheapestPreemption(
   spec: JobSpec,
   machines: OccupiedMachine[],
--- a/src/scheduler/quota.ts
+++ b/src/scheduler/quota.ts
@@ -7,6 +7,7 @@
   maxTasksPerZone,
 } from '../jobs/types.js';
 
+/** CPUs and GPUs in use. */
 export interface ResourceUsage {
   cores: number;
   gpus: number;
@@ -18,6 +19,7 @@
 
   constructor(private readonly teams: Map<string, Team>) {}
 
+  /** What a team uses. */
   of(team: string): ResourceUsage {
     let usage = this.used.get(team);
     if (usage === undefined) {
@@ -27,12 +29,14 @@
     return usage;
   }
 
+  /** Counts so many tasks of a job. */
   add(spec: JobSpec, tasks: number): void {
     const usage = this.of(spec.team);
     usage.cores += spec.cores * tasks;
     usage.gpus += spec.gpus * tasks;
   }
 
+  /** Whether its team's quota allows so many tasks in addition. */
   allows(spec: JobSpec, tasks: number): boolean {
     const team = this.teams.get(spec.team);
     if (team === undefined) return false;
--- a/src/scheduler/ranking.ts
+++ b/src/scheduler/ranking.ts
@@ -10,6 +10,7 @@
   depth: number;
 }
 
+/** What the ranking rests on, of one ready job; times in seconds. */
 export interface RankInput {
   /** Predicted time of the pipeline's unfinished and finished jobs. */
   unfinishedS: number;
@@ -23,12 +24,14 @@
   successors: Successor[];
 }
 
+/** Predicted time until the job's pipeline is done. */
 export function remainingTimeS(input: RankInput, policy: Policy): number {
   return (
     (input.unfinishedS * (input.attainedS + policy.epsilonS)) / (input.finishedS + policy.epsilonS)
   );
 }
 
+/** The contribution φ of the paper: how much waits for this job. */
 export function downstreamWeight(input: RankInput, policy: Policy): number {
   const [work, depth, each] = policy.omega;
   let phi = each * input.successors.length;
@@ -54,6 +57,7 @@
   private threshold: number | null = null;
   private at = 0;
 
+  /** The remaining times of all pipelines at this moment. */
   update(remainings: number[], policy: Policy, now: number): void {
     if (remainings.length === 0) return;
     const raw = longThreshold(remainings, policy.eta);
@@ -65,6 +69,7 @@
     this.at = now;
   }
 
+  /** Whether a pipeline counts as long; `was`: it did until now. */
   isLong(remainingS: number, was: boolean): boolean {
     if (this.threshold === null) return false;
     return remainingS > this.threshold * (was ? 0.8 : 1);
@@ -88,6 +93,7 @@
   return ready.map((input, i) => inverseScores[i]! + weightScores[i]! + heavyScores[i]!);
 }
 
+/** What the order of jobs rests on. */
 export interface RankedJob {
   priority: number;
   guaranteed: boolean;
--- a/src/scheduler/reservation.ts
+++ b/src/scheduler/reservation.ts
@@ -25,7 +25,7 @@
   return tasks;
 }
 
-/** Machines for all tasks of a gang, those with most free room first; null: not enough of them. */
+/** Machines for all tasks of a gang, those with most free capacity first; null: not enough of them. */
 function tasksThatFit(
   spec: JobSpec,
   machines: ReservableMachine[],
--- a/src/scheduler/service-level-objectives.ts
+++ b/src/scheduler/service-level-objectives.ts
@@ -32,11 +32,11 @@
   }
 }
 
-/** Of the tightest wait, the share that may pass until lesser work has saved and gone. */
+/** Of the tightest wait, the share that may pass until lower-priority work has saved and gone. */
 const QUICK_STOP_SHARE = 0.5;
 
 /**
- * Whether a task of lesser work is gone so soon when it is told to save that its room is as good as
+ * Whether a task of lower-priority work is gone so soon when it is told to save that its capacity is as good as
  * free for everybody else. `commandS`: what telling it takes.
  */
 export function stopsQuickly(
@@ -49,10 +49,11 @@
   return tightestTargetS !== null && spec.saveS + commandS <= tightestTargetS * QUICK_STOP_SHARE;
 }
 
+/** How tasks are stopped for another one: after a checkpoint, at once, or in vain. */
 export type PreemptionMode = 'checkpoint-first' | 'immediate' | 'too-late';
 
 /**
- * Whether a start is in time when those that make room save first, only when they are stopped at
+ * Whether a start is in time when those that make capacity save first, only when they are stopped at
  * once, or not at all. Without an expectation there is no haste.
  */
 export function preemptionMode(
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -12,8 +12,10 @@
 /** No answer: the request may have been carried out, or may still be. */
 export class OutcomeUnknownError extends Error {}
 
+/** Carried out with a revision, or refused by these keys' preconditions. */
 export type CompareAndSwapResult = { ok: true; revision: number } | { ok: false; failed: string[] };
 
+/** What the last answer of the store, or its lack, said. */
 export type StoreHealth = 'unknown' | 'served' | 'refused' | 'silent';
 
 /**
@@ -22,7 +24,7 @@
  */
 const FOLLOWER_BURST = 0.3;
 
-/** The state service as this node sees it, within this node's share of the request limits. */
+/** The key-value store as this node sees it, within this node's share of the request limits. */
 export class KeyValueStoreClient {
   private readonly http: HttpClient;
   private readonly watchHttp: HttpClient;
@@ -148,6 +150,7 @@
     throw new RequestRejectedError(response.status);
   }
 
+  /** Null: there is no such key. Throws RequestRejectedError, OutcomeUnknownError. */
   async get(key: string, timeoutS: number): Promise<wire.KeyValue | null> {
     await this.waitForBudget(true);
     const response = await this.call(this.http, 'GET', wire.keyPath(key), undefined, timeoutS);
@@ -194,6 +197,7 @@
     return this.parseBody(response, wire.parseChanges);
   }
 
+  /** A new lease's id; `lifeS`: its time to live. Throws RequestRejectedError, OutcomeUnknownError. */
   async grantLease(lifeS: number, timeoutS: number): Promise<number> {
     await this.waitForBudget(true);
     const body = wire.encodeLeaseTtl(Math.round(lifeS * 1000));
@@ -212,12 +216,13 @@
     return true;
   }
 
+  /** Ends a lease; its keys go with it. */
   async endLease(id: number, timeoutS: number): Promise<void> {
     await this.waitForBudget(true);
     await this.call(this.http, 'DELETE', wire.leasePath(id), undefined, timeoutS);
   }
 
-  /** What went to the state service and came from it since the start. */
+  /** What went to the key-value store and came from it since the start. */
   get traffic(): Traffic {
     const [a, b] = [this.http.traffic, this.watchHttp.traffic];
     return {
@@ -228,6 +233,7 @@
     };
   }
 
+  /** Ends all connections. */
   close(): void {
     this.http.close();
     this.watchHttp.close();
--- a/src/store/job-compaction.ts
+++ b/src/store/job-compaction.ts
@@ -14,6 +14,7 @@
 export class JobCompactor {
   private readonly specs = new Map<string, JobSpec>();
 
+  /** The same job without what no answer rests on. */
   compact(storedJob: StoredJob): StoredJob {
     const { atMs, acceptedAt, cancelledAt, cancelledByDependency, doneAt, doneMs } = storedJob;
     const { readyAt, readyMs, doneTasks } = storedJob;
--- a/src/store/machine-record.ts
+++ b/src/store/machine-record.ts
@@ -5,12 +5,14 @@
   override readonly name = 'MalformedRecordError';
 }
 
+/** An attempt that may be on the machine. */
 export interface Claim {
   job: string;
   index: number;
   attempt: number;
 }
 
+/** A machine as it is stored. */
 export interface MachineRecord {
   /** The controller that owns the machine. Its term is the revision of its leadership. */
   owner: string;
@@ -97,6 +99,7 @@
   i: record.images,
 });
 
+/** The record of a stored value, in either form of claims. Throws on a malformed one. */
 export function decodeMachine(value: unknown): MachineRecord {
   const stored = value as Record<string, unknown>;
   const flags = stored.f as number;
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -1,7 +1,7 @@
 import { NO_DEPENDENCIES, type JobSpec, type MachineType } from '../jobs/types.js';
 
 /**
- * What the controllers keep in the state service. Keys:
+ * What the controllers keep in the key-value store. Keys:
  *
  *   ps/j/<incarnation>-<n>   accepted jobs and cancellations, a batch each; never changed again
  *   ps/d/<incarnation>-<n>   accepted jobs that need other jobs, likewise
@@ -21,26 +21,43 @@
  * Order in time is the order of revisions: of "done" and "cancelled" the older one counts.
  */
 export const ROOT = 'ps/';
+/** Prefix of accepted jobs and cancellations. */
 export const JOBS = 'ps/j/';
+/** Prefix of accepted jobs that need other jobs. */
 export const DEPENDENT_JOBS = 'ps/d/';
+/** Prefix of what controllers' versions can do. */
 export const VERSIONS = 'ps/v/';
+/** Prefix of chunks of done tasks. */
 export const PROGRESS = 'ps/p/';
+/** Prefix of parts of done tasks, smaller than chunks. */
 export const PROGRESS_PARTS = 'ps/q/';
+/** Prefix of machines. */
 export const MACHINES = 'ps/m/';
+/** Prefix of controllers that are there. */
 export const CONTROLLERS = 'ps/n/';
+/** Prefix of acknowledgements of leaders. */
 export const ACKNOWLEDGEMENTS = 'ps/a/';
+/** The leader's key. */
 export const LEADER = 'ps/l';
+/** The machine types' key. */
 export const MACHINE_TYPES = 'ps/t';
+/** Prefix of subsystems' records. */
 export const SUBSYSTEMS = 'ps/x/';
 
+/** Key of a chunk of a job's done tasks. */
 export const progressKey = (job: string, chunk: number): string => `${PROGRESS}${job}/${chunk}`;
+/** Key of a part of a job's done tasks, by its first task. */
 export const progressPartKey = (job: string, first: number): string =>
   `${PROGRESS_PARTS}${job}/${first}`;
+/** Key of a controller's presence. */
 export const controllerKey = (node: string): string => `${CONTROLLERS}${node}`;
+/** Key of what a controller's version can do. */
 export const versionKey = (node: string): string => `${VERSIONS}${node}`;
+/** Key of a controller's acknowledgement. */
 export const acknowledgementKey = (node: string): string => `${ACKNOWLEDGEMENTS}${node}`;
 /** Where the records of a subsystem are. */
 export const subsystemPrefix = (subsystem: string): string => `${SUBSYSTEMS}${subsystem}/`;
+/** Key of a machine's record. */
 export const machineKey = (id: string): string => `${MACHINES}${id}`;
 
 export { decodeMachine, encodeMachine, type Claim, type MachineRecord } from './machine-record.js';
@@ -51,6 +68,7 @@
   atMs: number;
 }
 
+/** Accepted jobs and ids of cancelled ones, stored together. */
 export interface RequestBatchRecord {
   jobs: AcceptedJob[];
   cancelledIds: string[];
@@ -58,10 +76,12 @@
 
 const KINDS = ['array', 'gang', 'service'] as const;
 
+/** The stored form of a batch. */
 export function encodeRequestBatch(batch: RequestBatchRecord): unknown {
   return { s: batch.jobs.map(encodeJob), c: batch.cancelledIds };
 }
 
+/** The stored form of a job: a list of its fields in a fixed order. */
 export function encodeJob({ spec: spec, atMs }: AcceptedJob): unknown[] {
   const flags = (spec.oneZone ? 1 : 0) | (spec.scatter ? 2 : 0) | (spec.spot ? 4 : 0);
   return [
@@ -73,11 +93,13 @@
   ]; // prettier-ignore
 }
 
+/** The batch of a stored value. Throws on a malformed one. */
 export function decodeRequestBatch(value: unknown): RequestBatchRecord {
   const stored = value as { s: unknown[][]; c: string[] };
   return { jobs: stored.s.map(decodeJob), cancelledIds: stored.c };
 }
 
+/** The job of its stored form. Throws on a malformed one. */
 export function decodeJob(stored: unknown[]): AcceptedJob {
   const flags = stored[13] as number;
   return {
@@ -108,6 +130,7 @@
   };
 }
 
+/** Done tasks of a job, or of a chunk or part of it. */
 export interface ProgressRecord {
   /** Bits of the done tasks in base64; null: all. */
   bits: string | null;
@@ -119,6 +142,7 @@
   tasks?: number;
 }
 
+/** The stored form of done tasks. */
 export const encodeProgress = (record: ProgressRecord): unknown => ({
   b: record.bits,
   a: Math.round(record.attainedS),
@@ -126,6 +150,7 @@
   ...(record.tasks === undefined ? {} : { n: record.tasks }),
 });
 
+/** Done tasks of a stored value. Throws on a malformed one. */
 export function decodeProgress(value: unknown): ProgressRecord {
   const stored = value as { b: string | null; a?: number; m?: number; n?: number };
   const doneMs = typeof stored.m === 'number' ? { doneMs: stored.m } : {};
@@ -139,16 +164,19 @@
   subsystems: string[];
 }
 
+/** What a controller's version can do, and its features file. */
 export interface VersionRecord {
   features: string[];
   /** Missing: no features file, or a version that knows none. */
   file?: FeaturesFileRecord;
 }
 
+/** The stored form of a version. */
 export const encodeVersion = ({ features, file }: VersionRecord): unknown => ({
   f: features,
   ...(file === undefined ? {} : { h: file.hash, s: file.subsystems }),
 });
+/** The version of a stored value. Throws on a malformed one. */
 export function decodeVersion(value: unknown): VersionRecord {
   const stored = value as { f: string[]; h?: unknown; s?: unknown };
   const features = stored.f.map(String);
@@ -156,33 +184,41 @@
   return { features, file: { hash: stored.h, subsystems: stored.s.map(String) } };
 }
 
+/** Who leads: the controller, and the campaign by which it was elected. */
 export interface LeaderRecord {
   node: string;
   incarnation: string;
 }
 
+/** The stored form of a leader. */
 export const encodeLeader = (record: LeaderRecord): unknown => ({
   n: record.node,
   i: record.incarnation,
 });
+/** The leader of a stored value. Throws on a malformed one. */
 export function decodeLeader(value: unknown): LeaderRecord {
   const stored = value as { n: string; i: string };
   return { node: stored.n, incarnation: stored.i };
 }
 
+/** A leader that a controller has acknowledged, and the seconds until its earlier promises end. */
 export interface AcknowledgementRecord {
   token: number;
   remainsS: number;
 }
 
+/** The stored form of an acknowledgement. */
 export const encodeAcknowledgement = (record: AcknowledgementRecord): unknown => ({
   t: record.token,
   r: record.remainsS,
 });
+/** The acknowledgement of a stored value. Throws on a malformed one. */
 export function decodeAcknowledgement(value: unknown): AcknowledgementRecord {
   const stored = value as { t: number; r: number };
   return { token: stored.t, remainsS: stored.r };
 }
 
+/** The stored form of the machine types: as they are. */
 export const encodeMachineTypes = (types: MachineType[]): unknown => types;
+/** The machine types of a stored value. */
 export const decodeMachineTypes = (value: unknown): MachineType[] => value as MachineType[];
--- a/src/store/replica-sync.ts
+++ b/src/store/replica-sync.ts
@@ -13,6 +13,7 @@
   }
 }
 
+/** What a `ReplicaSync` works with. */
 export interface ReplicaSyncOptions {
   store: KeyValueStoreClient;
   replica: Replica;
@@ -40,6 +41,7 @@
     this.replica = options.replica;
   }
 
+  /** Lists the store once and then follows its changes, until `stop`. */
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -128,6 +130,7 @@
     }
   }
 
+  /** Ends `run`. */
   stop(): void {
     this.stopped = true;
   }
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -7,6 +7,7 @@
 import * as records from './records.js';
 import { SubsystemRecords } from './subsystem-records.js';
 
+/** What a replica tells as changes come in. */
 export interface ReplicaListener {
   /** A job may start from now on: it was accepted, or all jobs that it needs are done. */
   onReady?(storedJob: StoredJob): void;
@@ -23,7 +24,7 @@
   revision: number;
 }
 
-/** A copy of the store, fed by listing and then by the stream of changes in their order. */
+/** A replica of the store, fed by listing and then by the stream of changes in their order. */
 export class Replica {
   /** All changes up to this revision are in. */
   applied = -1;
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -22,13 +22,14 @@
 
 /** What a record takes beside its jobs and cancellations, in bytes. */
 const RECORD_BYTES = 64;
-/** Of the largest value that the state service takes, what a record fills. */
+/** Of the largest value that the key-value store takes, what a record fills. */
 const VALUE_SHARE = 0.9;
 
 /** Bytes that a job takes in a record. */
 const acceptedJobBytes = (accepted: records.AcceptedJob): number =>
   Buffer.byteLength(JSON.stringify(records.encodeJob(accepted))) + 1;
 
+/** What a `RequestWriter` works with. */
 export interface RequestWriterOptions {
   incarnation: string;
   store: KeyValueStoreClient;
@@ -51,7 +52,7 @@
 
   constructor(private readonly options: RequestWriterOptions) {}
 
-  /** Whether the state service takes a record with this job, alone if need be. */
+  /** Whether the key-value store takes a record with this job, alone if need be. */
   fits(accepted: records.AcceptedJob): boolean {
     return RECORD_BYTES + acceptedJobBytes(accepted) <= this.options.store.valueBytes * VALUE_SHARE;
   }
@@ -68,6 +69,7 @@
     return this.enqueue({ kind: 'job', accepted, size }, timeoutS);
   }
 
+  /** Stores a cancellation. Resolves with the job's outcome once that is read back; null: unsure. */
   cancel(id: string, timeoutS: number): Promise<JobOutcome | null> {
     return this.enqueue({ kind: 'cancel', id, size: id.length + 3 }, timeoutS);
   }
--- a/src/store/stored-job.ts
+++ b/src/store/stored-job.ts
@@ -30,7 +30,7 @@
   readyAt: number | null;
   /** Time of day in ms of the same moment; of its acceptance where it needs no other job. */
   readyMs: number;
-  /** How many entries of `spec.awaits` are not known to be done. */
+  /** How many entries of `spec.dependencies` are not known to be done. */
   unmetDependencies: number;
   doneTasks: number;
   attainedS: number;
@@ -44,6 +44,7 @@
 export const specOf = (storedJob: StoredJob): JobSpec | null =>
   storedJob.spec.id === '' ? null : storedJob.spec;
 
+/** What has become of a job; `open`: nothing final yet. */
 export type JobOutcome = 'open' | 'done' | 'cancelled';
 
 /** The older one of "done" and "cancelled" counts, on every node and for ever. */
@@ -66,7 +67,7 @@
 
 /**
  * Whether no task of a cancelled job was ever started, nor can be: it was cancelled before it became
- * ready, and a leader starts tasks of a job only once its copy of the store shows it as ready.
+ * ready, and a leader starts tasks of a job only once its replica of the store shows it as ready.
  */
 export const neverStarted = (storedJob: StoredJob): boolean =>
   storedJob.readyAt === null && outcome(storedJob) === 'cancelled';
--- a/src/store/stored-progress.ts
+++ b/src/store/stored-progress.ts
@@ -12,6 +12,7 @@
   return { id: rest.slice(0, slash), number: Number(rest.slice(slash + 1)), isPart };
 }
 
+/** Done tasks of a record; null stands for all of them. */
 export function decodeBits(text: string | null, size: number): BitSet {
   if (text !== null) return BitSet.decode(size, text);
   const bits = new BitSet(size);
--- a/src/store/subsystem-records.ts
+++ b/src/store/subsystem-records.ts
@@ -10,6 +10,7 @@
 
 const NO_RECORDS: ReadonlyMap<string, StoredValue> = new Map();
 
+/** Records of all subsystems, by subsystem and key. */
 export class SubsystemRecords {
   private readonly bySubsystem = new Map<string, Map<string, StoredValue>>();
 
@@ -18,6 +19,7 @@
     return this.bySubsystem.get(subsystem) ?? NO_RECORDS;
   }
 
+  /** A record was put with this revision; an older one changes nothing. */
   put(key: string, value: unknown, revision: number): void {
     const { subsystem, rest } = splitKey(key);
     let own = this.bySubsystem.get(subsystem);
@@ -29,6 +31,7 @@
     own.set(rest, { value, revision });
   }
 
+  /** A record was removed with this revision. */
   removed(key: string, revision: number): void {
     const { subsystem, rest } = splitKey(key);
     const own = this.bySubsystem.get(subsystem);
--- a/src/subsystems/active-subsystems.ts
+++ b/src/subsystems/active-subsystems.ts
@@ -33,11 +33,12 @@
  */
 export class ActiveSubsystems {
   private readonly active: Active[] = [];
-  /** Those that have something to say of evictions. */
+  /** Those that have something to say of preemptions. */
   private readonly preemptionRules: { name: string; rules: PreemptionRules }[] = [];
 
   constructor(private readonly log: Log | null = null) {}
 
+  /** Begins the term of each; one that throws is left out. */
   begin(subsystems: readonly Subsystem[], view: (subsystem: Subsystem) => TermView): void {
     for (const subsystem of subsystems) {
       const term = this.guarded(subsystem.name, null, () => subsystem.beginTerm(view(subsystem)));
@@ -48,26 +49,31 @@
     }
   }
 
+  /** Whether any subsystem takes part in this term. */
   get hasAny(): boolean {
     return this.active.length > 0;
   }
 
+  /** See `SubsystemTerm.tick`. */
   tick(): void {
     for (const { name, term } of this.active) this.guarded(name, undefined, () => term.tick());
   }
 
+  /** See `SubsystemTerm.rentRequests`. */
   rentRequests(): StoredRentRequest[] {
     return this.active.flatMap(({ name, term }) =>
       this.guarded(name, [], () => term.rentRequests()),
     );
   }
 
+  /** Whether any subsystem keeps the machine. */
   keeps(machine: string): boolean {
     return this.active.some(({ name, term }) =>
       this.guarded(name, false, () => term.keeps(machine)),
     );
   }
 
+  /** What all subsystems keep, in machines. */
   keptMachines(): number {
     let sum = 0;
     for (const { name, term } of this.active) {
@@ -76,12 +82,14 @@
     return sum;
   }
 
+  /** Whether all subsystems allow it. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
     return this.active.every(({ name, term }) =>
       this.guarded(name, true, () => term.mayUse(spec, capacity)),
     );
   }
 
+  /** The sum of all subsystems' preferences. */
   preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
     let sum = 0;
     for (const { name, term } of this.active) {
@@ -99,13 +107,14 @@
     return sum;
   }
 
+  /** See `PreemptionRules.isStopping`. */
   isStopping(attempt: AttemptView): boolean {
     return this.preemptionRules.some(({ name, rules }) =>
       this.guarded(name, false, () => rules.isStopping(attempt)),
     );
   }
 
-  /** Carries an eviction out, unless a subsystem does so itself. */
+  /** Carries an preemption out, unless a subsystem does so itself. */
   preempt(preemption: Preemption): void {
     const taken = this.preemptionRules.some(({ name, rules }) =>
       this.guarded(name, false, () => rules.takesOver(preemption)),
@@ -113,12 +122,14 @@
     if (!taken) preemption.carryOut();
   }
 
+  /** What subsystems want to store, the most urgent of each first. */
   dueWrites(): NamedWrite[] {
     return this.active.flatMap(({ name, term }) =>
       this.guarded(name, [], () => term.dueWrites()).map((write) => ({ subsystem: name, write })),
     );
   }
 
+  /** Figures of all subsystems. */
   statistics(): Record<string, number | string> {
     const all = this.active.map(({ name, term }) =>
       this.guarded(name, {}, () => term.statistics()),
@@ -126,6 +137,7 @@
     return Object.assign({}, ...all) as Record<string, number | string>;
   }
 
+  /** See `SubsystemTerm.stop`. */
   stop(): void {
     for (const { name, term } of this.active) this.guarded(name, undefined, () => term.stop());
   }
@@ -140,4 +152,5 @@
   }
 }
 
+/** For terms without subsystems. */
 export const NO_SUBSYSTEMS = new ActiveSubsystems();
--- a/src/subsystems/record-table.ts
+++ b/src/subsystems/record-table.ts
@@ -15,6 +15,7 @@
   decode(stored: unknown): T | null;
 }
 
+/** A value as it is, and as the store holds it. */
 export interface TableEntry<T> {
   readonly id: string;
   /** As the store holds it; null: not stored yet. What leaves the controller rests on this alone. */
@@ -25,6 +26,7 @@
   current: T;
 }
 
+/** What a `RecordTable` works with. */
 export interface RecordTableOptions<T> {
   /** Changes that go first, before all others. */
   isUrgent: (entry: TableEntry<T>) => boolean;
@@ -71,14 +73,17 @@
     this.options.onChange?.();
   }
 
+  /** Entries of the table. */
   get size(): number {
     return this.entries.size;
   }
 
+  /** All entries. */
   values(): IterableIterator<TableEntry<T>> {
     return this.entries.values();
   }
 
+  /** The entry of this name. */
   get(id: string): TableEntry<T> | undefined {
     return this.entries.get(id);
   }
@@ -102,6 +107,7 @@
     this.options.onChange?.();
   }
 
+  /** Whether the store holds the entry's latest change. */
   isStored(entry: TableEntry<T>): boolean {
     return !this.unstored.has(entry.id);
   }
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -82,6 +82,7 @@
   >
 >;
 
+/** What a subsystem may see of an attempt. */
 export type AttemptView = Readonly<Attempt>;
 
 /** A task that is to be stopped so that another one gets its place. */
@@ -90,7 +91,7 @@
   attempt: AttemptView;
 }
 
-/** Room that the leader has decided to make on one machine. */
+/** Capacity that the leader has decided to make on one machine. */
 export interface Preemption {
   machine: string;
   /** The job whose task gets it. */
@@ -98,7 +99,7 @@
   victims: readonly PreemptionVictim[];
   /** Whether those that can save may do so first. */
   saves: boolean;
-  /** Stops the victims that are still there, if the borrower still wants the room; false: it does not. */
+  /** Stops the victims that are still there, if the borrower still wants the capacity; false: it does not. */
   carryOut(): boolean;
 }
 
@@ -112,11 +113,11 @@
   mayFetch: boolean;
 }
 
-/** What a subsystem has to say of room that is made by stopping lesser work. */
+/** What a subsystem has to say of capacity that is made by stopping lower-priority work. */
 export interface PreemptionRules {
   /** How much worse than by its lost work it is to stop a task, from 0 to 1. It forbids nothing. */
   harm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number;
-  /** Whether it is about to be stopped by an eviction that this subsystem has taken over. */
+  /** Whether it is about to be stopped by an preemption that this subsystem has taken over. */
   isStopping(attempt: AttemptView): boolean;
   /** True: the subsystem calls `carryOut` itself, soon. */
   takesOver(preemption: Preemption): boolean;
@@ -163,11 +164,11 @@
   migrationGapS(jobClass: string): number;
   /** Ends an attempt that was told to stop, or is saving, without waiting for it any longer. */
   endStopped(attempt: AttemptView): void;
-  /** What is free after the latest pass of placing. */
+  /** What is free after the latest scheduling cycle. */
   freeCapacities(): readonly FreeCapacity[];
-  /** What a team's tasks used at the latest pass. */
+  /** What a team's tasks used at the latest scheduling cycle. */
   usage(team: string): TeamUsage;
-  /** The subsystem's own records as they are in this controller's copy of the store, by key. */
+  /** The subsystem's own records as they are in this controller's replica of the store, by key. */
   records(): ReadonlyMap<string, OwnedRecord>;
   /** There is something to store. */
   wakeWriter(): void;
@@ -185,7 +186,7 @@
 
 /** A subsystem's part in one term. All of it is asked often: nothing here may wait. */
 export interface SubsystemTerm {
-  /** Called about twice a report interval. */
+  /** Called about twice a heartbeat interval. */
   tick(): void;
   /** Requests to the cloud that are due. */
   rentRequests(): StoredRentRequest[];
@@ -200,7 +201,7 @@
   /** What is to be stored, the most urgent first. It goes after all writes of the leader itself. */
   dueWrites(): OwnedWrite[];
   statistics(): Record<string, number | string>;
-  /** Missing: it has nothing to say of evictions. */
+  /** Missing: it has nothing to say of preemptions. */
   readonly preemption?: PreemptionRules;
   stop(): void;
 }
--- a/src/subsystems/view-command.ts
+++ b/src/subsystems/view-command.ts
@@ -10,6 +10,7 @@
 /** What went wrong, in one line. */
 export class CommandError extends Error {}
 
+/** What a command asks a controller, and the form of the answer. */
 export interface ViewQuestion<T> {
   /** In the path of the question. */
   subsystem: string;
@@ -38,6 +39,7 @@
   }
 }
 
+/** A cell of a table. */
 export type Cell = string | number;
 
 /** Columns as wide as their widest cell; numbers to the right. */
--- a/src/warm-pools/alarms.ts
+++ b/src/warm-pools/alarms.ts
@@ -2,6 +2,7 @@
 
 import type { Log } from '../log.js';
 
+/** What operators are alarmed of. */
 export type AlarmKind =
   /** No machine type of the cloud fits the pool. */
   | 'unknown_type'
@@ -36,6 +37,7 @@
     this.next.set(`${kind}:${pool}`, { kind, pool, detail });
   }
 
+  /** Logs the alarms that are new since the round before, and those that are over. */
   endRound(): void {
     for (const [key, alarm] of this.next) {
       if (!this.current.has(key)) this.log.info({ ...alarm }, 'warm pools: alarm');
@@ -47,6 +49,7 @@
     this.next = new Map();
   }
 
+  /** Whether the alarm was raised in the latest round. */
   has(kind: AlarmKind, pool: string): boolean {
     return this.current.has(`${kind}:${pool}`);
   }
--- a/src/warm-pools/bill.ts
+++ b/src/warm-pools/bill.ts
@@ -7,6 +7,7 @@
 import { slotKey } from './slot.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
+/** Keys of the bill begin with it, below the subsystem's own prefix. */
 export const BILL_PREFIX = 'bill/';
 const MS_PER_DAY = 86_400_000;
 const MS_PER_HOUR = 3_600_000;
@@ -23,6 +24,7 @@
   uncertainS: number;
 }
 
+/** A day of a pool's bill. */
 export interface BillDay extends BillTotals {
   pool: string;
   team: string;
@@ -47,10 +49,12 @@
   c: number,
 });
 
+/** The day of a time in ms, UTC: 2026-12-02. */
 export const dayOf = (ms: number): string => new Date(ms).toISOString().slice(0, 10);
 
 const NOTHING: BillTotals = { slots: 0, used: 0, lost: 0, machineS: 0, money: 0, uncertainS: 0 };
 
+/** The sum of two totals. */
 export function addTotals(a: BillTotals, b: BillTotals): BillTotals {
   return {
     slots: a.slots + b.slots,
@@ -135,6 +139,7 @@
     private readonly keepDays: number,
   ) {}
 
+  /** Takes in days that are newer than what is known. */
   reconcile(records: ReadonlyMap<string, OwnedRecord>): void {
     for (const [key, { value, revision }] of records) {
       if (!key.startsWith(BILL_PREFIX)) continue;
--- a/src/warm-pools/burst-clock.ts
+++ b/src/warm-pools/burst-clock.ts
@@ -2,6 +2,7 @@
 
 import { MAX_CLOCK_DRIFT } from '../clock.js';
 
+/** What a `BurstClock` works with. */
 export interface BurstClockOptions {
   /** Seconds of the steady clock. */
   now: () => number;
--- a/src/warm-pools/bursts.ts
+++ b/src/warm-pools/bursts.ts
@@ -12,7 +12,7 @@
 /** Changes of a slot's record until it is warm, and the share of all writes that pools count on. */
 const WRITES_PER_SLOT = 3;
 const WRITE_SHARE = 0.3;
-/** What hearing of a machine and noticing that it is ready take, in report intervals. */
+/** What hearing of a machine and noticing that it is ready take, in heartbeat intervals. */
 const NOTICE_REPORTS = 3;
 
 /** One firing of a pool's schedule. */
@@ -24,8 +24,10 @@
   leadS: number;
 }
 
+/** Names a burst of a pool. */
 export const burstId = (pool: string, burstMs: number): string => `${pool}/${burstMs}`;
 
+/** The bursts that slots are prepared or kept for. */
 export class Bursts {
   private readonly schedules = new Map<string, BurstSchedule>();
 
--- a/src/warm-pools/command.ts
+++ b/src/warm-pools/command.ts
@@ -39,6 +39,7 @@
   schema: view,
 };
 
+/** Pools as a table for a terminal. */
 export function statusTable(pools: readonly PoolStatus[]): string {
   const head = ['pool', 'team', 'slots', 'next burst', ...SLOT_STATES];
   const rows = pools.map(({ pool, team, slots, nextBurst, states }) => {
@@ -50,6 +51,7 @@
 
 const rounded = (value: number): number => Math.round(value * 100) / 100;
 
+/** The bill as a table for a terminal. */
 export function billTable(bill: readonly BillRow[]): string {
   const head = ['day', 'pool', 'team', 'slots', 'used', 'lost', 'open'];
   const sums = ['machine s', 'uncertain s', 'money'];
--- a/src/warm-pools/declaration.ts
+++ b/src/warm-pools/declaration.ts
@@ -35,6 +35,7 @@
   lend: v.optional(v.boolean(), false),
 });
 
+/** The table `warm_pools` of the features file. */
 export const warmPoolsSchema = v.pipe(
   v.strictObject({
     loader: v.optional(v.picklist(['worker-cache', 'model-server']), 'worker-cache'),
@@ -66,6 +67,7 @@
   /** Nothing but the alarm. */
   | 'alarm';
 
+/** A pool as operators declare it. */
 export interface PoolDeclaration {
   name: string;
   image: string;
@@ -97,6 +99,7 @@
   lend: boolean;
 }
 
+/** What operators declare of warm pools, as the program uses it. */
 export interface WarmPoolsConfig {
   loader: 'worker-cache' | 'model-server';
   /** Port of the model server on each machine; null: there is none. */
@@ -106,6 +109,7 @@
   pools: readonly PoolDeclaration[];
 }
 
+/** The configuration of a validated table. */
 export function toConfig(table: Table): WarmPoolsConfig {
   return {
     loader: table.loader,
--- a/src/warm-pools/lead-times.ts
+++ b/src/warm-pools/lead-times.ts
@@ -11,10 +11,11 @@
 /** Images of which samples are kept, for each type and zone. */
 const IMAGES_MOST = 32;
 
+/** Keys of measured times begin with it, below the subsystem's own prefix. */
 export const LEAD_PREFIX = 'lead/';
 
 interface Samples {
-  /** Seconds from the request to the first report. */
+  /** Seconds from the request to the first heartbeat. */
   boots: number[];
   /** Seconds from then until the model was there, by image; the latest used last. */
   loads: Map<string, number[]>;
@@ -42,12 +43,14 @@
     }
   }
 
+  /** A machine took so many seconds from its rent to its first heartbeat. */
   noteBoot(type: string, zone: string, seconds: number): void {
     const samples = this.samples(type, zone);
     remember(samples.boots, seconds);
     samples.unstored = true;
   }
 
+  /** A model took so many seconds to load. */
   noteLoad(type: string, zone: string, image: string, seconds: number): void {
     const samples = this.samples(type, zone);
     const loads = samples.loads.get(image) ?? [];
@@ -72,6 +75,7 @@
     );
   }
 
+  /** Measured times that are not stored yet. */
   dueWrites(): OwnedWrite[] {
     const due: OwnedWrite[] = [];
     for (const [key, samples] of this.byPlace) {
--- a/src/warm-pools/machine-choice.ts
+++ b/src/warm-pools/machine-choice.ts
@@ -8,6 +8,7 @@
 /** What is free on a machine is worth so much less than an image that is there. */
 const IMAGE_FIRST = 1;
 
+/** A machine type on which slots of a pool may be, and the zones. */
 export interface AllowedType {
   type: MachineType;
   zones: string[];
@@ -105,6 +106,7 @@
   return best;
 }
 
+/** Whether a pool allows a machine's type and zone. */
 export const isAllowed = (
   { types, zones }: Pick<PoolDeclaration, 'types' | 'zones'>,
   at: { type: string; zone: string },
--- a/src/warm-pools/model-loader.ts
+++ b/src/warm-pools/model-loader.ts
@@ -23,23 +23,27 @@
 
 /**
  * Within the protocol a machine fetches an image only for a task that wants it. So a machine is ready
- * once it reports to this term: the boot is over, and images that it holds stay, since lesser work that
+ * once it reports to this term: the boot is over, and images that it holds stay, since lower-priority work that
  * would push them out is kept off (`SlotRooms.mayUse`). What it has not held before is fetched only with
  * the first replica.
  */
 export class WorkerCacheLoader implements ModelLoader {
+  /** See `ModelLoader.state`. */
   state(machine: MachineView): LoadState {
     return machine.state === 'ready' ? 'ready' : 'loading';
   }
 
+  /** See `ModelLoader.unload`. */
   unload(): void {
     // The worker drops what was not used for long by itself.
   }
 
+  /** See `ModelLoader.forget`. */
   forget(): void {
     // Nothing is remembered.
   }
 
+  /** See `ModelLoader.stop`. */
   stop(): void {
     // Nothing is under way.
   }
--- a/src/warm-pools/model-server-loader.ts
+++ b/src/warm-pools/model-server-loader.ts
@@ -22,6 +22,7 @@
   }
 }
 
+/** What a `ModelServerLoader` works with. */
 export interface ModelServerLoaderOptions {
   /** Port of the model server on every machine. */
   port: number;
@@ -63,6 +64,7 @@
 
   constructor(private readonly options: ModelServerLoaderOptions) {}
 
+  /** See `ModelLoader.state`. */
   state(machine: MachineView, pool: PoolDeclaration): LoadState {
     // Not heard by this term: it may hang, and what it held may be gone.
     if (machine.state !== 'ready' || machine.addr === '') return 'loading';
@@ -76,6 +78,7 @@
     return model.state;
   }
 
+  /** See `ModelLoader.unload`. */
   unload(machine: MachineView, image: string): void {
     const server = this.servers.get(machine.id);
     if (server === undefined || !server.models.delete(image)) return;
@@ -86,11 +89,13 @@
     });
   }
 
+  /** See `ModelLoader.forget`. */
   forget(machine: string): void {
     this.servers.get(machine)?.client.close();
     this.servers.delete(machine);
   }
 
+  /** See `ModelLoader.stop`. */
   stop(): void {
     for (const id of [...this.servers.keys()]) this.forget(id);
   }
--- a/src/warm-pools/slot-monitor.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -12,7 +12,7 @@
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
 /**
- * A machine that has not come after so many times its lead time and so many leases, for its reports, never
+ * A machine that has not come after so many times its lead time and so many leases, for its heartbeats, never
  * will. Some boots take several times as long as nominal ones: with the lead time alone, machines that were
  * about to come were given up and others rented in their place.
  */
@@ -20,11 +20,12 @@
 const NEVER_LEASES = 2;
 /** Machines that nothing is known of are judged after so many leases of a term, and of a slot's life. */
 const JUDGE_LEASES = 1;
-/** From placing a replica to its start, which may wait for a report: at most so many intervals. */
+/** From placing a replica to its start, which may wait for a heartbeat: at most so many intervals. */
 const START_REPORTS = 1.5;
 /** An earlier term that placed a replica and did not say so ended at most so long before this one began. */
 const INHERITED_LEASES = 2;
 
+/** What a `SlotMonitor` works with. */
 export interface SlotMonitorOptions {
   view: TermView;
   table: SlotTable;
@@ -34,6 +35,7 @@
   nowMs: () => number;
 }
 
+/** Carries slots on by what is seen of their machines: warm, used or lost. */
 export class SlotMonitor {
   private readonly beganAt: number;
   /** Boots that were measured already, by slot. */
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -24,6 +24,7 @@
 /** In which order slots are given up: what costs nothing yet goes first. */
 const GIVEN_UP_FIRST: Partial<Record<Slot['state'], number>> = { planned: 0, loading: 1, warm: 2 };
 
+/** What a `SlotPlanner` works with. */
 export interface SlotPlannerOptions {
   view: TermView;
   table: SlotTable;
@@ -42,6 +43,7 @@
   nextIndex: number;
 }
 
+/** Makes changes of slots of what each burst should have. */
 export class SlotPlanner {
   private readonly beganMs: number;
   private requests = 0;
--- a/src/warm-pools/slot-rent-requests.ts
+++ b/src/warm-pools/slot-rent-requests.ts
@@ -19,6 +19,7 @@
   machines: readonly string[] | null;
 }
 
+/** What `SlotRentRequests` work with. */
 export interface SlotRentRequestsOptions {
   view: TermView;
   table: SlotTable;
--- a/src/warm-pools/slot-reservations.ts
+++ b/src/warm-pools/slot-reservations.ts
@@ -64,6 +64,7 @@
   pool: PoolDeclaration;
 }
 
+/** What `SlotReservations` work with. */
 export interface SlotReservationsOptions {
   view: TermView;
   table: SlotTable;
@@ -83,10 +84,12 @@
     this.claims = claims;
   }
 
+  /** Whether a replica is on its way to the slot. */
   isClaimed(id: string): boolean {
     return this.claims.slots.has(id);
   }
 
+  /** See `SubsystemTerm.keeps`. */
   keeps(machine: string): boolean {
     return this.options.table.held().has(machine);
   }
@@ -130,6 +133,7 @@
     return modelTasks(view, machineView, pool).filter(isNew).length;
   }
 
+  /** See `SubsystemTerm.mayUse`. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
     const kept = this.kept(capacity.id);
     if (kept.length === 0 || kept.some(({ pool }) => isFor(pool, spec))) return true;
@@ -143,7 +147,7 @@
     return (this.options.view.machineTypes().get(capacity.type)?.bootS ?? 0) * PREFERENCE_BOOTS;
   }
 
-  /** Whether a slot of this shape finds room there beside what is kept already. */
+  /** Whether a slot of this shape finds capacity there beside what is kept already. */
   hasCapacityFor(shape: ReplicaShape, capacity: FreeCapacity): boolean {
     return leavesCapacity(shape, capacity, this.kept(capacity.id));
   }
--- a/src/warm-pools/slot-table.ts
+++ b/src/warm-pools/slot-table.ts
@@ -14,6 +14,7 @@
   type SlotEvent,
 } from './slot.js';
 
+/** A slot as it is, and as the store holds it. */
 export type SlotEntry = TableEntry<Slot>;
 
 const SLOT_FORM: RecordForm<Slot> = {
@@ -32,18 +33,22 @@
     onChange: () => (this.heldByMachine = null),
   });
 
+  /** See `RecordTable.reconcile`. */
   reconcile(records: ReadonlyMap<string, OwnedRecord>): void {
     this.table.reconcile(records);
   }
 
+  /** Slots of the table. */
   get size(): number {
     return this.table.size;
   }
 
+  /** All slots, also those that are over. */
   values(): IterableIterator<SlotEntry> {
     return this.table.values();
   }
 
+  /** The slot of this name. */
   get(id: string): SlotEntry | undefined {
     return this.table.get(id);
   }
--- a/src/warm-pools/slot.ts
+++ b/src/warm-pools/slot.ts
@@ -16,6 +16,7 @@
  */
 export type SlotState = 'planned' | 'renting' | 'loading' | 'warm' | 'used' | 'released' | 'lost';
 
+/** All states, in the order in which operators are shown them. */
 export const SLOT_STATES: readonly SlotState[] = [
   'planned',
   'renting',
@@ -51,6 +52,7 @@
   uncertainMs: number;
 }
 
+/** A slot; times are times of day in ms. */
 export interface Slot {
   pool: string;
   burstMs: number;
@@ -84,6 +86,7 @@
   beside: readonly string[];
 }
 
+/** What a slot meets. */
 export type SlotEvent =
   /** The request that is to rent its machine gets a name. */
   | { kind: 'rent-named'; rent: SlotRent }
@@ -179,13 +182,16 @@
 /** Whether it has a machine that is kept for it. */
 export const isHeld = ({ state }: Slot): boolean => state === 'loading' || state === 'warm';
 
+/** Names a slot. */
 export const slotId = ({
   pool,
   burstMs,
   index,
 }: Pick<Slot, 'pool' | 'burstMs' | 'index'>): string => `${pool}/${burstMs}/${index}`;
 
+/** Keys of slots begin with it, below the subsystem's own prefix. */
 export const SLOT_PREFIX = 'slot/';
+/** Key of a slot, below the subsystem's own prefix. */
 export const slotKey = (slot: Pick<Slot, 'pool' | 'burstMs' | 'index'>): string =>
   SLOT_PREFIX + slotId(slot);
 
@@ -211,6 +217,7 @@
   y: v.optional(v.nullable(text), null),
 });
 
+/** The stored form of a slot. */
 export function encodeSlot(slot: Slot): unknown {
   const { rent, held } = slot;
   return {
@@ -256,6 +263,7 @@
   };
 }
 
+/** A new slot, wanted for a burst. */
 export function plannedSlot(
   of: Pick<Slot, 'pool' | 'burstMs' | 'index' | 'team' | 'sendFromMs'>,
 ): Slot {
--- a/src/warm-pools/view.ts
+++ b/src/warm-pools/view.ts
@@ -6,6 +6,7 @@
 import type { PoolDeclaration } from './declaration.js';
 import { decodeSlot, noSlots, SLOT_PREFIX, type Slot, type SlotState } from './slot.js';
 
+/** A pool as operators are shown it. */
 export interface PoolStatus {
   pool: string;
   team: string;
@@ -23,11 +24,13 @@
   open: number;
 }
 
+/** All pools and their bill as operators are shown them. */
 export interface PoolsView {
   pools: PoolStatus[];
   bill: BillRow[];
 }
 
+/** What the records of the subsystem and its declaration say. */
 export function poolsView(
   records: ReadonlyMap<string, OwnedRecord>,
   pools: readonly PoolDeclaration[],
--- a/src/warm-pools/warm-pools-term.ts
+++ b/src/warm-pools/warm-pools-term.ts
@@ -29,6 +29,7 @@
 /** Measured times are stored once in so many leases. */
 const LEAD_LEASES = 3;
 
+/** Warm pools in one term of leadership. */
 export class WarmPoolsTerm implements SubsystemTerm {
   private readonly pools: ReadonlyMap<string, PoolDeclaration>;
   private readonly clock: BurstClock;
@@ -144,26 +145,32 @@
     return false;
   }
 
+  /** See `SubsystemTerm.rentRequests`. */
   rentRequests(): StoredRentRequest[] {
     return this.rentRequestsOfSlots.due();
   }
 
+  /** See `SubsystemTerm.keeps`. */
   keeps(machine: string): boolean {
     return this.reservations.keeps(machine);
   }
 
+  /** See `SubsystemTerm.keptMachines`. */
   keptMachines(): number {
     return this.reservations.keptMachines();
   }
 
+  /** See `SubsystemTerm.mayUse`. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
     return this.reservations.mayUse(spec, capacity);
   }
 
+  /** See `SubsystemTerm.preferenceS`. */
   preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
     return this.reservations.preferenceS(spec, capacity);
   }
 
+  /** See `SubsystemTerm.dueWrites`. */
   dueWrites(): OwnedWrite[] {
     const slots = this.table.dueWrites();
     if (slots.length > 0) return slots;
@@ -187,6 +194,7 @@
     return due;
   }
 
+  /** See `SubsystemTerm.statistics`. */
   statistics(): Record<string, number | string> {
     const states = noSlots();
     for (const { current } of this.table.values()) states[current.state]++;
@@ -198,6 +206,7 @@
     return figures;
   }
 
+  /** See `SubsystemTerm.stop`. */
   stop(): void {
     this.loader.stop();
   }
--- a/src/warm-pools/warm-pools.ts
+++ b/src/warm-pools/warm-pools.ts
@@ -9,12 +9,14 @@
 import { poolsView, type PoolsView } from './view.js';
 import { WarmPoolsTerm } from './warm-pools-term.js';
 
+/** The subsystem's name, in keys of the store. */
 export const WARM_POOLS = 'warm-pools';
 
-/** A model server is asked once in so many report intervals, and may think for as many leases. */
+/** A model server is asked once in so many heartbeat intervals, and may think for as many leases. */
 const ASK_REPORTS = 1;
 const ASK_TIMEOUT_LEASES = 0.25;
 
+/** Warm pools as a subsystem of a controller. */
 export class WarmPools implements Subsystem {
   readonly name = WARM_POOLS;
 
@@ -23,6 +25,7 @@
     private readonly clock: Clock,
   ) {}
 
+  /** See `Subsystem.beginTerm`. */
   beginTerm(view: TermView): SubsystemTerm {
     return new WarmPoolsTerm(view, this.config, this.loader(view));
   }
@@ -41,6 +44,7 @@
     });
   }
 
+  /** See `Subsystem.view`. */
   view(records: ReadonlyMap<string, OwnedRecord>, _settings: Settings, wallMs: number): PoolsView {
     return poolsView(records, this.config.pools, wallMs);
   }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -21,6 +21,7 @@
   ),
 });
 
+/** Machine types of `GET /machine_types`. Throws on a malformed answer. */
 export function parseTypes(raw: unknown): MachineType[] {
   return v.parse(types, raw).castings.map((casting) => ({
     name: casting.name,
@@ -36,6 +37,7 @@
   }));
 }
 
+/** A machine as the cloud's list names it; `ageS`: since its rental request. */
 export interface ListedMachine {
   id: string;
   addr: string;
@@ -61,6 +63,7 @@
   more: v.optional(v.boolean(), false),
 });
 
+/** A page of `GET /hosts`. Throws on a malformed answer. */
 export function parseList(raw: unknown): { machines: ListedMachine[]; more: boolean } {
   const parsed = v.parse(list, raw);
   return {
@@ -78,8 +81,10 @@
 }
 
 const rented = v.object({ benches: v.array(v.string()) });
+/** Ids of the machines that a request rented. Throws on a malformed answer. */
 export const parseRented = (raw: unknown): string[] => v.parse(rented, raw).benches;
 
+/** A rental request; its name never recurs for another one. */
 export interface RentRequest {
   name: string;
   type: string;
@@ -88,6 +93,7 @@
   count: number;
 }
 
+/** Body of `POST /hosts`. */
 export const encodeRent = (request: RentRequest): string =>
   JSON.stringify({
     hire: request.name,
@@ -97,16 +103,23 @@
     number: request.count,
   });
 
+/** Body of `POST /hosts/return`. */
 export const encodeReturn = (ids: string[]): string => JSON.stringify({ benches: ids });
 
+/** Path of the machine types. */
 export const TYPES_PATH = '/machine_types';
+/** Path of rental requests. */
 export const RENT_PATH = '/hosts';
+/** Path of returns. */
 export const RETURN_PATH = '/hosts/return';
+/** Path of the page of the list that begins after an id; empty: the first page. */
 export const listPath = (after: string): string =>
   `/hosts?limit=500${after === '' ? '' : `&after=${encodeURIComponent(after)}`}`;
 
 /** Most machines in one rental request, and most names in one return. */
 /** A machine that is given back costs at least this time. */
 export const MIN_CHARGE_S = 60;
+/** Most machines in one rental request. */
 export const RENT_MAX = 50;
+/** Most names in one return. */
 export const RETURN_MAX = 100;
--- a/src/wire/heartbeat-scan.ts
+++ b/src/wire/heartbeat-scan.ts
@@ -1,9 +1,9 @@
 /**
- * Reads single fields from the bytes of a worker's report without parsing it as a whole.
+ * Reads single fields from the bytes of a worker's heartbeat without parsing it as a whole.
  *
  * What a scan returns is what a full parse of the same bytes would give, if a full parse accepts them; a scan
  * does not show that they are well-formed. It returns null for whatever it can't be certain of, and the caller
- * parses the report instead: escapes and bytes beyond ASCII, a number in any form but plain digits, a field that
+ * parses the heartbeat instead: escapes and bytes beyond ASCII, a number in any form but plain digits, a field that
  * is missing or of another type.
  */
 
@@ -33,6 +33,7 @@
 const TOKEN = Buffer.from('hallmark');
 const SEQUENCE = Buffer.from('tally');
 
+/** What the bytes of a heartbeat say without being parsed. */
 export interface ScannedHeartbeat {
   machine: string;
   zone: string;
@@ -99,6 +100,7 @@
     return this.endMember();
   }
 
+  /** Whether the member that was found last has this name. */
   keyIs(name: Buffer): boolean {
     const { body, keyStart } = this;
     if (this.keyEnd - keyStart !== name.length) return false;
@@ -113,6 +115,7 @@
     return this.body.toString('latin1', this.valueStart + 1, this.valueEnd - 1);
   }
 
+  /** The value as a whole number; null: it is not plainly one. */
   integer(): number | null {
     return readInteger(this.body, this.valueStart, this.valueEnd);
   }
@@ -192,7 +195,7 @@
   }
 }
 
-/** What routing and the recognition of unchanged reports need; null: parse the report. */
+/** What routing and the recognition of unchanged reports need; null: parse the heartbeat. */
 export function scanHeartbeat(body: Buffer): ScannedHeartbeat | null {
   const members = new MemberScanner(body);
   let machine: string | null = null;
@@ -214,7 +217,7 @@
 }
 
 /**
- * The machine that a report seems to be of, from the first field of that name. A hint for looking something up:
+ * The machine that a heartbeat seems to be of, from the first field of that name. A hint for looking something up:
  * whoever uses it must compare the whole body.
  */
 export function scanMachineId(body: Buffer): string | null {
