--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -1,22 +1,26 @@
-/** The state service's messages. */
+/** The key-value store's messages. */
 
 export interface Precondition {
   key: string;
   revision: number;
 }
 
+/** A put, with the lease that the key hangs on, or a removal. */
 export type Operation = { put: string; value: unknown; lease?: number } | { remove: string };
 
+/** A key with its value and the revision of its latest change. */
 export interface KeyValue {
   key: string;
   value: unknown;
   revision: number;
 }
 
+/** A change of a key, in the order of revisions. */
 export type Change =
   | { kind: 'put'; key: string; value: unknown; revision: number }
   | { kind: 'removed'; key: string; revision: number };
 
+/** An answer of the store that is not by the protocol. */
 export class MalformedMessageError extends Error {}
 
 const objectOf = (raw: unknown): Record<string, unknown> => {
@@ -33,6 +37,7 @@
   return raw;
 };
 
+/** Body of `POST /commit`: a compare-and-swap over several keys. */
 export const encodeTransaction = (guards: Precondition[], ops: Operation[]): string =>
   JSON.stringify({
     guards: guards.map((precondition) => ({ path: precondition.key, mark: precondition.revision })),
@@ -44,18 +49,22 @@
     }),
   });
 
+/** Revision of an answer. Throws MalformedMessageError. */
 export const parseRevision = (raw: unknown): number => revisionOf(objectOf(raw).ledger);
 
+/** Keys whose preconditions failed. Throws MalformedMessageError. */
 export function parseFailedKeys(raw: unknown): string[] {
   const failed = objectOf(raw).failed;
   return Array.isArray(failed) ? failed.map(stringOf) : [];
 }
 
+/** A key with its value. Throws MalformedMessageError. */
 export function parseItem(raw: unknown): KeyValue {
   const item = objectOf(raw);
   return { key: stringOf(item.path), value: item.data, revision: revisionOf(item.mark) };
 }
 
+/** A page of a listing. Throws MalformedMessageError. */
 export function parsePage(raw: unknown): { items: KeyValue[]; more: boolean; revision: number } {
   const page = objectOf(raw);
   if (!Array.isArray(page.items)) throw new MalformedMessageError('items');
@@ -66,6 +75,7 @@
   };
 }
 
+/** Changes since a revision. Throws MalformedMessageError. */
 export function parseChanges(raw: unknown): { revision: number; changes: Change[] } {
   const response = objectOf(raw);
   if (!Array.isArray(response.log)) throw new MalformedMessageError('log');
@@ -85,16 +95,25 @@
   };
 }
 
+/** Id of a granted lease. Throws MalformedMessageError. */
 export const parseLeaseId = (raw: unknown): number => revisionOf(objectOf(raw).loan);
 
+/** Path of transactions. */
 export const TRANSACTION_PATH = '/commit';
+/** Path of new leases. */
 export const LEASES_PATH = '/grants';
+/** Path of a lease. */
 export const leasePath = (id: number): string => `/grants/${id}`;
+/** Path of a lease's renewals. */
 export const leaseKeepAlivePath = (id: number): string => `/grants/${id}/extend`;
+/** Body of a request for a lease that lives so many ms. */
 export const encodeLeaseTtl = (ms: number): string => JSON.stringify({ life_ms: ms });
+/** Path of a key. */
 export const keyPath = (key: string): string => `/keys/${key}`;
+/** Path of the page of a listing that begins after a key; empty: the first page. */
 export const listPath = (prefix: string, after: string): string =>
   `/keys?prefix=${encodeURIComponent(prefix)}&limit=1000` +
   (after === '' ? '' : `&after=${encodeURIComponent(after)}`);
+/** Path of the changes after a revision; `waitMs`: how long to wait for one. */
 export const changesPath = (prefix: string, after: number, waitMs: number): string =>
   `/changes?prefix=${encodeURIComponent(prefix)}&after=${after}&block_ms=${waitMs}`;
--- a/src/wire/last-heartbeat.ts
+++ b/src/wire/last-heartbeat.ts
@@ -11,7 +11,7 @@
   report: Heartbeat;
   /** The body, in memory of its own: a slice would hold the whole buffer that it was received in. */
   body: Buffer;
-  /** Where its sequence number is; null until a report comes that may be a repetition. */
+  /** Where its sequence number is; null until a heartbeat comes that may be a repetition. */
   sequence: SequencePosition | null;
 }
 
@@ -29,7 +29,7 @@
   private kept: KeptHeartbeat | null = null;
   private memory: Buffer = Buffer.alloc(0);
 
-  /** Keeps a report to compare with, unless it is too long. */
+  /** Keeps a heartbeat to compare with, unless it is too long. */
   keep(heartbeat: Heartbeat, body: Buffer): void {
     this.kept = null;
     const { length } = body;
@@ -41,7 +41,7 @@
     this.kept = { report: heartbeat, body: this.memory.subarray(0, length), sequence: null };
   }
 
-  /** The report in a body that differs from the one kept in the sequence number alone; null: parse it. */
+  /** The heartbeat in a body that differs from the one kept in the sequence number alone; null: parse it. */
   decodeRepetition(body: Buffer): Heartbeat | null {
     const { kept } = this;
     // A sequence number has one digit more than the one before, at the most.
@@ -66,7 +66,7 @@
     return kept.sequence;
   }
 
-  /** Whether a report was got from the one kept by `repeat`. */
+  /** Whether a heartbeat was got from the one kept by `repeat`. */
   wasDecodedFrom(heartbeat: Heartbeat): boolean {
     return this.kept?.report.tasks === heartbeat.tasks;
   }
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -6,12 +6,14 @@
 /** How long users wait for the answer to a submission or a cancellation (protocol). */
 export const SUBMIT_WAIT_S = 5;
 
+/** What is wrong with a message: the field and what was expected. */
 export class BadMessage extends Error {}
 
 const KINDS: Record<string, JobKind> = { batch: 'array', group: 'gang', daemon: 'service' };
 const PRIORITIES: Record<string, Priority> = { critical: 0, high: 1, standard: 2, best_effort: 3 };
 
 const ID = /^wk-\d{1,18}$/;
+/** Whether this is the form of a job's id. */
 export const validId = (id: string): boolean => ID.test(id);
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
@@ -42,6 +44,7 @@
   awaits: v.nullish(v.array(v.pipe(v.string(), v.regex(ID))), null),
 });
 
+/** The job of a submission's body. Throws BadMessage. */
 export function parseSubmission(body: Buffer): JobSpec {
   const raw = parseObject(body);
   const result = v.safeParse(submission, raw);
@@ -82,6 +85,7 @@
 export const mayHaveDependencies = (body: Buffer): boolean =>
   body.includes('"awaits"') || body.includes('\\u');
 
+/** A body's JSON object. Throws BadMessage. */
 export function parseObject(body: Buffer): Record<string, unknown> {
   let raw: unknown;
   try {
@@ -95,11 +99,14 @@
   return raw as Record<string, unknown>;
 }
 
+/** The state of a job as users are told it. */
 export type ShownState = 'queued' | 'running' | 'done' | 'cancelled';
 
+/** Answer to a submission or cancellation. */
 export const encodeAccepted = (id: string, state: ShownState): string =>
   JSON.stringify({ ref: id, temper: state });
 
+/** Answer to a poll; `done` and `running`: tasks. */
 export const encodeStatus = (
   id: string,
   state: ShownState,
@@ -107,8 +114,10 @@
   running: number,
 ): string => JSON.stringify({ ref: id, temper: state, done, running });
 
+/** Answer that says what is wrong. */
 export const encodeError = (error: string): string => JSON.stringify({ error });
 
+/** Where a request goes. */
 export type UserRoute =
   | { to: 'submit' }
   | { to: 'poll'; id: string }
@@ -122,7 +131,7 @@
 
 const only = (is: boolean, route: UserRoute): UserRoute => (is ? route : { to: 'wrong-method' });
 
-/** Where a request goes. The workers' reports share the address with the users. */
+/** Where a request goes. The workers' heartbeats share the address with the users. */
 export function route(method: string, target: string): UserRoute {
   const query = target.indexOf('?');
   const path = query < 0 ? target : target.slice(0, query);
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,17 +1,21 @@
 import { MAX_NAME_LENGTH } from './heartbeat-scan.js';
 import { BadMessage } from './users.js';
 
-/** Workers' reports and the commands to them: the only place that knows their field names. */
+/** Workers' heartbeats and the commands to them: the only place that knows their field names. */
 
-/** Times that the protocol fixes, whatever a deployment's report interval: how long a worker waits for
- * the answer to a report, and the least time between two reports when something changes. */
+/** Times that the protocol fixes, whatever a deployment's heartbeat interval: how long a worker waits for
+ * the answer to a heartbeat, and the least time between two reports when something changes. */
 export const ANSWER_WAIT_S = 4;
+/** The least time between two heartbeats when something changes, in seconds (protocol). */
 export const MIN_HEARTBEAT_GAP_S = 0.5;
 
+/** The state of a task on its machine. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'ended';
+/** Why a task ended. */
 export type ExitCause =
   'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'full' | 'busy' | 'unknown';
 
+/** A task of a heartbeat. */
 export interface TaskStatus {
   job: string;
   index: number;
@@ -21,6 +25,7 @@
   saved: boolean;
 }
 
+/** A worker's heartbeat with the status of its tasks; `reclaimNoticeS`: until the cloud takes the machine. */
 export interface Heartbeat {
   machine: string;
   addr: string;
@@ -34,6 +39,7 @@
   tasks: readonly Readonly<TaskStatus>[];
 }
 
+/** A command to a worker. */
 export type Command =
   | { kind: 'start'; job: string; index: number; attempt: number }
   | { kind: 'stop'; job: string; index: number; attempt: number; graceS: number }
@@ -68,6 +74,7 @@
   return value;
 };
 
+/** Of `job/index`. Throws BadMessage. */
 export function parseTaskName(piece: string): { job: string; index: number } {
   const slash = piece.indexOf('/');
   const index = Number(piece.slice(slash + 1));
@@ -75,7 +82,7 @@
   return { job: piece.slice(0, slash), index };
 }
 
-/** Checked by hand: a report comes from every machine every second. */
+/** Checked by hand: a heartbeat comes from every machine every second. */
 export function parseHeartbeat(raw: unknown): Heartbeat {
   if (raw === null || typeof raw !== 'object') throw new BadMessage('not an object');
   const heartbeat = raw as Record<string, unknown>;
@@ -112,7 +119,7 @@
   };
 }
 
-/** The report in a body as a worker sent it. Throws BadMessage if it is no JSON or not a report. */
+/** The heartbeat in a body as a worker sent it. Throws BadMessage if it is no JSON or not a heartbeat. */
 export function decodeHeartbeat(body: Buffer): Heartbeat {
   let raw: unknown;
   try {
@@ -139,7 +146,7 @@
 /** The last answer without commands. Most answers are of that kind, and most machines have the same token. */
 let withoutCommands = { token: 0, text: '{"hallmark":0,"orders":[]}' };
 
-/** An answer to a report: the token, and the commands in the order in which they are to be carried out. */
+/** An answer to a heartbeat: the token, and the commands in the order in which they are to be carried out. */
 export function encodeHeartbeatReply(token: number, commands: Command[]): string {
   if (commands.length > 0) {
     return JSON.stringify({ hallmark: token, orders: commands.map(encodeCommand) });
@@ -150,16 +157,18 @@
   return withoutCommands.text;
 }
 
+/** Body of `POST /do`. */
 export const encodeDirectCommands = (token: number, session: number, commands: Command[]): string =>
   JSON.stringify({ hallmark: token, shift: session, orders: commands.map(encodeCommand) });
 
+/** Body of a 421: the controller to go to, if one is known. */
 export const encodeRedirect = (node: string | null): string =>
   node === null ? '{}' : JSON.stringify({ foreman: node });
 
-/** Bytes of a request at most (protocol), and what a report takes for each task. */
+/** Bytes of a request at most (protocol), and what a heartbeat takes for each task. */
 const REQUEST_BYTES = 64 * 1024;
 const REPORTED_TASK_BYTES = 128;
-/** Tasks on a machine, those that have ended among them, that a report has place for. */
+/** Tasks on a machine, those that have ended among them, that a heartbeat has place for. */
 export const MAX_REPORTED_TASKS = Math.floor(REQUEST_BYTES / REPORTED_TASK_BYTES);
 
 /** The most commands in one message, far below a line of 64 KiB. */
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -9,7 +9,7 @@
  *   inherited  claimed by an earlier leader: it may be on the machine
  *   sent       the start went out: it may be on the machine
  *   fetching, waiting, running, saving   as the worker reported
- *   ended      exited, still in the worker's reports
+ *   ended      exited, still in the worker's heartbeats
  *   gone       provably not on the machine and never will be
  */
 export type AttemptState =
@@ -45,6 +45,7 @@
   gone: [],
 };
 
+/** One try of one task on one machine; times in seconds of the steady clock. */
 export interface Attempt {
   job: string;
   index: number;
@@ -53,7 +54,7 @@
   state: AttemptState;
   /** Session of the worker for which the start went out; null: not known. */
   agentEpoch: number | null;
-  /** The start went out in the answer to the check-in with this number. */
+  /** The start went out in the answer to the heartbeat with this number. */
   sentInHeartbeat: number | null;
   /** A direct message with the start is under way. */
   sendingDirectly: boolean;
@@ -127,7 +128,7 @@
   return true;
 }
 
-/** Whether it holds room on its machine, in its zone and in its team's limit. */
+/** Whether it holds capacity on its machine, in its zone and in its team's limit. */
 export const occupiesCapacity = (attempt: Attempt): boolean =>
   attempt.state !== 'ended' && attempt.state !== 'gone';
 
@@ -135,5 +136,6 @@
 export const mayBeOnMachine = (attempt: Attempt): boolean =>
   occupiesCapacity(attempt) && attempt.state !== 'claiming' && attempt.state !== 'claimed';
 
+/** Names an attempt. */
 export const attemptKey = (job: string, index: number, number: number): string =>
   `${job}/${index}#${number}`;
--- a/src/workers/image-cache.ts
+++ b/src/workers/image-cache.ts
@@ -22,6 +22,7 @@
     return this.cached.keys();
   }
 
+  /** Images with their sizes, least recently used first. */
   [Symbol.iterator](): IterableIterator<[string, CachedImage]> {
     return this.cached.entries();
   }
--- a/src/workers/machine-attempts.ts
+++ b/src/workers/machine-attempts.ts
@@ -131,6 +131,7 @@
     changes.changed.push(attempt);
   }
 
+  /** It is provably not on the machine any more. */
   protected endAttempt(attempt: Attempt, now: number, changes: HeartbeatChanges): void {
     const before = attempt.state;
     if (!advanceAttempt(attempt, 'gone', now)) return;
@@ -139,7 +140,7 @@
     if (before !== 'ended') changes.exited.push(attempt);
   }
 
-  /** Everything on it is gone: the lease has run out for certain, or the cloud has confirmed it. */
+  /** Everything on it is gone: the lease has expired for certain, or the cloud has confirmed it. */
   endAllAttempts(now: number): Attempt[] {
     const changes = noChanges();
     for (const attempt of [...this.attempts.values()]) this.endAttempt(attempt, now, changes);
@@ -153,6 +154,7 @@
     this.attempts.delete(keyOf(attempt));
   }
 
+  /** A claim that is to be stored, or that a record names. */
   addClaim(attempt: Attempt): void {
     this.markChanged();
     this.attempts.set(keyOf(attempt), attempt);
@@ -214,11 +216,13 @@
     }
   }
 
+  /** Whether any attempt holds capacity here. */
   hasActiveAttempts(): boolean {
     for (const attempt of this.attempts.values()) if (occupiesCapacity(attempt)) return true;
     return false;
   }
 
+  /** Attempts that hold capacity here. */
   activeAttempts(): Attempt[] {
     return [...this.attempts.values()].filter(occupiesCapacity);
   }
--- a/src/workers/machine-condition.ts
+++ b/src/workers/machine-condition.ts
@@ -4,7 +4,7 @@
   cordonedUntil = -Infinity;
   /** How often in a row it was cordoned; a success sets it back. */
   cordonCount = 0;
-  /** Tasks that failed here, as `job/index`, and when; emptied by a success. */
+  /** Tasks that failed here, as `job/index`, and when; drained by a success. */
   readonly taskFailures = new Map<string, number>();
   /** Tasks of jobs that do well elsewhere fail here: it gets nothing new and is given back. */
   quarantined = false;
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -47,15 +47,15 @@
   readonly lastHeartbeat = new LastHeartbeat();
   lastSeenAt: number;
   firstSeenAt: number | null = null;
-  /** When the worker's lease has run out for certain. */
+  /** When the worker's lease has expired for certain. */
   leaseExpiresAt: number;
   /** Time at which the cloud takes it, from its notice. */
   reclaimedAt: number | null = null;
   readonly images = new ImageCache();
-  /** Since when nothing holds room on it. */
+  /** Since when nothing holds capacity on it. */
   idleSince: number;
   readonly condition = new MachineCondition();
-  /** Being emptied to be given back: nothing new until then. */
+  /** Being drained to be given back: nothing new until then. */
   drainingSince: number | null = null;
   /** Revision of its record, 0: none stored. */
   recordRevision = 0;
@@ -86,6 +86,7 @@
     return this.leaseS * (1 + 2 * MAX_CLOCK_DRIFT) + this.leaseS * EXPIRY_SHARE;
   }
 
+  /** The one function that changes its state; false: it stays as it is. */
   changeState(to: MachineState): boolean {
     if (to === this.state) return false;
     if (!TRANSITIONS[this.state].includes(to)) return false;
--- a/test/cluster-gap.test.ts
+++ b/test/cluster-gap.test.ts
@@ -5,7 +5,7 @@
 
 const LEASE = 2;
 const CANCEL = 5.2;
-/** The state service is down for so much longer than a cancelled task may live. */
+/** The key-value store is down for so much longer than a cancelled task may live. */
 const BEYOND = 0.8;
 /** Users that are told nothing stop asking after so long. */
 const PATIENCE = 0.7;
--- a/test/cluster-leaders.test.ts
+++ b/test/cluster-leaders.test.ts
@@ -78,7 +78,7 @@
   });
 });
 
-/** A machine that misses so many reports gets nothing new: here that takes a second. */
+/** A machine that misses so many heartbeats gets nothing new: here that takes a second. */
 const HELD_UP_LEASE = 4;
 const HERE = 'wk-000002';
 const THERE = 'wk-000003';
@@ -99,13 +99,13 @@
   const other = cluster.hosts(THERE)[0]!;
   assert.notEqual(host, other);
   other.mute = true;
-  // A machine that has missed its reports gets nothing new, and keeps what it has.
+  // A machine that has missed its heartbeats gets nothing new, and keeps what it has.
   await wait(HELD_UP_LEASE * 350);
   await reports(host);
-  // Nothing but the direct command brings the start: neither an answer to a report nor a repetition.
+  // Nothing but the direct command brings the start: neither an answer to a heartbeat nor a repetition.
   host.mute = host.deaf = true;
   host.holdUpDirect(HELD_UP_LEASE * 800);
-  // Its last report may still be on its way to the leader: the answer to that would carry the start.
+  // Its last heartbeat may still be on its way to the leader: the answer to that would carry the start.
   await wait(HELD_UP_LEASE * 25);
   await cluster.users.submit(1, REF, { form: 'daemon', pieces: 2, ...image });
   await until('a start is held up', () => host.heldUp > 0);
@@ -122,7 +122,7 @@
   await playAll(rows, { leaseS: HELD_UP_LEASE }, async (cluster) => {
     const { host, other } = await startsHeldUp(cluster);
     await changeLeader(cluster);
-    // The new leader knows of the room there before it hears the host.
+    // The new leader knows of the capacity there before it hears the host.
     for (let i = 0; i < 3; i++) await reports(other);
     host.mute = false;
     await until('the start arrives', () => host.arrivedLate > 0);
--- a/test/cluster-limits.test.ts
+++ b/test/cluster-limits.test.ts
@@ -17,7 +17,7 @@
   cancelled: 'before' | 'after';
 }
 
-// Cancelled tasks on a machine that is not heard take their team's room until they are provably gone.
+// Cancelled tasks on a machine that is not heard take their team's capacity until they are provably gone.
 test('a team at its limit, a machine cut off or hanging, a job cancelled, the leader ends: the limit holds', async () => {
   const rows: Spell[] = [
     { name: 'mute, cancelled before', ...mute, forLeases: 2, cancelled: 'before' },
--- a/test/cluster-records.test.ts
+++ b/test/cluster-records.test.ts
@@ -26,7 +26,7 @@
   return cluster.hosts(FILLER)[0]!;
 }
 
-/** The leader ends while only the first machine is heard. There is room on that one by now. */
+/** The leader ends while only the first machine is heard. There is capacity on that one by now. */
 async function changeLeader(cluster: Cluster, first: Worker): Promise<void> {
   for (const worker of cluster.workers) worker.mute = worker !== first;
   const old = await cluster.endLeader();
@@ -78,7 +78,7 @@
 
 // What a record names may run on its machine, also when that is not heard yet: a leader that takes over
 // with less than the record starts it elsewhere. Once all machines were mute here, and there was no
-// room elsewhere: the test held whatever the next leader read.
+// capacity elsewhere: the test held whatever the next leader read.
 test('records of machines are stored late, twice or unanswered, and the leader ends while they are mute', async () => {
   const rows: (Row & { fate: Fate })[] = [
     { name: 'answers lost', fate: { how: 'answer_lost' } },
--- a/test/evidence.test.ts
+++ b/test/evidence.test.ts
@@ -32,7 +32,7 @@
   return { m: machine, a: attempt };
 }
 
-/** A start in the answer to check-in 10. */
+/** A start in the answer to heartbeat 10. */
 function sent(): { m: Machine; a: Attempt } {
   const s = setup('claimed');
   s.m.applyHeartbeat(report({ sequence: 10 }), 'heartbeat', 1);
--- a/test/hand-over.test.ts
+++ b/test/hand-over.test.ts
@@ -31,7 +31,7 @@
 const idle: ControllerHealth = { latenessS: 0, served: true };
 const asLate: ControllerHealth = { ...idle, latenessS: LATE };
 const cutOff: ControllerHealth = { ...idle, served: false };
-/** Another controller whose reports wait for the leader. */
+/** Another controller whose heartbeats wait for the leader. */
 const waits = (relayS: number, latenessS = 0): ControllerHealth => ({
   latenessS,
   served: true,
@@ -60,7 +60,7 @@
   { name: 'late for longer: once', lags: [...lately(LATE), ...lately(LATE)], others: [idle, idle], resigns: 1 },
 ]; // prettier-ignore
 
-/** A controller's own part: what it knows of itself and the others, and whether it hands over. */
+/** A controller's own part: what it knows of itself and the others, and whether it transfers leadership. */
 class Node {
   readonly overload = new Overload();
   readonly health: HealthTable;
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -21,7 +21,7 @@
   leaseS = 2,
   zones = ports.map(() => 'z1'),
   cancelS = 6,
-  /** Limits of the state service that come later, TOML. */
+  /** Limits of the key-value store that come later, TOML. */
   nextLimits = '',
 ): string {
   const seeds = ports
--- a/test/large.test.ts
+++ b/test/large.test.ts
@@ -16,7 +16,7 @@
 /** Of the jobs, those that are not over: a task of each is on a machine. */
 const OPEN = MACHINES * TASKS_EACH;
 const JOBS = OPEN + 5000;
-/** Reports at a time. */
+/** Heartbeats at a time. */
 const AT_ONCE = 50;
 
 test('a term begins with thousands of machines and tens of thousands of tasks, and knows all that runs', async () => {
@@ -83,7 +83,7 @@
         body,
       });
       if (response.status === 503) {
-        // Beside other load a pass over so many machines takes seconds, and with the stand-ins in the same
+        // Beside other load a scheduling cycle over so many machines takes seconds, and with the stand-ins in the same
         // process the leader's own lease can be renewed too late. Only then may it refuse.
         const isLate = !node.election.isEntitled || node.leader === null;
         assert.ok(isLate || node.election.token !== before, 'refused by a leader that is entitled');
--- a/test/lending-helpers.ts
+++ b/test/lending-helpers.ts
@@ -82,7 +82,7 @@
     const before = [...this.tasks.values()];
     super.tick();
     if (this.tasks.size > 0) return;
-    // Its lease has run out: what was not saved is lost.
+    // Its lease has expired: what was not saved is lost.
     for (const task of before) this.fallBack(task);
   }
 
@@ -287,7 +287,7 @@
     return this.fleet.workers.get(LENT_ON)!;
   }
 
-  /** One report interval, with a look between each two of its steps. True: stopped by `is`. */
+  /** One heartbeat interval, with a look between each two of its steps. True: stopped by `is`. */
   async step(is: () => boolean = () => false): Promise<boolean> {
     this.fleet.now += REPORT_S;
     for (const worker of this.fleet.workers.values()) worker.tick();
--- a/test/lending-scenario.ts
+++ b/test/lending-scenario.ts
@@ -52,7 +52,7 @@
   returnS: number;
   /** Seconds of batch work that were done more than once. */
   repeatedS: number;
-  /** Changes of the state service from the spike on. */
+  /** Changes of the key-value store from the spike on. */
   writes: number;
   loans: LoanRow[];
   violations: string[];
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -651,7 +651,7 @@
   world.batchJob(6, { id: 'wk-000011', tasks: 3, gpus: 4, cores: 4, deadlineS: 60 });
   world.batchJob(6, { id: 'wk-000012', kind: 'gang', tasks: 2, gpus: 4, cores: 4, priority: 2 });
   await world.run(2);
-  // Makes room by preemption, as it did before.
+  // Makes capacity by preemption, as it did before.
   world.batchJob(3, { id: 'wk-000013', gpus: 8, priority: 0 });
   await world.run(4);
   world.service({ id: BORROWER, gpus: 1, cores: 1, memGb: 1 });
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -87,7 +87,7 @@
   assert.deepEqual(await client.ask('a', { q: 'report', body: Buffer.from('y'), hop: false }, 2), {
     ...SAW_REPORT,
   });
-  // One question without an answer took hundreds of reports with it that were under way beside it.
+  // One question without an answer took hundreds of heartbeats with it that were under way beside it.
   const asks: Promise<Answer | null>[] = [client.ask('a', { q: 'there' }, 0.3)];
   for (let i = 0; i < 300; i++) asks.push(client.ask('a', { q: 'elected', token: i }, 5));
   const got = await Promise.all(asks);
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -190,7 +190,7 @@
     store.put(records.LEADER, records.encodeLeader({ node, incarnation: node }));
   interface Row {
     name: string;
-    /** Whether a fitter one is known, by the time since the vacancy in lives of the leader's lease. */
+    /** Whether a healthier one is known, by the time since the vacancy in lives of the leader's lease. */
     fitter: (lives: number) => boolean;
     leader?: string;
     /** The other one is elected so many lives after the vacancy. */
--- a/test/meeting-helpers.ts
+++ b/test/meeting-helpers.ts
@@ -1,5 +1,5 @@
 /**
- * Fixtures of the meeting tests: a state service in memory whose transactions can be late or lose
+ * Fixtures of the meeting tests: a key-value store in memory whose transactions can be late or lose
  * their answers, workers that follow the protocol, and a leader over both. Time moves by hand, and
  * nothing opens a socket.
  */
@@ -31,7 +31,7 @@
 /** What becomes of the next transactions. */
 export type Mode = 'serve' | 'refuse' | 'lose answers' | 'hold back';
 
-/** A state service by the protocol. Its methods are those of the client that the code under test uses. */
+/** A key-value store by the protocol. Its methods are those of the client that the code under test uses. */
 export class MemoryStore implements Pick<
   KeyValueStoreClient,
   'compareAndSwap' | 'get' | 'changes' | 'grantLease' | 'keepLeaseAlive' | 'setRole'
@@ -170,7 +170,7 @@
   session = 1;
   seq = 0;
   token = 0;
-  /** Its reports arrive, nothing reaches it. */
+  /** Its heartbeats arrive, nothing reaches it. */
   deaf = false;
   /** Its reports don't arrive. */
   mute = false;
@@ -195,7 +195,7 @@
     }; // prettier-ignore
   }
 
-  /** Its lease may have run out. */
+  /** Its lease may have expired. */
   tick(): void {
     if (this.fleet.now - this.answeredAt <= this.fleet.leaseS) return;
     this.tasks.clear();
@@ -431,7 +431,7 @@
     this.store.feed(this.replica);
   }
 
-  /** One transaction that the state service meets in this mode; from then on it serves. */
+  /** One transaction that the key-value store meets in this mode; from then on it serves. */
   async flushOnceAs(mode: Mode): Promise<void> {
     this.store.mode = mode;
     await this.parts.writer.writeBatch();
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -250,7 +250,7 @@
     );
     on!.mute = true;
     world.zone = { keptUntil, provenAt };
-    // Kept by its zone keeper.
+    // Kept by its zone lease holder.
     if (!lost) on!.answeredAt = Infinity;
     await world.run(world.settings.workers.lease_s * 2);
     assert.equal(world.fleet.starts.get(`${JOB}/0`), lost ? 2 : 1, name);
@@ -265,7 +265,7 @@
   const empty = worker.report();
   await world.run(2);
   const old = worker.report();
-  // There is room elsewhere.
+  // There is capacity elsewhere.
   const c = world.fleet.add('c');
   const check = (name: string): void => {
     assert.equal(world.fleet.running(JOB), 2, name);
--- a/test/meeting-leases.test.ts
+++ b/test/meeting-leases.test.ts
@@ -1,4 +1,4 @@
-/** Late reports, mute machines and sessions: until when a worker may keep its tasks, as counted here. */
+/** Late reports, mute machines and agent epochs: until when a worker may keep its tasks, as counted here. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Machine } from '../src/workers/machine.js';
@@ -8,7 +8,7 @@
 const JOB = 'wk-000001';
 
 test('only a check-in that its worker still waits for moves the end of its lease', async () => {
-  // What the machine has heard last, the report that comes then, and whether its answer counts.
+  // What the machine has heard last, the heartbeat that comes then, and whether its answer counts.
   interface Seen {
     session: number;
     seq: number;
--- a/test/meeting-records.test.ts
+++ b/test/meeting-records.test.ts
@@ -1,4 +1,4 @@
-/** Records that are written, listed and removed while transactions and reports come late. */
+/** Records that are written, listed and removed while transactions and heartbeats come late. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { outcome } from '../src/store/stored-job.js';
@@ -58,7 +58,7 @@
 });
 
 test('the record of a job that is done is never written again', async () => {
-  // A gang over two machines: its end is stored late, after the other machine's report.
+  // A gang over two machines: its end is stored late, after the other machine's heartbeat.
   const world = new World();
   const ids = ['a', 'b'];
   for (const id of ids) world.fleet.add(id);
@@ -92,7 +92,7 @@
     const worker = world.fleet.add('a');
     world.job({ id: JOB, tasks: 2 });
     await world.run(2);
-    // Its lease ran out long ago; it comes back with a new session.
+    // Its lease expired long ago; it comes back with a new agent epoch.
     world.term.loseMachine(world.machine('a'));
     world.parts.forgetMachine(world.machine('a'));
     worker.tasks.clear();
--- a/test/meeting-users.test.ts
+++ b/test/meeting-users.test.ts
@@ -1,4 +1,4 @@
-/** Meetings of users' requests with one another and with a state service that answers late or not. */
+/** Meetings of users' requests with one another and with a key-value store that answers late or not. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as records from '../src/store/records.js';
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -1,4 +1,4 @@
-/** Once troubles are over no job is left waiting while a machine that fits has room. */
+/** Once troubles are over no job is left waiting while a machine that fits has capacity. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { World } from './meeting-helpers.js';
@@ -66,7 +66,7 @@
     await world.run(1);
     const job = world.term.jobs.get(JOB)!;
     assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
-    // Preempted, say. There is room on another machine, but its image is here.
+    // Preempted, say. There is capacity on another machine, but its image is here.
     world.fleet.add('b');
     world.term.stopGracefully(job, [...job.activeAttempts()][0]!);
     await world.run(PATIENCE_S);
--- a/test/pass-helpers.ts
+++ b/test/pass-helpers.ts
@@ -22,7 +22,7 @@
   readonly term: Term;
   readonly scheduler: Scheduler;
   readonly capacity: CapacityManager;
-  /** Until when a zone's zone keeper may be keeping it. */
+  /** Until when a zone's zone lease holder may be keeping it. */
   keptUntil = -Infinity;
 
   constructor(gpusMax = 100, withinS = 0, subsystems = NO_SUBSYSTEMS) {
--- a/test/pass-pacing.test.ts
+++ b/test/pass-pacing.test.ts
@@ -9,7 +9,7 @@
     ['a quick one: events share a pass', 0.2, 0.001, MIN_CYCLE_GAP_S],
     ['a fifth of the time', 0.2, 0.1, 0.5],
     ['a twentieth of it on a late controller', 0.05, 0.1, 2],
-    // It waited for eighteen seconds once, with room free and jobs waiting.
+    // It waited for eighteen seconds once, with capacity free and jobs waiting.
     ['a very long one', 0.05, 0.95, 0.95 + LEASE_S * 0.3],
   ];
   for (const [name, share, tookS, nextS] of cases) {
--- a/test/pass.test.ts
+++ b/test/pass.test.ts
@@ -14,7 +14,7 @@
   bench.job({ id: 'wk-000002', kind: 'gang', tasks: 2, gpus: 8, cores: 8, priority: 1 });
   bench.pass();
   assert.deepEqual([bench.on('a', array.id), bench.on('b', array.id)], [0, 0], 'told to stop');
-  // One machine is empty before the other: lesser work once took it at once, and so on for minutes.
+  // One machine is empty before the other: lower-priority work once took it at once, and so on for minutes.
   bench.settle('a', true);
   bench.settle('b', false);
   bench.pass();
@@ -34,7 +34,7 @@
   for (const id of ['a', 'b']) bench.settle(id, false);
   bench.pass();
   assert.equal(held(), 10);
-  // What runs beyond the limit of one pass or team waits; a machine's room is reckoned once it changes.
+  // What runs beyond the limit of one scheduling cycle or team waits; a machine's capacity is reckoned once it changes.
   bench.report('a', []);
   bench.pass();
   assert.equal(held(), 10);
@@ -43,7 +43,7 @@
 test('a critical task goes where its image is, and lesser work makes room there in time', () => {
   const bench = new Bench(100, 10);
   bench.report('a', []);
-  // The image comes to "a" with a first replica; then lesser work fills that machine.
+  // The image comes to "a" with a first replica; then lower-priority work fills that machine.
   const service = { kind: 'service' as const, priority: 0 as const, image: 'big', imageGb: 30 };
   bench.job({ ...service, id: 'wk-000001', gpus: 4, cores: 4 });
   bench.pass();
@@ -55,7 +55,7 @@
   bench.report('b', []);
   bench.job({ ...service, id: 'wk-000003', gpus: 2, cores: 2 });
   bench.pass();
-  // There is room on "b", but fetching the image takes 30 s.
+  // There is capacity on "b", but fetching the image takes 30 s.
   assert.equal(bench.on('b', 'wk-000003'), 0);
   assert.equal(bench.on('a', 'wk-000002'), 2);
   bench.settle('a', true);
@@ -64,7 +64,7 @@
 });
 
 test('the share for long work holds against its own and lesser priorities, not against higher ones', () => {
-  // Gangs once waited for half a minute beside room that was held for long best-effort arrays.
+  // Gangs once waited for half a minute beside capacity that was held for long best-effort arrays.
   const cases: [string, 1 | 3, number][] = [
     ['long work of least priority waits', 3, 1],
     ['long work of the same priority waits', 1, 0],
--- a/test/pool-helpers.ts
+++ b/test/pool-helpers.ts
@@ -18,7 +18,7 @@
 /** Seconds of the tests' clock at which the declared burst begins: 13:47:00 on 12 January 1970, UTC. */
 export const BURST_AT = 20;
 export const HOLD_S = 20;
-/** Seconds from a rent to the worker's first report. */
+/** Seconds from a rent to the worker's first heartbeat. */
 const BOOT_S = 1;
 
 export type CloudMode = 'serve' | 'trouble' | 'no capacity' | 'lose answers';
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -162,7 +162,7 @@
 });
 
 test('with nothing to do, every machine goes back', async () => {
-  // The room kept warm once stayed rented for ever after the last job.
+  // The capacity kept warm once stayed rented for ever after the last job.
   for (const worker of cluster.workers) worker.mute = false;
   await cluster.users.cancel(0, 'wk-000004');
   await until('no machines', () => cluster.workers.length === 0, 60);
--- a/test/state-shares.test.ts
+++ b/test/state-shares.test.ts
@@ -1,4 +1,4 @@
-/** What a controller may write of the state service. */
+/** What a controller may write of the key-value store. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { KeyValueStoreClient } from '../src/store/client.js';
--- a/test/stop.test.ts
+++ b/test/stop.test.ts
@@ -25,7 +25,7 @@
   }
 }
 
-/** Counts what reaches the state service. */
+/** Counts what reaches the key-value store. */
 class CountingState extends StateService {
   requests = 0;
 
--- a/test/subsystems.test.ts
+++ b/test/subsystems.test.ts
@@ -82,7 +82,7 @@
     [NO_SUBSYSTEMS, true],
   ] as const) {
     const bench = new Bench(100, 0, subsystems);
-    // With the only room for a replica that moves.
+    // With the only capacity for a replica that moves.
     report(bench, 'm1');
     bench.job({ id: 'wk-1', class: 'own', kind: 'service', gpus: 4, cores: 4, priority: 0 });
     bench.pass();
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -511,7 +511,7 @@
   };
 }
 
-/** What is on each machine, and what is told to stop there, after every pass of a short history. */
+/** What is on each machine, and what is told to stop there, after every scheduling cycle of a short history. */
 function decisionsOfPasses(): unknown[] {
   const seen: unknown[] = [];
   const bench = new Bench(100, 10);
--- a/test/users-helpers.ts
+++ b/test/users-helpers.ts
@@ -1,4 +1,4 @@
-/** A controller's side for users over a state service in memory. */
+/** A controller's side for users over a key-value store in memory. */
 import type { TokenBucket } from '../src/clock.js';
 import { UserApi, type UserApiOptions } from '../src/api/user-api.js';
 import { silentLog } from '../src/log.js';
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -187,7 +187,7 @@
     await users.submit(0, ref, { form: 'daemon', yard });
   }
   for (const ref of Object.keys(jobs)) await cluster.runs(ref, 1);
-  // A zone keeper keeps only what it was there for.
+  // A zone lease holder keeps only what it was there for.
   await until('its zoneKeeper is there', () => cluster.state.keys.has(controllerKey('n-1')));
 
   const cut = (is: boolean): void => {
@@ -198,7 +198,7 @@
   for (const worker of cluster.workers) {
     for (const at of worker.zone === 'z2' ? [0, 2] : [1]) worker.unreachable.add(at);
   }
-  // Longer than a lease: without its zone keeper the zone would have lost everything.
+  // Longer than a lease: without its zone lease holder the zone would have lost everything.
   await wait(LEASE * 1000 * 1.5);
   assert.equal(cluster.tasks('wk-000002', inZone('z2')).length, 1);
   // Its tasks live on unheard for longer than is allowed after "cancelled" has been told.
