--- a/scripts/fleet-load.ts
+++ b/scripts/fleet-load.ts
@@ -92,7 +92,7 @@
 }
 
 /** A machine that heartbeats, and runs what it is told to. */
-export class Machine {
+class Machine {
   private readonly pieces: Piece[];
   private tally = 0;
   private hallmark = 1;
--- a/scripts/production-build.ts
+++ b/scripts/production-build.ts
@@ -15,12 +15,16 @@
   return deploy.production;
 }
 
+/** Builds the version in production; see `buildVersion`. */
+export function buildProduction(): string {
+  return buildVersion(productionCommit());
+}
+
 /**
- * Builds the version in production from the repository's history, with the libraries that are installed
- * here, unless that was done before. Returns its folder, with the program below `target/`.
+ * Builds an earlier version from the repository's history, with the libraries that are installed here,
+ * unless that was done before. Returns its folder, with the program below `target/`.
  */
-export function buildProduction(): string {
-  const commit = productionCommit();
+export function buildVersion(commit: string): string {
   const dir = resolve(BUILDS, commit);
   if (existsSync(join(dir, COMPLETE))) return dir;
   rmSync(dir, { recursive: true, force: true });
--- a/scripts/production-fixtures.ts
+++ b/scripts/production-fixtures.ts
@@ -2,7 +2,6 @@
 import { join } from 'node:path';
 import { pathToFileURL } from 'node:url';
 import type * as Messages from '../src/peers/messages.js';
-import type * as Records from '../src/store/records.js';
 import { RECORDED_FORMS_FILE, recordedForms } from '../test/support/recorded-forms.js';
 import { buildProduction, productionCommit } from './production-build.js';
 
@@ -25,23 +24,35 @@
   returning: false, claims: [{ job: JOB.id, index: 3, attempt: 41 }], images: [['img-07', 6.2]],
 }; // prettier-ignore
 
+/** What is used of the records of the version in production, under the names that it gives them. */
+interface ProductionRecords {
+  encodeSubmissions(record: {
+    jobs: { spec: unknown; atMs: number }[];
+    cancels: string[];
+  }): unknown;
+  encodeProgress(progress: { bits: null; attainedS: number }): unknown;
+  encodeMachine(machine: unknown): unknown;
+  encodeLeader(leader: { node: string; incarnation: string }): unknown;
+  encodeAck(acknowledgement: { token: number; remainsS: number }): unknown;
+}
+
 const dir = buildProduction();
 const load = async <M>(path: string): Promise<M> =>
   (await import(pathToFileURL(join(dir, 'target', path)).href)) as M;
-const records = await load<typeof Records>('state/records.js');
+const records = await load<ProductionRecords>('state/records.js');
 const messages = await load<typeof Messages>('peers/messages.js');
 
 const made = {
   made_by: 'npm run fixtures',
   production: productionCommit(),
-  submissions: records.encodeRequestBatch({
-    jobs: [{ spec: JOB as unknown as Records.AcceptedJob['spec'], atMs: 1000 }],
-    cancelledIds: ['wk-000398'],
+  submissions: records.encodeSubmissions({
+    jobs: [{ spec: JOB, atMs: 1000 }],
+    cancels: ['wk-000398'],
   }),
   progress: records.encodeProgress({ bits: null, attainedS: 12.4 }),
-  machine: records.encodeMachine(MACHINE as Records.MachineRecord),
+  machine: records.encodeMachine(MACHINE),
   leader: records.encodeLeader({ node: 'n-0', incarnation: 'n-0-x/1' }),
-  acknowledgement: records.encodeAcknowledgement({ token: 41, remainsS: -0.5 }),
+  acknowledgement: records.encodeAck({ token: 41, remainsS: -0.5 }),
   hello: { v: messages.PROTOCOL_VERSION, from: 'n-0' },
 };
 
--- a/src/controller/profile.ts
+++ b/src/controller/profile.ts
@@ -72,7 +72,7 @@
 }
 
 /** The tables, as lines of text. */
-export function summarize(profile: Profiler.Profile): string[] {
+function summarize(profile: Profiler.Profile): string[] {
   const modules = new Modules();
   const nodes = new Map(profile.nodes.map((node) => [node.id, node.callFrame]));
   const byModule: Costs = new Map();
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -40,7 +40,7 @@
 /** The longest request (protocol). */
 export const REQUEST_LIMITS: ParserLimits = { headBytes: 16 * 1024, bodyBytes: 64 * 1024 };
 /** The longest response: changes of the store have no bound of their own. */
-export const RESPONSE_LIMITS: ParserLimits = { headBytes: 16 * 1024, bodyBytes: 16 * 1024 * 1024 };
+const RESPONSE_LIMITS: ParserLimits = { headBytes: 16 * 1024, bodyBytes: 16 * 1024 * 1024 };
 
 type State = 'head' | 'sized' | 'chunkSize' | 'chunkData' | 'chunkEnd' | 'trailer' | 'close';
 
--- a/src/lending/view.ts
+++ b/src/lending/view.ts
@@ -51,7 +51,7 @@
 }
 
 /** The loans that a subsystem's records hold. */
-export function storedLoans(records: ReadonlyMap<string, OwnedRecord>): Loan[] {
+function storedLoans(records: ReadonlyMap<string, OwnedRecord>): Loan[] {
   const loans: Loan[] = [];
   for (const [key, { value }] of records) {
     const loan = key.startsWith(LOAN_PREFIX) ? decodeLoan(value) : null;
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -8,7 +8,7 @@
 const LENGTH_BYTES = 4;
 
 /** A frame that is empty or longer than any controller sends: its connection is closed. */
-export class FrameSizeError extends Error {
+class FrameSizeError extends Error {
   constructor(readonly bytes: number) {
     super(`frame of ${bytes} bytes`);
     this.name = 'FrameSizeError';
--- a/src/pipelines/downstream-path.ts
+++ b/src/pipelines/downstream-path.ts
@@ -18,7 +18,7 @@
 }
 
 /** Predicted run time of all tasks of a job, in seconds. Those of a gang run side by side. */
-export const predictedWorkS = (spec: JobSpec): number =>
+const predictedWorkS = (spec: JobSpec): number =>
   spec.kind === 'gang' ? spec.estimateS : spec.estimateS * spec.tasks;
 
 /** Derives what comes after jobs; kept until the graph changes. */
--- a/src/scheduler/bin-packing.ts
+++ b/src/scheduler/bin-packing.ts
@@ -85,7 +85,7 @@
  * What taking this place would cost those to come: seconds of fetching that tasks would be spared
  * here, where their image is cached, if it still had room for them.
  */
-export function opportunityCostS(spec: JobSpec, capacity: FreeCapacity, hot: HotImage[]): number {
+function opportunityCostS(spec: JobSpec, capacity: FreeCapacity, hot: HotImage[]): number {
   let lost = 0;
   let after: Resources | null = null;
   for (const hotImage of capacity.cachedHotImages?.(hot) ?? hot) {
@@ -120,7 +120,7 @@
 }
 
 /** In seconds. What cannot be below `bound` is not reckoned to its end: the dear part comes last. */
-export function placementCostS(
+function placementCostS(
   spec: JobSpec,
   capacity: FreeCapacity,
   weights: PlacementWeights,
--- a/src/store/machine-record.ts
+++ b/src/store/machine-record.ts
@@ -1,7 +1,7 @@
 /** A machine's record in the store: what may be on it, and who commands it. */
 
 /** A stored record that no version of this program wrote. */
-export class MalformedRecordError extends Error {
+class MalformedRecordError extends Error {
   override readonly name = 'MalformedRecordError';
 }
 
--- a/src/store/replica-sync.ts
+++ b/src/store/replica-sync.ts
@@ -6,7 +6,7 @@
 import * as records from './records.js';
 
 /** The store has dropped the changes since the first page of a listing: it was read too slowly. */
-export class OutdatedListingError extends Error {
+class OutdatedListingError extends Error {
   constructor() {
     super('listing too slow');
     this.name = 'OutdatedListingError';
--- a/src/warm-pools/bill.ts
+++ b/src/warm-pools/bill.ts
@@ -8,7 +8,7 @@
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
 /** Keys of the bill begin with it, below the subsystem's own prefix. */
-export const BILL_PREFIX = 'bill/';
+const BILL_PREFIX = 'bill/';
 const MS_PER_DAY = 86_400_000;
 const MS_PER_HOUR = 3_600_000;
 
--- a/src/warm-pools/lead-times.ts
+++ b/src/warm-pools/lead-times.ts
@@ -12,7 +12,7 @@
 const IMAGES_MOST = 32;
 
 /** Keys of measured times begin with it, below the subsystem's own prefix. */
-export const LEAD_PREFIX = 'lead/';
+const LEAD_PREFIX = 'lead/';
 
 interface Samples {
   /** Seconds from the request to the first heartbeat. */
--- a/src/warm-pools/model-server-loader.ts
+++ b/src/warm-pools/model-server-loader.ts
@@ -15,7 +15,7 @@
 const FAILURES_MOST = 3;
 
 /** A model server answered with another status than 200. */
-export class ModelServerError extends Error {
+class ModelServerError extends Error {
   constructor(readonly status: number) {
     super(`model server answered ${status}`);
     this.name = 'ModelServerError';
--- a/src/warm-pools/slot-reservations.ts
+++ b/src/warm-pools/slot-reservations.ts
@@ -14,7 +14,7 @@
 const BEST_EFFORT = 3;
 
 /** Whether a replica of the job is what the pool is kept for. */
-export function isFor(pool: PoolDeclaration, spec: JobSpec): boolean {
+function isFor(pool: PoolDeclaration, spec: JobSpec): boolean {
   return (
     spec.image === pool.image && spec.kind === 'service' && spec.tasks > 0 && fits(spec, pool.shape)
   );
