--- a/src/admission/controller-health.ts
+++ b/src/admission/controller-health.ts
@@ -6,11 +6,11 @@
 import { LATE_S } from './overload.js';
 
 /** A connection carries this controller's figure once in so many heartbeat intervals, at most. */
-const SEND_REPORTS = 0.25;
+const SEND_HEARTBEATS = 0.25;
 /** Another controller that has told no figure for so many heartbeat intervals is asked. */
-const ASK_REPORTS = 1;
+const ASK_HEARTBEATS = 1;
 /** A figure that is older than so many heartbeat intervals says nothing of the present. */
-const FRESH_REPORTS = 3;
+const FRESH_HEARTBEATS = 3;
 /** Another controller is healthier when it is late by less than this share of this one's lateness. */
 const HEALTHIER_SHARE = 0.5;
 
@@ -18,7 +18,7 @@
 export interface HealthTableOptions {
   clock: Clock;
   /** The workers' heartbeat interval, in seconds. */
-  reportS: number;
+  heartbeatIntervalS: number;
   /** This controller's figure now. */
   own: () => ControllerHealth;
 }
@@ -43,11 +43,11 @@
 
   /** See `HealthExchange.nextToSend`. */
   nextToSend(): () => ControllerHealth | null {
-    const { clock, reportS, own } = this.options;
+    const { clock, heartbeatIntervalS, own } = this.options;
     let sentAt = -Infinity;
     return () => {
       const now = clock.now();
-      if (now - sentAt < reportS * SEND_REPORTS) return null;
+      if (now - sentAt < heartbeatIntervalS * SEND_HEARTBEATS) return null;
       sentAt = now;
       return own();
     };
@@ -65,11 +65,12 @@
    * this controller's figure, so that of a pair of controllers one asks.
    */
   refresh(peers: Pick<PeerNetwork, 'names' | 'ask'>): void {
-    const { clock, reportS } = this.options;
+    const { clock, heartbeatIntervalS } = this.options;
     const now = clock.now();
     for (const node of peers.names) {
       const entry = this.entry(node);
-      if (now - Math.max(entry.heardAt, entry.askedAt) < reportS * ASK_REPORTS) continue;
+      if (now - Math.max(entry.heardAt, entry.askedAt) < heartbeatIntervalS * ASK_HEARTBEATS)
+        continue;
       entry.askedAt = now;
       // With the longest patience: a link is taken down when an answer is late.
       void peers.ask(node, { q: 'there' }, ANSWER_WAIT_S);
@@ -118,9 +119,10 @@
   }
 
   private current(node: string): ControllerHealth | null {
-    const { clock, reportS } = this.options;
+    const { clock, heartbeatIntervalS } = this.options;
     const entry = this.others.get(node);
-    if (entry === undefined || clock.now() - entry.heardAt >= reportS * FRESH_REPORTS) return null;
+    if (entry === undefined || clock.now() - entry.heardAt >= heartbeatIntervalS * FRESH_HEARTBEATS)
+      return null;
     return entry.health;
   }
 
--- a/src/admission/leadership-transfer.ts
+++ b/src/admission/leadership-transfer.ts
@@ -37,7 +37,7 @@
  * were read a turn of the late event loop later, and in one of three runs its lease had ended by then.
  */
 export class LeadershipTransfer {
-  private resignedAt = -Infinity;
+  private transferredAt = -Infinity;
   /** Since when reports forwarded to this controller have waited for too long; null: they have not. */
   private forwardingLateSince: number | null = null;
 
@@ -47,25 +47,22 @@
   consider(): void {
     const { leads, electedAt, overload, health, clock, leaseS, log, stepDown } = this.options;
     const now = clock.now();
-    const relayWaitS = health.forwardingDelayS();
+    const forwardingDelayS = health.forwardingDelayS();
     if (!leads()) return;
-    if (!this.isForwardingTooLate(relayWaitS, now) && !overload.tooLateToLead(now)) return;
-    if (now - this.resignedAt < leaseS * GAP_LEASES) return;
+    if (!this.isForwardingTooLate(forwardingDelayS, now) && !overload.tooLateToLead(now)) return;
+    if (now - this.transferredAt < leaseS * GAP_LEASES) return;
     if (now - electedAt() < leaseS * SETTLE_LEASES) return;
-    const latenessS = Math.max(overload.latenessS, relayWaitS);
-    const fitter = health.healthier(latenessS);
-    if (fitter === null) return;
-    this.resignedAt = now;
-    log.info(
-      { latenessS, forwardingDelayS: relayWaitS, successor: fitter },
-      'leadership transfer: overloaded',
-    );
+    const latenessS = Math.max(overload.latenessS, forwardingDelayS);
+    const successor = health.healthier(latenessS);
+    if (successor === null) return;
+    this.transferredAt = now;
+    log.info({ latenessS, forwardingDelayS, successor }, 'leadership transfer: overloaded');
     void stepDown();
   }
 
   /** Whether other controllers have waited too long for too long. */
-  private isForwardingTooLate(relayWaitS: number, now: number): boolean {
-    if (relayWaitS <= FORWARDING_LATE_S) {
+  private isForwardingTooLate(forwardingDelayS: number, now: number): boolean {
+    if (forwardingDelayS <= FORWARDING_LATE_S) {
       this.forwardingLateSince = null;
       return false;
     }
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -27,7 +27,7 @@
 };
 
 /** The share of time that scheduling cycles may take, so that heartbeats and users never wait for it. */
-const PASS_SHARE = 0.2;
+const CYCLE_SHARE = 0.2;
 /** The same on a controller that is late. */
 const LATE_PASS_SHARE = 0.05;
 
@@ -106,7 +106,7 @@
   }
 
   /** The share of time that scheduling cycles may take now. */
-  get passShare(): number {
-    return this.delayS > ANSWER_WAIT_S * PLACE_LESS_SHARE ? LATE_PASS_SHARE : PASS_SHARE;
+  get cycleShare(): number {
+    return this.delayS > ANSWER_WAIT_S * PLACE_LESS_SHARE ? LATE_PASS_SHARE : CYCLE_SHARE;
   }
 }
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -168,7 +168,7 @@
     const { settings, clock } = this.options;
     return new HealthTable({
       clock,
-      reportS: settings.workers.report_s,
+      heartbeatIntervalS: settings.workers.report_s,
       own: () => ({
         latenessS: this.overload.latenessS,
         served: this.forwarder.isServed,
--- a/src/heartbeat/forwarding-delay.ts
+++ b/src/heartbeat/forwarding-delay.ts
@@ -3,7 +3,7 @@
 /** What the latest heartbeat counts in the mean. */
 const WEIGHT = 0.1;
 /** A mean to which nothing was added for so many heartbeat intervals says nothing of the present. */
-const FRESH_REPORTS = 2;
+const FRESH_HEARTBEATS = 2;
 
 /**
  * How long reports that this controller forwards to the leader wait for their answers, those that got none
@@ -17,7 +17,7 @@
   constructor(
     private readonly clock: Clock,
     /** The workers' heartbeat interval, in seconds. */
-    private readonly reportS: number,
+    private readonly heartbeatIntervalS: number,
   ) {}
 
   /** Seconds from a question to its answer, or until it was given up. */
@@ -27,7 +27,7 @@
   }
 
   private get isFresh(): boolean {
-    return this.clock.now() - this.notedAt < this.reportS * FRESH_REPORTS;
+    return this.clock.now() - this.notedAt < this.heartbeatIntervalS * FRESH_HEARTBEATS;
   }
 
   /** The mean of the latest, in seconds; undefined: none was forwarded lately. */
--- a/src/heartbeat/redirects.ts
+++ b/src/heartbeat/redirects.ts
@@ -11,7 +11,7 @@
  */
 const REDIRECT_LEASES = 1.5;
 /** The controller of a zone has been there for so many heartbeat intervals before workers are sent to it. */
-const HOME_REPORTS = 2;
+const HOME_HEARTBEATS = 2;
 
 /** What `Redirects` work with. */
 export interface RedirectOptions {
@@ -54,7 +54,7 @@
     const home = zoneLeases.holderOf(zone);
     if (home === null || home === settings.node) return null;
     if (replica.leader === null || store.health !== 'served') return null;
-    if (!zoneLeases.isSteady(home, settings.workers.report_s * HOME_REPORTS)) return null;
+    if (!zoneLeases.isSteady(home, settings.workers.report_s * HOME_HEARTBEATS)) return null;
     return isLate(home) && home !== replica.leader.node ? null : home;
   }
 
--- a/src/leader/scheduling/cycle-pacing.ts
+++ b/src/leader/scheduling/cycle-pacing.ts
@@ -13,7 +13,7 @@
 export interface CyclePacingOptions {
   /** The workers' lease, in seconds. */
   leaseS: number;
-  overload: Pick<Overload, 'passShare'>;
+  overload: Pick<Overload, 'cycleShare'>;
 }
 
 /** When scheduling cycles run: the longer one took, the later comes the next, within bounds. */
@@ -25,7 +25,7 @@
 
   /** A scheduling cycle has ended. Times in seconds of the clock. */
   cycleEnded(began: number, end: number): void {
-    const pauseS = (end - began) * (1 / this.options.overload.passShare - 1);
+    const pauseS = (end - began) * (1 / this.options.overload.cycleShare - 1);
     const longestS = this.options.leaseS * MAX_PAUSE_LEASES;
     this.nextAt = Math.max(began + MIN_CYCLE_GAP_S, end + Math.min(longestS, pauseS));
   }
--- a/src/leader/scheduling/replica-migrations.ts
+++ b/src/leader/scheduling/replica-migrations.ts
@@ -174,11 +174,15 @@
   }
 
   /** Its place is kept for it: whoever else came first would cost it a fetch. */
-  private startMigration(attempt: Attempt, to: string, bookedReports = RESERVED_HEARTBEATS): void {
+  private startMigration(
+    attempt: Attempt,
+    to: string,
+    bookedHeartbeats = RESERVED_HEARTBEATS,
+  ): void {
     const { now } = this.term;
     const job = this.term.jobs.get(attempt.job)!;
     this.recent.push({ at: now, class: job.spec.class });
-    const until = now + this.term.context.settings.workers.report_s * bookedReports;
+    const until = now + this.term.context.settings.workers.report_s * bookedHeartbeats;
     this.reservations.set(`${attempt.job}/${attempt.index}`, { to, until });
     this.term.stopAttempt(attempt, 0);
   }
--- a/src/lending/grants.ts
+++ b/src/lending/grants.ts
@@ -18,7 +18,7 @@
 import type { ReturnTimes } from './return-times.js';
 
 /** Report intervals within which a grant has to be stored; then capacity is made without a promise. */
-const STORE_REPORTS = 1;
+const STORE_HEARTBEATS = 1;
 
 /** An preemption whose loans are on their way into the store. */
 interface PendingGrant {
@@ -144,7 +144,7 @@
    */
   giveUpLate(): void {
     const { view } = this.options;
-    const mostS = view.settings.workers.report_s * STORE_REPORTS;
+    const mostS = view.settings.workers.report_s * STORE_HEARTBEATS;
     const isLate = ({ since }: PendingGrant): boolean => view.now() - since > mostS;
     const loans = this.pending.filter(isLate).flatMap((pending) => pending.loans);
     this.withoutPromise += this.carryOutReady(isLate);
--- a/src/lending/return-times.ts
+++ b/src/lending/return-times.ts
@@ -6,7 +6,7 @@
 /** What the protocol leads to expect of slow boots, as a share of the nominal time. */
 const SLOW_BOOT = 1.6;
 /** Report intervals until a stop is told, carried out and heard of, and a start likewise. */
-const COMMAND_REPORTS = 4;
+const COMMAND_HEARTBEATS = 4;
 
 /** How long it takes to bring lent GPUs back, from what was measured. */
 export class ReturnTimes {
@@ -27,6 +27,6 @@
 
   /** Seconds from a place being there until the task was told to start and has shown itself. */
   get commandS(): number {
-    return this.view.settings.workers.report_s * COMMAND_REPORTS;
+    return this.view.settings.workers.report_s * COMMAND_HEARTBEATS;
   }
 }
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -169,12 +169,12 @@
 /** Null: malformed, or of a kind that is not known. */
 export function parseQuestion(raw: Fields): Question | null {
   // Checked by hand: heartbeats come hundreds of times a second.
-  if (raw.q === 'report') return parseReportQuestion(raw);
+  if (raw.q === 'report') return parseHeartbeatQuestion(raw);
   const result = v.safeParse(question, raw);
   return result.success ? result.output : null;
 }
 
-function parseReportQuestion({ body, hop }: Fields): QuestionOf<'report'> | null {
+function parseHeartbeatQuestion({ body, hop }: Fields): QuestionOf<'report'> | null {
   if (!Buffer.isBuffer(body)) return null;
   return { q: 'report', body, hop: hop === true };
 }
@@ -204,12 +204,12 @@
 export function parseAnswer(kind: QuestionKind, raw: unknown): Answer | null {
   if (!isFields(raw)) return null;
   // Checked by hand, as the question is.
-  if (kind === 'report') return parseReportAnswer(raw);
+  if (kind === 'report') return parseHeartbeatAnswer(raw);
   const result = v.safeParse(ANSWERS[kind], raw);
   return result.success ? result.output : {};
 }
 
-function parseReportAnswer(raw: Fields): ReplyAnswer {
+function parseHeartbeatAnswer(raw: Fields): ReplyAnswer {
   const answer: ReplyAnswer = {};
   if (typeof raw.status === 'number') answer.status = raw.status;
   if (typeof raw.body === 'string') answer.body = raw.body;
--- a/src/warm-pools/bursts.ts
+++ b/src/warm-pools/bursts.ts
@@ -13,7 +13,7 @@
 const WRITES_PER_SLOT = 3;
 const WRITE_SHARE = 0.3;
 /** What hearing of a machine and noticing that it is ready take, in heartbeat intervals. */
-const NOTICE_REPORTS = 3;
+const NOTICE_HEARTBEATS = 3;
 
 /** One firing of a pool's schedule. */
 export interface Burst {
@@ -66,7 +66,7 @@
   private leadS(pool: PoolDeclaration): number {
     const { settings } = this.view;
     const storeS = (pool.slots * WRITES_PER_SLOT) / (settings.state.write_rps * WRITE_SHARE);
-    const noticeS = settings.workers.report_s * NOTICE_REPORTS;
+    const noticeS = settings.workers.report_s * NOTICE_HEARTBEATS;
     let machineS = 0;
     for (const { type, zones } of allowedTypes(pool, this.view.machineTypes())) {
       for (const zone of zones) machineS = Math.max(machineS, this.machineS(type, zone, pool));
--- a/src/warm-pools/slot-monitor.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -21,7 +21,7 @@
 /** Machines that nothing is known of are judged after so many leases of a term, and of a slot's life. */
 const JUDGE_LEASES = 1;
 /** From placing a replica to its start, which may wait for a heartbeat: at most so many intervals. */
-const START_REPORTS = 1.5;
+const START_HEARTBEATS = 1.5;
 /** An earlier term that placed a replica and did not say so ended at most so long before this one began. */
 const INHERITED_LEASES = 2;
 
@@ -155,7 +155,7 @@
     const sinceMs = Math.max(0, view.now() - placedAt) * 1000;
     // Placed by an earlier term, which ended before it could say so.
     const isInherited = placedAt <= this.beganAt;
-    const uncertainS = isInherited ? lease_s * INHERITED_LEASES : report_s * START_REPORTS;
+    const uncertainS = isInherited ? lease_s * INHERITED_LEASES : report_s * START_HEARTBEATS;
     return { kind: 'used', task: name, atMs: nowMs() - sinceMs, uncertainMs: uncertainS * 1000 };
   }
 
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -231,19 +231,20 @@
    */
   private takeFromLowerPrecedence({ pool, burstMs }: Burst, count: number): void {
     const { table, alarms, pool: poolOf } = this.options;
-    const lesser: { entry: SlotEntry; precedence: number }[] = [];
+    const lowerPriority: { entry: SlotEntry; precedence: number }[] = [];
     for (const entry of table.values()) {
       const other = poolOf(entry.current.pool);
       if (other === undefined || other.precedence >= pool.precedence) continue;
       if (isHeld(entry.current) && this.wouldFit(pool, other, entry)) {
-        lesser.push({ entry, precedence: other.precedence });
+        lowerPriority.push({ entry, precedence: other.precedence });
       }
     }
-    lesser.sort(
+    lowerPriority.sort(
       (a, b) => a.precedence - b.precedence || b.entry.current.burstMs - a.entry.current.burstMs,
     );
-    for (const { entry } of lesser.slice(0, count)) this.release(entry, `taken by ${pool.name}`);
-    const missing = count - lesser.length;
+    for (const { entry } of lowerPriority.slice(0, count))
+      this.release(entry, `taken by ${pool.name}`);
+    const missing = count - lowerPriority.length;
     if (missing > 0) alarms.raise('no_capacity', pool.name, this.whenAgain(pool, burstMs, missing));
   }
 
--- a/src/warm-pools/warm-pools.ts
+++ b/src/warm-pools/warm-pools.ts
@@ -13,7 +13,7 @@
 export const WARM_POOLS = 'warm-pools';
 
 /** A model server is asked once in so many heartbeat intervals, and may think for as many leases. */
-const ASK_REPORTS = 1;
+const ASK_HEARTBEATS = 1;
 const ASK_TIMEOUT_LEASES = 0.25;
 
 /** Warm pools as a subsystem of a controller. */
@@ -37,7 +37,7 @@
     return new ModelServerLoader({
       port: modelServerPort,
       token: view.token,
-      askEveryS: report_s * ASK_REPORTS,
+      askEveryS: report_s * ASK_HEARTBEATS,
       timeoutS: lease_s * ASK_TIMEOUT_LEASES,
       clock: this.clock,
       log: view.log,
--- a/test/hand-over.test.ts
+++ b/test/hand-over.test.ts
@@ -73,7 +73,7 @@
     resign = (): void => undefined,
     electedAt = (): number => -Infinity,
   ) {
-    this.health = new HealthTable({ clock, reportS: REPORT_S, own: () => this.own });
+    this.health = new HealthTable({ clock, heartbeatIntervalS: REPORT_S, own: () => this.own });
     this.leadershipTransfer = new LeadershipTransfer({
       overload: this.overload,
       health: this.health,
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -150,7 +150,7 @@
 });
 
 test('by delay: placing less often, then submissions, polls and cancellations are refused at once', () => {
-  const calm = new Overload().passShare;
+  const calm = new Overload().cycleShare;
   const cases: [number, boolean, RequestClass[]][] = [
     [0, false, []],
     [ANSWER_WAIT_S * 0.12, false, []],
@@ -170,7 +170,7 @@
         rig.ask('report', 'oldest');
         rig.now += delayS;
       }
-      assert.equal(rig.overload.passShare < calm, placesLess, `${cause} ${delayS}`);
+      assert.equal(rig.overload.cycleShare < calm, placesLess, `${cause} ${delayS}`);
       for (const kind of ['report', 'cancellation', 'poll', 'submission'] as const) {
         const atOnce = rig.ask(kind, kind) === 'refused';
         assert.equal(atOnce, refused.includes(kind), `${cause} ${delayS} ${kind}`);
--- a/test/pass-pacing.test.ts
+++ b/test/pass-pacing.test.ts
@@ -13,7 +13,7 @@
     ['a very long one', 0.05, 0.95, 0.95 + LEASE_S * 0.3],
   ];
   for (const [name, share, tookS, nextS] of cases) {
-    const passes = new CyclePacing({ leaseS: LEASE_S, overload: { passShare: share } });
+    const passes = new CyclePacing({ leaseS: LEASE_S, overload: { cycleShare: share } });
     passes.cycleEnded(200, 200 + tookS);
     assert.ok(Math.abs(passes.nextAt - 200 - nextS) < 1e-9, `${name}: ${passes.nextAt - 200}`);
   }
