--- a/src/admission/leadership-transfer.ts
+++ b/src/admission/leadership-transfer.ts
@@ -38,7 +38,7 @@
  */
 export class LeadershipTransfer {
   private transferredAt = -Infinity;
-  /** Since when reports forwarded to this controller have waited for too long; null: they have not. */
+  /** Since when heartbeats forwarded to this controller have waited for too long; null: they have not. */
   private forwardingLateSince: number | null = null;
 
   constructor(private readonly options: LeadershipTransferOptions) {}
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -16,9 +16,9 @@
   }
 }
 
-/** What became of a rental request; `unknown`: it may have been carried out, or may still be. */
-export type RentResult =
-  | { how: 'rented'; ids: string[] }
+/** What became of a scale-out request; `unknown`: it may have been carried out, or may still be. */
+export type ScaleOutResult =
+  | { how: 'added'; ids: string[] }
   | { how: 'none' }
   /** Nobody knows; the same request may be sent again under the same name. */
   | { how: 'unknown' }
@@ -63,18 +63,18 @@
     }
   }
 
-  /** Sends a rental request. A request name that was answered gets the same answer for ever. */
-  async rentMachines(request: wire.RentRequest): Promise<RentResult> {
+  /** Sends a scale-out request. A request name that was answered gets the same answer for ever. */
+  async scaleOut(request: wire.ScaleOutRequest): Promise<ScaleOutResult> {
     let response: Response;
     try {
-      response = await this.call('POST', wire.RENT_PATH, wire.encodeRent(request));
+      response = await this.call('POST', wire.MACHINES_PATH, wire.encodeScaleOut(request));
     } catch {
       return { how: 'unknown' };
     }
     const text = response.body.toString('utf8');
     if (response.status === 200) {
       try {
-        return { how: 'rented', ids: wire.parseRented(JSON.parse(text)) };
+        return { how: 'added', ids: wire.parseScaleOutAnswer(JSON.parse(text)) };
       } catch {
         return { how: 'unknown' };
       }
@@ -84,9 +84,9 @@
   }
 
   /** True: they and all that was on them are gone. */
-  async returnMachines(ids: string[]): Promise<boolean> {
+  async scaleIn(ids: string[]): Promise<boolean> {
     try {
-      const response = await this.call('POST', wire.RETURN_PATH, wire.encodeReturn(ids));
+      const response = await this.call('POST', wire.SCALE_IN_PATH, wire.encodeScaleIn(ids));
       return response.status === 200;
     } catch {
       return false;
--- a/src/cloud/provisioner.ts
+++ b/src/cloud/provisioner.ts
@@ -2,9 +2,14 @@
 import { WakeableSleep, sleep, type Clock } from '../clock.js';
 import type { Log } from '../log.js';
 import type { MachineType } from '../jobs/types.js';
-import { RENT_MAX, RETURN_MAX, type ListedMachine, type RentRequest } from '../wire/cloud.js';
+import {
+  SCALE_OUT_MAX,
+  SCALE_IN_MAX,
+  type ListedMachine,
+  type ScaleOutRequest,
+} from '../wire/cloud.js';
 import { CloudError, type CloudClient } from './client.js';
-import type { StoredRentRequest } from '../subsystems/subsystem.js';
+import type { StoredScaleOutRequest } from '../subsystems/subsystem.js';
 import type { MachineOrder } from './scale-out-plan.js';
 
 /** Lags of the cloud's list after which a machine that it does not name is given up: listed before, or never. */
@@ -13,7 +18,7 @@
 /** Lags for which a returned machine is remembered: lists may still name it. */
 const RETURNED_LAGS = 20;
 
-/** A machine that is rented but has not reported yet. */
+/** A machine that was added but has sent no heartbeat yet. */
 export interface PendingMachine {
   id: string;
   type: string;
@@ -28,11 +33,11 @@
 export interface ProvisionerHost {
   isEntitled(): boolean;
   /** Requests under names that are stored: sent before all others. */
-  storedRentRequests(): StoredRentRequest[];
-  /** What to rent now. */
-  machinesToRent(): MachineOrder[];
+  storedScaleOutRequests(): StoredScaleOutRequest[];
+  /** Which machines to add now. */
+  machinesToAdd(): MachineOrder[];
   /** Machines to give back now, their records already marked. */
-  machinesToReturn(): string[];
+  machinesToRemove(): string[];
   machinesReturned(ids: string[]): void;
   isKnown(id: string): boolean;
   applyList(all: ListedMachine[]): void;
@@ -50,11 +55,11 @@
   log: Log;
 }
 
-/** Renting and returning for the leader. Request names carry the incarnation: they never recur. */
+/** Scale-out and scale-in for the leader. Request names carry the incarnation: they never recur. */
 export class MachineProvisioner {
   readonly pending = new Map<string, PendingMachine>();
   private readonly shortages = new Map<string, { until: number; fails: number }>();
-  private readonly unanswered: { request: RentRequest; since: number }[] = [];
+  private readonly unanswered: { request: ScaleOutRequest; since: number }[] = [];
   /** What the cloud confirmed as gone; lists may still name them. */
   private readonly returnedAt = new Map<string, number>();
   private counter = 0;
@@ -83,17 +88,17 @@
     this.shortages.set(key, { until: this.options.clock.now() + pause, fails });
   }
 
-  /** A rented machine has sent its first heartbeat. */
+  /** A machine that was added has sent its first heartbeat. */
   machineReported(id: string): void {
     this.pending.delete(id);
   }
 
-  /** There is something to rent or return: the next round begins at once. */
+  /** There is something to add or give back: the next round begins at once. */
   wake(): void {
     this.pause.wakeUp();
   }
 
-  /** Rents and returns, round after round, until `stop`. */
+  /** Scales out and in, round after round, until `stop`. */
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -118,8 +123,8 @@
       this.applyList(await this.options.cloud.listMachines());
     }
     if (this.stopped || !this.options.host.isEntitled()) return;
-    const back = this.options.host.machinesToReturn().slice(0, RETURN_MAX);
-    if (back.length > 0 && (await this.options.cloud.returnMachines(back))) {
+    const back = this.options.host.machinesToRemove().slice(0, SCALE_IN_MAX);
+    if (back.length > 0 && (await this.options.cloud.scaleIn(back))) {
       const at = this.options.clock.now();
       for (const id of back) {
         this.returnedAt.set(id, at);
@@ -130,17 +135,17 @@
     }
     await this.retryUnanswered();
     await this.sendStoredRequests();
-    for (const wanted of this.options.host.machinesToRent()) {
-      for (let left = wanted.count; left > 0; left -= RENT_MAX) {
+    for (const wanted of this.options.host.machinesToAdd()) {
+      for (let left = wanted.count; left > 0; left -= SCALE_OUT_MAX) {
         if (this.stopped || !this.options.host.isEntitled()) return;
-        const request: RentRequest = {
+        const request: ScaleOutRequest = {
           name: `${this.options.name}-${this.counter++}`,
           type: wanted.type,
           zone: wanted.zone,
           spot: wanted.spot,
-          count: Math.min(left, RENT_MAX),
+          count: Math.min(left, SCALE_OUT_MAX),
         };
-        await this.rentMachines(request, this.options.clock.now());
+        await this.scaleOut(request, this.options.clock.now());
       }
     }
   }
@@ -148,29 +153,29 @@
   private async retryUnanswered(): Promise<void> {
     const again = this.unanswered.splice(0, this.unanswered.length);
     for (const unanswered of again) {
-      // Given up after a while: whatever it rented shows up in the list and by its heartbeats.
+      // Given up after a while: whatever it added shows up in the list and by its heartbeats.
       if (this.options.clock.now() - unanswered.since < 30)
-        await this.rentMachines(unanswered.request, unanswered.since);
+        await this.scaleOut(unanswered.request, unanswered.since);
     }
   }
 
   /** Each is asked for until it is answered, by whoever leads: the name is the same, and so is the answer. */
   private async sendStoredRequests(): Promise<void> {
-    for (const rentRequest of this.options.host.storedRentRequests()) {
+    for (const storedRequest of this.options.host.storedScaleOutRequests()) {
       if (this.stopped || !this.options.host.isEntitled()) return;
-      rentRequest.sending();
-      const result = await this.options.cloud.rentMachines(rentRequest.request);
+      storedRequest.sending();
+      const result = await this.options.cloud.scaleOut(storedRequest.request);
       this.options.log.info(
-        { request: rentRequest.request, result: result.how },
+        { request: storedRequest.request, result: result.how },
         'scale-out: stored request sent',
       );
-      if (result.how === 'rented') this.machinesRented(rentRequest.request, result.ids);
-      if (result.how === 'none') this.recordShortage(rentRequest.request);
-      rentRequest.answered(result);
+      if (result.how === 'added') this.machinesAdded(storedRequest.request, result.ids);
+      if (result.how === 'none') this.recordShortage(storedRequest.request);
+      storedRequest.answered(result);
     }
   }
 
-  private machinesRented({ type, zone, spot, count }: RentRequest, ids: string[]): void {
+  private machinesAdded({ type, zone, spot, count }: ScaleOutRequest, ids: string[]): void {
     const now = this.options.clock.now();
     for (const id of ids) {
       if (this.options.host.isKnown(id) || this.returnedAt.has(id)) continue;
@@ -179,12 +184,12 @@
     if (ids.length < count) this.recordShortage({ type, zone, spot });
   }
 
-  private async rentMachines(request: RentRequest, since: number): Promise<void> {
-    const result = await this.options.cloud.rentMachines(request);
+  private async scaleOut(request: ScaleOutRequest, since: number): Promise<void> {
+    const result = await this.options.cloud.scaleOut(request);
     this.options.log.info({ request, result: result.how }, 'scale-out: request sent');
     switch (result.how) {
-      case 'rented':
-        this.machinesRented(request, result.ids);
+      case 'added':
+        this.machinesAdded(request, result.ids);
         break;
       case 'none':
         this.recordShortage(request);
@@ -193,13 +198,13 @@
         this.unanswered.push({ request, since });
         break;
       case 'refused':
-        // An outage, or too many calls: nothing was rented.
+        // An outage, or too many calls: nothing was added.
         throw new CloudError('rent', result.status);
     }
   }
 
   /** Whether requests are under way whose outcome is open. */
-  get unansweredRequests(): RentRequest[] {
+  get unansweredRequests(): ScaleOutRequest[] {
     return this.unanswered.map((entry) => entry.request);
   }
 
--- a/src/cloud/scale-out-plan.ts
+++ b/src/cloud/scale-out-plan.ts
@@ -21,7 +21,7 @@
 /** Where the cloud had nothing, and until when not to ask again. */
 export type Shortage = (type: string, zone: string, spot: boolean) => boolean;
 
-/** Machines to rent of one type, zone and kind. */
+/** Machines to add of one type, zone and kind. */
 export interface MachineOrder {
   type: string;
   zone: string;
@@ -29,7 +29,7 @@
   count: number;
 }
 
-/** What a plan of machines to rent rests on. */
+/** What a scale-out plan rests on. */
 export interface ScaleOutInput {
   demand: Demand[];
   /** Machines on their way, and capacity that is free. They are used up. */
@@ -100,7 +100,7 @@
   return best;
 }
 
-/** What to rent so that all demand finds capacity. Pure: the free capacities given are used up. */
+/** Which machines to add so that all demand finds capacity. Pure: the free capacities given are used up. */
 export function planScaleOut(input: ScaleOutInput): MachineOrder[] {
   const wanted = new Map<string, MachineOrder>();
   let count = 0;
--- a/src/controller/http-router.ts
+++ b/src/controller/http-router.ts
@@ -20,7 +20,7 @@
   requests: RequestQueue;
   heartbeats: HeartbeatHandler;
   forwarder: RequestForwarder;
-  /** Whether this controller leads: then reports are taken in, not forwarded. */
+  /** Whether this controller leads: then heartbeats are taken in, not forwarded. */
   isLeader: () => boolean;
   metrics: () => Record<string, unknown>;
   /** What operators are shown of a subsystem. */
--- a/src/heartbeat/forwarding-delay.ts
+++ b/src/heartbeat/forwarding-delay.ts
@@ -6,7 +6,7 @@
 const FRESH_HEARTBEATS = 2;
 
 /**
- * How long reports that this controller forwards to the leader wait for their answers, those that got none
+ * How long heartbeats that this controller forwards to the leader wait for their answers, those that got none
  * included. A leader that falls behind may not see it itself: while its timers are hardly late, others
  * give up waiting for it.
  */
--- a/src/heartbeat/heartbeat-handler.ts
+++ b/src/heartbeat/heartbeat-handler.ts
@@ -26,7 +26,7 @@
 
 /**
  * Of the time that a worker waits for an answer, what it may be left waiting here, and what one of the
- * others may take. These were heartbeat intervals once. With reports every 2.5 s the answers came after
+ * others may take. These were heartbeat intervals once. With heartbeats every 2.5 s the answers came after
  * workers had given up: those of a zone just cut off went to look elsewhere, which took a lease.
  */
 export const RENEWAL_WAIT_SHARE = 0.875;
--- a/src/heartbeat/received-heartbeat.ts
+++ b/src/heartbeat/received-heartbeat.ts
@@ -23,7 +23,7 @@
     return this.scanned;
   }
 
-  /** The whole report. Throws BadMessage if it is malformed. */
+  /** The whole heartbeat. Throws BadMessage if it is malformed. */
   parse(): Heartbeat {
     this.parsed ??= decodeHeartbeat(this.body);
     return this.parsed;
--- a/src/heartbeat/redirects.ts
+++ b/src/heartbeat/redirects.ts
@@ -25,7 +25,7 @@
 }
 
 /**
- * Which workers are told to report to another controller. Seldom for each worker, so that none is sent back
+ * Which workers are told to send heartbeats to another controller. Seldom for each worker, so that none is sent back
  * and forth: by one controller once in one and a half leases. The answer is a 421, which renews nothing.
  *
  * A late controller that sent its own workers to a healthier one was tried: they were away when their zone was
--- a/src/leader/attempts/heartbeat-reconciler.ts
+++ b/src/leader/attempts/heartbeat-reconciler.ts
@@ -1,4 +1,4 @@
-/** Taking in what reports showed: tasks found, running, ended or gone. */
+/** Reconciliation with what heartbeats showed: tasks found, running, ended or gone. */
 
 import type { LiveJob } from '../../jobs/live-job.js';
 import { occupiesCapacity, type Attempt } from '../../workers/attempt.js';
--- a/src/leader/capacity/capacity-manager.ts
+++ b/src/leader/capacity/capacity-manager.ts
@@ -9,7 +9,7 @@
 import type { TeamUsages } from '../../scheduler/quota.js';
 import type { ListedMachine } from '../../wire/cloud.js';
 import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../../subsystems/active-subsystems.js';
-import type { StoredRentRequest } from '../../subsystems/subsystem.js';
+import type { StoredScaleOutRequest } from '../../subsystems/subsystem.js';
 import type { Machine } from '../../workers/machine.js';
 import { Consolidation } from './consolidation.js';
 import { ScaleOutPlanner, type CycleRemainder } from './scale-out-planner.js';
@@ -31,7 +31,7 @@
   subsystems?: ActiveSubsystems;
 }
 
-/** Keeps the fleet of a term as large as it should be: what to rent, what to give back. */
+/** Keeps the fleet of a term as large as it should be: which machines to add, which to give back. */
 export class CapacityManager implements ProvisionerHost, CycleRemainder {
   readonly provisioner: MachineProvisioner;
   demand: Demand[] = [];
@@ -120,18 +120,18 @@
     return this.isListed(id) === false;
   }
 
-  /** See `ProvisionerHost.storedRentRequests`. */
-  storedRentRequests(): StoredRentRequest[] {
-    return this.subsystems.rentRequests();
+  /** See `ProvisionerHost.storedScaleOutRequests`. */
+  storedScaleOutRequests(): StoredScaleOutRequest[] {
+    return this.subsystems.scaleOutRequests();
   }
 
-  /** See `ProvisionerHost.machinesToRent`. */
-  machinesToRent(): MachineOrder[] {
+  /** See `ProvisionerHost.machinesToAdd`. */
+  machinesToAdd(): MachineOrder[] {
     return this.scaleOut.plan(this);
   }
 
-  /** See `ProvisionerHost.machinesToReturn`. */
-  machinesToReturn(): string[] {
+  /** See `ProvisionerHost.machinesToRemove`. */
+  machinesToRemove(): string[] {
     return this.scaleIn.plan(this.capacities);
   }
 
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -9,11 +9,11 @@
 import type { Term } from '../term/term.js';
 import type { WarmReserve } from './warm-reserve.js';
 
-/** Given back after so many boots: a machine still booting, and one that runs but does not report. */
+/** Given back after so many boots: a machine still booting, and one that runs but sends no heartbeat. */
 const NEVER_BOOTS = { booting: 6, running: 4, failed: 0 } as const;
 /** Leases beyond that, for the heartbeats of a machine that has come. */
 const NEVER_LEASES = 2;
-/** A term judges so only after so many leases: its machines have reported by then. */
+/** A term judges so only after so many leases: its machines have sent heartbeats by then. */
 const JUDGE_LEASES = 3;
 /** A silent machine may come back for so many leases; then it is given back. */
 const SILENT_LEASES = 4;
@@ -65,7 +65,7 @@
       return;
     }
     if (type === undefined || known !== undefined) return;
-    // Boots that never end, and machines that run but never report.
+    // Boots that never end, and machines that run but never send a heartbeat.
     const limit = type.bootS * NEVER_BOOTS[listed.state] + lease_s * NEVER_LEASES;
     const settled = now - term.startedAt > lease_s * JUDGE_LEASES;
     if (listed.ageS > limit && settled) this.neverReported.add(listed.id);
--- a/src/leader/capacity/scale-out-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -1,4 +1,4 @@
-/** What to rent: machines for work that found none, for replicas that are missed, and the warm reserve. */
+/** Which machines to add: for work that found none, for replicas that are missed, and the warm reserve. */
 
 import { unitsOf } from '../../cloud/demand-forecast.js';
 import type { MachineProvisioner } from '../../cloud/provisioner.js';
@@ -10,7 +10,7 @@
 } from '../../cloud/scale-out-plan.js';
 import type { LiveJob } from '../../jobs/live-job.js';
 import type { FreeCapacity, PlacementWeights } from '../../scheduler/bin-packing.js';
-import { RENT_MAX } from '../../wire/cloud.js';
+import { SCALE_OUT_MAX } from '../../wire/cloud.js';
 import type { ActiveSubsystems } from '../../subsystems/active-subsystems.js';
 import { occupiesCapacity } from '../../workers/attempt.js';
 import type { Machine } from '../../workers/machine.js';
@@ -27,7 +27,7 @@
 const SILENT_LEASE_SHARE = 0.4;
 /** When more of the fleet than this is silent, it is this controller that hears nothing. */
 const MAX_SILENT_SHARE = 0.5;
-/** Warm machines rented at once, at most: so many, or this share of what is kept. */
+/** Warm machines requested at once, at most: so many, or this share of what is kept. */
 const WARM_AT_ONCE = 4;
 const WARM_SHARE = 0.25;
 /** What a machine in a zone makes the next one there dearer by, as a share: new ones are spread. */
@@ -53,11 +53,11 @@
 /** Machines in each zone, with those on their way. */
 type ZoneCounts = Map<string, number>;
 
-/** Plans what a term rents. */
+/** Plans how a term scales out. */
 export class ScaleOutPlanner {
   constructor(private readonly options: ScaleOutPlannerOptions) {}
 
-  /** Machines to rent now; none while the term may not write or does not know its fleet. */
+  /** Machines to add now; none while the term may not write or does not know its fleet. */
   plan(remains: CycleRemainder): MachineOrder[] {
     const { term, provisioner, weights, subsystems } = this.options;
     const { context } = term;
@@ -74,8 +74,8 @@
       isShort: (type: string, zone: string, spot: boolean) => provisioner.isShort(type, zone, spot),
       machinesByZone,
       weights: weights(),
-      // As many as the cloud's calls of a second can rent.
-      maxMachines: Math.ceil(context.settings.cloud.rps) * RENT_MAX,
+      // As many as the cloud's calls of a second can add.
+      maxMachines: Math.ceil(context.settings.cloud.rps) * SCALE_OUT_MAX,
       ...(subsystems.hasAny
         ? { mayUse: (spec, capacity) => subsystems.mayUse(spec, capacity) }
         : {}),
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -35,7 +35,7 @@
   subsystems?: readonly Subsystem[];
 }
 
-/** Acts for one term: answers reports, places, stores, commands and keeps the fleet. */
+/** Acts for one term: answers heartbeats, places tasks, writes to the store, commands workers and scales the fleet. */
 export class Leader {
   readonly term: Term;
   private readonly scheduler: Scheduler;
@@ -122,14 +122,14 @@
     });
   }
 
-  /** Begins to write, to rent and to schedule. */
+  /** Begins to write, to scale out and to schedule. */
   start(): void {
     void this.writer.run();
     void this.capacity.provisioner.run();
     this.scheduleCycle();
   }
 
-  /** The term is over: nothing more is written, commanded or rented. */
+  /** The term is over: nothing more is written or commanded, and no machine is requested. */
   stop(): void {
     this.stopped = true;
     this.writer.stop();
--- a/src/leader/scheduling/machine-eligibility.ts
+++ b/src/leader/scheduling/machine-eligibility.ts
@@ -11,7 +11,7 @@
 import type { MachineFilter } from './cycle-context.js';
 import type { Term } from '../term/term.js';
 
-/** A machine that has not reported for so many intervals gets nothing new. */
+/** A machine that has sent no heartbeat for so many intervals gets nothing new. */
 const RECENT_HEARTBEATS = 2.5;
 const ANY: MachineFilter = () => true;
 
--- a/src/leader/term/term-state.ts
+++ b/src/leader/term/term-state.ts
@@ -40,7 +40,7 @@
   readonly machinesToWrite = new Set<string>();
   /** Records of machines that are gone for good, and their revisions. */
   readonly recordRemovals = new Map<string, number>();
-  /** Machines that the cloud has taken back. Names never recur: what still reports is a late copy. */
+  /** Machines that the cloud has taken back. Names never recur: what still sends heartbeats is a late copy. */
   readonly returnedMachines = new Set<string>();
   /** Machines whose leases were counted as lost. */
   machinesLost = 0;
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -27,7 +27,7 @@
 /**
  * Life of the key's lease: so much of a worker's lease, and of the time that a worker waits for an answer.
  * A worker must get one before it looks for other controllers, all of them outside the cut. By its lease
- * alone, one of 15 s, the zone lease holder began when those that had reported in the cut's first moments had gone.
+ * alone, one of 15 s, the zone lease holder began when those that had sent heartbeats in the cut's first moments had gone.
  */
 const TTL_LEASES = 0.1;
 const TTL_ANSWER_WAITS = 0.25;
--- a/src/lending/lending-term.ts
+++ b/src/lending/lending-term.ts
@@ -5,7 +5,7 @@
 import type {
   PreemptionRules,
   OwnedWrite,
-  StoredRentRequest,
+  StoredScaleOutRequest,
   SubsystemTerm,
   TermView,
 } from '../subsystems/subsystem.js';
@@ -71,8 +71,8 @@
     this.table.removeEnded(this.config.keepEndedS * 1000);
   }
 
-  /** See `SubsystemTerm.rentRequests`. */
-  rentRequests(): StoredRentRequest[] {
+  /** See `SubsystemTerm.scaleOutRequests`. */
+  scaleOutRequests(): StoredScaleOutRequest[] {
     return [];
   }
 
--- a/src/lending/loan-monitor.ts
+++ b/src/lending/loan-monitor.ts
@@ -157,7 +157,7 @@
   }
 
   /**
-   * A lender with a place elsewhere needs nothing: a machine was rented for it, or others have left. Else
+   * A lender with a place elsewhere needs nothing: a machine was added for it, or others have left. Else
    * the borrower's replica is moved, where that has a free place with its image and others answer.
    */
   private startReturn(loan: Loan): void {
--- a/src/subsystems/active-subsystems.ts
+++ b/src/subsystems/active-subsystems.ts
@@ -10,7 +10,7 @@
   PreemptionVictim,
   LiveJobView,
   OwnedWrite,
-  StoredRentRequest,
+  StoredScaleOutRequest,
   Subsystem,
   SubsystemTerm,
   TermView,
@@ -59,10 +59,10 @@
     for (const { name, term } of this.active) this.guarded(name, undefined, () => term.tick());
   }
 
-  /** See `SubsystemTerm.rentRequests`. */
-  rentRequests(): StoredRentRequest[] {
+  /** See `SubsystemTerm.scaleOutRequests`. */
+  scaleOutRequests(): StoredScaleOutRequest[] {
     return this.active.flatMap(({ name, term }) =>
-      this.guarded(name, [], () => term.rentRequests()),
+      this.guarded(name, [], () => term.scaleOutRequests()),
     );
   }
 
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -10,8 +10,8 @@
 import type { JobSpec, MachineType } from '../jobs/types.js';
 import type { Log } from '../log.js';
 import type { FreeCapacity } from '../scheduler/bin-packing.js';
-import type { RentRequest } from '../wire/cloud.js';
-import type { RentResult } from '../cloud/client.js';
+import type { ScaleOutRequest } from '../wire/cloud.js';
+import type { ScaleOutResult } from '../cloud/client.js';
 import type { Attempt } from '../workers/attempt.js';
 import type { Machine } from '../workers/machine.js';
 
@@ -146,7 +146,7 @@
   machineTypes(): ReadonlyMap<string, MachineType>;
   /** Undefined: nothing is known of it, or no longer. */
   machine(id: string): MachineView | undefined;
-  /** Whether a rented machine is still expected to report. */
+  /** Whether a machine that was added is still expected to send heartbeats. */
   isPending(id: string): boolean;
   /** Whether the cloud's latest list names it; null: there has been no list yet. */
   isListed(id: string): boolean | null;
@@ -177,11 +177,11 @@
 }
 
 /** A request to the cloud under a name that is stored. It may be sent again by any later term. */
-export interface StoredRentRequest {
-  request: RentRequest;
+export interface StoredScaleOutRequest {
+  request: ScaleOutRequest;
   /** It is about to be sent. */
   sending(): void;
-  answered(result: RentResult): void;
+  answered(result: ScaleOutResult): void;
 }
 
 /** A subsystem's part in one term. All of it is asked often: nothing here may wait. */
@@ -189,7 +189,7 @@
   /** Called about twice a heartbeat interval. */
   tick(): void;
   /** Requests to the cloud that are due. */
-  rentRequests(): StoredRentRequest[];
+  scaleOutRequests(): StoredScaleOutRequest[];
   /** Whether a machine stays although nothing runs on it. */
   keeps(machine: string): boolean;
   /** Free capacity on ordinary machines that is spoken for, in machines. */
--- a/src/warm-pools/bursts.ts
+++ b/src/warm-pools/bursts.ts
@@ -20,7 +20,7 @@
   pool: PoolDeclaration;
   /** When it begins, in ms of the time of day. */
   burstMs: number;
-  /** Seconds ahead at which its slots should be rented. */
+  /** Seconds ahead at which machines for its slots should be requested. */
   leadS: number;
 }
 
--- a/src/warm-pools/lead-times.ts
+++ b/src/warm-pools/lead-times.ts
@@ -43,7 +43,7 @@
     }
   }
 
-  /** A machine took so many seconds from its rent to its first heartbeat. */
+  /** A machine took so many seconds from its scale-out to its first heartbeat. */
   noteBoot(type: string, zone: string, seconds: number): void {
     const samples = this.samples(type, zone);
     remember(samples.boots, seconds);
--- a/src/warm-pools/machine-choice.ts
+++ b/src/warm-pools/machine-choice.ts
@@ -52,8 +52,8 @@
   };
 }
 
-/** A kind of machine that is to be rented. */
-export interface RentPlace {
+/** A kind of machine that is to be added. */
+export interface ScaleOutTarget {
   type: MachineType;
   zone: string;
 }
@@ -67,8 +67,8 @@
   types: ReadonlyMap<string, MachineType>,
   isShort: (type: string, zone: string) => boolean,
   slotsInZone: ReadonlyMap<string, number>,
-): RentPlace | null {
-  const places: (RentPlace & { cost: number; slots: number })[] = [];
+): ScaleOutTarget | null {
+  const places: (ScaleOutTarget & { cost: number; slots: number })[] = [];
   for (const { type, zones } of allowedTypes(pool, types)) {
     const cost = type.price / slotsPerMachine(pool.shape, type);
     for (const zone of zones) {
--- a/src/warm-pools/model-loader.ts
+++ b/src/warm-pools/model-loader.ts
@@ -23,7 +23,7 @@
 
 /**
  * Within the protocol a machine fetches an image only for a task that wants it. So a machine is ready
- * once it reports to this term: the boot is over, and images that it holds stay, since lower-priority work that
+ * once its heartbeats reach this term: the boot is over, and images that it holds stay, since lower-priority work that
  * would push them out is kept off (`SlotRooms.mayUse`). What it has not held before is fetched only with
  * the first replica.
  */
--- a/src/warm-pools/model-server-loader.ts
+++ b/src/warm-pools/model-server-loader.ts
@@ -127,7 +127,7 @@
       if (response.status !== 200) throw new ModelServerError(response.status);
       take(model, v.parse(answer, JSON.parse(response.body.toString('utf8'))).state);
     } catch (error) {
-      // Silence says nothing about a model that was ready: the machine's own reports decide.
+      // Silence says nothing about a model that was ready: the machine's own heartbeats decide.
       log.debug({ machine, image, err: error }, 'model server unavailable');
     } finally {
       model.asking = false;
--- a/src/warm-pools/slot-groups.ts
+++ b/src/warm-pools/slot-groups.ts
@@ -1,18 +1,18 @@
-/** Which slots are rented for together. */
+/** Which slots are scaled out for together. */
 
 import type { TermView } from '../subsystems/subsystem.js';
-import { RENT_MAX } from '../wire/cloud.js';
+import { SCALE_OUT_MAX } from '../wire/cloud.js';
 import type { PoolDeclaration } from './declaration.js';
-import { cheapestPlace, slotsPerMachine, type RentPlace } from './machine-choice.js';
+import { cheapestPlace, slotsPerMachine, type ScaleOutTarget } from './machine-choice.js';
 import type { SlotEntry } from './slot-table.js';
 
-/** Slots whose machines are rented by one request. */
+/** Slots whose machines come from one scale-out request. */
 export interface SlotGroup {
-  place: RentPlace;
+  place: ScaleOutTarget;
   group: SlotEntry[];
 }
 
-/** The slots by the kind of machine that is rented for them; each group is one request. */
+/** The slots by the kind of machine that is requested for them; each group is one request. */
 export function groupByPlace(
   view: TermView,
   pool: PoolDeclaration,
@@ -41,14 +41,14 @@
 
 function isFull(group: SlotGroup | undefined, pool: PoolDeclaration): boolean {
   if (group === undefined) return false;
-  return group.group.length >= RENT_MAX * slotsPerMachine(pool.shape, group.place.type);
+  return group.group.length >= SCALE_OUT_MAX * slotsPerMachine(pool.shape, group.place.type);
 }
 
 function slotsInZones(view: TermView, open: readonly SlotEntry[]): Map<string, number> {
   const inZone = new Map<string, number>();
   for (const { current } of open) {
     const machine = current.machine === null ? undefined : view.machine(current.machine);
-    const zone = machine?.zone ?? current.rent?.zone;
+    const zone = machine?.zone ?? current.request?.zone;
     if (zone !== undefined) inZone.set(zone, (inZone.get(zone) ?? 0) + 1);
   }
   return inZone;
--- a/src/warm-pools/slot-monitor.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -14,7 +14,7 @@
 /**
  * A machine that has not come after so many times its lead time and so many leases, for its heartbeats, never
  * will. Some boots take several times as long as nominal ones: with the lead time alone, machines that were
- * about to come were given up and others rented in their place.
+ * about to come were given up and others requested in their place.
  */
 const NEVER_LEADS = 3;
 const NEVER_LEASES = 2;
@@ -114,16 +114,16 @@
       // Charged until it was gone, which nobody saw.
       return { kind: 'lost', reason: 'gone', atMs: fromMs, uncertainMs: heldS * 1000 };
     }
-    const leadS = this.leadS(current.pool, current.rent);
+    const leadS = this.leadS(current.pool, current.request);
     if (heldS <= leadS * NEVER_LEADS + lease_s * NEVER_LEASES) return null;
     return { kind: 'lost', reason: 'never came', atMs: nowMs(), uncertainMs: 0 };
   }
 
-  private leadS(poolName: string, rent: { type: string; zone: string } | null): number {
+  private leadS(poolName: string, request: { type: string; zone: string } | null): number {
     const pool = this.options.pool(poolName);
-    const type = this.options.view.machineTypes().get(rent?.type ?? '');
-    if (pool === undefined || type === undefined || rent === null) return Infinity;
-    return this.options.leadTimes.leadS(type, rent.zone, pool.image, pool.imageGb);
+    const type = this.options.view.machineTypes().get(request?.type ?? '');
+    if (pool === undefined || type === undefined || request === null) return Infinity;
+    return this.options.leadTimes.leadS(type, request.zone, pool.image, pool.imageGb);
   }
 
   /** A replica with the model that came after the slot uses it; the warm places go first. */
@@ -180,18 +180,18 @@
   }
 
   private measureBoot({ id, current }: SlotEntry, machine: MachineView): void {
-    if (current.rent === null || machine.firstSeenAt === null || this.measured.has(id)) return;
+    if (current.request === null || machine.firstSeenAt === null || this.measured.has(id)) return;
     this.measured.add(id);
     // Heard first by this term, which began before: otherwise the boot was over already.
     const { leadTimes, nowMs, view } = this.options;
     const sinceHeardS = view.now() - machine.firstSeenAt;
     const bootS = (nowMs() - current.held!.fromMs) / 1000 - sinceHeardS;
-    const isOwn = current.rent.name.startsWith(view.uniquePrefix);
+    const isOwn = current.request.name.startsWith(view.uniquePrefix);
     if (isOwn && bootS > 0) leadTimes.noteBoot(machine.type, machine.zone, bootS);
   }
 
   private measureLoad({ current }: SlotEntry, machine: MachineView, pool: PoolDeclaration): void {
-    if (machine.firstSeenAt === null || current.rent === null) return;
+    if (machine.firstSeenAt === null || current.request === null) return;
     const loadS = this.options.view.now() - machine.firstSeenAt;
     this.options.leadTimes.noteLoad(machine.type, machine.zone, pool.image, Math.max(0, loadS));
   }
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -14,8 +14,15 @@
 } from './machine-choice.js';
 import { SlotAllowance } from './slot-allowance.js';
 import { groupByPlace } from './slot-groups.js';
-import { isHeld, isOpen, plannedSlot, type Slot, type SlotPlace, type SlotRent } from './slot.js';
-import { shareOut, type SlotRentRequests } from './slot-rent-requests.js';
+import {
+  isHeld,
+  isOpen,
+  plannedSlot,
+  type Slot,
+  type SlotPlace,
+  type SlotRequest,
+} from './slot.js';
+import { shareOut, type SlotScaleOut } from './slot-scale-out.js';
 import { modelTasks, type SlotReservations } from './slot-reservations.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
@@ -28,7 +35,7 @@
 export interface SlotPlannerOptions {
   view: TermView;
   table: SlotTable;
-  rentRequests: SlotRentRequests;
+  scaleOutRequests: SlotScaleOut;
   reservations: SlotReservations;
   alarms: Alarms;
   pool: (name: string) => PoolDeclaration | undefined;
@@ -132,7 +139,7 @@
   private mayRelease({ current }: SlotEntry): boolean {
     if (isHeld(current)) return true;
     if (current.state !== 'planned') return false;
-    return !this.options.rentRequests.mayHaveBeenSent(current, this.beganMs);
+    return !this.options.scaleOutRequests.mayHaveBeenSent(current, this.beganMs);
   }
 
   private release(entry: SlotEntry, reason: string): void {
@@ -156,19 +163,19 @@
     const planned = of.open.filter(({ current }) => current.state === 'planned');
     if (planned.length === 0) return;
     const isDue = nowMs() >= burst.burstMs - burst.leadS * 1000;
-    const toRent: SlotEntry[] = [];
+    const toRequest: SlotEntry[] = [];
     for (const entry of planned) {
-      if (this.options.rentRequests.mayHaveBeenSent(entry.current, this.beganMs))
+      if (this.options.scaleOutRequests.mayHaveBeenSent(entry.current, this.beganMs))
         this.makeDue(entry);
       else if (!isDue) {
-        if (entry.current.rent === null) toRent.push(entry);
-      } else if (!this.adopt(burst, entry)) toRent.push(entry);
+        if (entry.current.request === null) toRequest.push(entry);
+      } else if (!this.adopt(burst, entry)) toRequest.push(entry);
     }
-    if (toRent.length > 0) this.nameRents(burst, of, toRent, isDue);
+    if (toRequest.length > 0) this.nameRequests(burst, of, toRequest, isDue);
   }
 
   private makeDue(entry: SlotEntry): void {
-    this.options.table.apply(entry, { kind: 'rent-due' });
+    this.options.table.apply(entry, { kind: 'request-due' });
   }
 
   /** A machine that is there already is kept for the slot, if there is one. */
@@ -207,7 +214,7 @@
   }
 
   /** Names the requests for slots that found no machine; they may be sent at once where they are due. */
-  private nameRents(burst: Burst, of: BurstSlots, entries: SlotEntry[], isDue: boolean): void {
+  private nameRequests(burst: Burst, of: BurstSlots, entries: SlotEntry[], isDue: boolean): void {
     const { table } = this.options;
     const { pool } = burst;
     const { found, left } = groupByPlace(this.options.view, pool, of.open, entries);
@@ -215,9 +222,9 @@
       const name = `${this.options.view.uniquePrefix}-${this.requests++}`;
       const request = { name, type: place.type.name, zone: place.zone };
       const perMachine = slotsPerMachine(pool.shape, place.type);
-      const rents: SlotRent[] = shareOut(group.length, perMachine, request);
+      const requests: SlotRequest[] = shareOut(group.length, perMachine, request);
       for (const [i, entry] of group.entries()) {
-        table.apply(entry, { kind: 'rent-named', rent: rents[i]! });
+        table.apply(entry, { kind: 'request-named', request: requests[i]! });
         if (isDue) this.makeDue(entry);
       }
     }
--- a/src/warm-pools/slot-rent-requests.ts
+++ b/src/warm-pools/slot-scale-out.ts
@@ -1,8 +1,8 @@
 /** Requests to the cloud for slots: named in the store before they are sent. */
 
-import type { RentResult } from '../cloud/client.js';
-import type { StoredRentRequest, TermView } from '../subsystems/subsystem.js';
-import { isOpen, type Slot, type SlotPlace, type SlotRent } from './slot.js';
+import type { ScaleOutResult } from '../cloud/client.js';
+import type { StoredScaleOutRequest, TermView } from '../subsystems/subsystem.js';
+import { isOpen, type Slot, type SlotPlace, type SlotRequest } from './slot.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
 /** Seconds before a request that was refused or not answered is sent again: at first, and at most. */
@@ -19,7 +19,7 @@
   machines: readonly string[] | null;
 }
 
-/** What `SlotRentRequests` work with. */
+/** What `SlotScaleOut` works with. */
 export interface SlotRentRequestsOptions {
   view: TermView;
   table: SlotTable;
@@ -30,18 +30,18 @@
 
 /**
  * A request's name is in the records of its slots before it is sent, and is sent again, by whoever leads,
- * until it is answered: the cloud rents nothing twice under one name. A slot never gets a new name while
+ * until it is answered: the cloud adds nothing twice under one name. A slot never gets a new name while
  * the outcome of the old one is open, so no answer that is lost loses a machine.
  */
-export class SlotRentRequests {
+export class SlotScaleOut {
   private readonly sendings = new Map<string, Sending>();
 
   constructor(private readonly options: SlotRentRequestsOptions) {}
 
   /** Whether a request may have been sent, by this term or an earlier one. */
-  mayHaveBeenSent({ rent, sendFromMs }: Slot, termBeganMs: number): boolean {
-    if (rent === null) return false;
-    return this.sendings.has(rent.name) || termBeganMs >= sendFromMs;
+  mayHaveBeenSent({ request, sendFromMs }: Slot, termBeganMs: number): boolean {
+    if (request === null) return false;
+    return this.sendings.has(request.name) || termBeganMs >= sendFromMs;
   }
 
   /** The time of day was set by so much. */
@@ -53,7 +53,7 @@
   }
 
   /** Requests that are due; the fleet asks before each whether the term is entitled to send it. */
-  due(): StoredRentRequest[] {
+  due(): StoredScaleOutRequest[] {
     const { view, table } = this.options;
     const byName = new Map<string, SlotEntry[]>();
     for (const entry of table.values()) {
@@ -63,7 +63,7 @@
       if (group === undefined) byName.set(name, [entry]);
       else group.push(entry);
     }
-    const due: StoredRentRequest[] = [];
+    const due: StoredScaleOutRequest[] = [];
     for (const [name, group] of byName) {
       const known = this.sendings.get(name);
       if (known?.machines != null) this.assign(name, known, known.machines);
@@ -77,15 +77,15 @@
    * were named before and whose time has come are sent too: that they may be is in the store.
    */
   private dueName({ stored, current }: SlotEntry): string | null {
-    if (stored === null || stored.rent === null || !isOpen(current)) return null;
+    if (stored === null || stored.request === null || !isOpen(current)) return null;
     const { view, nowMs } = this.options;
-    if (stored.state === 'renting') return current.state === 'renting' ? stored.rent.name : null;
+    if (stored.state === 'renting') return current.state === 'renting' ? stored.request.name : null;
     if (stored.state !== 'planned' || view.canWrite()) return null;
-    return nowMs() >= stored.sendFromMs ? stored.rent.name : null;
+    return nowMs() >= stored.sendFromMs ? stored.request.name : null;
   }
 
-  private request(name: string, group: SlotEntry[]): StoredRentRequest {
-    const { type, zone, count } = group[0]!.stored!.rent!;
+  private request(name: string, group: SlotEntry[]): StoredScaleOutRequest {
+    const { type, zone, count } = group[0]!.stored!.request!;
     return {
       request: { name, type, zone, spot: false, count },
       sending: () => this.sending(name, group),
@@ -108,22 +108,22 @@
     this.sendings.set(name, { sinceMs, sentMs, ...first });
   }
 
-  private earliestMs({ rent, sendFromMs }: Slot): number {
-    const isOwn = rent?.name.startsWith(this.options.view.uniquePrefix) === true;
+  private earliestMs({ request, sendFromMs }: Slot): number {
+    const isOwn = request?.name.startsWith(this.options.view.uniquePrefix) === true;
     return isOwn ? Infinity : sendFromMs;
   }
 
-  private answered(name: string, result: RentResult): void {
+  private answered(name: string, result: ScaleOutResult): void {
     const sending = this.sendings.get(name);
     if (sending === undefined) return;
     switch (result.how) {
-      case 'rented':
+      case 'added':
         this.assign(name, sending, result.ids);
         break;
       case 'none':
         this.sendings.delete(name);
         for (const entry of this.renting(name)) {
-          this.options.table.apply(entry, { kind: 'not-rented' });
+          this.options.table.apply(entry, { kind: 'request-refused' });
         }
         break;
       case 'refused':
@@ -149,14 +149,14 @@
     const fromMs = Math.min(sending.sinceMs, sending.sentMs);
     const uncertainMs = sending.sentMs - fromMs;
     for (const entry of this.renting(name)) {
-      const { position, type } = entry.current.rent!;
+      const { position, type } = entry.current.request!;
       const machine = machines[position];
       if (machine === undefined) {
-        table.apply(entry, { kind: 'not-rented' });
+        table.apply(entry, { kind: 'request-refused' });
         continue;
       }
       const got = place(entry.current, machine, type);
-      table.apply(entry, { kind: 'rented', place: got, atMs: fromMs, uncertainMs });
+      table.apply(entry, { kind: 'added', place: got, atMs: fromMs, uncertainMs });
     }
     // In an outage it is kept until the slots' records may follow.
     if (this.options.view.canWrite()) this.sendings.delete(name);
@@ -164,7 +164,7 @@
 
   private renting(name: string): SlotEntry[] {
     return [...this.options.table.values()].filter(({ current }) => {
-      return current.state === 'renting' && current.rent?.name === name;
+      return current.state === 'renting' && current.request?.name === name;
     });
   }
 }
@@ -173,8 +173,8 @@
 export function shareOut(
   slots: number,
   perMachine: number,
-  request: Omit<SlotRent, 'count' | 'position'>,
-): SlotRent[] {
+  request: Omit<SlotRequest, 'count' | 'position'>,
+): SlotRequest[] {
   const count = Math.ceil(slots / perMachine);
   return Array.from({ length: slots }, (_, i) => ({
     ...request,
--- a/src/warm-pools/slot.ts
+++ b/src/warm-pools/slot.ts
@@ -4,7 +4,7 @@
 import * as v from 'valibot';
 
 /**
- *   planned   wanted for a burst; the request that is to rent its machine may be named already
+ *   planned   wanted for a burst; the scale-out request for its machine may be named already
  *   renting   that request may have been sent to the cloud
  *   loading   it has a machine, which boots or loads the model
  *   warm      a replica that is placed there begins at once
@@ -32,7 +32,7 @@
   Object.fromEntries(SLOT_STATES.map((state) => [state, 0])) as Record<SlotState, number>;
 
 /** The request to the cloud from whose machines a slot gets one. */
-export interface SlotRent {
+export interface SlotRequest {
   /** Name of the request: sent again, by whoever leads, it gives the same machines. */
   name: string;
   type: string;
@@ -61,7 +61,7 @@
   /** The team that pays. */
   team: string;
   state: SlotState;
-  rent: SlotRent | null;
+  request: SlotRequest | null;
   /** From when on the request may be sent, in ms of the time of day. */
   sendFromMs: number;
   machine: string | null;
@@ -88,13 +88,13 @@
 
 /** What a slot meets. */
 export type SlotEvent =
-  /** The request that is to rent its machine gets a name. */
-  | { kind: 'rent-named'; rent: SlotRent }
-  | { kind: 'rent-due' }
+  /** The scale-out request for its machine gets a name. */
+  | { kind: 'request-named'; request: SlotRequest }
+  | { kind: 'request-due' }
   /** The cloud had none for it. */
-  | { kind: 'not-rented' }
-  /** `uncertainMs`: by how much later than `atMs` the machine may have been rented. */
-  | { kind: 'rented'; place: SlotPlace; atMs: number; uncertainMs: number }
+  | { kind: 'request-refused' }
+  /** `uncertainMs`: by how much later than `atMs` the machine may have been added. */
+  | { kind: 'added'; place: SlotPlace; atMs: number; uncertainMs: number }
   /** A machine that is there already is kept for it. */
   | { kind: 'adopted'; place: SlotPlace; atMs: number }
   | { kind: 'loaded'; atMs: number }
@@ -108,11 +108,11 @@
 
 /** The states in which a slot can meet an event. */
 const MET_IN: Record<SlotEvent['kind'], readonly SlotState[]> = {
-  'rent-named': ['planned'],
-  'rent-due': ['planned'],
+  'request-named': ['planned'],
+  'request-due': ['planned'],
   // A request has no other name while its outcome is open.
-  'not-rented': ['renting'],
-  rented: ['renting'],
+  'request-refused': ['renting'],
+  added: ['renting'],
   adopted: ['planned'],
   loaded: ['loading'],
   'clock-set': ['loading', 'warm'],
@@ -127,22 +127,22 @@
     throw new IllegalTransitionError(`slot ${slotId(slot)}`, slot.state, event.kind);
   }
   switch (event.kind) {
-    case 'rent-named':
-      return { ...slot, rent: event.rent };
-    case 'rent-due':
-      if (slot.rent === null)
+    case 'request-named':
+      return { ...slot, request: event.request };
+    case 'request-due':
+      if (slot.request === null)
         throw new IllegalTransitionError(
           `slot ${slotId(slot)}`,
           slot.state,
           `${event.kind} without a named request`,
         );
       return { ...slot, state: 'renting' };
-    case 'not-rented':
-      return { ...slot, state: 'planned', rent: null };
-    case 'rented':
+    case 'request-refused':
+      return { ...slot, state: 'planned', request: null };
+    case 'added':
       return placed(slot, event.place, event.atMs, event.uncertainMs);
     case 'adopted':
-      return { ...placed(slot, event.place, event.atMs, 0), rent: null };
+      return { ...placed(slot, event.place, event.atMs, 0), request: null };
     case 'loaded':
       return { ...slot, state: 'warm', warmAtMs: event.atMs };
     case 'clock-set':
@@ -219,14 +219,17 @@
 
 /** The stored form of a slot. */
 export function encodeSlot(slot: Slot): unknown {
-  const { rent, held } = slot;
+  const { request, held } = slot;
   return {
     p: slot.pool,
     b: slot.burstMs,
     i: slot.index,
     t: slot.team,
     s: slot.state,
-    r: rent === null ? null : [rent.name, rent.type, rent.zone, rent.count, rent.position],
+    r:
+      request === null
+        ? null
+        : [request.name, request.type, request.zone, request.count, request.position],
     f: slot.sendFromMs,
     m: slot.machine,
     h: slot.share,
@@ -250,7 +253,8 @@
     index: i,
     team: t,
     state: s,
-    rent: r === null ? null : { name: r[0], type: r[1], zone: r[2], count: r[3], position: r[4] },
+    request:
+      r === null ? null : { name: r[0], type: r[1], zone: r[2], count: r[3], position: r[4] },
     sendFromMs: f,
     machine: m,
     share: h,
@@ -270,7 +274,7 @@
   return {
     ...of,
     state: 'planned',
-    rent: null,
+    request: null,
     machine: null,
     share: 0,
     pricePerHour: 0,
--- a/src/warm-pools/warm-pools-term.ts
+++ b/src/warm-pools/warm-pools-term.ts
@@ -4,7 +4,7 @@
 import type { FreeCapacity } from '../scheduler/bin-packing.js';
 import type {
   OwnedWrite,
-  StoredRentRequest,
+  StoredScaleOutRequest,
   SubsystemTerm,
   TermView,
 } from '../subsystems/subsystem.js';
@@ -17,7 +17,7 @@
 import type { ModelLoader } from './model-loader.js';
 import { noSlots } from './slot.js';
 import { SlotPlanner } from './slot-planner.js';
-import { SlotRentRequests } from './slot-rent-requests.js';
+import { SlotScaleOut } from './slot-scale-out.js';
 import { SlotReservations } from './slot-reservations.js';
 import { SlotTable } from './slot-table.js';
 import { SlotMonitor } from './slot-monitor.js';
@@ -39,7 +39,7 @@
   private readonly bursts: Bursts;
   private readonly alarms: Alarms;
   private readonly reservations: SlotReservations;
-  private readonly rentRequestsOfSlots: SlotRentRequests;
+  private readonly slotScaleOut: SlotScaleOut;
   private readonly planner: SlotPlanner;
   private readonly monitor: SlotMonitor;
   private leadStoredAt: number;
@@ -71,17 +71,12 @@
       nowMs: () => this.clock.nowMs(),
     };
     this.reservations = new SlotReservations(shared);
-    this.rentRequestsOfSlots = new SlotRentRequests({
+    this.slotScaleOut = new SlotScaleOut({
       ...shared,
       place: (slot, machine, type) => this.planner.place(slot, machine, type),
     });
-    const {
-      alarms,
-      reservations: reservations,
-      rentRequestsOfSlots: rentRequests,
-      leadTimes,
-    } = this;
-    this.planner = new SlotPlanner({ ...shared, rentRequests, reservations, alarms });
+    const { alarms, reservations: reservations, slotScaleOut: scaleOutRequests, leadTimes } = this;
+    this.planner = new SlotPlanner({ ...shared, scaleOutRequests, reservations, alarms });
     this.monitor = new SlotMonitor({ ...shared, loader, leadTimes });
     this.leadStoredAt = view.now();
     this.reconcile();
@@ -114,7 +109,7 @@
   private noteClockSet(): void {
     const byMs = this.clock.takeStepMs();
     if (byMs === 0) return;
-    this.rentRequestsOfSlots.clockSet(byMs);
+    this.slotScaleOut.clockSet(byMs);
     for (const entries of [...this.table.held().values()]) {
       for (const entry of entries) this.table.apply(entry, { kind: 'clock-set', byMs });
     }
@@ -145,9 +140,9 @@
     return false;
   }
 
-  /** See `SubsystemTerm.rentRequests`. */
-  rentRequests(): StoredRentRequest[] {
-    return this.rentRequestsOfSlots.due();
+  /** See `SubsystemTerm.scaleOutRequests`. */
+  scaleOutRequests(): StoredScaleOutRequest[] {
+    return this.slotScaleOut.due();
   }
 
   /** See `SubsystemTerm.keeps`. */
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -82,10 +82,10 @@
 
 const rented = v.object({ benches: v.array(v.string()) });
 /** Ids of the machines that a request rented. Throws on a malformed answer. */
-export const parseRented = (raw: unknown): string[] => v.parse(rented, raw).benches;
+export const parseScaleOutAnswer = (raw: unknown): string[] => v.parse(rented, raw).benches;
 
 /** A rental request; its name never recurs for another one. */
-export interface RentRequest {
+export interface ScaleOutRequest {
   name: string;
   type: string;
   zone: string;
@@ -94,7 +94,7 @@
 }
 
 /** Body of `POST /hosts`. */
-export const encodeRent = (request: RentRequest): string =>
+export const encodeScaleOut = (request: ScaleOutRequest): string =>
   JSON.stringify({
     hire: request.name,
     casting: request.type,
@@ -104,14 +104,14 @@
   });
 
 /** Body of `POST /hosts/return`. */
-export const encodeReturn = (ids: string[]): string => JSON.stringify({ benches: ids });
+export const encodeScaleIn = (ids: string[]): string => JSON.stringify({ benches: ids });
 
 /** Path of the machine types. */
 export const TYPES_PATH = '/machine_types';
 /** Path of rental requests. */
-export const RENT_PATH = '/hosts';
+export const MACHINES_PATH = '/hosts';
 /** Path of returns. */
-export const RETURN_PATH = '/hosts/return';
+export const SCALE_IN_PATH = '/hosts/return';
 /** Path of the page of the list that begins after an id; empty: the first page. */
 export const listPath = (after: string): string =>
   `/hosts?limit=500${after === '' ? '' : `&after=${encodeURIComponent(after)}`}`;
@@ -120,6 +120,6 @@
 /** A machine that is given back costs at least this time. */
 export const MIN_CHARGE_S = 60;
 /** Most machines in one rental request. */
-export const RENT_MAX = 50;
+export const SCALE_OUT_MAX = 50;
 /** Most names in one return. */
-export const RETURN_MAX = 100;
+export const SCALE_IN_MAX = 100;
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -8,7 +8,7 @@
  *   claimed    stored; the start has not been sent, or provably was not carried out
  *   inherited  claimed by an earlier leader: it may be on the machine
  *   sent       the start went out: it may be on the machine
- *   fetching, waiting, running, saving   as the worker reported
+ *   fetching, waiting, running, saving   as the heartbeats say
  *   ended      exited, still in the worker's heartbeats
  *   gone       provably not on the machine and never will be
  */
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -122,7 +122,7 @@
     .keys()
     .sort()
     .map((key) => [key, store.revision(key), store.value(key)]);
-  return { stored, starts: [...fleet.starts], wanted: world.parts.capacity.machinesToRent() };
+  return { stored, starts: [...fleet.starts], wanted: world.parts.capacity.machinesToAdd() };
 }
 
 test('without a features file, without a table and without pools the same is decided', async () => {
@@ -152,7 +152,7 @@
     view: () => null,
     beginTerm: () => ({
       tick: () => undefined,
-      rentRequests: () => [],
+      scaleOutRequests: () => [],
       keeps: (machine) => machine === 'm1',
       keptMachines: () => 2,
       mayUse: () => false,
@@ -168,7 +168,12 @@
   active.stop();
   const room = null!;
   assert.deepEqual(
-    [active.keeps('m1'), active.keeps('m2'), active.keptMachines(), active.rentRequests().length],
+    [
+      active.keeps('m1'),
+      active.keeps('m2'),
+      active.keptMachines(),
+      active.scaleOutRequests().length,
+    ],
     [true, false, 2, 0],
   );
   assert.deepEqual([active.mayUse(spec(), room), active.preferenceS(spec(), room)], [false, 3]);
--- a/test/lending-leader.test.ts
+++ b/test/lending-leader.test.ts
@@ -329,7 +329,7 @@
   await world.run(20);
   const { store, fleet } = world;
   const stored = store.keys().sort().map((key) => [key, store.revision(key), store.value(key)]); // prettier-ignore
-  return { stored, starts: [...fleet.starts], wanted: world.parts.capacity.machinesToRent() };
+  return { stored, starts: [...fleet.starts], wanted: world.parts.capacity.machinesToAdd() };
 }
 
 test('without the table, and with it where nothing is borrowed, the same is decided', async () => {
--- a/test/meeting-ends.test.ts
+++ b/test/meeting-ends.test.ts
@@ -163,7 +163,7 @@
   const placed = world.term.jobs.get(JOB)!.attemptsByTask.get(0)![0]!.machine;
   // It would go back at once if it were empty.
   world.machine(placed).condition.quarantined = true;
-  assert.ok(!world.parts.capacity.machinesToReturn().includes(placed));
+  assert.ok(!world.parts.capacity.machinesToRemove().includes(placed));
   assert.equal(world.machine(placed).state, 'ready');
   await world.run(1);
   const other = placed === 'a' ? 'b' : 'a';
--- a/test/meeting-limits.test.ts
+++ b/test/meeting-limits.test.ts
@@ -48,11 +48,11 @@
     id: 'a', addr: '', type: 'g8', zone: 'z1', spot: false, state: 'booting' as const, ageS,
   }; // prettier-ignore
   world.parts.capacity.applyList([listed]);
-  assert.deepEqual(world.parts.capacity.machinesToReturn(), ['a']);
+  assert.deepEqual(world.parts.capacity.machinesToRemove(), ['a']);
   // The cloud didn't answer; before it is asked again the machine is there, and has work.
   world.fleet.add('a');
   world.job({ id: JOB });
   await world.run(2);
   assert.equal(world.fleet.running(JOB), 1);
-  assert.deepEqual(world.parts.capacity.machinesToReturn(), []);
+  assert.deepEqual(world.parts.capacity.machinesToRemove(), []);
 });
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -89,7 +89,7 @@
   assert.ok(records.decodeMachine(record).returning);
   world.takeOver();
   await world.run(2);
-  assert.deepEqual(world.parts.capacity.machinesToReturn(), ['a']);
+  assert.deepEqual(world.parts.capacity.machinesToRemove(), ['a']);
 });
 
 test('a service that ran well is not doubted because replicas failed on a few faulty machines', async () => {
--- a/test/pass-helpers.ts
+++ b/test/pass-helpers.ts
@@ -75,7 +75,7 @@
     const { demand, capacities } = this.scheduler.runCycle();
     this.capacity.demand = demand;
     this.capacity.capacities = capacities;
-    return this.capacity.machinesToRent().reduce((n, wanted) => n + wanted.count, 0);
+    return this.capacity.machinesToAdd().reduce((n, wanted) => n + wanted.count, 0);
   }
 
   job(over: Partial<JobSpec>): void {
--- a/test/pool-helpers.ts
+++ b/test/pool-helpers.ts
@@ -2,11 +2,11 @@
  * Fixtures of the tests of warm pools: a cloud in memory, and a leader with pools over it, the store and
  * the workers of the meeting tests. Time moves by hand, and nothing opens a socket.
  */
-import type { CloudClient, RentResult } from '../src/cloud/client.js';
+import type { CloudClient, ScaleOutResult } from '../src/cloud/client.js';
 import type { MachineProvisioner as CloudFleet } from '../src/cloud/provisioner.js';
 import { parseFeatures } from '../src/features/features-file.js';
 import type { MachineType } from '../src/jobs/types.js';
-import type { ListedMachine, RentRequest } from '../src/wire/cloud.js';
+import type { ListedMachine, ScaleOutRequest } from '../src/wire/cloud.js';
 import { decodeSlot, SLOT_PREFIX, type Slot } from '../src/warm-pools/slot.js';
 import { poolsView, type BillRow } from '../src/warm-pools/view.js';
 import { WARM_POOLS, WarmPools } from '../src/warm-pools/warm-pools.js';
@@ -24,7 +24,7 @@
 export type CloudMode = 'serve' | 'trouble' | 'no capacity' | 'lose answers';
 
 interface Rented {
-  request: RentRequest;
+  request: ScaleOutRequest;
   rentedAt: number;
   returnedAt: number | null;
 }
@@ -32,7 +32,7 @@
 /** A cloud by the protocol: a request's name gives the same machines for ever. */
 class MemoryCloud implements Pick<
   CloudClient,
-  'fetchMachineTypes' | 'listMachines' | 'rentMachines' | 'returnMachines'
+  'fetchMachineTypes' | 'listMachines' | 'scaleOut' | 'scaleIn'
 > {
   mode: CloudMode = 'serve';
   /** Machines that it has yet to give. */
@@ -65,16 +65,16 @@
     return Promise.resolve(listed);
   }
 
-  rentMachines(request: RentRequest): Promise<RentResult> {
+  scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
     this.calls++;
     if (this.mode === 'trouble') return Promise.resolve({ how: 'refused', status: 503 });
     if (this.mode === 'no capacity') return Promise.resolve({ how: 'none' });
     const ids = this.hires.get(request.name) ?? this.boot(request);
     if (this.mode === 'lose answers') return Promise.resolve({ how: 'unknown' });
-    return Promise.resolve(ids.length === 0 ? { how: 'none' } : { how: 'rented', ids });
+    return Promise.resolve(ids.length === 0 ? { how: 'none' } : { how: 'added', ids });
   }
 
-  private boot(request: RentRequest): string[] {
+  private boot(request: ScaleOutRequest): string[] {
     const count = Math.min(request.count, this.left);
     this.left -= count;
     const ids = Array.from(
@@ -88,7 +88,7 @@
     return ids;
   }
 
-  returnMachines(ids: string[]): Promise<boolean> {
+  scaleIn(ids: string[]): Promise<boolean> {
     if (this.mode === 'trouble') return Promise.resolve(false);
     for (const id of ids) {
       const machine = this.machines.get(id);
--- a/test/subsystems.test.ts
+++ b/test/subsystems.test.ts
@@ -14,7 +14,7 @@
 function keeping(): ActiveSubsystems {
   const term: SubsystemTerm = {
     tick: () => undefined,
-    rentRequests: () => [],
+    scaleOutRequests: () => [],
     keeps: (machine) => machine === 'm1',
     keptMachines: () => 1,
     mayUse: (spec, capacity) => capacity.id !== 'm1' || spec.class === 'own',
@@ -70,7 +70,7 @@
     const { demand, capacities } = bench.scheduler.runCycle();
     bench.capacity.demand = demand;
     bench.capacity.capacities = capacities;
-    const wanted = bench.capacity.machinesToRent().filter(({ zone }) => zone === 'z1');
+    const wanted = bench.capacity.machinesToAdd().filter(({ zone }) => zone === 'z1');
     assert.equal(wanted.length, count);
   }
 });
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -149,7 +149,7 @@
     ...planned,
     index,
     state,
-    rent: { name: 'r-1', type: 'g8', zone: 'z1', count: 2, position: 1 },
+    request: { name: 'r-1', type: 'g8', zone: 'z1', count: 2, position: 1 },
     machine: 'm1',
     share: 0.5,
     pricePerHour: 10,
@@ -290,7 +290,7 @@
     stored: stored.map((key) => [key, state.revision(key), state.value(key)]),
     starts: [...fleet.starts],
     tasks: [...fleet.workers.values()].map((worker) => [worker.id, [...worker.tasks.keys()]]),
-    wanted: world.parts.capacity.machinesToRent().map((each) => Object.values(each)),
+    wanted: world.parts.capacity.machinesToAdd().map((each) => Object.values(each)),
     broken: fleet.broken,
   };
 }
--- a/test/support/recorded-messages.ts
+++ b/test/support/recorded-messages.ts
@@ -170,14 +170,14 @@
     list: cloud
       .parseList({ benches: ['booting', 'running', 'failed'].map((temper) => ({ ...bench, temper, age_s: 3 })) })
       .machines.map((each) => Object.values(each)),
-    rented: cloud.parseRented({ benches: ['host-1'] }),
-    malformed: [cloud.parseTypes, cloud.parseList, cloud.parseRented].map((parse) =>
+    rented: cloud.parseScaleOutAnswer({ benches: ['host-1'] }),
+    malformed: [cloud.parseTypes, cloud.parseList, cloud.parseScaleOutAnswer].map((parse) =>
       outcomeOf(() => parse({ benches: 1 })),
     ),
-    rent: cloud.encodeRent(rent),
-    return: cloud.encodeReturn(['host-1', 'host-2']),
-    paths: [cloud.TYPES_PATH, cloud.RENT_PATH, cloud.RETURN_PATH, cloud.listPath(''), cloud.listPath('a b')],
-    bounds: [cloud.MIN_CHARGE_S, cloud.RENT_MAX, cloud.RETURN_MAX],
+    rent: cloud.encodeScaleOut(rent),
+    return: cloud.encodeScaleIn(['host-1', 'host-2']),
+    paths: [cloud.TYPES_PATH, cloud.MACHINES_PATH, cloud.SCALE_IN_PATH, cloud.listPath(''), cloud.listPath('a b')],
+    bounds: [cloud.MIN_CHARGE_S, cloud.SCALE_OUT_MAX, cloud.SCALE_IN_MAX],
   }; // prettier-ignore
 }
 
--- a/test/warm-pools-random.test.ts
+++ b/test/warm-pools-random.test.ts
@@ -48,7 +48,7 @@
 function check(world: PoolWorld): void {
   const taken = new Map<string, number>();
   for (const slot of world.slots()) {
-    if (slot.state === 'renting') assert.ok(slot.rent !== null, 'a request without a name');
+    if (slot.state === 'renting') assert.ok(slot.request !== null, 'a request without a name');
     if (slot.state !== 'loading' && slot.state !== 'warm') continue;
     const share = (taken.get(slot.machine!) ?? 0) + slot.share;
     taken.set(slot.machine!, share);
--- a/test/warm-pools.test.ts
+++ b/test/warm-pools.test.ts
@@ -155,8 +155,8 @@
 test('a leader that froze between its check and its call rents nothing more', async () => {
   const world = new PoolWorld();
   const late: (() => void)[] = [];
-  const rent = world.cloud.rentMachines.bind(world.cloud);
-  world.cloud.rentMachines = (request) => {
+  const rent = world.cloud.scaleOut.bind(world.cloud);
+  world.cloud.scaleOut = (request) => {
     // The first call goes out only once another controller leads; its sender never hears of it.
     if (world.cloud.calls++ > 0) return rent(request);
     late.push(() => void rent(request));
--- a/test/warm-slots.test.ts
+++ b/test/warm-slots.test.ts
@@ -24,7 +24,7 @@
   type SlotEvent,
   type SlotState,
 } from '../src/warm-pools/slot.js';
-import { shareOut } from '../src/warm-pools/slot-rent-requests.js';
+import { shareOut } from '../src/warm-pools/slot-scale-out.js';
 import { SlotTable } from '../src/warm-pools/slot-table.js';
 import { IllegalTransitionError } from '../src/illegal-transition.js';
 import type { OwnedRecord, OwnedWrite } from '../src/subsystems/subsystem.js';
@@ -38,14 +38,14 @@
 const BURST_MS = Date.parse('2026-12-02T03:00:00Z');
 const planned = (index = 0): Slot =>
   plannedSlot({ pool: 'tutor', burstMs: BURST_MS, index, team: 't', sendFromMs: BURST_MS - 9000 });
-const RENT = { name: 'r', type: 'g8', zone: 'z1', count: 1, position: 0 };
+const REQUEST = { name: 'r', type: 'g8', zone: 'z1', count: 1, position: 0 };
 const PLACE = { machine: 'm', share: 0.5, pricePerHour: 10, beside: ['wk-1/0#3'] };
 
 const EVENTS: SlotEvent[] = [
-  { kind: 'rent-named', rent: RENT },
-  { kind: 'rent-due' },
-  { kind: 'not-rented' },
-  { kind: 'rented', place: PLACE, atMs: 1000, uncertainMs: 5 },
+  { kind: 'request-named', request: REQUEST },
+  { kind: 'request-due' },
+  { kind: 'request-refused' },
+  { kind: 'added', place: PLACE, atMs: 1000, uncertainMs: 5 },
   { kind: 'adopted', place: PLACE, atMs: 1000 },
   { kind: 'loaded', atMs: 2000 },
   { kind: 'clock-set', byMs: 500 },
@@ -72,8 +72,8 @@
 
 test('every state meets the events that it may, and no other', () => {
   const table: Record<SlotState, Partial<Record<SlotEvent['kind'], SlotState>>> = {
-    planned: { 'rent-named': 'planned', 'rent-due': 'renting', adopted: 'loading', released: 'released' },
-    renting: { 'not-rented': 'planned', rented: 'loading' },
+    planned: { 'request-named': 'planned', 'request-due': 'renting', adopted: 'loading', released: 'released' },
+    renting: { 'request-refused': 'planned', added: 'loading' },
     loading: { loaded: 'warm', 'clock-set': 'loading', used: 'used', released: 'released', lost: 'lost' },
     warm: { 'clock-set': 'warm', used: 'used', released: 'released', lost: 'lost' },
     used: {},
@@ -259,12 +259,12 @@
 });
 
 test('slots share the machines of a request', () => {
-  const rents = shareOut(5, 2, { name: 'r', type: 'g8', zone: 'z1' });
+  const requests = shareOut(5, 2, { name: 'r', type: 'g8', zone: 'z1' });
   assert.deepEqual(
-    rents.map(({ position }) => position),
+    requests.map(({ position }) => position),
     [0, 0, 1, 1, 2],
   );
-  assert.ok(rents.every(({ count }) => count === 3));
+  assert.ok(requests.every(({ count }) => count === 3));
 });
 
 /** A store that may carry a write out without an answer, or not at all. */
@@ -408,15 +408,15 @@
   const entry = table.add(planned());
   assert.equal(table.add(planned()), entry, 'added once');
   const [first] = table.dueWrites();
-  table.apply(entry, { kind: 'rent-named', rent: RENT });
+  table.apply(entry, { kind: 'request-named', request: REQUEST });
   store.commit(first!, 'served');
-  assert.equal(entry.stored!.rent, null);
+  assert.equal(entry.stored!.request, null);
   const [second] = table.dueWrites();
   store.commit(second!, 'answer lost');
-  assert.deepEqual(entry.stored!.rent, RENT, 'read back');
+  assert.deepEqual(entry.stored!.request, REQUEST, 'read back');
   assert.deepEqual(table.dueWrites(), []);
   // Another leader's change, which a commit of this one meets.
-  table.apply(entry, { kind: 'rent-due' });
+  table.apply(entry, { kind: 'request-due' });
   const other = advanceSlot(entry.stored!, { kind: 'released', reason: 'x', atMs: 0 });
   store.carryOut({ ...second!, revision: store.revision, value: encodeSlot(other) });
   store.commit(table.dueWrites()[0]!, 'served');
