--- a/test/time-limits.test.ts
+++ b/test/answer-timeouts.test.ts
@@ -4,7 +4,7 @@
 import { answerTimeout } from '../src/clock.js';
 import { HttpClient } from '../src/http/client.js';
 
-test('an answer that came in time counts, also where the loop was too busy to read it', async (t) => {
+test('an answer that came in time counts, also where the loop was too busy to read it', async (context) => {
   const patienceS = 0.05;
   let requests = 0;
   const server = createServer((socket) => {
@@ -20,7 +20,7 @@
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as { port: number };
   const client = new HttpClient({ host: '127.0.0.1', port }, 1);
-  t.after(() => {
+  context.after(() => {
     client.close();
     server.close();
   });
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -14,8 +14,8 @@
 import * as records from '../src/store/records.js';
 import { Replica } from '../src/store/replica.js';
 import { settings, settingsText, spec } from './helpers.js';
-import { World } from './meeting-helpers.js';
-import { poolText, warmPools } from './pool-helpers.js';
+import { LeaderWorld } from './support/leader-world.js';
+import { poolText, warmPools } from './support/warm-pool-world.js';
 import { parseSettings } from '../src/config/settings.js';
 
 const MAIN = new URL('../src/main.js', import.meta.url).pathname;
@@ -106,16 +106,23 @@
 });
 
 /** A day of work, and all that was stored and started in it. */
-async function decisions(world: World): Promise<unknown> {
+async function decisions(world: LeaderWorld): Promise<unknown> {
   for (const id of ['m1', 'm2', 'm3']) world.fleet.add(id, id === 'm3' ? 'z2' : 'z1');
   await world.run(2);
-  world.job({ id: 'wk-1', kind: 'service', priority: 0, tasks: 3, gpus: 4, image: 'tutor-1' });
-  world.job({ id: 'wk-2', tasks: 9, gpus: 1, priority: 3, image: 'marker' });
+  world.submitJob({
+    id: 'wk-1',
+    kind: 'service',
+    priority: 0,
+    tasks: 3,
+    gpus: 4,
+    image: 'tutor-1',
+  });
+  world.submitJob({ id: 'wk-2', tasks: 9, gpus: 1, priority: 3, image: 'marker' });
   await world.run(4);
-  world.job({ id: 'wk-3', kind: 'gang', tasks: 2, gpus: 4, priority: 1 });
+  world.submitJob({ id: 'wk-3', kind: 'gang', tasks: 2, gpus: 4, priority: 1 });
   await world.run(4);
   world.cancel('wk-1');
-  world.takeOver();
+  world.failOver();
   await world.run(6);
   const { store, fleet } = world;
   const stored = store
@@ -126,15 +133,18 @@
 }
 
 test('without a features file, without a table and without pools the same is decided', async () => {
-  const without = await decisions(new World());
-  assert.deepEqual(await decisions(new World(100, { subsystems: [] })), without);
+  const without = await decisions(new LeaderWorld());
+  assert.deepEqual(await decisions(new LeaderWorld(100, { subsystems: [] })), without);
   assert.deepEqual(
-    await decisions(new World(100, { subsystems: [warmPools('[warm_pools]')] })),
+    await decisions(new LeaderWorld(100, { subsystems: [warmPools('[warm_pools]')] })),
     without,
   );
   // Its burst is far away.
   const later = poolText({ schedule: '0 0 1 1 *' });
-  assert.deepEqual(await decisions(new World(100, { subsystems: [warmPools(later)] })), without);
+  assert.deepEqual(
+    await decisions(new LeaderWorld(100, { subsystems: [warmPools(later)] })),
+    without,
+  );
 });
 
 test('a subsystem that throws is left out of the answer, and the others are asked', () => {
--- a/test/report-bytes.test.ts
+++ b/test/heartbeat-bytes.test.ts
@@ -11,7 +11,7 @@
 import { BadMessage } from '../src/wire/users.js';
 import { decodeHeartbeat, type Heartbeat } from '../src/wire/workers.js';
 import { settings } from './helpers.js';
-import { World } from './meeting-helpers.js';
+import { LeaderWorld } from './support/leader-world.js';
 import { fake, type Partially } from './support/fake.js';
 
 const bodyOf = (token: number, tally: number | string, machine = 'm'): string =>
@@ -62,7 +62,7 @@
 }
 
 /** What a leader knows of its machines. */
-const known = ({ term }: World): unknown =>
+const known = ({ term }: LeaderWorld): unknown =>
   [...term.machines.values()].map((machine) => [
     ...[
       machine.id,
@@ -126,8 +126,9 @@
 
 test('a report gets the same verdict straight, passed on and without any shortcut', async () => {
   seedRandom(20);
-  const [straight, passedOn, plain] = [new World(), new World(), new World()];
-  const leads = (world: World): HeartbeatHandler => controller({ leader: () => world.leader });
+  const [straight, passedOn, plain] = [new LeaderWorld(), new LeaderWorld(), new LeaderWorld()];
+  const leads = (world: LeaderWorld): HeartbeatHandler =>
+    controller({ leader: () => world.leader });
   const [direct, leader] = [leads(straight), leads(passedOn)];
   const ask: Ask = async (_to, question) => {
     const [q] = new FrameReader().push(encodeFrame(question)) as [{ body: Buffer; hop: boolean }];
@@ -225,7 +226,7 @@
     assert.equal((await heartbeats.handle(bad)).status, 400, name);
     assert.equal((await heartbeats.handle(good)).status, status, name);
   }
-  const { leader } = new World();
+  const { leader } = new LeaderWorld();
   assert.equal(
     (await controller({ leader: () => leader }).handleForwarded(bad, false))?.status,
     400,
@@ -259,7 +260,7 @@
     ['cut short', (t) => bodyOf(t, 9).slice(0, -1), [false, 400, 8, false]],
   ]; // prettier-ignore
   for (const [name, text, want] of cases) {
-    const world = new World();
+    const world = new LeaderWorld();
     const heartbeats = controller({ leader: () => world.leader });
     // The second shows the token to a machine that is known by now.
     for (const tally of [1, 8]) void heartbeats.handle(Buffer.from(bodyOf(world.token, tally)));
--- a/test/lending-failures.test.ts
+++ b/test/lending-failures.test.ts
@@ -6,7 +6,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as records from '../src/store/records.js';
-import { BORROWER, LENDER, LendingWorld, OTHER, POINTS, type Point } from './lending-helpers.js';
+import {
+  BORROWER,
+  LENDER,
+  LendingWorld,
+  OTHER,
+  POINTS,
+  type Point,
+} from './support/lending-world.js';
 
 interface Trouble {
   name: string;
@@ -29,20 +36,20 @@
 }
 
 const LEADERS: Trouble[] = [
-  { name: 'the leader ends', strike: (world) => world.takeOver() },
+  { name: 'the leader ends', strike: (world) => world.failOver() },
   {
     name: 'the leader ends twice within a moment',
     async strike(world) {
-      world.takeOver();
+      world.failOver();
       await world.step();
-      world.takeOver();
+      world.failOver();
     },
   },
   {
     name: 'the leader ends ten times',
     async strike(world) {
       for (let i = 0; i < 10; i++) {
-        world.takeOver();
+        world.failOver();
         await world.run(0.6);
       }
     },
@@ -51,7 +58,7 @@
     name: 'the leader is frozen, and wakes after its successor began',
     async strike(world) {
       const old = world.leader;
-      world.takeOver();
+      world.failOver();
       await world.run(1);
       await world.wake(old, 1);
     },
@@ -60,7 +67,7 @@
     name: 'the leader is frozen, and wakes before its successor has heard of a machine',
     async strike(world) {
       const old = world.leader;
-      world.takeOver();
+      world.failOver();
       await world.wake(old, 0.4);
     },
   },
@@ -68,7 +75,7 @@
     name: 'the leader alone is refused by the store, and replaced',
     async strike(world) {
       await world.outage(1);
-      world.takeOver();
+      world.failOver();
     },
   },
   {
@@ -77,17 +84,17 @@
       const { context } = world.term;
       context.isEntitled = () => false;
       await world.run(1);
-      world.takeOver();
+      world.failOver();
     },
   },
   {
     name: 'a version before lending takes over, and gives way again',
     async strike(world) {
       world.switchLending(false);
-      world.takeOver();
+      world.failOver();
       await world.run(4);
       world.switchLending(true);
-      world.takeOver();
+      world.failOver();
     },
     lateBy: 4,
   },
@@ -108,7 +115,7 @@
       world.store.mode = 'lose answers';
       await world.run(0.4);
       world.store.mode = 'serve';
-      world.takeOver();
+      world.failOver();
     },
   },
   {
@@ -117,9 +124,9 @@
       world.store.mode = 'hold back';
       await world.run(0.4);
       world.store.mode = 'serve';
-      world.takeOver();
+      world.failOver();
       await world.run(1);
-      world.store.deliver();
+      world.store.deliverHeldBack();
     },
   },
   {
@@ -129,7 +136,7 @@
       await world.run(0.4);
       world.store.mode = 'serve';
       await world.run(1);
-      world.store.deliver();
+      world.store.deliverHeldBack();
     },
   },
   {
@@ -139,7 +146,7 @@
   },
   {
     name: 'an outage of the state service in which the leader ends',
-    strike: (world) => world.outage(OUTAGE_S, () => world.takeOver()),
+    strike: (world) => world.outage(OUTAGE_S, () => world.failOver()),
     lateBy: OUTAGE_S,
   },
 ];
@@ -168,7 +175,7 @@
     async strike(world) {
       world.lentOn.deaf = true;
       await world.run(1);
-      world.takeOver();
+      world.failOver();
       await world.run(4);
       world.lentOn.deaf = false;
     },
@@ -186,7 +193,7 @@
     name: 'the machine dies as the leader ends',
     async strike(world) {
       world.batch.kill('m1');
-      world.takeOver();
+      world.failOver();
       await replaceMachine(world);
     },
     lateBy: 8,
@@ -194,7 +201,7 @@
   {
     name: 'the cloud takes the machine, with a notice',
     async strike(world) {
-      world.lentOn.noticeS = 2;
+      world.lentOn.reclaimNoticeS = 2;
       await world.run(2);
       world.batch.kill('m1');
       await replaceMachine(world);
@@ -204,11 +211,11 @@
   {
     name: 'its reports come twice and late, also to the next leader',
     async strike(world) {
-      const copies = [...world.fleet.workers.values()].map((worker) => worker.report());
+      const copies = [...world.fleet.workers.values()].map((worker) => worker.heartbeat());
       await world.step();
       for (const copy of copies) world.leader.answerHeartbeat(copy);
       await world.run(1);
-      world.takeOver();
+      world.failOver();
       for (const copy of copies) world.leader.answerHeartbeat(copy);
     },
   },
@@ -223,7 +230,7 @@
     async strike(world) {
       world.batch.saving = 'never ends';
       await world.run(0.4);
-      world.takeOver();
+      world.failOver();
     },
   },
   { name: 'saving fails', at: SAVING, strike: (world) => void (world.batch.saving = 'fails') },
@@ -238,7 +245,7 @@
   },
   {
     name: 'the lender is cancelled in an outage in which the leader ends',
-    strike: (world) => world.outage(OUTAGE_S, () => (world.cancel(LENDER), world.takeOver())),
+    strike: (world) => world.outage(OUTAGE_S, () => (world.cancel(LENDER), world.failOver())),
     ends: /cancelled/,
   },
   {
@@ -263,7 +270,7 @@
     name: 'a guarantee of the lender is raised by new settings',
     async strike(world) {
       world.settings.teams.set('b', { name: 'b', cores: 0, coresMax: 0, gpus: 8, gpusMax: 100 });
-      world.takeOver();
+      world.failOver();
       await world.run(3);
     },
   },
@@ -271,7 +278,7 @@
     name: "the limit of the lender's team is lowered by new settings, and raised again",
     async strike(world) {
       world.settings.teams.set('b', { name: 'b', cores: 0, coresMax: 0, gpus: 0, gpusMax: 4 });
-      world.takeOver();
+      world.failOver();
       await world.run(5);
       world.settings.teams.set('b', { name: 'b', cores: 0, coresMax: 0, gpus: 0, gpusMax: 100 });
     },
--- a/test/lending-leader.test.ts
+++ b/test/lending-leader.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import { isOpen } from '../src/lending/loan.js';
 import { RequestRejectedError } from '../src/store/client.js';
-import { BORROWER, LENDER, LendingWorld, MACHINE_GPUS, OTHER } from './lending-helpers.js';
+import { BORROWER, LENDER, LendingWorld, MACHINE_GPUS, OTHER } from './support/lending-world.js';
 
 const { lease_s: LEASE_S, report_s: REPORT_S } = settings().workers;
 
@@ -65,7 +65,7 @@
     async play(world) {
       await filled(world, { deadlineS: 200 }, 40);
       world.service({ id: BORROWER });
-      world.pass();
+      world.runCycle();
       world.fleet.add('m2');
       await world.outage(LEASE_S);
       await world.runUntil('it is served', serves(world));
@@ -325,7 +325,7 @@
   world.batchJob(3, { id: 'wk-000013', gpus: 8, priority: 0 });
   await world.run(4);
   world.service({ id: BORROWER, gpus: 1, cores: 1, memGb: 1 });
-  world.takeOver();
+  world.failOver();
   await world.run(20);
   const { store, fleet } = world;
   const stored = store.keys().sort().map((key) => [key, store.revision(key), store.value(key)]); // prettier-ignore
--- a/test/lending-random.test.ts
+++ b/test/lending-random.test.ts
@@ -7,7 +7,7 @@
 import fc from 'fast-check';
 import { isOpen } from '../src/lending/loan.js';
 import type { Leader } from '../src/leader/leader.js';
-import { LendingWorld } from './lending-helpers.js';
+import { LendingWorld } from './support/lending-world.js';
 
 const RUNS = Number(process.env.LENDING_RUNS ?? 40);
 const SEED = Number(process.env.LENDING_SEED ?? 34);
@@ -33,9 +33,9 @@
 }
 
 function calm({ world }: Run): void {
-  world.writing = true;
+  world.canWrite = true;
   world.store.mode = 'serve';
-  world.store.deliver();
+  world.store.deliverHeldBack();
   world.batch.saving = 'works';
   for (const worker of world.fleet.workers.values()) {
     worker.mute = false;
@@ -46,10 +46,10 @@
 /** A new leader finds a store that serves it. */
 function takeOver(run: Run): void {
   const { world } = run;
-  world.writing = true;
+  world.canWrite = true;
   world.store.mode = 'serve';
   run.frozen = world.leader;
-  world.takeOver();
+  world.failOver();
 }
 
 const machine = ({ world }: Run, number: number) => {
@@ -79,7 +79,7 @@
   'the leader ends': takeOver,
   'the leader ends in the moment of a cancellation': (run, number) => {
     const id = pick(run, number, number % 2 === 0 ? 'service' : 'finite');
-    run.world.writing = true;
+    run.world.canWrite = true;
     run.world.store.mode = 'serve';
     run.frozen = run.world.leader;
     if (id !== null) run.world.cancelAndTakeOver(id);
@@ -97,14 +97,14 @@
     takeOver(run);
   },
   'the store refuses': ({ world }) => {
-    world.writing = false;
+    world.canWrite = false;
     world.store.mode = 'refuse';
   },
   'answers of the store are lost': ({ world }) => {
-    if (world.writing) world.store.mode = 'lose answers';
+    if (world.canWrite) world.store.mode = 'lose answers';
   },
   'commits are held back': ({ world }) => {
-    if (world.writing) world.store.mode = 'hold back';
+    if (world.canWrite) world.store.mode = 'hold back';
   },
   'all is well': calm,
   'a machine is mute': (run, number) => void (machine(run, number).mute = true),
@@ -118,13 +118,13 @@
   'saving fails': ({ world }) => void (world.batch.saving = 'fails'),
   'saving never ends': ({ world }) => void (world.batch.saving = 'never ends'),
   'reports come again': (run, number) => {
-    run.world.leader.answerHeartbeat(machine(run, number).report());
+    run.world.leader.answerHeartbeat(machine(run, number).heartbeat());
   },
 };
 
 function cancelOne(run: Run, number: number, kind: 'service' | 'finite'): void {
   const id = pick(run, number, kind);
-  if (id !== null && run.world.writing) run.world.cancel(id);
+  if (id !== null && run.world.canWrite) run.world.cancel(id);
 }
 
 const event = fc.record({
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -7,7 +7,7 @@
 import { silentLog } from '../src/log.js';
 import type { ReplicaSync } from '../src/store/replica-sync.js';
 import * as records from '../src/store/records.js';
-import { MemoryStore } from './meeting-helpers.js';
+import { MemoryStore } from './support/memory-store.js';
 import { fake, type Partially } from './support/fake.js';
 
 /** So short that the pauses between steps, which are real, take a moment only. */
@@ -86,12 +86,12 @@
 test('one of several that stand at once leads, also when the answers are lost', async () => {
   for (const mode of ['serve', 'lose answers'] as const) {
     const store = new MemoryStore();
-    const [a, b] = [new Controller(store, 'a'), new Controller(store, 'b')];
+    const [controller, b] = [new Controller(store, 'a'), new Controller(store, 'b')];
     store.mode = mode;
-    const won = [await a.campaign(), await b.campaign()];
+    const won = [await controller.campaign(), await b.campaign()];
     assert.deepEqual(won, [true, false], mode);
-    assert.equal(a.election.token, store.revision(records.LEADER), mode);
-    assert.equal(a.election.isEntitled, true, mode);
+    assert.equal(controller.election.token, store.revision(records.LEADER), mode);
+    assert.equal(controller.election.isEntitled, true, mode);
     assert.equal(b.election.isEntitled, false, mode);
   }
   const store = new MemoryStore();
@@ -113,20 +113,20 @@
   ];
   for (const [name, answers, continues] of cases) {
     const store = new MemoryStore();
-    const c = new Controller(store, 'a', () => answers);
-    await c.campaign();
+    const controller = new Controller(store, 'a', () => answers);
+    await controller.campaign();
     store.mode = 'refuse';
     store.keepLeaseAlive = () => store.get('').then(() => true);
-    c.now += LIFE * 0.7;
-    await c.steps.stepAsLeader();
-    c.now += LIFE * 0.35;
-    assert.equal(c.election.isEntitled, continues, name);
-    assert.equal(c.election.canWrite, false, `${name}: nothing new`);
-    if (answers.includes(refused)) assert.deepEqual([...new Set(c.told)], ['wk-1'], name);
+    controller.now += LIFE * 0.7;
+    await controller.steps.stepAsLeader();
+    controller.now += LIFE * 0.35;
+    assert.equal(controller.election.isEntitled, continues, name);
+    assert.equal(controller.election.canWrite, false, `${name}: nothing new`);
+    if (answers.includes(refused)) assert.deepEqual([...new Set(controller.told)], ['wk-1'], name);
     // One that has acknowledged a later leader is over at once.
-    c.election.acknowledge(c.election.token + 1);
-    assert.equal(c.election.isEntitled, false, name);
-    assert.equal(c.deposed, 1, name);
+    controller.election.acknowledge(controller.election.token + 1);
+    assert.equal(controller.election.isEntitled, false, name);
+    assert.equal(controller.deposed, 1, name);
   }
 });
 
@@ -143,14 +143,17 @@
     store.accept({ id: 'wk-1' });
     store.cancel('wk-1');
     if (later > 0) store.put(records.LEADER, records.encodeLeader({ node: 'c', incarnation: 'c' }));
-    const c = new Controller(store);
-    if (acknowledged > 0) c.election.acknowledge(token + acknowledged);
+    const controller = new Controller(store);
+    if (acknowledged > 0) controller.election.acknowledge(token + acknowledged);
     store.mode = mode;
-    const answer = await c.election.outage.answer(token, 100, 0);
+    const answer = await controller.election.outage.answer(token, 100, 0);
     assert.equal(answer.refused, want, name);
     if (want !== true) continue;
     assert.deepEqual(answer.cancelled, ['wk-1'], 'whoever was refused earlier learns of it');
-    assert.ok(c.election.acknowledge(token + 1) >= 0.1, 'a later leader waits for the promise');
+    assert.ok(
+      controller.election.acknowledge(token + 1) >= 0.1,
+      'a later leader waits for the promise',
+    );
   }
 });
 
@@ -166,20 +169,20 @@
   for (const [name, answers, forLives, acknowledged, keeps] of cases) {
     const store = new MemoryStore();
     const token = store.put(records.LEADER, records.encodeLeader({ node: 'b', incarnation: 'b' }));
-    const c = new Controller(store, 'a', () => answers);
+    const controller = new Controller(store, 'a', () => answers);
     store.mode = 'refuse';
-    store.rejectedSince = c.now - LIFE * forLives;
-    if (acknowledged) c.election.acknowledge(token + 1);
-    assert.equal(await c.election.outage.mayRenewLeases(), keeps, name);
+    store.rejectedSince = controller.now - LIFE * forLives;
+    if (acknowledged) controller.election.acknowledge(token + 1);
+    assert.equal(await controller.election.outage.mayRenewLeases(), keeps, name);
     if (!keeps) continue;
-    c.election.acknowledge(token + 1);
+    controller.election.acknowledge(token + 1);
     assert.equal(
-      await c.election.outage.mayRenewLeases(),
+      await controller.election.outage.mayRenewLeases(),
       false,
       'no more once a later one is acknowledged',
     );
-    c.now += LIFE;
-    assert.equal(await c.election.outage.mayRenewLeases(), false);
+    controller.now += LIFE;
+    assert.equal(await controller.election.outage.mayRenewLeases(), false);
   }
 });
 
@@ -213,22 +216,22 @@
     const store = new MemoryStore();
     if (leader !== undefined) put(store, leader);
     let lives = 0;
-    const c = new Controller(store, 'a', undefined, () => fitter(lives));
-    const began = c.now;
-    while (c.election.role === 'follower' && lives < 2) {
-      lives = (c.now - began) / LIFE;
+    const controller = new Controller(store, 'a', undefined, () => fitter(lives));
+    const began = controller.now;
+    while (controller.election.role === 'follower' && lives < 2) {
+      lives = (controller.now - began) / LIFE;
       const other = lives >= electedAt && lives < goneAt;
       if (other !== store.revision(records.LEADER) > 0 && leader === undefined) {
         if (other) put(store, 'b');
         else await store.compareAndSwap([], [{ remove: records.LEADER }]);
-        await c.sync();
+        await controller.sync();
       }
-      const stepped = c.steps.stepAsFollower();
-      c.election.wake();
+      const stepped = controller.steps.stepAsFollower();
+      controller.election.wake();
       await stepped;
-      c.now += step;
+      controller.now += step;
     }
-    const stood = c.election.role === 'leader';
+    const stood = controller.election.role === 'leader';
     assert.equal(stood, stands !== null, name);
     if (stands === null) continue;
     assert.ok(lives >= stands[0] - 1e-6 && lives <= stands[1], `${name}: after ${lives}`);
--- a/test/meeting-ends.test.ts
+++ b/test/meeting-ends.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import * as records from '../src/store/records.js';
 import { outcome } from '../src/store/stored-job.js';
-import { type World } from './meeting-helpers.js';
-import { JOB, OTHER, task, worldWith } from './support/meeting-stages.js';
+import type { LeaderWorld } from './support/leader-world.js';
+import { JOB, OTHER, task, worldWith } from './support/leader-stages.js';
 
 test('one-task jobs four a second, a quarter cancelled: each runs once, or never after its end', async () => {
   const world = await worldWith(['a', 'b']);
@@ -12,10 +12,10 @@
   for (let i = 0; i < 120; i++) {
     const id = `wk-${1000 + i}`;
     jobs.push(id);
-    world.job({ id });
+    world.submitJob({ id });
     if (i % 4 === 1) world.cancel(jobs[i - (i % 3)]!);
     world.store.feed(world.replica);
-    if (i === 60) world.takeOver();
+    if (i === 60) world.failOver();
     await world.run(0.2);
     for (const worker of world.fleet.workers.values()) {
       for (const task of worker.tasks.values()) if (i % 2 === 0) worker.end(task, 'done');
@@ -25,7 +25,7 @@
   for (const worker of world.fleet.workers.values())
     for (const task of worker.tasks.values()) worker.end(task, 'done');
   await world.run(3);
-  assert.deepEqual(world.fleet.broken, []);
+  assert.deepEqual(world.fleet.violations, []);
   assert.equal(world.term.jobs.size, 0);
   for (const id of jobs) {
     const over = outcome(world.replica.jobs.get(id)!);
@@ -35,13 +35,17 @@
 });
 
 test('a cancellation that meets the end of the last task: the older of the two in the store', async () => {
-  const cases: [string, (world: World) => Promise<void>, string][] = [
+  const cases: [string, (world: LeaderWorld) => Promise<void>, string][] = [
     ['cancelled, then ended', async (world) => world.cancel(JOB), 'cancelled'],
-    ['the end is stored first', async (world) => (await world.flush(), world.cancel(JOB)), 'done'],
+    [
+      'the end is stored first',
+      async (world) => (await world.writeAll(), world.cancel(JOB)),
+      'done',
+    ],
     [
       'its answer is lost',
       async (world) => {
-        await world.flushOnceAs('lose answers');
+        await world.writeOnceAs('lose answers');
         world.cancel(JOB);
       },
       'done',
@@ -49,17 +53,17 @@
     [
       'it comes late',
       async (world) => {
-        await world.flushOnceAs('hold back');
+        await world.writeOnceAs('hold back');
         world.cancel(JOB);
-        world.store.deliver();
+        world.store.deliverHeldBack();
       },
       'cancelled',
     ],
     [
       'it comes late, just before',
       async (world) => {
-        await world.flushOnceAs('hold back');
-        world.store.deliver();
+        await world.writeOnceAs('hold back');
+        world.store.deliverHeldBack();
         world.cancel(JOB);
       },
       'done',
@@ -68,17 +72,17 @@
   for (const [name, meet, want] of cases) {
     for (const change of [false, true]) {
       const world = await worldWith(['a']);
-      world.job({ id: JOB });
+      world.submitJob({ id: JOB });
       await world.run(1);
       const worker = world.fleet.workers.get('a')!;
       worker.end(task(worker), 'done');
-      world.checkin(worker);
+      world.exchangeHeartbeat(worker);
       await meet(world);
       // The leader's own record may be the one that is refused, never a second one that counts.
       const told = outcome(world.store.feed(world.replica).jobs.get(JOB)!);
       assert.equal(told, want, name);
       const at = world.store.revision(records.progressKey(JOB, 0));
-      if (change && want !== 'done') world.takeOver();
+      if (change && want !== 'done') world.failOver();
       await world.run(4);
       assert.equal(outcome(world.store.feed(world.replica).jobs.get(JOB)!), want, name);
       assert.equal(world.term.jobs.size, 0, name);
@@ -92,9 +96,9 @@
 
 test('a direct start or stop that arrives late is carried out once, and starts nothing anew', async () => {
   const world = await worldWith(['a']);
-  world.job({ id: JOB });
-  world.pass();
-  await world.flush();
+  world.submitJob({ id: JOB });
+  world.runCycle();
+  await world.writeAll();
   const start = world.sendDirect('a');
   start.unanswered();
   await world.run(1);
@@ -107,7 +111,7 @@
   start.arrive();
   await world.run(1);
   assert.equal(world.fleet.starts.get(`${JOB}/0`), 1);
-  world.job({ id: OTHER });
+  world.submitJob({ id: OTHER });
   await world.run(1);
   world.cancel(OTHER);
   world.store.feed(world.replica);
@@ -117,40 +121,40 @@
   stop.arrive();
   await world.run(1);
   assert.equal(world.fleet.running(OTHER), 0);
-  assert.deepEqual(world.fleet.broken, []);
+  assert.deepEqual(world.fleet.violations, []);
 });
 
 test('nothing starts before the store names it', async () => {
   const world = await worldWith(['a']);
-  world.job({ id: JOB });
-  world.pass();
+  world.submitJob({ id: JOB });
+  world.runCycle();
   const worker = world.fleet.workers.get('a')!;
-  world.checkin(worker);
+  world.exchangeHeartbeat(worker);
   assert.equal(world.fleet.running(JOB), 0);
-  await world.flush();
-  world.checkin(worker);
+  await world.writeAll();
+  world.exchangeHeartbeat(worker);
   assert.equal(world.fleet.running(JOB), 1);
 });
 
 test('a start that was not answered may come at any time until the session ends', async () => {
   for (const ends of [false, true]) {
     const world = await worldWith(['a']);
-    world.job({ id: JOB });
-    world.pass();
-    await world.flush();
+    world.submitJob({ id: JOB });
+    world.runCycle();
+    await world.writeAll();
     const start = world.sendDirect('a');
     start.unanswered();
     const worker = world.fleet.workers.get('a')!;
     world.fleet.add('b');
     // The machine is to be taken: its task is wanted elsewhere.
-    worker.noticeS = 60;
-    if (ends) worker.session++;
+    worker.reclaimNoticeS = 60;
+    if (ends) worker.agentEpoch++;
     await world.run(2);
     if (ends) assert.equal(world.fleet.running(JOB), 1);
     start.arrive();
     await world.run(5);
     assert.equal(world.fleet.running(JOB), 1);
-    assert.deepEqual(world.fleet.broken, []);
+    assert.deepEqual(world.fleet.violations, []);
   }
 });
 
@@ -158,8 +162,8 @@
   const world = await worldWith(['a', 'b']);
   const idle = world.settings.workers.lease_s * 40;
   await world.run(idle);
-  world.job({ id: JOB, gpus: 8, cores: 8 });
-  world.pass();
+  world.submitJob({ id: JOB, gpus: 8, cores: 8 });
+  world.runCycle();
   const placed = world.term.jobs.get(JOB)!.attemptsByTask.get(0)![0]!.machine;
   // It would go back at once if it were empty.
   world.machine(placed).condition.quarantined = true;
@@ -169,11 +173,11 @@
   const other = placed === 'a' ? 'b' : 'a';
   world.machine(other).changeState('returning');
   world.term.machinesToWrite.add(other);
-  await world.flush();
+  await world.writeAll();
   // The request stays unanswered; the leader changes; it is carried out late.
-  world.job({ id: OTHER, gpus: 8, cores: 8 });
+  world.submitJob({ id: OTHER, gpus: 8, cores: 8 });
   await world.run(2);
-  world.takeOver();
+  world.failOver();
   await world.run(2);
   assert.equal(world.term.jobs.get(OTHER)!.activeAttemptCount, 0);
   assert.equal(world.machine(other).state, 'returning');
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -4,23 +4,23 @@
 import type { TaskStatus } from '../src/wire/workers.js';
 import * as records from '../src/store/records.js';
 import { outcome } from '../src/store/stored-job.js';
-import { type Worker } from './meeting-helpers.js';
-import { JOB, OTHER, task, worldWith, STAGES } from './support/meeting-stages.js';
+import type { Worker } from './support/simulated-fleet.js';
+import { JOB, OTHER, task, worldWith, STAGES } from './support/leader-stages.js';
 
 test('a job whose leader ends runs once, however far it has come', async () => {
   for (const [name, until] of STAGES) {
     const world = await worldWith(['a']);
-    world.job({ id: JOB });
+    world.submitJob({ id: JOB });
     await until(world);
-    world.takeOver();
-    world.store.deliver();
+    world.failOver();
+    world.store.deliverHeldBack();
     await world.run(3);
     const worker = world.fleet.workers.get('a')!;
     if (worker.running(JOB).length > 0) worker.end(task(worker), 'done');
     await world.run(3);
     assert.equal(outcome(world.replica.jobs.get(JOB)!), 'done', name);
     assert.equal(world.fleet.starts.get(`${JOB}/0`), 1, name);
-    assert.deepEqual(world.fleet.broken, [], name);
+    assert.deepEqual(world.fleet.violations, [], name);
     assert.equal(world.term.jobs.size, 0, name);
   }
 });
@@ -31,23 +31,23 @@
   for (const seen of ways) {
     for (const [name, until] of STAGES) {
       const world = await worldWith(['a']);
-      world.job({ id: JOB });
+      world.submitJob({ id: JOB });
       await until(world);
       const late = world.machine('a').activeAttempts().length > 0 ? world.sendDirect('a') : null;
       world.cancel(JOB);
       if (seen === 'by word of another') world.leader.onCancellationHeard(JOB);
       if (seen === 'by the old leader' || seen === 'no change') world.store.feed(world.replica);
       if (seen !== 'by the next') await world.parts.writer.writeBatch();
-      if (seen !== 'no change') world.takeOver();
+      if (seen !== 'no change') world.failOver();
       else late?.unanswered();
-      world.store.deliver();
-      world.checkin(world.fleet.workers.get('a')!);
+      world.store.deliverHeldBack();
+      world.exchangeHeartbeat(world.fleet.workers.get('a')!);
       // What the old leader had sent arrives after the new one's first answer.
       late?.arrive();
       await world.run(4);
       assert.equal(world.fleet.running(JOB), 0, `${name}, ${seen}`);
       // Without a change what was on its way already starts, and is stopped.
-      if (seen !== 'no change') assert.deepEqual(world.fleet.broken, [], `${name}, ${seen}`);
+      if (seen !== 'no change') assert.deepEqual(world.fleet.violations, [], `${name}, ${seen}`);
       assert.deepEqual(world.machine('a').activeAttempts(), [], `${name}, ${seen}`);
       if (seen !== 'no change') assert.equal(world.term.jobs.size, 0, `${name}, ${seen}`);
       assert.equal(outcome(world.store.feed(world.replica).jobs.get(JOB)!), 'cancelled', name);
@@ -57,18 +57,18 @@
 
 test('leaders change ten times in two minutes, also inside an outage: all that runs goes on', async () => {
   const world = await worldWith(['a', 'b']);
-  world.job({ id: JOB, kind: 'service', tasks: 4 });
-  world.job({ id: OTHER, kind: 'gang', tasks: 2 });
+  world.submitJob({ id: JOB, kind: 'service', tasks: 4 });
+  world.submitJob({ id: OTHER, kind: 'gang', tasks: 2 });
   await world.run(2);
   const numbers = (): string[] =>
     [...world.fleet.workers.values()].flatMap((worker) => [...worker.tasks.keys()]).sort();
   const before = numbers();
   assert.equal(before.length, 6);
   for (let i = 0; i < 10; i++) {
-    world.writing = i % 3 !== 1;
-    world.takeOver();
+    world.canWrite = i % 3 !== 1;
+    world.failOver();
     await world.run(12);
-    world.writing = true;
+    world.canWrite = true;
     assert.deepEqual(numbers(), before, `change ${i}`);
   }
   assert.ok([...world.fleet.starts.values()].every((n) => n === 1));
@@ -87,15 +87,15 @@
 
 test('a leader that the store refuses alone stops what another has told it is cancelled', async () => {
   const world = await worldWith(['a']);
-  world.job({ id: JOB });
-  world.job({ id: OTHER });
+  world.submitJob({ id: JOB });
+  world.submitJob({ id: OTHER });
   await world.run(1);
-  world.writing = false;
+  world.canWrite = false;
   world.cancel(JOB);
   world.leader.onCancellationHeard(JOB);
-  for (let i = 0; i < 3; i++) world.checkin(world.fleet.workers.get('a')!);
+  for (let i = 0; i < 3; i++) world.exchangeHeartbeat(world.fleet.workers.get('a')!);
   assert.deepEqual([world.fleet.running(JOB), world.fleet.running(OTHER)], [0, 1]);
-  world.writing = true;
+  world.canWrite = true;
   await world.run(3);
   assert.deepEqual([world.term.jobs.has(JOB), world.fleet.running(OTHER)], [false, 1]);
 });
@@ -118,12 +118,12 @@
   for (const [name, begin, end] of cases) {
     const world = await worldWith(['a']);
     const { lease_s } = world.settings.workers;
-    world.job({ id: JOB });
+    world.submitJob({ id: JOB });
     await world.run(1);
     const worker = world.fleet.workers.get('a')!;
     world.fleet.add('b');
     begin(worker);
-    world.takeOver();
+    world.failOver();
     await world.run(lease_s * 0.9);
     assert.equal(world.fleet.starts.get(`${JOB}/0`), 1, `${name}: not given up before its time`);
     await world.run(lease_s);
@@ -131,44 +131,44 @@
     await world.run(lease_s);
     assert.equal(world.fleet.running(JOB), 1, name);
     assert.equal(world.fleet.starts.get(`${JOB}/0`), 2, name);
-    assert.deepEqual(world.fleet.broken, [], name);
+    assert.deepEqual(world.fleet.violations, [], name);
   }
 });
 
 test('all controllers are away for longer than a lease: everything begins anew, once', async () => {
   const world = await worldWith(['a', 'b']);
-  world.job({ id: JOB, tasks: 4 });
+  world.submitJob({ id: JOB, tasks: 4 });
   await world.run(1);
   world.token = 0;
   await world.run(world.settings.workers.lease_s * 2);
   assert.equal(world.fleet.running(JOB), 0);
-  world.takeOver();
+  world.failOver();
   await world.run(4);
   assert.equal(world.fleet.running(JOB), 4);
   assert.ok([...world.fleet.starts.values()].every((n) => n === 2));
-  assert.deepEqual(world.fleet.broken, []);
+  assert.deepEqual(world.fleet.violations, []);
 });
 
 test('a transaction that comes late, of this leader or one before, undoes nothing newer', async () => {
   for (const next of [false, true]) {
     const world = await worldWith(['a']);
-    world.job({ id: JOB });
-    world.pass();
-    await world.flushOnceAs('hold back');
-    if (next) world.takeOver();
+    world.submitJob({ id: JOB });
+    world.runCycle();
+    await world.writeOnceAs('hold back');
+    if (next) world.failOver();
     await world.run(2);
-    world.job({ id: OTHER });
+    world.submitJob({ id: OTHER });
     await world.run(2);
     const key = records.machineKey('a');
     const revision = world.store.revision(key);
-    world.store.deliver();
+    world.store.deliverHeldBack();
     assert.equal(world.store.revision(key), revision);
     // Nor does one that reaches the store before the new leader's first.
-    world.job({ id: 'wk-000003' });
-    world.pass();
-    await world.flushOnceAs('hold back');
-    if (next) world.takeOver();
-    world.store.deliver();
+    world.submitJob({ id: 'wk-000003' });
+    world.runCycle();
+    await world.writeOnceAs('hold back');
+    if (next) world.failOver();
+    world.store.deliverHeldBack();
     if (next) assert.equal(world.store.revision(key), revision);
     await world.run(2);
     assert.equal(records.decodeMachine(world.store.value(key)).claims.length, 3);
@@ -185,28 +185,28 @@
   ];
   for (const [name, keptUntil, provenAt, lost] of cases) {
     const world = await worldWith(['a', 'b']);
-    world.job({ id: JOB, gpus: 8, cores: 8 });
+    world.submitJob({ id: JOB, gpus: 8, cores: 8 });
     await world.run(1);
     const [on] = [...world.fleet.workers.values()].filter(
       (worker) => worker.running(JOB).length > 0,
     );
     on!.mute = true;
-    world.zone = { keptUntil, provenAt };
+    world.zoneRenewal = { keptUntil, provenAt };
     // Kept by its zone lease holder.
     if (!lost) on!.answeredAt = Infinity;
     await world.run(world.settings.workers.lease_s * 2);
     assert.equal(world.fleet.starts.get(`${JOB}/0`), lost ? 2 : 1, name);
-    assert.deepEqual(world.fleet.broken, [], name);
+    assert.deepEqual(world.fleet.violations, [], name);
   }
 });
 
 test('old reports that come as a new leader begins, or later, prove nothing', async () => {
   const world = await worldWith(['a', 'b']);
-  world.job({ id: JOB, kind: 'service', tasks: 2, gpus: 8, cores: 8 });
+  world.submitJob({ id: JOB, kind: 'service', tasks: 2, gpus: 8, cores: 8 });
   const worker = world.fleet.workers.get('a')!;
-  const empty = worker.report();
+  const empty = worker.heartbeat();
   await world.run(2);
-  const old = worker.report();
+  const old = worker.heartbeat();
   // There is capacity elsewhere.
   const c = world.fleet.add('c');
   const check = (name: string): void => {
@@ -215,23 +215,23 @@
       [...world.fleet.starts.values()].every((n) => n === 1),
       name,
     );
-    assert.deepEqual(world.fleet.broken, [], name);
+    assert.deepEqual(world.fleet.violations, [], name);
   };
   for (const when of ['at once', 'after it has heard the machine', 'after a change'] as const) {
-    world.takeOver();
+    world.failOver();
     if (when === 'at once') {
-      for (let i = 0; i < 2; i++) world.checkin(c);
+      for (let i = 0; i < 2; i++) world.exchangeHeartbeat(c);
       world.leader.answerHeartbeat(empty);
-      world.pass();
-      await world.flush();
-      world.checkin(c);
+      world.runCycle();
+      await world.writeAll();
+      world.exchangeHeartbeat(c);
     }
     await world.run(1);
     if (when !== 'at once') for (const copy of [old, empty]) world.leader.answerHeartbeat(copy);
     if (when !== 'at once') world.leader.answerHeartbeat({ ...empty, token: world.token });
     if (when === 'after a change')
       world.leader.answerHeartbeat({ ...empty, agentEpoch: 0, sequence: 1e6 });
-    world.pass();
+    world.runCycle();
     await world.run(2);
     check(when);
   }
@@ -243,27 +243,27 @@
   world.leader.answerHeartbeat({ ...old, token: world.token });
   await world.run(1);
   assert.equal(world.fleet.running(JOB), 2);
-  assert.deepEqual(world.fleet.broken, []);
+  assert.deepEqual(world.fleet.violations, []);
 });
 
 test('a team at its limit stays there while cancelled tasks may still run', async () => {
   for (const change of [false, true]) {
     const world = await worldWith(['a', 'b'], 2);
-    world.job({ id: JOB, kind: 'service', tasks: 2, cores: 8 });
+    world.submitJob({ id: JOB, kind: 'service', tasks: 2, cores: 8 });
     await world.run(1);
     const [worker, b] = [world.fleet.workers.get('a')!, world.fleet.workers.get('b')!];
     assert.deepEqual([worker.running(JOB).length, b.running(JOB).length], [1, 1]);
     b.mute = true;
     world.cancel(JOB);
-    if (change) world.takeOver();
-    world.job({ id: OTHER, tasks: 2 });
+    if (change) world.failOver();
+    world.submitJob({ id: OTHER, tasks: 2 });
     world.fleet.add('c');
     for (let i = 0; i < 40; i++) {
       await world.run(0.2);
       assert.ok(world.fleet.running(JOB) + world.fleet.running(OTHER) <= 2, `change: ${change}`);
     }
     assert.equal(world.fleet.running(OTHER), 2, 'once the lease has run out');
-    assert.deepEqual(world.fleet.broken, []);
+    assert.deepEqual(world.fleet.violations, []);
   }
 });
 
@@ -271,7 +271,7 @@
   for (const kind of ['array', 'gang'] as const) {
     const world = await worldWith(['a', 'z2b']);
     const tasks = kind === 'gang' ? 2 : 3;
-    world.job({ id: JOB, kind, tasks, gpus: 4, cores: 4, oneZone: true });
+    world.submitJob({ id: JOB, kind, tasks, gpus: 4, cores: 4, oneZone: true });
     await world.run(1);
     const home = [...world.fleet.workers.values()].find(
       (worker) => worker.running(JOB).length === 2,
@@ -280,18 +280,18 @@
     const away = [...world.fleet.workers.values()].find((worker) => worker !== home)!;
     assert.equal(away.running(JOB).length, 0, `${kind}: the third waits for room`);
     home.mute = true;
-    world.takeOver();
+    world.failOver();
     await world.run(world.settings.workers.lease_s * 0.9);
     assert.equal(away.running(JOB).length, 0, kind);
     await world.run(world.settings.workers.lease_s);
     assert.equal(away.running(JOB).length, 2, kind);
-    assert.deepEqual(world.fleet.broken, [], kind);
+    assert.deepEqual(world.fleet.violations, [], kind);
   }
 });
 
 test('tasks that end far apart, each just before a change of leader, count once and for ever', async () => {
   const world = await worldWith(['a', 'b']);
-  world.job({ id: JOB, tasks: 3 });
+  world.submitJob({ id: JOB, tasks: 3 });
   await world.run(1);
   for (let index = 0; index < 3; index++) {
     const on = [...world.fleet.workers.values()].find(
@@ -299,17 +299,17 @@
     )!;
     on.end(task(on, JOB, index), 'done');
     // Heard by the leader, and stored or not when it ends.
-    world.checkin(on);
+    world.exchangeHeartbeat(on);
     if (index === 1) await world.run(2);
-    world.checkin(on);
-    world.takeOver();
+    world.exchangeHeartbeat(on);
+    world.failOver();
     await world.run(10);
     const storedJob = world.replica.jobs.get(JOB)!;
     assert.equal(storedJob.doneTasks, index + 1);
     assert.equal(outcome(storedJob), index === 2 ? 'done' : 'open');
   }
   assert.ok([...world.fleet.starts.values()].every((n) => n === 1));
-  assert.deepEqual(world.fleet.broken, []);
+  assert.deepEqual(world.fleet.violations, []);
   assert.ok(
     [...world.fleet.workers.values()].every((worker) => worker.tasks.size === 0),
     'forgotten',
--- a/test/meeting-leases.test.ts
+++ b/test/meeting-leases.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Machine } from '../src/workers/machine.js';
 import type { Heartbeat } from '../src/wire/workers.js';
-import { World } from './meeting-helpers.js';
+import { LeaderWorld } from './support/leader-world.js';
 
 const JOB = 'wk-000001';
 
@@ -27,10 +27,10 @@
     ],
   ]; // prettier-ignore
   for (const [name, heard, then, moves] of cases) {
-    const world = new World();
+    const world = new LeaderWorld();
     const worker = world.fleet.add('a');
     const report = (s: Seen): Heartbeat => ({
-      ...worker.report(),
+      ...worker.heartbeat(),
       token: world.token,
       agentEpoch: s.session,
       sequence: s.seq,
@@ -62,31 +62,31 @@
 });
 
 test('a machine that reaches no controller gets nothing new, though direct commands reach it', async () => {
-  const world = new World();
+  const world = new LeaderWorld();
   const worker = world.fleet.add('a');
   await world.run(1);
   worker.mute = true;
   for (let i = 0; i < 8; i++) {
     world.fleet.now += world.settings.workers.report_s;
-    world.machine('a').applyHeartbeat(worker.report(), 'direct-answer', world.now);
+    world.machine('a').applyHeartbeat(worker.heartbeat(), 'direct-answer', world.now);
   }
-  world.job({ id: JOB });
-  world.pass();
+  world.submitJob({ id: JOB });
+  world.runCycle();
   assert.deepEqual(world.machine('a').activeAttempts(), []);
 });
 
 test('a late copy of a report makes no machine that was returned come back', async () => {
-  const world = new World();
+  const world = new LeaderWorld();
   const worker = world.fleet.add('a');
   await world.run(1);
-  const copy = worker.report();
-  world.checkin(worker);
+  const copy = worker.heartbeat();
+  world.exchangeHeartbeat(worker);
   world.fleet.workers.delete('a');
   world.parts.capacity.machinesReturned(['a']);
   world.leader.answerHeartbeat(copy);
   world.leader.answerHeartbeat(copy);
-  world.job({ id: JOB });
-  world.pass();
-  await world.flush();
+  world.submitJob({ id: JOB });
+  world.runCycle();
+  await world.writeAll();
   assert.equal(world.term.jobs.get(JOB)!.activeAttemptCount, 0);
 });
--- a/test/meeting-limits.test.ts
+++ b/test/meeting-limits.test.ts
@@ -5,7 +5,7 @@
 import { whyItNeverRuns } from '../src/scheduler/quota.js';
 import * as records from '../src/store/records.js';
 import { g8, settings, spec } from './helpers.js';
-import { World } from './meeting-helpers.js';
+import { LeaderWorld } from './support/leader-world.js';
 
 const JOB = 'wk-000001';
 
@@ -31,17 +31,17 @@
 });
 
 test('however small the tasks, a machine gets no more than its record can name', async () => {
-  const world = new World();
+  const world = new LeaderWorld();
   world.fleet.add('a');
   await world.run(1);
-  world.job({ id: JOB, tasks: 1000, cores: 0.001, gpus: 0, memGb: 0 });
+  world.submitJob({ id: JOB, tasks: 1000, cores: 0.001, gpus: 0, memGb: 0 });
   await world.run(1);
   const record = JSON.stringify(world.store.value(records.machineKey('a')));
   assert.ok(record.length <= world.store.valueBytes, `${record.length} bytes`);
 });
 
 test('a machine that reports at last is not returned as one that never came', async () => {
-  const world = new World();
+  const world = new LeaderWorld();
   const ageS = 1000;
   await world.run(world.settings.workers.lease_s * 4);
   const listed = {
@@ -51,7 +51,7 @@
   assert.deepEqual(world.parts.capacity.machinesToRemove(), ['a']);
   // The cloud didn't answer; before it is asked again the machine is there, and has work.
   world.fleet.add('a');
-  world.job({ id: JOB });
+  world.submitJob({ id: JOB });
   await world.run(2);
   assert.equal(world.fleet.running(JOB), 1);
   assert.deepEqual(world.parts.capacity.machinesToRemove(), []);
--- a/test/meeting-witness.test.ts
+++ b/test/meeting-outage-quorum.test.ts
@@ -9,7 +9,7 @@
 import type { ReplicaSync } from '../src/store/replica-sync.js';
 import * as records from '../src/store/records.js';
 import { Replica } from '../src/store/replica.js';
-import { MemoryStore } from './meeting-helpers.js';
+import { MemoryStore } from './support/memory-store.js';
 import { fake } from './support/fake.js';
 
 const WORKERS = { lease_s: 10, cancel_s: 30 };
@@ -86,7 +86,7 @@
   store.accept({ id: first });
   for (let i = 0; i < many; i++)
     store.accept({ id: `wk-2${idOf(i).slice(3)}`, dependencies: [first] });
-  const before = store.ledger;
+  const before = store.currentRevision;
   for (let i = 0; i < many; i++) store.cancel(idOf(i));
   store.cancel(first);
   const { election } = controller(store);
@@ -105,7 +105,7 @@
   assert.equal(await campaign(), false);
   const get = store.get.bind(store);
   store.get = (key) => {
-    store.deliver();
+    store.deliverHeldBack();
     return get(key);
   };
   assert.equal(await campaign(), false);
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -5,7 +5,8 @@
 import { outcome } from '../src/store/stored-job.js';
 import type { Heartbeat, TaskStatus } from '../src/wire/workers.js';
 import type { Machine } from '../src/workers/machine.js';
-import { World, type Worker } from './meeting-helpers.js';
+import { LeaderWorld } from './support/leader-world.js';
+import type { Worker } from './support/simulated-fleet.js';
 
 const DAYS = 60;
 const STEP_S = 0.2;
@@ -35,7 +36,7 @@
 }
 
 class Day {
-  readonly w = new World(GPUS_MAX);
+  readonly w = new LeaderWorld(GPUS_MAX);
   readonly jobs = new Map<string, Job>();
   readonly cancelledAt = new Map<string, number>();
   readonly broken = new Set<string>();
@@ -44,8 +45,8 @@
   constructor(private readonly random: () => number) {
     for (const id of ['a', 'b']) this.w.fleet.add(id, 'z1');
     for (const id of ['c', 'd']) this.w.fleet.add(id, 'z2');
-    const started = this.w.fleet.started.bind(this.w.fleet);
-    this.w.fleet.started = (on, command) => {
+    const started = this.w.fleet.noteStart.bind(this.w.fleet);
+    this.w.fleet.noteStart = (on, command) => {
       started(on, command);
       const at = this.cancelledAt.get(command.job) ?? Infinity;
       if (this.w.now - at > CANCEL_S) this.broken.add(`start after cancellation: ${command.job}`);
@@ -72,10 +73,10 @@
       const kind = this.pick(['array', 'array', 'gang', 'service'] as const);
       const tasks = 1 + Math.floor(this.random() * 4);
       this.jobs.set(id, { kind, tasks, ends: new Map() });
-      w.job({ id, kind, tasks });
+      w.submitJob({ id, kind, tasks });
     }
     if (this.chance(0.05) && this.jobs.size > 0) this.cancel(this.pick([...this.jobs.keys()]));
-    if (this.chance(0.02)) w.takeOver();
+    if (this.chance(0.02)) w.failOver();
     const worker = this.pick([...w.fleet.workers.values()]);
     if (this.chance(0.02)) worker.deaf = !worker.deaf;
     if (this.chance(0.02)) worker.mute = !worker.mute;
@@ -124,10 +125,10 @@
       worker.tick();
       this.work(worker, troubles);
       if (troubles && this.chance(0.03)) {
-        const copy: Heartbeat = worker.report();
+        const copy: Heartbeat = worker.heartbeat();
         this.delay(this.random() * 6, () => void w.leader.answerHeartbeat(copy));
       }
-      w.checkin(worker);
+      w.exchangeHeartbeat(worker);
     }
   }
 
@@ -144,27 +145,27 @@
     if (how === 'lost' || Number(how) > 0.85) {
       machine.directCommandsEnded(commands, 'unknown', agentEpoch, w.now);
     } else if (Number(how) > 0.7) {
-      this.delay(this.random() * 8, () => void worker.direct(token, agentEpoch, commands));
+      this.delay(this.random() * 8, () => void worker.takeDirect(token, agentEpoch, commands));
       machine.directCommandsEnded(commands, 'unknown', agentEpoch, w.now);
     } else {
-      const heartbeat = worker.direct(token, agentEpoch, commands);
+      const heartbeat = worker.takeDirect(token, agentEpoch, commands);
       const answered = Number(how) > 0.6 ? 'unknown' : heartbeat === null ? 'refused' : 'done';
       machine.directCommandsEnded(commands, answered, agentEpoch, w.now);
       if (answered === 'unknown') return;
       w.term.reconcile(
         machine,
-        machine.applyHeartbeat(heartbeat ?? worker.report(), 'direct-answer', w.now),
+        machine.applyHeartbeat(heartbeat ?? worker.heartbeat(), 'direct-answer', w.now),
       );
     }
   }
 
   private async lead(troubles: boolean): Promise<void> {
     const { w } = this;
-    w.pass();
+    w.runCycle();
     if (troubles && this.chance(0.1)) w.store.mode = this.pick(['lose answers', 'hold back']);
     await w.parts.writer.writeBatch();
     w.store.mode = 'serve';
-    if (this.chance(0.2)) w.store.deliver();
+    if (this.chance(0.2)) w.store.deliverHeldBack();
     for (const id of [...w.term.machinesToCommand]) {
       w.term.machinesToCommand.delete(id);
       const machine = w.term.machines.get(id);
@@ -189,7 +190,7 @@
       if (w.now - at > CANCEL_S && w.fleet.running(id) > 0)
         this.broken.add(`cancelled, runs: ${id}`);
     }
-    for (const rule of w.fleet.broken) if (rule.startsWith('ran_twice')) this.broken.add(rule);
+    for (const rule of w.fleet.violations) if (rule.startsWith('ran_twice')) this.broken.add(rule);
   }
 
   endTroubles(): void {
--- a/test/meeting-records.test.ts
+++ b/test/meeting-records.test.ts
@@ -3,7 +3,8 @@
 import { test } from 'node:test';
 import { outcome } from '../src/store/stored-job.js';
 import * as records from '../src/store/records.js';
-import { MemoryStore, World } from './meeting-helpers.js';
+import { LeaderWorld } from './support/leader-world.js';
+import { MemoryStore } from './support/memory-store.js';
 
 const JOB = 'wk-000001';
 
@@ -59,24 +60,24 @@
 
 test('the record of a job that is done is never written again', async () => {
   // A gang over two machines: its end is stored late, after the other machine's heartbeat.
-  const world = new World();
+  const world = new LeaderWorld();
   const ids = ['a', 'b'];
   for (const id of ids) world.fleet.add(id);
-  world.job({ id: JOB, kind: 'gang', tasks: 2, gpus: 8, cores: 8 });
+  world.submitJob({ id: JOB, kind: 'gang', tasks: 2, gpus: 8, cores: 8 });
   await world.run(2);
   assert.equal(world.fleet.running(JOB), 2);
   const [worker, b] = ids.map((id) => world.fleet.workers.get(id)!);
   await world.run(10);
   worker!.end(worker!.running(JOB)[0]!, 'done');
-  world.checkin(worker!);
-  await world.flushOnceAs('hold back');
+  world.exchangeHeartbeat(worker!);
+  await world.writeOnceAs('hold back');
   b!.end(b!.running(JOB)[0]!, 'done');
-  world.checkin(b!);
-  world.store.deliver();
+  world.exchangeHeartbeat(b!);
+  world.store.deliverHeldBack();
   const first = world.store.revision(records.progressKey(JOB, 0));
   assert.ok(first > 0);
   world.store.cancel(JOB);
-  await world.flush();
+  await world.writeAll();
   assert.equal(world.store.revision(records.progressKey(JOB, 0)), first);
   assert.equal(outcome(world.store.listed().jobs.get(JOB)!), 'done');
 });
@@ -88,22 +89,22 @@
     ['hold back', true],
   ] as const;
   for (const [mode, underWay] of lost) {
-    const world = new World();
+    const world = new LeaderWorld();
     const worker = world.fleet.add('a');
-    world.job({ id: JOB, tasks: 2 });
+    world.submitJob({ id: JOB, tasks: 2 });
     await world.run(2);
     // Its lease expired long ago; it comes back with a new agent epoch.
     world.term.loseMachine(world.machine('a'));
     world.parts.forgetMachine(world.machine('a'));
     worker.tasks.clear();
-    worker.session++;
+    worker.agentEpoch++;
     world.store.mode = mode;
     const flushed = underWay ? world.parts.writer.writeBatch() : Promise.resolve(false);
-    world.checkin(worker);
+    world.exchangeHeartbeat(worker);
     await flushed;
     world.store.mode = 'serve';
     await world.run(2);
-    world.store.deliver();
+    world.store.deliverHeldBack();
     await world.run(2);
     const record = world.store.value(records.machineKey('a'));
     assert.ok(record !== undefined, mode);
--- a/test/meeting-users.test.ts
+++ b/test/meeting-users.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import * as records from '../src/store/records.js';
 import { outcome } from '../src/store/stored-job.js';
-import { MemoryStore } from './meeting-helpers.js';
-import { body, JOB, told, VALID, usersSide, type UsersSide } from './users-helpers.js';
+import { MemoryStore } from './support/memory-store.js';
+import { body, JOB, told, VALID, usersSide, type UsersSide } from './support/user-api-world.js';
 
 const finish = (store: MemoryStore): number =>
   store.put(records.progressKey(JOB, 0), records.encodeProgress({ bits: null, attainedS: 1 }));
@@ -75,7 +75,7 @@
     const [a, b] = [usersSide(store, 'a'), usersSide(store, 'b')];
     store.mode = mode;
     assert.equal(await told(a.userApi.submit(body())), '503', mode);
-    assert.equal(store.ledger, mode === 'lose answers' ? 1 : 0, 'stored once');
+    assert.equal(store.currentRevision, mode === 'lose answers' ? 1 : 0, 'stored once');
     store.mode = 'serve';
     assert.match(await told(b.userApi.submit(body())), /^20[01] queued$/, mode);
     store.mode = mode;
@@ -85,7 +85,7 @@
     assert.equal(cancelled, '200 cancelled', mode);
     const at = b.replica.jobs.get(JOB)!.cancelledAt;
     // What was held back comes now: after newer ones.
-    store.deliver();
+    store.deliverHeldBack();
     finish(store);
     store.feed(b.replica);
     for (const c of [a, b, usersSide(store, 'c')]) {
@@ -157,7 +157,7 @@
   for (const change of never) {
     assert.equal((await a.userApi.submit(body(change))).status, 422, JSON.stringify(change));
   }
-  assert.equal(store.ledger, 0);
+  assert.equal(store.currentRevision, 0);
   for (const field of nullable) {
     const change = { ref: `wk-${nullable.indexOf(field)}`, [field]: undefined };
     assert.equal(await told(a.userApi.submit(body(change))), '201 queued', field);
--- a/test/model-server.test.ts
+++ b/test/model-server.test.ts
@@ -16,26 +16,26 @@
   fake<MachineView>({ id: 'm1', addr: '127.0.0.1:1', state });
 
 /** A model server, and loaders of several terms for it. */
-async function setUp(t: TestContext): Promise<{
+async function setUp(context: TestContext): Promise<{
   server: ModelServer;
   loader: (token: number) => ModelServerLoader;
 }> {
   const port = await freePort();
   const server = new ModelServer({ host: '127.0.0.1', port, loadMs: () => LOAD_MS });
   await server.start();
-  t.after(() => server.close());
+  context.after(() => server.close());
   const loader = (token: number): ModelServerLoader => {
     const made = new ModelServerLoader({
       ...{ port, token, askEveryS: 0.02, timeoutS: 0.2, clock: steadyClock, log: silentLog() },
     });
-    t.after(() => made.stop());
+    context.after(() => made.stop());
     return made;
   };
   return { server, loader };
 }
 
-test('a model is asked for until it is there, and again when the server has lost it', async (t) => {
-  const { server, loader } = await setUp(t);
+test('a model is asked for until it is there, and again when the server has lost it', async (context) => {
+  const { server, loader } = await setUp(context);
   const own = loader(5);
   assert.equal(own.state(machine('fencing'), POOL), 'loading');
   await wait(30);
@@ -51,8 +51,8 @@
   await until('unloaded', () => !server.models.has('tutor'));
 });
 
-test('a leader that was replaced loads and unloads nothing', async (t) => {
-  const { server, loader } = await setUp(t);
+test('a leader that was replaced loads and unloads nothing', async (context) => {
+  const { server, loader } = await setUp(context);
   const old = loader(5);
   const next = loader(6);
   await until('ready', () => old.state(machine(), POOL) === 'ready');
@@ -65,8 +65,8 @@
   assert.ok(server.models.has('tutor'));
 });
 
-test('a model that never loads is given up, one that is in use is not unloaded, silence changes nothing', async (t) => {
-  const { server, loader } = await setUp(t);
+test('a model that never loads is given up, one that is in use is not unloaded, silence changes nothing', async (context) => {
+  const { server, loader } = await setUp(context);
   server.broken = true;
   const own = loader(5);
   const state = (): string => own.state(machine(), POOL);
--- a/test/pipeline-leader.test.ts
+++ b/test/pipeline-leader.test.ts
@@ -1,7 +1,7 @@
 /** A leader and jobs that need other jobs: what waits, what starts, and with which priority. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { World } from './meeting-helpers.js';
+import { LeaderWorld } from './support/leader-world.js';
 
 const FIRST = 'wk-000001';
 const SECOND = 'wk-000002';
@@ -10,13 +10,13 @@
 /** One machine of the stand-in has so many. */
 const MACHINE_GPUS = 8;
 
-function worldWith(machines: string[], gpusMax = 100): World {
-  const world = new World(gpusMax);
+function worldWith(machines: string[], gpusMax = 100): LeaderWorld {
+  const world = new LeaderWorld(gpusMax);
   for (const id of machines) world.fleet.add(id);
   return world;
 }
 
-function finish(world: World, job: string): void {
+function finish(world: LeaderWorld, job: string): void {
   for (const worker of world.fleet.workers.values()) {
     for (const task of worker.running(job)) worker.end(task, 'done');
   }
@@ -24,9 +24,9 @@
 
 test('a job that waits holds nothing: no limit, no guarantee, no machine, no start', async () => {
   const world = worldWith(['a'], MACHINE_GPUS);
-  world.job({ id: FIRST, tasks: 1 });
-  world.job({ id: SECOND, tasks: MACHINE_GPUS, gpus: 1, priority: 0, dependencies: [FIRST] });
-  world.job({ id: OTHER, tasks: MACHINE_GPUS - 1, priority: 3 });
+  world.submitJob({ id: FIRST, tasks: 1 });
+  world.submitJob({ id: SECOND, tasks: MACHINE_GPUS, gpus: 1, priority: 0, dependencies: [FIRST] });
+  world.submitJob({ id: OTHER, tasks: MACHINE_GPUS - 1, priority: 3 });
   await world.run(3);
   assert.deepEqual(
     [world.fleet.running(FIRST), world.fleet.running(SECOND), world.fleet.running(OTHER)],
@@ -35,7 +35,7 @@
   assert.ok(!world.term.jobs.has(SECOND));
   assert.equal(world.parts.capacity.demand.length, 0, 'nothing is rented for it');
   // The same for a leader that takes over, whatever it lists first.
-  world.takeOver();
+  world.failOver();
   await world.run(3);
   assert.deepEqual([world.term.jobs.has(SECOND), world.fleet.running(SECOND)], [false, 0]);
   finish(world, FIRST);
@@ -45,38 +45,38 @@
 
 test('a task starts only when the store shows what it needs as done, not when this leader believes so', async () => {
   const world = worldWith(['a']);
-  world.job({ id: FIRST });
-  world.job({ id: SECOND, dependencies: [FIRST] });
+  world.submitJob({ id: FIRST });
+  world.submitJob({ id: SECOND, dependencies: [FIRST] });
   await world.run(2);
   finish(world, FIRST);
   // The worker says it is done; the record is not stored, and another controller cancels the job first.
-  world.writing = false;
+  world.canWrite = false;
   await world.run(2);
   assert.equal(world.fleet.running(SECOND), 0, 'done, but not stored');
-  world.writing = true;
+  world.canWrite = true;
   world.cancel(FIRST);
   await world.run(3);
   assert.equal(world.fleet.running(SECOND), 0, 'the older one counts');
-  world.takeOver();
+  world.failOver();
   await world.run(3);
   assert.equal(world.fleet.starts.get(`${SECOND}/0`), undefined);
-  assert.deepEqual(world.fleet.broken, []);
+  assert.deepEqual(world.fleet.violations, []);
 });
 
 test('an older cancellation that is carried out late, beside the end of the job, is waited for', async () => {
   const world = worldWith(['a']);
-  world.job({ id: FIRST });
-  world.job({ id: SECOND, dependencies: [FIRST] });
+  world.submitJob({ id: FIRST });
+  world.submitJob({ id: SECOND, dependencies: [FIRST] });
   await world.run(2);
   // This leader's copy ends before the cancellation; its own commit of the end succeeds after it.
   world.store.cancel(FIRST);
   finish(world, FIRST);
-  world.checkin(world.fleet.workers.get('a')!);
+  world.exchangeHeartbeat(world.fleet.workers.get('a')!);
   world.term.requestCycle();
   await world.parts.writer.writeBatch();
   world.parts.runCycle();
   await world.parts.writer.writeBatch();
-  world.checkin(world.fleet.workers.get('a')!);
+  world.exchangeHeartbeat(world.fleet.workers.get('a')!);
   assert.equal(world.fleet.starts.get(`${SECOND}/0`), undefined);
   await world.run(3);
   assert.equal(world.fleet.starts.get(`${SECOND}/0`), undefined);
@@ -84,9 +84,9 @@
 
 test('what came before a cancellation goes on, and the cancelled ones release their place', async () => {
   const world = worldWith(['a'], MACHINE_GPUS);
-  world.job({ id: FIRST });
-  world.job({ id: SECOND, tasks: 4, dependencies: [FIRST] });
-  world.job({ id: THIRD, dependencies: [SECOND] });
+  world.submitJob({ id: FIRST });
+  world.submitJob({ id: SECOND, tasks: 4, dependencies: [FIRST] });
+  world.submitJob({ id: THIRD, dependencies: [SECOND] });
   await world.run(2);
   finish(world, FIRST);
   await world.run(3);
@@ -94,26 +94,26 @@
   world.cancel(SECOND);
   await world.run(3);
   assert.deepEqual([world.fleet.running(SECOND), world.fleet.running(THIRD)], [0, 0]);
-  world.job({ id: OTHER, tasks: MACHINE_GPUS });
+  world.submitJob({ id: OTHER, tasks: MACHINE_GPUS });
   await world.run(3);
   assert.equal(world.fleet.running(OTHER), MACHINE_GPUS);
-  assert.deepEqual(world.fleet.broken, []);
+  assert.deepEqual(world.fleet.violations, []);
 });
 
 test('a job has the priority of the most important one that needs it, as long as that one does', async () => {
   const world = worldWith(['a']);
-  world.job({ id: FIRST, tasks: 2, priority: 3 });
+  world.submitJob({ id: FIRST, tasks: 2, priority: 3 });
   await world.run(2);
   const priority = (): number => world.term.jobs.get(FIRST)!.spec.priority;
   assert.equal(priority(), 3);
-  world.job({ id: SECOND, priority: 2, dependencies: [FIRST] });
+  world.submitJob({ id: SECOND, priority: 2, dependencies: [FIRST] });
   await world.run(1);
   assert.equal(priority(), 2);
   // Named late, and through another one.
-  world.job({ id: THIRD, priority: 0, dependencies: [SECOND] });
+  world.submitJob({ id: THIRD, priority: 0, dependencies: [SECOND] });
   await world.run(1);
   assert.equal(priority(), 0);
-  world.takeOver();
+  world.failOver();
   await world.run(1);
   assert.equal(priority(), 0, 'at a new leader too');
   world.cancel(THIRD);
@@ -123,8 +123,8 @@
 
 test('with a deadline that is far off a job keeps its own priority until the time left is short', async () => {
   const world = worldWith(['a']);
-  world.job({ id: FIRST, priority: 3, estimateS: 10 });
-  world.job({ id: SECOND, priority: 1, estimateS: 20, deadlineS: 60, dependencies: [FIRST] });
+  world.submitJob({ id: FIRST, priority: 3, estimateS: 10 });
+  world.submitJob({ id: SECOND, priority: 1, estimateS: 20, deadlineS: 60, dependencies: [FIRST] });
   await world.run(2);
   // It has to be done 40 s after its submission: it is urgent as soon as its 10 s, taken half as long
   // again, and a boot of 1 s do not fit into what is left.
@@ -138,27 +138,27 @@
 
 test('a job that an important one needs may make room for itself, and loses none to lesser work', async () => {
   const world = worldWith(['a'], MACHINE_GPUS * 2);
-  world.job({ id: OTHER, tasks: MACHINE_GPUS, priority: 2 });
+  world.submitJob({ id: OTHER, tasks: MACHINE_GPUS, priority: 2 });
   await world.run(2);
-  world.job({ id: FIRST, tasks: MACHINE_GPUS, priority: 3 });
+  world.submitJob({ id: FIRST, tasks: MACHINE_GPUS, priority: 3 });
   await world.run(2);
   assert.deepEqual([world.fleet.running(OTHER), world.fleet.running(FIRST)], [MACHINE_GPUS, 0]);
-  world.job({ id: SECOND, priority: 1, dependencies: [FIRST] });
+  world.submitJob({ id: SECOND, priority: 1, dependencies: [FIRST] });
   await world.run(4);
   assert.deepEqual([world.fleet.running(OTHER), world.fleet.running(FIRST)], [0, MACHINE_GPUS]);
 });
 
 test('times count from the moment when a job may start, deadlines aside', async () => {
   const world = worldWith(['a']);
-  world.job({ id: FIRST });
-  world.job({ id: SECOND, dependencies: [FIRST] });
+  world.submitJob({ id: FIRST });
+  world.submitJob({ id: SECOND, dependencies: [FIRST] });
   await world.run(20);
   finish(world, FIRST);
   await world.run(1);
   const ageS = (): number => world.now - world.term.jobs.get(SECOND)!.readySince;
   assert.ok(ageS() <= 1.5, `${ageS()} s`);
   const before = ageS();
-  world.takeOver();
+  world.failOver();
   await world.run(1);
   assert.ok(Math.abs(ageS() - before - 1) <= 0.5, `at a new leader ${ageS()} s after ${before} s`);
 });
@@ -166,30 +166,30 @@
 test('a machine full of small tasks is not full by the bytes of its record, under the next limits', async () => {
   const world = worldWith(['a']);
   world.settings.state.value_kb = 2;
-  world.takeOver();
+  world.failOver();
   await world.run(1);
   const small = { cores: 0.1, gpus: 0, memGb: 0 };
-  for (let i = 0; i < 8; i++) world.job({ id: `wk-${1000 + i}`, tasks: 10, ...small });
+  for (let i = 0; i < 8; i++) world.submitJob({ id: `wk-${1000 + i}`, tasks: 10, ...small });
   await world.run(4);
   const running = [...Array(8).keys()].map((i) => world.fleet.running(`wk-${1000 + i}`));
   assert.deepEqual(running, Array(8).fill(10));
   const record = JSON.stringify(world.store.value('ps/m/a'));
   assert.ok(record.length <= 2048, `${record.length} bytes`);
-  world.takeOver();
+  world.failOver();
   await world.run(4);
   assert.deepEqual([...world.fleet.starts.values()], Array(80).fill(1), 'none is started twice');
-  assert.deepEqual(world.fleet.broken, []);
+  assert.deepEqual(world.fleet.violations, []);
 });
 
 test('machine types that do not fit into a value are not stored, and keep nothing else from being stored', async () => {
   const world = worldWith(['a']);
   world.settings.state.value_kb = 2;
-  world.takeOver();
+  world.failOver();
   const before = world.store.revision('ps/t');
   const types = [...world.term.machineTypes.values()];
   const more = Array.from({ length: 30 }, (_, i) => ({ ...types[0]!, name: `type-${i}` }));
   world.leader.onMachineTypes([...types, ...more]);
-  world.job({ id: FIRST });
+  world.submitJob({ id: FIRST });
   await world.run(2);
   assert.equal(world.store.revision('ps/t'), before);
   assert.equal(world.fleet.running(FIRST), 1);
@@ -201,11 +201,11 @@
 test('beside an old controller a machine gets no more claims than the plain form of its record can name', async () => {
   const world = worldWith(['a']);
   world.settings.state.value_kb = 2;
-  world.takeOver();
+  world.failOver();
   world.term.context.allReadDenseRecords = () => false;
   await world.run(1);
   const small = { cores: 0.05, gpus: 0, memGb: 0 };
-  for (let i = 0; i < 8; i++) world.job({ id: `wk-${1000 + i}`, tasks: 20, ...small });
+  for (let i = 0; i < 8; i++) world.submitJob({ id: `wk-${1000 + i}`, tasks: 20, ...small });
   await world.run(6);
   const running = [...Array(8).keys()].reduce(
     (n, i) => n + world.fleet.running(`wk-${1000 + i}`),
--- a/test/pipeline-users.test.ts
+++ b/test/pipeline-users.test.ts
@@ -4,8 +4,8 @@
 import { CancellationQuorum } from '../src/cancellation/cancellation-quorum.js';
 import * as records from '../src/store/records.js';
 import { outcome } from '../src/store/stored-job.js';
-import { MemoryStore } from './meeting-helpers.js';
-import { body, JOB, told, usersSide } from './users-helpers.js';
+import { MemoryStore } from './support/memory-store.js';
+import { body, JOB, told, usersSide } from './support/user-api-world.js';
 
 const NEEDED = 'wk-000398';
 const SERVICE = 'wk-000399';
@@ -46,11 +46,12 @@
   ];
   for (const [name, awaits, want] of cases) {
     const made = store();
-    const before = made.ledger;
+    const before = made.currentRevision;
     const { userApi, replica } = usersSide(made, 'a');
     assert.equal(await told(userApi.submit(body({ awaits }))), want, name);
     const storedJob = replica.jobs.get(JOB);
-    if (!want.startsWith('201')) assert.equal(made.ledger, before, `${name}: nothing is stored`);
+    if (!want.startsWith('201'))
+      assert.equal(made.currentRevision, before, `${name}: nothing is stored`);
     else
       assert.equal(
         storedJob?.readyAt === null,
@@ -127,14 +128,14 @@
   ]);
   assert.equal(cancelled, '200 cancelled');
   assert.match(accepted, /^201/);
-  const before = made.ledger;
+  const before = made.currentRevision;
   for (const side of all) {
     for (const id of ['wk-1', 'wk-2', 'wk-3']) {
       assert.equal(await told(side.userApi.poll(id)), '200 cancelled', id);
       assert.equal(await told(side.userApi.cancel(id)), '200 cancelled', id);
     }
   }
-  assert.equal(made.ledger, before, 'one write cancels them all');
+  assert.equal(made.currentRevision, before, 'one write cancels them all');
 });
 
 test('a cancellation that is answered with done leaves what comes after the job alone', async () => {
--- a/test/progress-parts.test.ts
+++ b/test/progress-parts.test.ts
@@ -4,35 +4,35 @@
 import { BitSet } from '../src/jobs/bit-set.js';
 import { outcome } from '../src/store/stored-job.js';
 import * as records from '../src/store/records.js';
-import { World } from './meeting-helpers.js';
+import { LeaderWorld } from './support/leader-world.js';
 
 const JOB = 'wk-000001';
 const TASKS = 20_000;
 const NEXT_KB = 2;
 
 /** The store has an array whose first tasks an old version has stored as done. */
-function worldWith(doneBefore: number): World {
-  const world = new World();
+function worldWith(doneBefore: number): LeaderWorld {
+  const world = new LeaderWorld();
   world.settings.state.value_kb = NEXT_KB;
-  world.job({ id: JOB, tasks: TASKS, cores: 0, gpus: 0, memGb: 0 });
+  world.submitJob({ id: JOB, tasks: TASKS, cores: 0, gpus: 0, memGb: 0 });
   const bits = new BitSet(TASKS);
   for (let i = 0; i < doneBefore; i++) bits.add(i);
   const chunk = records.encodeProgress({ bits: bits.encode(), attainedS: 1 });
   world.store.put(records.progressKey(JOB, 0), chunk);
-  world.takeOver();
+  world.failOver();
   return world;
 }
 
-function finish(world: World, from: number, to: number): void {
+function finish(world: LeaderWorld, from: number, to: number): void {
   const job = world.term.jobs.get(JOB)!;
   for (let i = from; i < to; i++) job.markDone(i, world.now);
   world.fleet.now += 2;
 }
 
-async function flushAll(world: World): Promise<void> {
+async function flushAll(world: LeaderWorld): Promise<void> {
   for (let i = 0; i < 10; i++) {
     world.fleet.now += 2;
-    await world.flush();
+    await world.writeAll();
   }
 }
 
@@ -42,7 +42,7 @@
   finish(world, 8000, 15_000);
   await flushAll(world);
   assert.equal(world.replica.jobs.get(JOB)!.doneTasks, 15_000);
-  world.takeOver();
+  world.failOver();
   assert.equal(world.term.jobs.get(JOB)!.done.count, 15_000, 'the next leader has all of it');
   assert.equal(outcome(world.replica.jobs.get(JOB)!), 'open');
   finish(world, 15_000, TASKS);
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -56,7 +56,7 @@
   }
 }
 
-test('the checker sees each rule that is broken, and none where all is well', async (t) => {
+test('the checker sees each rule that is broken, and none where all is well', async (context) => {
   const cases: [string, Partial<Submission>, (scene: Scene) => void, string | null][] = [
     ['one task', {}, (s) => s.start(0), null],
     ['one task twice', {}, (s) => [0, 0].forEach((i) => s.start(i)), 'ran_twice'],
@@ -87,7 +87,7 @@
   ]; // prettier-ignore
   const scenes = cases.map(([name, over, play, rule]) => {
     const scene = new Scene(over);
-    t.after(() => scene.rules.close());
+    context.after(() => scene.rules.close());
     play(scene);
     return { name, scene, rule };
   });
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -240,7 +240,7 @@
 
   private execute(orders: Json[], heldUp: boolean): void {
     for (const { verb, piece, pour, cooling_s } of orders) {
-      const task = this.tasks.find((t) => t.piece === piece && t.pour === pour);
+      const task = this.tasks.find((task) => task.piece === piece && task.pour === pour);
       if (verb === 'start' && task === undefined) {
         this.begin(piece as string, pour as number, heldUp);
       }
--- a/test/state-shares.test.ts
+++ b/test/store-write-shares.test.ts
@@ -6,9 +6,9 @@
 
 test('a follower may store the jobs of a pipeline at once, and then its share of all writes', () => {
   const clock = { at: 0, now: () => clock.at };
-  const s = settings();
-  const limits = { ...s.state, write_rps: 20 };
-  const store = new KeyValueStoreClient({ ...s, controllerCount: 5, state: limits }, clock);
+  const config = settings();
+  const limits = { ...config.state, write_rps: 20 };
+  const store = new KeyValueStoreClient({ ...config, controllerCount: 5, state: limits }, clock);
   clock.at = 10;
   const taken = (): number => {
     let n = 0;
--- a/test/subsystems.test.ts
+++ b/test/subsystems.test.ts
@@ -6,7 +6,7 @@
 import type { SubsystemTerm } from '../src/subsystems/subsystem.js';
 import type { GangReservations } from '../src/leader/scheduling/gang-reservations.js';
 import { settings } from './helpers.js';
-import { Bench } from './pass-helpers.js';
+import { SchedulerWorld } from './support/scheduler-world.js';
 
 const LEASE_S = settings().workers.lease_s;
 
@@ -28,8 +28,8 @@
   return active;
 }
 
-const report = (bench: Bench, ...ids: string[]): void => {
-  for (const id of ids) bench.report(id, []);
+const report = (world: SchedulerWorld, ...ids: string[]): void => {
+  for (const id of ids) world.heartbeat(id, []);
 };
 
 test('a gang that waits for long has no machine reserved for it that is kept', () => {
@@ -37,25 +37,25 @@
     [keeping(), false],
     [NO_SUBSYSTEMS, true],
   ] as const) {
-    const bench = new Bench(100, 0, subsystems);
-    report(bench, 'm1');
+    const world = new SchedulerWorld(100, 0, subsystems);
+    report(world, 'm1');
     // Half of it is taken by a task that will end.
     if (!subsystems.hasAny) {
-      bench.job({ id: 'wk-1', gpus: 4, cores: 4 });
-      bench.pass();
-      bench.settle('m1', false);
+      world.submitJob({ id: 'wk-1', gpus: 4, cores: 4 });
+      world.runCycle();
+      world.confirmClaims('m1', false);
     }
-    bench.job({ id: 'wk-2', kind: 'gang', tasks: 1, gpus: 8, cores: 8, oneZone: true });
-    bench.job({ id: 'wk-3', gpus: 1 });
-    bench.now += LEASE_S * 10;
-    bench.report('m1', subsystems.hasAny ? [] : [
-      { job: 'wk-1', index: 0, attempt: bench.term.machines.get('m1')!.activeAttempts()[0]!.number, state: 'running', cause: null, saved: false },
+    world.submitJob({ id: 'wk-2', kind: 'gang', tasks: 1, gpus: 8, cores: 8, oneZone: true });
+    world.submitJob({ id: 'wk-3', gpus: 1 });
+    world.now += LEASE_S * 10;
+    world.heartbeat('m1', subsystems.hasAny ? [] : [
+      { job: 'wk-1', index: 0, attempt: world.term.machines.get('m1')!.activeAttempts()[0]!.number, state: 'running', cause: null, saved: false },
     ]); // prettier-ignore
-    bench.pass();
-    const { reservations } = bench.scheduler as unknown as { reservations: GangReservations };
-    const other = bench.term.jobs.get('wk-3')!;
+    world.runCycle();
+    const { reservations } = world.scheduler as unknown as { reservations: GangReservations };
+    const other = world.term.jobs.get('wk-3')!;
     assert.equal(reservations.isReservedFrom(other, 'm1'), reserved);
-    assert.equal(bench.on('m1', 'wk-2'), 0);
+    assert.equal(world.activeTasksOn('m1', 'wk-2'), 0);
   }
 });
 
@@ -64,13 +64,13 @@
     [keeping(), 1],
     [NO_SUBSYSTEMS, 0],
   ] as const) {
-    const bench = new Bench(100, 0, subsystems);
-    report(bench, 'm1');
-    bench.job({ id: 'wk-1', gpus: 8, cores: 8, zone: 'z1' });
-    const { demand, capacities } = bench.scheduler.runCycle();
-    bench.capacity.demand = demand;
-    bench.capacity.capacities = capacities;
-    const wanted = bench.capacity.machinesToAdd().filter(({ zone }) => zone === 'z1');
+    const world = new SchedulerWorld(100, 0, subsystems);
+    report(world, 'm1');
+    world.submitJob({ id: 'wk-1', gpus: 8, cores: 8, zone: 'z1' });
+    const { demand, capacities } = world.scheduler.runCycle();
+    world.capacity.demand = demand;
+    world.capacity.capacities = capacities;
+    const wanted = world.capacity.machinesToAdd().filter(({ zone }) => zone === 'z1');
     assert.equal(wanted.length, count);
   }
 });
@@ -81,29 +81,29 @@
     [keeping(), false],
     [NO_SUBSYSTEMS, true],
   ] as const) {
-    const bench = new Bench(100, 0, subsystems);
+    const world = new SchedulerWorld(100, 0, subsystems);
     // With the only capacity for a replica that moves.
-    report(bench, 'm1');
-    bench.job({ id: 'wk-1', class: 'own', kind: 'service', gpus: 4, cores: 4, priority: 0 });
-    bench.pass();
-    bench.settle('m1', false);
+    report(world, 'm1');
+    world.submitJob({ id: 'wk-1', class: 'own', kind: 'service', gpus: 4, cores: 4, priority: 0 });
+    world.runCycle();
+    world.confirmClaims('m1', false);
     // Not heard for a moment: the others are placed elsewhere.
-    bench.now += LEASE_S;
+    world.now += LEASE_S;
     for (const id of ids) {
-      report(bench, id);
-      bench.job({
+      report(world, id);
+      world.submitJob({
         id: `wk-${id.slice(1)}`,
         kind: 'service',
         gpus: id === 'm2' ? 3 : 7,
         cores: 3,
         priority: 0,
       });
-      bench.pass();
-      bench.settle(id, false);
+      world.runCycle();
+      world.confirmClaims(id, false);
     }
-    bench.now += LEASE_S * 10;
-    for (const id of ['m1', ...ids]) bench.settle(id, false);
-    const { capacities } = bench.scheduler.runCycle();
-    assert.equal(bench.scheduler.drainMachine(capacities) !== null, isEmptied);
+    world.now += LEASE_S * 10;
+    for (const id of ['m1', ...ids]) world.confirmClaims(id, false);
+    const { capacities } = world.scheduler.runCycle();
+    assert.equal(world.scheduler.drainMachine(capacities) !== null, isEmptied);
   }
 });
--- a/test/support/meeting-stages.ts
+++ b/test/support/leader-stages.ts
@@ -1,6 +1,7 @@
 /** How far tasks have come when troubles begin, and worlds to begin with. */
 import type { TaskStatus } from '../../src/wire/workers.js';
-import { World, type Worker } from '../meeting-helpers.js';
+import { LeaderWorld } from './leader-world.js';
+import type { Worker } from './simulated-fleet.js';
 
 export const JOB = 'wk-000001';
 export const OTHER = 'wk-000002';
@@ -9,43 +10,43 @@
   worker.running(job).find((task) => task.index === index)!;
 
 /** Machines that are known and ready. */
-export async function worldWith(ids: string[], gpusMax = 100): Promise<World> {
-  const world = new World(gpusMax);
+export async function worldWith(ids: string[], gpusMax = 100): Promise<LeaderWorld> {
+  const world = new LeaderWorld(gpusMax);
   for (const id of ids) world.fleet.add(id, id.startsWith('z2') ? 'z2' : 'z1');
   await world.run(1);
   return world;
 }
 
 /** How far a task has come when the troubles begin. */
-export const STAGES: [string, (world: World) => Promise<void>][] = [
+export const STAGES: [string, (world: LeaderWorld) => Promise<void>][] = [
   ['waiting', async () => undefined],
-  ['placed, its claim not stored', async (world) => world.pass()],
+  ['placed, its claim not stored', async (world) => world.runCycle()],
   [
     'placed, and its machine asks before the claim is stored',
     async (world) => {
-      world.pass();
-      world.checkin(world.fleet.workers.get('a')!);
+      world.runCycle();
+      world.exchangeHeartbeat(world.fleet.workers.get('a')!);
     },
   ],
   [
     'its claim is under way',
     async (world) => {
-      world.pass();
-      await world.flushOnceAs('hold back');
+      world.runCycle();
+      await world.writeOnceAs('hold back');
     },
   ],
   [
     'claimed, not sent',
     async (world) => {
-      world.pass();
-      await world.flush();
+      world.runCycle();
+      await world.writeAll();
     },
   ],
   [
     'sent, not seen',
     async (world) => {
-      world.pass();
-      await world.flush();
+      world.runCycle();
+      await world.writeAll();
       world.sendDirect('a').arrive();
     },
   ],
@@ -56,7 +57,7 @@
       await world.run(1);
       const worker = world.fleet.workers.get('a')!;
       worker.end(task(worker), 'done');
-      world.checkin(worker);
+      world.exchangeHeartbeat(worker);
     },
   ],
 ];
--- /dev/null
+++ b/test/support/leader-world.ts
@@ -0,0 +1,198 @@
+/**
+ * A leader over a store in memory and simulated workers. Time moves by hand, and nothing opens a socket.
+ */
+import type { CloudClient } from '../../src/cloud/client.js';
+import type { Settings } from '../../src/config/settings.js';
+import type { JobSpec } from '../../src/jobs/types.js';
+import { LatencyHistograms } from '../../src/latency-histograms.js';
+import type { CapacityManager } from '../../src/leader/capacity/capacity-manager.js';
+import { Leader } from '../../src/leader/leader.js';
+import type { Scheduler } from '../../src/leader/scheduling/scheduler.js';
+import { silentLog } from '../../src/log.js';
+import { DEFAULT_POLICY } from '../../src/operator/policy.js';
+import * as records from '../../src/store/records.js';
+import type { Replica } from '../../src/store/replica.js';
+import type { Subsystem } from '../../src/subsystems/subsystem.js';
+import type { Machine } from '../../src/workers/machine.js';
+import { g8, settings } from '../helpers.js';
+import { fake } from './fake.js';
+import { MemoryStore, type StoreMode } from './memory-store.js';
+import { asCommand, Fleet, type Worker } from './simulated-fleet.js';
+
+/** What runs from timers in a leader, driven by hand here. */
+interface LeaderParts {
+  scheduleCycle(): void;
+  runCycle(): void;
+  collectGarbage(): void;
+  forgetMachine(machine: Machine): void;
+  writer: { writeBatch(): Promise<boolean> };
+  scheduler: Scheduler;
+  capacity: CapacityManager;
+  dispatcher: { dispatch(): void };
+}
+
+export interface LeaderWorldOptions {
+  subsystems?: readonly Subsystem[];
+  cloud?: CloudClient;
+  /** Workers that do more than the usual ones. */
+  fleet?: Fleet;
+}
+
+/** A leader over a store and a fleet. `takeOver` ends it, and another one begins. */
+export class LeaderWorld {
+  readonly settings: Settings = settings();
+  readonly store = new MemoryStore();
+  readonly fleet: Fleet;
+  leader!: Leader;
+  parts!: LeaderParts;
+  replica!: Replica;
+  token = 0;
+  canWrite = true;
+  zoneRenewal = { keptUntil: -Infinity, provenAt: Infinity };
+  machinesGivenBack: string[] = [];
+  /** By how much the time of day has jumped on the leader's machine. */
+  wallJumpMs = 0;
+
+  constructor(
+    gpusMax = 100,
+    private readonly options: LeaderWorldOptions = {},
+  ) {
+    this.fleet = options.fleet ?? new Fleet(this.settings.workers.lease_s);
+    this.settings.teams.set('t', { name: 't', cores: 0, coresMax: 0, gpus: 0, gpusMax });
+    this.store.put(records.MACHINE_TYPES, [g8]);
+    this.failOver();
+  }
+
+  get now(): number {
+    return this.fleet.now;
+  }
+
+  /** Time of day, in ms, as the leader's machine shows it. */
+  wallMs(): number {
+    return 1e9 + this.now * 1000 + this.wallJumpMs;
+  }
+
+  get term(): Leader['term'] {
+    return this.leader.term;
+  }
+
+  machine(id: string): Machine {
+    return this.term.machines.get(id)!;
+  }
+
+  /** The leader ends with all that it has in memory; another controller leads from now on. */
+  failOver(): void {
+    const value = records.encodeLeader({
+      node: 'n',
+      incarnation: `n-${this.store.currentRevision}`,
+    });
+    this.token = this.store.put(records.LEADER, value);
+    const { token } = this;
+    const replica = this.store.listed();
+    this.replica = replica;
+    this.leader = new Leader(
+      {
+        settings: this.settings,
+        clock: { now: () => this.now },
+        wallMs: () => this.wallMs(),
+        log: silentLog(),
+        replica,
+        policy: DEFAULT_POLICY,
+        token,
+        incarnation: 'n',
+        allReadDenseRecords: () => true,
+        isEntitled: () => this.token === token,
+        canWrite: () => this.canWrite && this.token === token,
+        othersRenewUntil: () => -Infinity,
+        zoneRenewal: () => this.zoneRenewal,
+        requestProof: () => undefined,
+      },
+      {
+        store: this.store.client(),
+        cloud: this.options.cloud ?? fake<CloudClient>({ listMachines: () => Promise.resolve([]) }),
+        onLeadershipLost: () => undefined,
+        latencies: new LatencyHistograms(() => this.now),
+        subsystems: this.options.subsystems,
+      },
+    );
+    const leader = this.leader;
+    this.parts = leader as unknown as LeaderParts;
+    this.parts.scheduleCycle = () => undefined;
+    this.parts.dispatcher.dispatch = () => undefined;
+    replica.listener = {
+      onReady: (storedJob) => leader.onReady(storedJob),
+      onCancelled: (storedJob) => leader.onCancelled(storedJob),
+    };
+    this.parts.capacity.provisioner.listedOnce = true;
+  }
+
+  submitJob(over: Partial<JobSpec> = {}): void {
+    this.store.accept(over, 1e9 + this.now * 1000);
+    this.store.feed(this.replica);
+  }
+
+  /** The user is told so as soon as it is stored. */
+  cancel(id: string): void {
+    this.store.cancel(id);
+    this.fleet.cancelled.add(id);
+  }
+
+  /** A worker reports and gets its answer. */
+  exchangeHeartbeat(worker: Worker): void {
+    if (worker.mute) return;
+    const sentAt = this.now;
+    const reply = this.leader.answerHeartbeat(worker.heartbeat());
+    if (reply.status !== 200) return;
+    const { hallmark, orders } = JSON.parse(String(reply.body)) as {
+      hallmark: number;
+      orders: { verb: string; piece: string; pour: number; cooling_s?: number }[];
+    };
+    worker.takeAnswer(hallmark, orders.map(asCommand), sentAt);
+  }
+
+  /** A direct command goes out; the caller says what becomes of it. */
+  sendDirect(id: string): { arrive(): void; unanswered(): void } {
+    const machine = this.machine(id);
+    const worker = this.fleet.workers.get(id)!;
+    const commands = machine.dueCommands((attempt) => this.term.mayStart(attempt), false);
+    const { agentEpoch } = machine;
+    const { token } = this;
+    machine.markSent(commands, 'direct', this.now);
+    return {
+      arrive: () => void worker.takeDirect(token, agentEpoch, commands),
+      unanswered: () => machine.directCommandsEnded(commands, 'unknown', agentEpoch, this.now),
+    };
+  }
+
+  async writeAll(): Promise<void> {
+    for (let i = 0; i < 20 && this.canWrite && (await this.parts.writer.writeBatch()); i++);
+    this.store.feed(this.replica);
+  }
+
+  /** One transaction that the key-value store meets in this mode; from then on it serves. */
+  async writeOnceAs(mode: StoreMode): Promise<void> {
+    this.store.mode = mode;
+    await this.parts.writer.writeBatch();
+    this.store.mode = 'serve';
+  }
+
+  runCycle(): void {
+    this.store.feed(this.replica);
+    this.parts.runCycle();
+  }
+
+  /** Time passes: workers report every interval, the leader places, stores and commands. */
+  async run(seconds: number): Promise<void> {
+    const { report_s } = this.settings.workers;
+    for (let left = seconds; left > 1e-9; left -= report_s) {
+      this.fleet.now += report_s;
+      for (const worker of this.fleet.workers.values()) {
+        worker.tick();
+        this.exchangeHeartbeat(worker);
+      }
+      this.runCycle();
+      await this.writeAll();
+      this.leader.tick();
+    }
+  }
+}
--- a/test/lending-helpers.ts
+++ b/test/support/lending-world.ts
@@ -1,157 +1,23 @@
 /**
- * Fixtures of the tests of lending: workers whose finite tasks make progress, save it and go on from it; a
- * leader with lending over them; and a checker over the workers' own histories. Time moves by hand.
+ * A leader with lending over workers whose finite tasks make progress, and a checker over the workers' own
+ * histories. Time moves by hand.
  */
 import assert from 'node:assert/strict';
-import type { JobSpec } from '../src/jobs/types.js';
-import { LENDING, Lending } from '../src/lending/lending.js';
-import { toLendingConfig } from '../src/lending/declaration.js';
-import { holdsGpus, isOpen, LOAN_PREFIX, decodeLoan, type Loan } from '../src/lending/loan.js';
-import type { Leader } from '../src/leader/leader.js';
-import type { Subsystem } from '../src/subsystems/subsystem.js';
-import * as records from '../src/store/records.js';
-import type { TaskStatus } from '../src/wire/workers.js';
-import { settings } from './helpers.js';
-import { Fleet, Worker, World } from './meeting-helpers.js';
+import type { JobSpec } from '../../src/jobs/types.js';
+import { LENDING, Lending } from '../../src/lending/lending.js';
+import { toLendingConfig } from '../../src/lending/declaration.js';
+import { holdsGpus, isOpen, LOAN_PREFIX, decodeLoan, type Loan } from '../../src/lending/loan.js';
+import type { Leader } from '../../src/leader/leader.js';
+import type { Subsystem } from '../../src/subsystems/subsystem.js';
+import * as records from '../../src/store/records.js';
+import { settings } from '../helpers.js';
+import { LeaderWorld } from './leader-world.js';
+import { BatchFleet } from './batch-fleet.js';
+import type { Worker } from './simulated-fleet.js';
 
 export const MACHINE_GPUS = 8;
 const { lease_s: LEASE_S, report_s: REPORT_S } = settings().workers;
 
-/** What the stand-ins know of a job beyond what its owner says. */
-export interface Work {
-  spec: JobSpec;
-  /** Seconds that each task takes in truth; Infinity: a service. */
-  workS: number;
-  submittedAt: number;
-  /** When its last task was done; null: it is not. */
-  doneAt: number | null;
-  cancelled: boolean;
-}
-
-/** Progress of finite tasks, which outlives their machines where it was saved. */
-class BatchFleet extends Fleet {
-  readonly work = new Map<string, Work>();
-  /** Seconds of work that are saved, by `job/index`. */
-  readonly savedS = new Map<string, number>();
-  readonly doneTasks = new Set<string>();
-  /** Seconds of work that were done more than once. */
-  repeatedS = 0;
-  /** Machines that were taken away for good, and when. */
-  readonly goneAt = new Map<string, number>();
-  /** How saving goes. */
-  saving: 'works' | 'never ends' | 'fails' = 'works';
-
-  protected override makeWorker(id: string, zone: string): Worker {
-    return new BatchWorker(id, this, zone);
-  }
-
-  /** The machine is gone from one moment to the next. */
-  kill(id: string): void {
-    (this.workers.get(id) as BatchWorker | undefined)?.loseAll();
-    this.workers.delete(id);
-    this.goneAt.set(id, this.now);
-  }
-
-  done(job: string, index: number): void {
-    const work = this.work.get(job)!;
-    this.doneTasks.add(`${job}/${index}`);
-    const { kind, tasks } = work.spec;
-    const over =
-      kind === 'gang' || [...Array(tasks).keys()].every((i) => this.doneTasks.has(`${job}/${i}`));
-    if (over) work.doneAt ??= this.now;
-  }
-}
-
-interface Run {
-  progressS: number;
-  /** When it will have saved; null: it is not saving. */
-  savedAt: number | null;
-}
-
-class BatchWorker extends Worker {
-  private readonly runs = new Map<TaskStatus, Run>();
-  private readonly batch: BatchFleet;
-
-  constructor(id: string, fleet: BatchFleet, zone: string) {
-    super(id, fleet, zone);
-    this.batch = fleet;
-  }
-
-  override tick(): void {
-    for (const task of this.tasks.values()) this.proceed(task);
-    const before = [...this.tasks.values()];
-    super.tick();
-    if (this.tasks.size > 0) return;
-    // Its lease has expired: what was not saved is lost.
-    for (const task of before) this.fallBack(task);
-  }
-
-  loseAll(): void {
-    for (const task of this.tasks.values()) this.fallBack(task);
-    this.tasks.clear();
-  }
-
-  private proceed(task: TaskStatus): void {
-    const work = this.batch.work.get(task.job);
-    if (work === undefined || task.state === 'ended') return;
-    const run = this.runs.get(task) ?? { progressS: this.saved(task), savedAt: null };
-    this.runs.set(task, run);
-    if (task.state === 'running' && work.workS < Infinity) {
-      run.progressS += REPORT_S;
-      if (run.progressS < work.workS) return;
-      this.end(task, 'done');
-      this.batch.done(task.job, task.index);
-    } else if (run.savedAt === Infinity && this.batch.saving !== 'never ends') {
-      run.savedAt = this.fleet.now + work.spec.saveS;
-    } else if (run.savedAt !== null && this.fleet.now >= run.savedAt) this.finishSaving(task, run);
-  }
-
-  private finishSaving(task: TaskStatus, run: Run): void {
-    if (this.batch.saving === 'fails') {
-      this.fallBack(task);
-    } else {
-      this.batch.savedS.set(`${task.job}/${task.index}`, run.progressS);
-      task.saved = true;
-    }
-    this.end(task, 'stopped');
-  }
-
-  private saved({ job, index }: TaskStatus): number {
-    return this.batch.savedS.get(`${job}/${index}`) ?? 0;
-  }
-
-  /** To the last checkpoint, which is at a multiple of the interval. */
-  private fallBack(task: TaskStatus): void {
-    const run = this.runs.get(task);
-    const work = this.batch.work.get(task.job);
-    if (run === undefined || work === undefined || work.workS === Infinity) return;
-    this.runs.delete(task);
-    if (task.state === 'ended') return;
-    const { checkpointS } = work.spec;
-    const kept = checkpointS > 0 ? Math.floor(run.progressS / checkpointS) * checkpointS : 0;
-    const savedS = Math.max(kept, this.saved(task));
-    this.batch.repeatedS += run.progressS - savedS;
-    this.batch.savedS.set(`${task.job}/${task.index}`, savedS);
-  }
-
-  protected override stop(task: TaskStatus, graceS: number): void {
-    const work = this.batch.work.get(task.job);
-    if (task.state === 'ended') return;
-    const saves = work !== undefined && work.spec.checkpointS > 0 && graceS >= work.spec.saveS;
-    if (task.state === 'saving' && graceS > 0) return;
-    if (task.state === 'running' && saves) {
-      task.state = 'saving';
-      const run = this.runs.get(task) ?? { progressS: this.saved(task), savedAt: null };
-      run.savedAt =
-        this.batch.saving === 'never ends' ? Infinity : this.fleet.now + work.spec.saveS;
-      this.runs.set(task, run);
-      return;
-    }
-    this.fallBack(task);
-    this.end(task, 'stopped');
-  }
-}
-
 /** Two controllers after another share this store; `lending: false`: a version before, or switched off. */
 export interface LendingWorldOptions {
   gpusMax?: number;
@@ -187,9 +53,9 @@
   writer: { writeBatch(): Promise<boolean> };
 }
 
-export class LendingWorld extends World {
+export class LendingWorld extends LeaderWorld {
   readonly batch: BatchFleet;
-  private readonly list: Subsystem[];
+  private readonly subsystems: Subsystem[];
   /** Loans as they were in the store at any time, by key. */
   readonly seen = new Map<string, Loan>();
   private usedBefore = new Map<string, number>();
@@ -202,33 +68,33 @@
     const fleet = new BatchFleet(LEASE_S);
     super(gpusMax, { subsystems: list, fleet });
     this.batch = fleet;
-    this.list = list;
+    this.subsystems = list;
     const team = { name: 'b', cores: 0, coresMax: 0, gpus: 0, gpusMax };
     this.settings.teams.set('b', team);
   }
 
   /** Leaders from now on are of a version before lending, or have it on again. */
   switchLending(on: boolean): void {
-    this.list.splice(0, this.list.length, ...(on ? [makeLending({})] : []));
+    this.subsystems.splice(0, this.subsystems.length, ...(on ? [makeLending({})] : []));
   }
 
   /** A finite job; `workS`: what a task takes in truth. */
   batchJob(workS: number, over: Partial<JobSpec> = {}): void {
-    this.submit(workS, {
+    this.submitWork(workS, {
       ...{ team: 'b', class: 'batch', priority: 3, gpus: 8, cores: 8, estimateS: workS },
       ...{ checkpointS: 1, saveS: 0.4, image: 'batch', ...over },
     });
   }
 
   service(over: Partial<JobSpec> = {}): void {
-    this.submit(Infinity, {
+    this.submitWork(Infinity, {
       ...{ kind: 'service', class: 'tutor', priority: 0, gpus: 8, cores: 8, image: 'tutor' },
       ...over,
     });
   }
 
-  private submit(workS: number, over: Partial<JobSpec>): void {
-    this.job(over);
+  private submitWork(workS: number, over: Partial<JobSpec>): void {
+    this.submitJob(over);
     const spec = this.replica.jobs.get(over.id!)!.spec;
     const submittedAt = this.now;
     this.batch.work.set(spec.id, { spec, workS, submittedAt, doneAt: null, cancelled: false });
@@ -244,7 +110,7 @@
   /** Only the next leader knows of it, and the user is told then. */
   cancelAndTakeOver(id: string): void {
     this.store.cancel(id);
-    this.takeOver();
+    this.failOver();
     this.fleet.cancelled.add(id);
     this.batch.work.get(id)!.cancelled = true;
   }
@@ -273,13 +139,13 @@
 
   /** Nothing can be stored for so long, by anybody. */
   async outage(seconds: number, meanwhile: () => void = () => undefined): Promise<void> {
-    this.writing = false;
+    this.canWrite = false;
     this.store.mode = 'refuse';
     await this.run(seconds / 2);
     meanwhile();
     await this.run(seconds / 2);
     this.store.mode = 'serve';
-    this.writing = true;
+    this.canWrite = true;
   }
 
   /** Where the lender gave up its GPUs. */
@@ -293,12 +159,12 @@
     for (const worker of this.fleet.workers.values()) worker.tick();
     if (this.look(is)) return true;
     for (const worker of [...this.fleet.workers.values()]) {
-      this.checkin(worker);
+      this.exchangeHeartbeat(worker);
       if (this.look(is)) return true;
     }
-    this.pass();
+    this.runCycle();
     if (this.look(is)) return true;
-    await this.flush();
+    await this.writeAll();
     if (this.look(is)) return true;
     this.leader.tick();
     return this.look(is);
@@ -375,7 +241,7 @@
   private lateCommands(old: Leader, id: string): void {
     const machine = old.term.machines.get(id)!;
     const commands = machine.dueCommands((attempt) => old.term.mayStart(attempt), true);
-    this.fleet.workers.get(id)?.direct(machine.token, machine.agentEpoch, commands);
+    this.fleet.workers.get(id)?.takeDirect(machine.token, machine.agentEpoch, commands);
   }
 
   /**
@@ -445,7 +311,7 @@
   }
 
   checkRules(): void {
-    assert.deepEqual(this.fleet.broken, []);
+    assert.deepEqual(this.fleet.violations, []);
     assert.deepEqual(this.wrong, []);
   }
 }
--- /dev/null
+++ b/test/support/memory-store.ts
@@ -0,0 +1,151 @@
+/** A key-value store in memory, by the protocol, whose transactions can be late or lose their answers. */
+import type { JobSpec } from '../../src/jobs/types.js';
+import {
+  RequestRejectedError,
+  OutcomeUnknownError,
+  type CompareAndSwapResult,
+  type KeyValueStoreClient,
+} from '../../src/store/client.js';
+import * as records from '../../src/store/records.js';
+import { Replica } from '../../src/store/replica.js';
+import type { Change, Precondition, KeyValue, Operation } from '../../src/wire/key-value-store.js';
+import { spec } from '../helpers.js';
+import { fake } from './fake.js';
+
+/** What becomes of the next transactions. */
+export type StoreMode = 'serve' | 'refuse' | 'lose answers' | 'hold back';
+
+/** A key-value store by the protocol. Its methods are those of the client that the code under test uses. */
+export class MemoryStore implements Pick<
+  KeyValueStoreClient,
+  'compareAndSwap' | 'get' | 'changes' | 'grantLease' | 'keepLeaseAlive' | 'setRole'
+> {
+  mode: StoreMode = 'serve';
+  currentRevision = 0;
+  commits = 0;
+  readonly valueBytes = 8192;
+  readonly operationsPerTransaction = 20;
+  rejectedSince: number | null = null;
+  readonly writeBudget = { available: 1e6, capacity: 1e6, force: () => undefined, wait: () => 0 };
+  private readonly items = new Map<string, KeyValue>();
+  private readonly changeLog: Change[] = [];
+  private readonly heldBack: (() => void)[] = [];
+  private leases = 0;
+
+  client(): KeyValueStoreClient {
+    return fake<KeyValueStoreClient>(this);
+  }
+
+  setRole(): void {
+    // No limits to share out.
+  }
+
+  private apply(preconditions: Precondition[], operations: Operation[]): CompareAndSwapResult {
+    const failed = preconditions.filter(
+      (precondition) => (this.items.get(precondition.key)?.revision ?? 0) !== precondition.revision,
+    );
+    if (failed.length > 0)
+      return { ok: false, failed: failed.map((precondition) => precondition.key) };
+    if (operations.length > 0) this.currentRevision++;
+    for (const op of operations) {
+      const revision = this.currentRevision;
+      if ('remove' in op) {
+        this.items.delete(op.remove);
+        this.changeLog.push({ kind: 'removed', key: op.remove, revision });
+      } else {
+        const item = { key: op.put, value: JSON.parse(JSON.stringify(op.value)), revision };
+        this.items.set(op.put, item);
+        this.changeLog.push({ kind: 'put', ...item });
+      }
+    }
+    return { ok: true, revision: this.currentRevision };
+  }
+
+  compareAndSwap(
+    preconditions: Precondition[],
+    operations: Operation[],
+  ): Promise<CompareAndSwapResult> {
+    this.commits++;
+    if (this.mode === 'refuse') return Promise.reject(new RequestRejectedError(503));
+    if (this.mode === 'hold back') {
+      this.heldBack.push(() => this.apply(preconditions, operations));
+      return Promise.reject(new OutcomeUnknownError('held back'));
+    }
+    const result = this.apply(preconditions, operations);
+    if (this.mode === 'lose answers') return Promise.reject(new OutcomeUnknownError('answer lost'));
+    return Promise.resolve(result);
+  }
+
+  /** What was held back is carried out now. */
+  deliverHeldBack(): void {
+    for (const late of this.heldBack.splice(0)) late();
+  }
+
+  get(key: string): Promise<KeyValue | null> {
+    if (this.mode === 'refuse') return Promise.reject(new RequestRejectedError(503));
+    return Promise.resolve(this.items.get(key) ?? null);
+  }
+
+  changes(_prefix: string, after: number): Promise<{ revision: number; changes: Change[] }> {
+    if (this.mode === 'refuse') return Promise.reject(new RequestRejectedError(503));
+    const changes = this.changeLog.filter((change) => change.revision > after);
+    return Promise.resolve({ revision: this.currentRevision, changes });
+  }
+
+  grantLease(): Promise<number> {
+    return Promise.resolve(++this.leases);
+  }
+
+  keepLeaseAlive(): Promise<boolean> {
+    return Promise.resolve(true);
+  }
+
+  put(key: string, value: unknown): number {
+    this.apply([], [{ put: key, value }]);
+    return this.currentRevision;
+  }
+
+  keys(): string[] {
+    return [...this.items.keys()];
+  }
+
+  value(key: string): unknown {
+    return this.items.get(key)?.value;
+  }
+
+  revision(key: string): number {
+    return this.items.get(key)?.revision ?? 0;
+  }
+
+  /** Keys begin with the controller that writes them: what comes later may be listed first. */
+  accept(over: Partial<JobSpec>, atMs = 0, writer = 'b'): number {
+    const value = records.encodeRequestBatch({
+      jobs: [{ spec: spec(over), atMs }],
+      cancelledIds: [],
+    });
+    return this.put(`${records.JOBS}${writer}-${this.currentRevision}`, value);
+  }
+
+  cancel(id: string, writer = 'b'): number {
+    const value = records.encodeRequestBatch({ jobs: [], cancelledIds: [id] });
+    return this.put(`${records.JOBS}${writer}-${this.currentRevision}`, value);
+  }
+
+  /** Feeds a replica with the stream of changes. */
+  feed(replica: Replica): Replica {
+    replica.advance(this.currentRevision, this.changeLog);
+    return replica;
+  }
+
+  /** A replica that lists the store afresh, in the order of keys. */
+  listed(listener: Replica['listener'] = {}): Replica {
+    const replica = new Replica(this.valueBytes);
+    replica.listener = listener;
+    const keys = [...this.items.keys()].sort();
+    for (const key of keys) replica.applyListed(this.items.get(key)!);
+    replica.removeMissing(new Set(keys), this.currentRevision);
+    replica.applied = this.currentRevision;
+    replica.listingComplete();
+    return replica;
+  }
+}
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -33,9 +33,9 @@
 import { poolsView } from '../../src/warm-pools/view.js';
 import * as cloud from '../../src/wire/cloud.js';
 import { settings, settingsText, spec } from '../helpers.js';
-import { World } from '../meeting-helpers.js';
-import { Bench } from '../pass-helpers.js';
-import { poolText, warmPools } from '../pool-helpers.js';
+import { LeaderWorld } from './leader-world.js';
+import { SchedulerWorld } from './scheduler-world.js';
+import { poolText, warmPools } from './warm-pool-world.js';
 import {
   json,
   outcomeOf,
@@ -230,7 +230,7 @@
 /** Figures that are of this process, not of the code. */
 const MEASURED = new Set(['memory_mb', 'heap_mb']);
 
-function metrics(world: World): RecordedForms {
+function metrics(world: LeaderWorld): RecordedForms {
   const platform: Settings = parseSettings(readFileSync('deploy/example.toml', 'utf8'));
   const controller = new Controller(platform, DEFAULT_POLICY, silentLog(), {
     clock: { now: () => 1 },
@@ -258,11 +258,18 @@
 }
 
 /** A day of work with a change of leader: all that was stored and started in it. */
-async function decisionsOfDay(world: World): Promise<RecordedForms> {
+async function decisionsOfDay(world: LeaderWorld): Promise<RecordedForms> {
   for (const id of ['m1', 'm2', 'm3', 'm4']) world.fleet.add(id, id === 'm3' ? 'z2' : 'z1');
   await world.run(2);
-  world.job({ id: 'wk-1', kind: 'service', priority: 0, tasks: 3, gpus: 4, image: 'tutor-1' });
-  world.job({
+  world.submitJob({
+    id: 'wk-1',
+    kind: 'service',
+    priority: 0,
+    tasks: 3,
+    gpus: 4,
+    image: 'tutor-1',
+  });
+  world.submitJob({
     id: 'wk-2',
     tasks: 19,
     gpus: 1,
@@ -271,10 +278,10 @@
     checkpointS: 30,
     saveS: 3,
   });
-  world.job({ id: 'wk-4', tasks: 3, gpus: 1, priority: 2, dependencies: ['wk-5'] });
+  world.submitJob({ id: 'wk-4', tasks: 3, gpus: 1, priority: 2, dependencies: ['wk-5'] });
   await world.run(4);
-  world.job({ id: 'wk-3', kind: 'gang', tasks: 2, gpus: 4, priority: 1, oneZone: true });
-  world.job({ id: 'wk-5', tasks: 2, gpus: 2, priority: 1, deadlineS: 20 });
+  world.submitJob({ id: 'wk-3', kind: 'gang', tasks: 2, gpus: 4, priority: 1, oneZone: true });
+  world.submitJob({ id: 'wk-5', tasks: 2, gpus: 2, priority: 1, deadlineS: 20 });
   await world.run(4);
   for (const worker of world.fleet.workers.values()) {
     for (const task of worker.running('wk-5')) worker.end(task, 'done');
@@ -282,7 +289,7 @@
   world.fleet.workers.get('m4')!.mute = true;
   await world.run(3);
   world.cancel('wk-1');
-  world.takeOver();
+  world.failOver();
   await world.run(6);
   const { store: state, fleet } = world;
   const stored = state.keys().sort();
@@ -291,36 +298,51 @@
     starts: [...fleet.starts],
     tasks: [...fleet.workers.values()].map((worker) => [worker.id, [...worker.tasks.keys()]]),
     wanted: world.parts.capacity.machinesToAdd().map((each) => Object.values(each)),
-    broken: fleet.broken,
+    broken: fleet.violations,
   };
 }
 
 /** What is on each machine, and what is told to stop there, after every scheduling cycle of a short history. */
 function decisionsOfPasses(): unknown[] {
   const seen: unknown[] = [];
-  const bench = new Bench(100, 10);
+  const world = new SchedulerWorld(100, 10);
   const ids = ['a', 'b', 'c'];
   const note = (): void => {
-    bench.pass();
+    world.runCycle();
     const machines = ids.map((id) =>
-      [...(bench.term.machines.get(id)?.attempts.values() ?? [])].map(
+      [...(world.term.machines.get(id)?.attempts.values() ?? [])].map(
         ({ job, index, number, stopRequest }) =>
           `${job}/${index}#${number}${stopRequest === null ? '' : ' stops'}`,
       ),
     );
-    seen.push([machines, bench.rents()]);
+    seen.push([machines, world.machinesToAdd()]);
   };
-  for (const id of ids) bench.report(id, []);
-  bench.job({ id: 'wk-1', tasks: 30, priority: 3, checkpointS: 30, saveS: 3, class: 'batch' });
+  for (const id of ids) world.heartbeat(id, []);
+  world.submitJob({
+    id: 'wk-1',
+    tasks: 30,
+    priority: 3,
+    checkpointS: 30,
+    saveS: 3,
+    class: 'batch',
+  });
   note();
-  for (const id of ids) bench.settle(id, false);
-  bench.job({ id: 'wk-2', kind: 'gang', tasks: 2, gpus: 8, cores: 8, priority: 1, class: 'train' });
+  for (const id of ids) world.confirmClaims(id, false);
+  world.submitJob({
+    id: 'wk-2',
+    kind: 'gang',
+    tasks: 2,
+    gpus: 8,
+    cores: 8,
+    priority: 1,
+    class: 'train',
+  });
   note();
-  bench.settle('a', true);
+  world.confirmClaims('a', true);
   note();
-  bench.settle('b', true);
+  world.confirmClaims('b', true);
   note();
-  bench.job({
+  world.submitJob({
     id: 'wk-3',
     kind: 'service',
     tasks: 2,
@@ -329,9 +351,9 @@
     image: 'big',
     imageGb: 30,
   });
-  bench.job({ id: 'wk-6', tasks: 4, gpus: 1, estimateS: 1000, priority: 2, class: 'long' });
+  world.submitJob({ id: 'wk-6', tasks: 4, gpus: 1, estimateS: 1000, priority: 2, class: 'long' });
   note();
-  for (const id of ids) bench.settle(id, true);
+  for (const id of ids) world.confirmClaims(id, true);
   note();
   note();
   return seen;
@@ -362,8 +384,8 @@
 
 export async function recordedForms(): Promise<RecordedForms> {
   seedRandom(7);
-  const world = new World();
-  const withPools = new World(100, { subsystems: [warmPools(poolText())] });
+  const world = new LeaderWorld();
+  const withPools = new LeaderWorld(100, { subsystems: [warmPools(poolText())] });
   const forms = {
     stateService: storeMessages(),
     workers: workerMessages(),
--- a/test/pass-helpers.ts
+++ b/test/support/scheduler-world.ts
@@ -1,21 +1,21 @@
-import { DemandForecast } from '../src/cloud/demand-forecast.js';
-import type { JobSpec } from '../src/jobs/types.js';
-import { silentLog } from '../src/log.js';
-import { DEFAULT_POLICY } from '../src/operator/policy.js';
-import { Scheduler } from '../src/leader/scheduling/scheduler.js';
-import { NO_SUBSYSTEMS } from '../src/subsystems/active-subsystems.js';
-import { Term } from '../src/leader/term/term.js';
-import { CapacityManager } from '../src/leader/capacity/capacity-manager.js';
-import * as records from '../src/store/records.js';
-import { Replica } from '../src/store/replica.js';
-import type { Machine } from '../src/workers/machine.js';
-import type { TaskStatus } from '../src/wire/workers.js';
-import { g8, settings, spec } from './helpers.js';
+import { DemandForecast } from '../../src/cloud/demand-forecast.js';
+import type { JobSpec } from '../../src/jobs/types.js';
+import { silentLog } from '../../src/log.js';
+import { DEFAULT_POLICY } from '../../src/operator/policy.js';
+import { Scheduler } from '../../src/leader/scheduling/scheduler.js';
+import { NO_SUBSYSTEMS } from '../../src/subsystems/active-subsystems.js';
+import { Term } from '../../src/leader/term/term.js';
+import { CapacityManager } from '../../src/leader/capacity/capacity-manager.js';
+import * as records from '../../src/store/records.js';
+import { Replica } from '../../src/store/replica.js';
+import type { Machine } from '../../src/workers/machine.js';
+import type { TaskStatus } from '../../src/wire/workers.js';
+import { g8, settings, spec } from '../helpers.js';
 
 const TOKEN = 50;
 
 /** Passes over a term without any input or output; workers do what they are told, when told to. */
-export class Bench {
+export class SchedulerWorld {
   now = 0;
   private revision = 1;
   private readonly replica = new Replica(8192);
@@ -27,11 +27,11 @@
 
   constructor(gpusMax = 100, withinS = 0, subsystems = NO_SUBSYSTEMS) {
     this.replica.machineTypes = [g8];
-    const s = settings();
-    s.teams.set('t', { name: 't', cores: 0, coresMax: 0, gpus: 0, gpusMax });
-    if (withinS > 0) s.objectives.push({ kind: 'wait', class: 'c', within_s: withinS });
+    const config = settings();
+    config.teams.set('t', { name: 't', cores: 0, coresMax: 0, gpus: 0, gpusMax });
+    if (withinS > 0) config.objectives.push({ kind: 'wait', class: 'c', within_s: withinS });
     this.term = new Term({
-      settings: s,
+      settings: config,
       clock: { now: () => this.now },
       wallMs: () => this.now * 1000,
       log: silentLog(),
@@ -71,14 +71,14 @@
   }
 
   /** Machines that would be rented now. */
-  rents(): number {
+  machinesToAdd(): number {
     const { demand, capacities } = this.scheduler.runCycle();
     this.capacity.demand = demand;
     this.capacity.capacities = capacities;
     return this.capacity.machinesToAdd().reduce((n, wanted) => n + wanted.count, 0);
   }
 
-  job(over: Partial<JobSpec>): void {
+  submitJob(over: Partial<JobSpec>): void {
     const jobSpec = spec(over);
     const value = records.encodeRequestBatch({
       jobs: [{ spec: jobSpec, atMs: this.now * 1000 }],
@@ -92,21 +92,21 @@
     this.term.addJob(this.replica.jobs.get(jobSpec.id)!);
   }
 
-  private seq = 0;
+  private sequence = 0;
 
-  report(id: string, tasks: TaskStatus[]): void {
+  heartbeat(id: string, tasks: TaskStatus[]): void {
     const machine = this.term.machine(id);
     const changes = machine.applyHeartbeat(
       {
         machine: id, addr: '127.0.0.1:1', type: 'g8', zone: 'z1', spot: false, agentEpoch: 1,
-        sequence: ++this.seq, token: TOKEN, reclaimNoticeS: null, tasks,
+        sequence: ++this.sequence, token: TOKEN, reclaimNoticeS: null, tasks,
       }, 'heartbeat', this.now,
     ); // prettier-ignore
     this.term.reconcile(machine, changes);
   }
 
   /** What is claimed is stored, started and running; `ended`: what was to stop has saved. */
-  settle(id: string, ended: boolean): void {
+  confirmClaims(id: string, ended: boolean): void {
     const machine = this.term.machines.get(id)!;
     for (const attempt of machine.attempts.values()) this.term.claimStored(attempt);
     const tasks = [...machine.attempts.values()].map((attempt): TaskStatus => ({
@@ -117,15 +117,15 @@
       cause: attempt.stopRequest !== null && ended ? 'stopped' : null,
       saved: true,
     }));
-    this.report(id, tasks);
+    this.heartbeat(id, tasks);
   }
 
-  pass(): void {
+  runCycle(): void {
     this.now += 0.1;
     this.scheduler.runCycle();
   }
 
-  on(id: string, job: string): number {
+  activeTasksOn(id: string, job: string): number {
     const machine: Machine = this.term.machines.get(id)!;
     return machine
       .activeAttempts()
--- a/test/users-helpers.ts
+++ b/test/support/user-api-world.ts
@@ -1,13 +1,13 @@
 /** A controller's side for users over a key-value store in memory. */
-import type { TokenBucket } from '../src/clock.js';
-import { UserApi, type UserApiOptions } from '../src/api/user-api.js';
-import { silentLog } from '../src/log.js';
-import { ReplicaSync } from '../src/store/replica-sync.js';
-import type { Replica } from '../src/store/replica.js';
-import { RequestWriter } from '../src/store/request-writer.js';
-import { g8, settings } from './helpers.js';
-import type { MemoryStore } from './meeting-helpers.js';
-import { fake } from './support/fake.js';
+import type { TokenBucket } from '../../src/clock.js';
+import { UserApi, type UserApiOptions } from '../../src/api/user-api.js';
+import { silentLog } from '../../src/log.js';
+import { ReplicaSync } from '../../src/store/replica-sync.js';
+import type { Replica } from '../../src/store/replica.js';
+import { RequestWriter } from '../../src/store/request-writer.js';
+import { g8, settings } from '../helpers.js';
+import type { MemoryStore } from './memory-store.js';
+import { fake } from './fake.js';
 
 export const JOB = 'wk-000412';
 export const VALID = {
--- a/test/support/pool-scenes.ts
+++ b/test/support/warm-pool-cases.ts
@@ -1,16 +1,16 @@
 /** Scenes of warm pools that several tests play. */
 import assert from 'node:assert/strict';
-import { PoolWorld } from '../pool-helpers.js';
+import { WarmPoolWorld } from './warm-pool-world.js';
 
 /** All pools' slots, sorted. */
-export const all = (world: PoolWorld): string =>
+export const all = (world: WarmPoolWorld): string =>
   world
     .slots()
     .map(({ state }) => state)
     .sort()
     .join(' ');
 
-export const machinesOf = (world: PoolWorld, pool: string): string[] =>
+export const machinesOf = (world: WarmPoolWorld, pool: string): string[] =>
   [
     ...new Set(
       world
@@ -20,7 +20,7 @@
   ].sort();
 
 export const totals = (
-  world: PoolWorld,
+  world: WarmPoolWorld,
 ): { machineS: number; uncertainS: number; slots: number; open: number } =>
   world.bill().reduce(
     (sum, row) => ({
@@ -43,16 +43,16 @@
   name: string;
   pools?: string;
   gpusMax?: number;
-  play(world: PoolWorld): Promise<void>;
+  play(world: WarmPoolWorld): Promise<void>;
 }
 
 export async function playAll(cases: Case[]): Promise<void> {
   const failures: string[] = [];
   for (const { name, pools, gpusMax, play } of cases) {
-    const world = new PoolWorld(pools, gpusMax);
+    const world = new WarmPoolWorld(pools, gpusMax);
     try {
       await play(world);
-      assert.deepEqual(world.fleet.broken, []);
+      assert.deepEqual(world.fleet.violations, []);
     } catch (error) {
       failures.push(`${name}: ${String(error)}`);
     }
--- a/test/pool-helpers.ts
+++ b/test/support/warm-pool-world.ts
@@ -2,18 +2,19 @@
  * Fixtures of the tests of warm pools: a cloud in memory, and a leader with pools over it, the store and
  * the workers of the meeting tests. Time moves by hand, and nothing opens a socket.
  */
-import type { CloudClient, ScaleOutResult } from '../src/cloud/client.js';
-import type { MachineProvisioner as CloudFleet } from '../src/cloud/provisioner.js';
-import { parseFeatures } from '../src/features/features-file.js';
-import type { MachineType } from '../src/jobs/types.js';
-import type { ListedMachine, ScaleOutRequest } from '../src/wire/cloud.js';
-import { decodeSlot, SLOT_PREFIX, type Slot } from '../src/warm-pools/slot.js';
-import { poolsView, type BillRow } from '../src/warm-pools/view.js';
-import { WARM_POOLS, WarmPools } from '../src/warm-pools/warm-pools.js';
-import { g8, settings } from './helpers.js';
-import { fake } from './support/fake.js';
-import { World, type Worker } from './meeting-helpers.js';
-import * as records from '../src/store/records.js';
+import type { CloudClient, ScaleOutResult } from '../../src/cloud/client.js';
+import type { MachineProvisioner as CloudFleet } from '../../src/cloud/provisioner.js';
+import { parseFeatures } from '../../src/features/features-file.js';
+import type { MachineType } from '../../src/jobs/types.js';
+import type { ListedMachine, ScaleOutRequest } from '../../src/wire/cloud.js';
+import { decodeSlot, SLOT_PREFIX, type Slot } from '../../src/warm-pools/slot.js';
+import { poolsView, type BillRow } from '../../src/warm-pools/view.js';
+import { WARM_POOLS, WarmPools } from '../../src/warm-pools/warm-pools.js';
+import { g8, settings } from '../helpers.js';
+import { fake } from './fake.js';
+import { LeaderWorld } from './leader-world.js';
+import type { Worker } from './simulated-fleet.js';
+import * as records from '../../src/store/records.js';
 
 /** Seconds of the tests' clock at which the declared burst begins: 13:47:00 on 12 January 1970, UTC. */
 export const BURST_AT = 20;
@@ -42,7 +43,7 @@
   readonly machines = new Map<string, Rented>();
   private readonly hires = new Map<string, string[]>();
   private counter = 0;
-  world!: PoolWorld;
+  world!: WarmPoolWorld;
 
   client(): CloudClient {
     return fake<CloudClient>(this);
@@ -147,22 +148,22 @@
 }
 
 /** A world whose leader has pools. A successor may have others: `pools` is looked at by each. */
-export class PoolWorld extends World {
+export class WarmPoolWorld extends LeaderWorld {
   readonly cloud: MemoryCloud;
-  private readonly list: WarmPools[];
+  private readonly subsystems: WarmPools[];
 
   constructor(text = poolText(), gpusMax = 100) {
     const cloud = new MemoryCloud();
     const list = [warmPools(text)];
     super(gpusMax, { subsystems: list, cloud: cloud.client() });
     this.cloud = cloud;
-    this.list = list;
+    this.subsystems = list;
     cloud.world = this;
   }
 
   /** Leaders from now on have this features file; null: none. */
   declare(text: string | null): void {
-    this.list.splice(0, this.list.length, ...(text === null ? [] : [warmPools(text)]));
+    this.subsystems.splice(0, this.subsystems.length, ...(text === null ? [] : [warmPools(text)]));
   }
 
   private get cloudFleet(): CloudFleet {
@@ -180,7 +181,7 @@
       await super.run(report_s);
       await this.cloudRound();
       this.cloud.bootUp();
-      await this.flush();
+      await this.writeAll();
     }
   }
 
@@ -219,7 +220,16 @@
 
   /** A replica of the pool's model. */
   replicaJob(id: string, image = 'tutor-1', over = {}): void {
-    this.job({ id, kind: 'service', priority: 0, image, cores: 4, gpus: 4, memGb: 8, ...over });
+    this.submitJob({
+      id,
+      kind: 'service',
+      priority: 0,
+      image,
+      cores: 4,
+      gpus: 4,
+      memGb: 8,
+      ...over,
+    });
   }
 
   /** Machines on which tasks of a job run. */
--- a/test/unplaced-requests.test.ts
+++ b/test/unplaced-requests.test.ts
@@ -6,7 +6,7 @@
 import { UnplacedRequests } from '../src/leader/scheduling/unplaced-requests.js';
 import { Replica } from '../src/store/replica.js';
 import * as records from '../src/store/records.js';
-import { Bench } from './pass-helpers.js';
+import { SchedulerWorld } from './support/scheduler-world.js';
 import { spec } from './helpers.js';
 
 function job(over: Partial<JobSpec>, marks: Partial<LiveJob> = {}): LiveJob {
@@ -73,23 +73,23 @@
 function decisions(seed: number): unknown[] {
   const generator = xoroshiro128plus(seed);
   const pick = <T>(from: readonly T[]): T => from[draw(0, from.length - 1, generator)]!;
-  const bench = new Bench();
-  for (const id of MACHINES) bench.report(id, []);
+  const world = new SchedulerWorld();
+  for (const id of MACHINES) world.heartbeat(id, []);
   const seen: unknown[] = [];
   for (let i = 1; i <= 40; i++) {
     const kind = pick(['array', 'array', 'array', 'service', 'gang'] as const);
     const tasks = draw(1, kind === 'gang' ? 2 : 12, generator);
     const saves = kind === 'service' ? 0 : pick([0, 15]);
-    bench.job({
+    world.submitJob({
       id: `wk-${i}`, kind, tasks, priority: pick([0, 1, 2, 3, 3]), spot: pick([true, false]),
       gpus: pick([1, 2, 4]), cores: draw(2, 9, generator), checkpointS: saves, saveS: saves / 5,
       zone: pick([null, null, 'z1', 'z2']), scatter: pick([false, false, true]),
     }); // prettier-ignore
-    bench.now += 0.1;
-    const { demand } = bench.scheduler.runCycle();
+    world.now += 0.1;
+    const { demand } = world.scheduler.runCycle();
     seen.push(demand.map((demand) => [demand.spec.id, demand.tasks]));
     for (const id of MACHINES) {
-      const held = bench.term.machines.get(id)!.activeAttempts();
+      const held = world.term.machines.get(id)!.activeAttempts();
       seen.push(
         held.map((attempt) => [
           attempt.job,
@@ -98,7 +98,7 @@
           attempt.stopRequest !== null,
         ]),
       );
-      if (i % 3 === 0) bench.settle(id, i % 2 === 0);
+      if (i % 3 === 0) world.confirmClaims(id, i % 2 === 0);
     }
   }
   return seen;
--- a/test/warm-pools-random.test.ts
+++ b/test/warm-pools-random.test.ts
@@ -2,13 +2,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { BURST_AT, HOLD_S, PoolWorld, poolText } from './pool-helpers.js';
+import { BURST_AT, HOLD_S, WarmPoolWorld, poolText } from './support/warm-pool-world.js';
 
 const POOLS =
   poolText({ name: 'a', image: 'a', precedence: 1, refills: 1 }) +
   poolText({ name: 'b', image: 'b', cores: 8, gpus: 8, mem_gb: 32, slots: 1 });
 
-type Trouble = (world: PoolWorld, number: number) => void;
+type Trouble = (world: WarmPoolWorld, number: number) => void;
 
 const TROUBLES: Record<string, Trouble> = {
   'cloud serves': (world) => void (world.cloud.mode = 'serve'),
@@ -16,17 +16,17 @@
   'cloud without machines': (world) => void (world.cloud.mode = 'no capacity'),
   'cloud answers lost': (world) => void (world.cloud.mode = 'lose answers'),
   'store refuses': (world) => {
-    world.writing = false;
+    world.canWrite = false;
     world.store.mode = 'refuse';
   },
   'store serves': (world) => calm(world),
-  'store answers lost': (world) => void (world.writing && (world.store.mode = 'lose answers')),
-  'commits held back': (world) => void (world.writing && (world.store.mode = 'hold back')),
+  'store answers lost': (world) => void (world.canWrite && (world.store.mode = 'lose answers')),
+  'commits held back': (world) => void (world.canWrite && (world.store.mode = 'hold back')),
   'new leader': (world) => {
     calm(world);
     // A leader that begins with a wrong clock is outside the protocol's bound: docs/warm-pools-design.md.
     world.wallJumpMs = 0;
-    world.takeOver();
+    world.failOver();
   },
   'machine dies': (world, number) => {
     const ids = [...world.fleet.workers.keys()];
@@ -38,14 +38,14 @@
   'clock is right': (world) => void (world.wallJumpMs = 0),
 };
 
-function calm(world: PoolWorld): void {
-  world.writing = true;
+function calm(world: WarmPoolWorld): void {
+  world.canWrite = true;
   world.store.mode = 'serve';
-  world.store.deliver();
+  world.store.deliverHeldBack();
 }
 
 /** What the store says must hold at any moment. */
-function check(world: PoolWorld): void {
+function check(world: WarmPoolWorld): void {
   const taken = new Map<string, number>();
   for (const slot of world.slots()) {
     if (slot.state === 'renting') assert.ok(slot.request !== null, 'a request without a name');
@@ -54,7 +54,7 @@
     taken.set(slot.machine!, share);
     assert.ok(share <= 1 + 1e-9, `${slot.machine} is kept ${share} times`);
   }
-  assert.deepEqual(world.fleet.broken, []);
+  assert.deepEqual(world.fleet.violations, []);
 }
 
 const event = fc.record({
@@ -94,30 +94,30 @@
 ];
 
 async function play(events: readonly Event[]): Promise<void> {
-  const w = new PoolWorld(POOLS);
-  await w.runUntil(9);
+  const world = new WarmPoolWorld(POOLS);
+  await world.runUntil(9);
   for (const { what, afterS, number } of events) {
-    TROUBLES[what]!(w, number);
-    await w.run(afterS);
-    check(w);
+    TROUBLES[what]!(world, number);
+    await world.run(afterS);
+    check(world);
   }
-  calm(w);
-  w.cloud.mode = 'serve';
-  w.wallJumpMs = 0;
+  calm(world);
+  world.cloud.mode = 'serve';
+  world.wallJumpMs = 0;
   // A jump of the clock that lasted is followed, and followed back.
-  await w.runUntil(Math.max(w.now, BURST_AT + HOLD_S) + 40);
-  check(w);
-  assert.deepEqual(w.slots(), [], 'all slots are over');
-  const lives = [...w.cloud.machines.values()].map(
-    ({ rentedAt, returnedAt }) => (returnedAt ?? w.now) - rentedAt,
+  await world.runUntil(Math.max(world.now, BURST_AT + HOLD_S) + 40);
+  check(world);
+  assert.deepEqual(world.slots(), [], 'all slots are over');
+  const lives = [...world.cloud.machines.values()].map(
+    ({ rentedAt, returnedAt }) => (returnedAt ?? world.now) - rentedAt,
   );
   const livedS = lives.reduce((sum, s) => sum + s, 0);
-  for (const row of w.bill()) {
+  for (const row of world.bill()) {
     assert.equal(row.open, 0);
     const mostS = livedS + row.uncertainS + 1;
     assert.ok(row.machineS >= 0 && row.machineS <= mostS, `${row.machineS} of ${mostS}`);
   }
-  const own = [...w.cloud.machines.values()].filter((m) => m.request.name.includes('warm'));
+  const own = [...world.cloud.machines.values()].filter((m) => m.request.name.includes('warm'));
   assert.ok(own.length <= 16, `${own.length} machines`);
 }
 
--- a/test/warm-pools-troubles.test.ts
+++ b/test/warm-pools-troubles.test.ts
@@ -1,7 +1,7 @@
 /** Warm pools in troubles of the cloud, machines, clocks and budgets, in injected time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BURST_AT, HOLD_S, PoolWorld, poolText } from './pool-helpers.js';
+import { BURST_AT, HOLD_S, WarmPoolWorld, poolText } from './support/warm-pool-world.js';
 import {
   all,
   machinesOf,
@@ -10,7 +10,7 @@
   WHOLE,
   WHOLE_REPLICA,
   playAll,
-} from './support/pool-scenes.js';
+} from './support/warm-pool-cases.js';
 
 test('troubles of the cloud and of machines just before the burst', async () => {
   await playAll([
@@ -84,7 +84,7 @@
       name: 'a notice that the machine is taken away',
       async play(world) {
         await world.runUntil(BURST_AT - 1);
-        world.worker('host-000001').noticeS = 30;
+        world.worker('host-000001').reclaimNoticeS = 30;
         await world.run(6);
         assert.equal(world.states(), 'lost lost warm warm');
       },
@@ -93,13 +93,13 @@
       name: 'its zone is cut off: it may be alive there',
       async play(world) {
         await world.runUntil(BURST_AT - 1);
-        world.zone = { keptUntil: Infinity, provenAt: Infinity };
+        world.zoneRenewal = { keptUntil: Infinity, provenAt: Infinity };
         const worker = world.worker('host-000001');
         worker.mute = true;
         await world.run(8);
         assert.equal(world.states(), 'warm warm');
         worker.mute = false;
-        world.zone = { keptUntil: -Infinity, provenAt: Infinity };
+        world.zoneRenewal = { keptUntil: -Infinity, provenAt: Infinity };
         await world.run(2);
         assert.equal(world.states(), 'warm warm');
         assert.equal(world.cloud.machines.size, 1);
@@ -172,7 +172,7 @@
       async play(world) {
         await world.runUntil(18);
         world.wallJumpMs = 100;
-        world.takeOver();
+        world.failOver();
         await world.runUntil(BURST_AT);
         assert.equal(world.states(), 'warm warm');
         assert.equal(world.cloud.machines.size, 1);
@@ -193,7 +193,7 @@
       async play(world) {
         await world.runUntil(BURST_AT + 1);
         world.declare(text);
-        world.takeOver();
+        world.failOver();
         await world.run(3);
         assert.equal(world.states(), states);
         assert.match(String(world.slots().map((slot) => String(slot.reason))), reason);
@@ -203,21 +203,21 @@
 });
 
 test('a leader without pools takes over, and one with pools after it', async () => {
-  const world = new PoolWorld(poolText(WHOLE));
+  const world = new WarmPoolWorld(poolText(WHOLE));
   await world.runUntil(BURST_AT + 1);
   world.declare(null);
-  world.takeOver();
+  world.failOver();
   // The machines are as any others to it.
-  world.job({ id: 'wk-9', tasks: 1, gpus: 8, cores: 8 });
+  world.submitJob({ id: 'wk-9', tasks: 1, gpus: 8, cores: 8 });
   await world.run(3);
   assert.equal(world.fleet.running('wk-9'), 1);
   assert.equal(world.states(), 'warm warm', 'the records stay');
   world.declare(poolText(WHOLE));
-  world.takeOver();
+  world.failOver();
   await world.run(5);
   assert.match(world.states(), /^lost /, 'the place that was taken is looked for anew');
   assert.equal(world.fleet.running('wk-9'), 1, 'and the work goes on');
-  assert.deepEqual(world.fleet.broken, []);
+  assert.deepEqual(world.fleet.violations, []);
 });
 
 test('the budget ends in the middle of a burst', async () => {
@@ -283,7 +283,7 @@
         await world.runUntil(BURST_AT);
         world.replicaJob('wk-1');
         // Claimed, and not stored yet.
-        world.pass();
+        world.runCycle();
         world.leader.tick();
         assert.equal(world.leader.statistics().warm_slots_released, 0);
         await world.run(3);
@@ -323,7 +323,7 @@
       async play(world) {
         await world.runUntil(BURST_AT - 1);
         const warm = world.cloud.rented;
-        world.job(array('wk-9', { priority: 1 }));
+        world.submitJob(array('wk-9', { priority: 1 }));
         await world.run(4);
         assert.equal(world.fleet.running('wk-9'), 1);
         assert.ok(!warm.includes(world.hosts('wk-9')[0]!));
@@ -337,10 +337,10 @@
       pools: poolText({ slots: 1 }),
       async play(world) {
         await world.runUntil(BURST_AT);
-        world.job({ id: 'wk-8', tasks: 1, gpus: 4, cores: 4, priority: 1 });
+        world.submitJob({ id: 'wk-8', tasks: 1, gpus: 4, cores: 4, priority: 1 });
         await world.run(2);
         assert.deepEqual(world.hosts('wk-8'), ['host-000001']);
-        world.job({ id: 'wk-9', tasks: 1, gpus: 1, cores: 1, priority: 1 });
+        world.submitJob({ id: 'wk-9', tasks: 1, gpus: 1, cores: 1, priority: 1 });
         await world.run(4);
         assert.notDeepEqual(world.hosts('wk-9'), ['host-000001']);
         assert.equal(world.states(), 'warm');
@@ -375,7 +375,7 @@
         await world.runUntil(BURST_AT + 1);
         assert.equal(world.states(), 'warm');
         assert.deepEqual(world.hosts('wk-1'), machinesOf(world, 'tutor'), 'beside it');
-        world.takeOver();
+        world.failOver();
         await world.run(2);
         assert.equal(world.states(), 'warm');
       },
@@ -403,7 +403,7 @@
         world.machine(warm!).noteImage('tutor-1', 1, 100, world.now);
         world.cancel('wk-1');
         await world.run(1);
-        world.job({
+        world.submitJob({
           id: 'wk-9',
           tasks: 1,
           gpus: 2,
@@ -415,7 +415,15 @@
         await world.run(4);
         assert.equal(world.fleet.running('wk-9'), 1);
         assert.notDeepEqual(world.hosts('wk-9'), [warm]);
-        world.job({ id: 'wk-8', tasks: 1, gpus: 2, cores: 2, priority: 1, image: 'y', imageGb: 1 });
+        world.submitJob({
+          id: 'wk-8',
+          tasks: 1,
+          gpus: 2,
+          cores: 2,
+          priority: 1,
+          image: 'y',
+          imageGb: 1,
+        });
         await world.run(2);
         assert.equal(world.fleet.running('wk-8'), 1);
       },
@@ -425,7 +433,7 @@
       pools: poolText({ ...WHOLE, lend: true }),
       async play(world) {
         await world.runUntil(BURST_AT - 1.2);
-        world.job(array('wk-9'));
+        world.submitJob(array('wk-9'));
         await world.run(0.6);
         assert.deepEqual(world.cloud.rented.includes(world.hosts('wk-9')[0]!), true);
         assert.equal(world.cloud.rentedForPools.length, 2);
@@ -437,7 +445,7 @@
       pools: poolText({ ...WHOLE, lend: true }),
       async play(world) {
         await world.runUntil(BURST_AT - 1.2);
-        world.job(array('wk-9', { estimateS: 30 }));
+        world.submitJob(array('wk-9', { estimateS: 30 }));
         await world.run(0.6);
         assert.deepEqual(world.hosts('wk-9'), []);
       },
--- a/test/warm-pools.test.ts
+++ b/test/warm-pools.test.ts
@@ -1,8 +1,16 @@
 /** Warm pools through bursts and troubles, in injected time: leader, store, cloud and workers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BURST_AT, HOLD_S, PoolWorld, poolText } from './pool-helpers.js';
-import { all, machinesOf, totals, near, WHOLE, playAll, type Case } from './support/pool-scenes.js';
+import { BURST_AT, HOLD_S, WarmPoolWorld, poolText } from './support/warm-pool-world.js';
+import {
+  all,
+  machinesOf,
+  totals,
+  near,
+  WHOLE,
+  playAll,
+  type Case,
+} from './support/warm-pool-cases.js';
 
 test('a burst comes as declared, early, late, twice as large, or not at all', async () => {
   await playAll([
@@ -135,7 +143,7 @@
         async play(world) {
           world.cloud.mode = mode;
           await world.runUntil(at);
-          world.takeOver();
+          world.failOver();
           world.cloud.mode = 'serve';
           await world.runUntil(Math.max(BURST_AT, at + 5));
           assert.equal(world.cloud.machines.size, 1);
@@ -153,7 +161,7 @@
 });
 
 test('a leader that froze between its check and its call rents nothing more', async () => {
-  const world = new PoolWorld();
+  const world = new WarmPoolWorld();
   const late: (() => void)[] = [];
   const rent = world.cloud.scaleOut.bind(world.cloud);
   world.cloud.scaleOut = (request) => {
@@ -165,7 +173,7 @@
   await world.runUntil(17);
   assert.equal(late.length, 1);
   const old = world.leader;
-  world.takeOver();
+  world.failOver();
   await world.runUntil(BURST_AT);
   for (const call of late) call();
   old.tick();
@@ -175,14 +183,14 @@
 });
 
 test('commits of a leader that was replaced change no slot', async () => {
-  const world = new PoolWorld();
+  const world = new WarmPoolWorld();
   await world.runUntil(16.2);
   world.store.mode = 'hold back';
   await world.run(1);
   world.store.mode = 'serve';
-  world.takeOver();
+  world.failOver();
   const before = world.slots();
-  world.store.deliver();
+  world.store.deliverHeldBack();
   assert.deepEqual(world.slots(), before);
   await world.runUntil(BURST_AT);
   assert.equal(world.states(), 'warm warm');
@@ -190,14 +198,14 @@
 });
 
 test('an outage of the state service lies over the whole lead time', async () => {
-  const outage = async (world: PoolWorld, from: number, to: number): Promise<void> => {
+  const outage = async (world: WarmPoolWorld, from: number, to: number): Promise<void> => {
     await world.runUntil(from);
-    world.writing = false;
+    world.canWrite = false;
     world.store.mode = 'refuse';
     await world.runUntil(to);
   };
-  const over = (world: PoolWorld): void => {
-    world.writing = true;
+  const over = (world: WarmPoolWorld): void => {
+    world.canWrite = true;
     world.store.mode = 'serve';
   };
   await playAll([
@@ -218,7 +226,7 @@
       async play(world) {
         await outage(world, 14, BURST_AT + 1);
         over(world);
-        world.takeOver();
+        world.failOver();
         await world.run(4);
         assert.equal(world.cloud.machines.size, 1);
         assert.equal(world.states(), 'warm warm');
@@ -231,7 +239,7 @@
         await outage(world, 14, BURST_AT + 1);
         over(world);
         world.declare(poolText({ name: 'other', image: 'x', schedule: '0 0 1 1 *' }));
-        world.takeOver();
+        world.failOver();
         await world.run(5);
         assert.equal(world.cloud.machines.size, 1);
         assert.ok(totals(world).machineS > 0 && totals(world).open === 0);
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -174,12 +174,12 @@
 
 const LEASE = 4;
 
-test('what runs in a zone that is cut off goes on; a cancellation waits until it can be held to', async (t) => {
+test('what runs in a zone that is cut off goes on; a cancellation waits until it can be held to', async (context) => {
   const cluster = await Cluster.start({
     leaseS: LEASE,
     zones: ['z1', 'z2', 'z3'],
   });
-  t.after(() => cluster.close());
+  context.after(() => cluster.close());
   const { users } = cluster;
   const inZone = (zone: string) => cluster.workers.filter((worker) => worker.zone === zone);
   const jobs = { 'wk-000001': 'z1', 'wk-000002': 'z2', 'wk-000003': 'z2' };
