--- a/test/cluster-leaders.test.ts
+++ b/test/cluster-leaders.test.ts
@@ -53,7 +53,7 @@
   });
 });
 
-test('an old report reaches every controller: what runs is not started again', async () => {
+test('an old heartbeat reaches every controller: what runs is not started again', async () => {
   const rows = [
     { name: 'as a new leader begins', change: true },
     { name: 'after newer ones', change: false },
--- a/test/cluster-pipelines.test.ts
+++ b/test/cluster-pipelines.test.ts
@@ -72,7 +72,7 @@
     { name: 'the leader ends when it is done', between: endLeader },
     { name: 'an outage while the first job runs', during: outage },
     { name: 'an outage when it is done', between: outage },
-    { name: 'answers of the state service are lost', during: loseAnswers, between: loseAnswers },
+    { name: 'answers of the key-value store are lost', during: loseAnswers, between: loseAnswers },
     { name: 'limits are lowered, then the leader ends', during: lowerLimits, between: endLeader },
   ];
   const nextLimits = 'value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 150.0';
--- a/test/cluster-users.test.ts
+++ b/test/cluster-users.test.ts
@@ -61,13 +61,16 @@
   const doubled = { how: 'doubled', afterS: 0.3 } as const;
   const rows: Troubled[] = [
     { name: 'no trouble', trouble: () => undefined },
-    { name: 'the state service is slow', trouble: (s) => (s.slowMs = 30) },
-    { name: 'answers to what users asked are lost', trouble: (s) => s.disturb(JOBS, lost, 6) },
-    { name: 'answers to ends are lost', trouble: (s) => s.disturb(PROGRESS, lost, 6) },
-    { name: 'what users asked is stored late', trouble: (s) => s.disturb(JOBS, late, 6) },
-    { name: 'ends are stored late', trouble: (s) => s.disturb(PROGRESS, late, 6) },
-    { name: 'what users asked is stored twice', trouble: (s) => s.disturb(JOBS, doubled) },
-    { name: 'ends are stored twice', trouble: (s) => s.disturb(PROGRESS, doubled) },
+    { name: 'the key-value store is slow', trouble: (store) => (store.slowMs = 30) },
+    {
+      name: 'answers to what users asked are lost',
+      trouble: (store) => store.disturb(JOBS, lost, 6),
+    },
+    { name: 'answers to ends are lost', trouble: (store) => store.disturb(PROGRESS, lost, 6) },
+    { name: 'what users asked is stored late', trouble: (store) => store.disturb(JOBS, late, 6) },
+    { name: 'ends are stored late', trouble: (store) => store.disturb(PROGRESS, late, 6) },
+    { name: 'what users asked is stored twice', trouble: (store) => store.disturb(JOBS, doubled) },
+    { name: 'ends are stored twice', trouble: (store) => store.disturb(PROGRESS, doubled) },
   ];
   await playAll(rows, { leaseS: LEASE }, async (cluster, { trouble }) => {
     await cluster.newLeader();
--- a/test/cluster-warm-pools.test.ts
+++ b/test/cluster-warm-pools.test.ts
@@ -106,7 +106,7 @@
     },
   },
   {
-    name: 'the leader ends before anything is rented',
+    name: 'the leader ends before anything is added',
     trouble: async (cluster) => void (await cluster.endLeader()),
   },
   {
@@ -120,7 +120,7 @@
     },
   },
   {
-    name: 'an outage of the state service while the model loads',
+    name: 'an outage of the key-value store while the model loads',
     async trouble(cluster) {
       await until('a machine', () => cluster.workers.length > 0);
       cluster.state.down = true;
@@ -129,7 +129,7 @@
     },
   },
   {
-    name: 'answers of the state service are lost',
+    name: 'answers of the key-value store are lost',
     trouble(cluster) {
       cluster.state.disturb('ps/x/', { how: 'answer_lost' }, 4);
       return Promise.resolve();
@@ -137,7 +137,7 @@
   },
 ];
 
-test('whatever happens in the lead time, one machine is rented and replicas answer at once', async () => {
+test('whatever happens in the lead time, one machine is added and replicas answer at once', async () => {
   const failures: string[] = [];
   const play = async (row: Row): Promise<void> => {
     const port = await freePort();
--- a/test/cycle-pacing.test.ts
+++ b/test/cycle-pacing.test.ts
@@ -4,7 +4,7 @@
 
 const LEASE_S = 10;
 
-test('the next pass comes the later, the longer one took, but not much later', () => {
+test('the next cycle comes the later, the longer one took, but not much later', () => {
   const cases: [string, number, number, number][] = [
     ['a quick one: events share a pass', 0.2, 0.001, MIN_CYCLE_GAP_S],
     ['a fifth of the time', 0.2, 0.1, 0.5],
--- a/test/heartbeat-bytes.test.ts
+++ b/test/heartbeat-bytes.test.ts
@@ -124,15 +124,17 @@
   }
 }
 
-test('a report gets the same verdict straight, passed on and without any shortcut', async () => {
+test('a heartbeat gets the same verdict straight, passed on and without any shortcut', async () => {
   seedRandom(20);
   const [straight, passedOn, plain] = [new LeaderWorld(), new LeaderWorld(), new LeaderWorld()];
   const leads = (world: LeaderWorld): HeartbeatHandler =>
     controller({ leader: () => world.leader });
   const [direct, leader] = [leads(straight), leads(passedOn)];
   const ask: Ask = async (_to, question) => {
-    const [q] = new FrameReader().push(encodeFrame(question)) as [{ body: Buffer; hop: boolean }];
-    return { ...(await leader.handleForwarded(q.body, q.hop)) };
+    const [asked] = new FrameReader().push(encodeFrame(question)) as [
+      { body: Buffer; hop: boolean },
+    ];
+    return { ...(await leader.handleForwarded(asked.body, asked.hop)) };
   };
   const follower = controller({}, ask);
   const count = { good: 0, malformed: 0, scanned: 0, repeated: 0 };
@@ -174,7 +176,7 @@
   assert.ok(Object.values(count).every((n) => n > 400), JSON.stringify(count)); // prettier-ignore
 });
 
-test('a scan finds what a full parse finds, or leaves the report to it', () => {
+test('a scan finds what a full parse finds, or leaves the heartbeat to it', () => {
   const found = { machine: 'm', zone: 'z1', token: 5 };
   const text = bodyOf(5, 8);
   const ahead = (members: string): string => text.replace('{', `{${members},`);
@@ -206,7 +208,7 @@
   }
 });
 
-test('malformed reports get 400 wherever they end, and whoever finds them out', async () => {
+test('malformed heartbeats get 400 wherever they end, and whoever finds them out', async () => {
   const good = Buffer.from(bodyOf(5, 1));
   const bad = Buffer.from(bodyOf(5, 1).replace('running', 'dancing'));
   assert.ok(scanHeartbeat(bad) !== null, 'the scan alone does not find it');
@@ -233,31 +235,31 @@
   );
 });
 
-test('only a report that repeats the last one is taken for it, and its order counts all the same', () => {
+test('only a heartbeat that repeats the last one is taken for it, and its order counts all the same', () => {
   type Seen = [repeated: boolean, status: number, seq: number, renewed: boolean];
   const swap = (from: string, to: string) => (token: number) => bodyOf(token, 9).replace(from, to);
   const cases: [string, (token: number) => string, Seen][] = [
-    ['the next one', (t) => bodyOf(t, 9), [true, 200, 9, true]],
-    ['the next one, longer', (t) => bodyOf(t, 10), [true, 200, 10, true]],
-    ['an old copy', (t) => bodyOf(t, 7), [true, 200, 8, false]],
-    ['doubled', (t) => bodyOf(t, 8), [true, 200, 8, false]],
+    ['the next one', (token) => bodyOf(token, 9), [true, 200, 9, true]],
+    ['the next one, longer', (token) => bodyOf(token, 10), [true, 200, 10, true]],
+    ['an old copy', (token) => bodyOf(token, 7), [true, 200, 8, false]],
+    ['doubled', (token) => bodyOf(token, 8), [true, 200, 8, false]],
     ['a later session', swap('"shift":1', '"shift":2'), [false, 200, 9, true]],
     ['an earlier session', swap('"shift":1', '"shift":0'), [false, 200, 8, false]],
-    ['an older token', (t) => bodyOf(t - 1, 9), [false, 200, 9, true]],
-    ['a later token', (t) => bodyOf(t + 1, 9), [false, 503, 8, false]],
+    ['an older token', (token) => bodyOf(token - 1, 9), [false, 200, 9, true]],
+    ['a later token', (token) => bodyOf(token + 1, 9), [false, 503, 8, false]],
     ['a notice appears', swap('null', '30'), [false, 200, 9, true]],
     ['a task moves', swap('running', 'flushing'), [false, 200, 9, true]],
     ['a task is gone', swap('{"piece":"wk-1/0","pour":2,"temper":"running"},', ''), [false, 200, 9, true]],
-    ['another machine', (t) => bodyOf(t, 9, 'n'), [false, 200, 8, false]],
+    ['another machine', (token) => bodyOf(token, 9, 'n'), [false, 200, 8, false]],
     ['another machine, as long', swap('"addr":"1', '"addr":"2'), [false, 200, 9, true]],
-    ['leading zeros', (t) => bodyOf(t, '09'), [false, 400, 8, false]],
-    ['an exponent', (t) => bodyOf(t, '9e0'), [false, 200, 9, true]],
-    ['a fraction', (t) => bodyOf(t, '9.5'), [false, 400, 8, false]],
-    ['below zero', (t) => bodyOf(t, '-9'), [false, 400, 8, false]],
-    ['too large', (t) => bodyOf(t, '9007199254740993'), [false, 400, 8, false]],
-    ['no number', (t) => bodyOf(t, ''), [false, 400, 8, false]],
-    ['a second number', (t) => bodyOf(t, '9,"tally":3'), [false, 200, 8, false]],
-    ['cut short', (t) => bodyOf(t, 9).slice(0, -1), [false, 400, 8, false]],
+    ['leading zeros', (token) => bodyOf(token, '09'), [false, 400, 8, false]],
+    ['an exponent', (token) => bodyOf(token, '9e0'), [false, 200, 9, true]],
+    ['a fraction', (token) => bodyOf(token, '9.5'), [false, 400, 8, false]],
+    ['below zero', (token) => bodyOf(token, '-9'), [false, 400, 8, false]],
+    ['too large', (token) => bodyOf(token, '9007199254740993'), [false, 400, 8, false]],
+    ['no number', (token) => bodyOf(token, ''), [false, 400, 8, false]],
+    ['a second number', (token) => bodyOf(token, '9,"tally":3'), [false, 200, 8, false]],
+    ['cut short', (token) => bodyOf(token, 9).slice(0, -1), [false, 400, 8, false]],
   ]; // prettier-ignore
   for (const [name, text, want] of cases) {
     const world = new LeaderWorld();
@@ -301,7 +303,7 @@
   assert.equal(parsed(Buffer.from(bodyOf(5, tooLarge))), null);
 });
 
-test('what is kept to recognise reports by is bounded, and in memory of its own', () => {
+test('what is kept to recognise heartbeats by is bounded, and in memory of its own', () => {
   const long = (tasks: number): Buffer => {
     const pieces = Array(tasks).fill('{"piece":"wk-1/0","pour":2,"temper":"running"}').join(',');
     return Buffer.from(bodyOf(5, 1).replace(/\[.*\]/, `[${pieces}]`));
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -17,7 +17,7 @@
   }),
 ); // prettier-ignore
 
-test('a report finds its way to the leader, also from a controller that does not know it', async () => {
+test('a heartbeat finds its way to the leader, also from a controller that does not know it', async () => {
   // Cut off from the store alone, a former leader took itself for the leader, and its workers waited.
   const ok = { status: 200, body: '{}' };
   const no = { status: 503 };
@@ -47,8 +47,8 @@
       },
       peers: {
         names: ['n-1', 'n-2', ...more],
-        ask: (node: string, q: { hop: boolean }, patienceS: number) => {
-          seen.push(q.hop ? `${node} hop` : node);
+        ask: (node: string, question: { hop: boolean }, patienceS: number) => {
+          seen.push(question.hop ? `${node} hop` : node);
           now += answers[node] === undefined || answers[node] === null ? patienceS : 0;
           return Promise.resolve(answers[node] ?? null);
         },
@@ -85,22 +85,25 @@
       zoneLeases: null!,
       clock,
     });
-  const c = make();
+  const broadcast = make();
   const id = (i: number): string => `wk-${i}`;
   // A thousand were remembered once; a cut of a large fleet's zone sees more.
-  for (let i = 0; i < 5000; i++) c.noteAnnounced(id(i));
-  assert.ok([0, 2500, 4999].every((i) => c.knows(id(i))));
+  for (let i = 0; i < 5000; i++) broadcast.noteAnnounced(id(i));
+  assert.ok([0, 2500, 4999].every((i) => broadcast.knows(id(i))));
   // Stored: whoever has read that needs no telling.
   for (let i = 0; i < 4000; i++) jobs.set(id(i), { cancelledAt: 5, doneAt: null });
-  c.noteAnnounced('wk-a');
-  assert.equal(c.size, 1001);
+  broadcast.noteAnnounced('wk-a');
+  assert.equal(broadcast.size, 1001);
   now = settings().workers.lease_s * 21;
-  c.noteStored('wk-b');
-  c.noteAnnounced('wk-c');
-  assert.deepEqual([c.knows('wk-4999'), c.knows('wk-b'), c.knows('wk-c')], [false, true, true]);
+  broadcast.noteStored('wk-b');
+  broadcast.noteAnnounced('wk-c');
+  assert.deepEqual(
+    [broadcast.knows('wk-4999'), broadcast.knows('wk-b'), broadcast.knows('wk-c')],
+    [false, true, true],
+  );
 });
 
-test('how long passed-on reports wait: a mean of the latest, and only of the present', () => {
+test('how long forwarded heartbeats wait: a mean of the latest, and only of the present', () => {
   let now = 0;
   const wait = new ForwardingDelay({ now: () => now }, 1);
   assert.equal(wait.meanS, undefined);
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -5,8 +5,10 @@
 
 /** GPUs that the only team may use at most. */
 export const TEAMS_GPUS_MAX = 12;
+/** Seconds for which tasks of a gang wait for one another. */
 export const GANG_PEER_S = 1;
 
+/** Ports of a controller: for users and workers, and for the other controllers. */
 export interface Ports {
   bind: number;
   peer: number;
@@ -25,11 +27,11 @@
   nextLimits = '',
 ): string {
   const seeds = ports
-    .map((p, i) => [p, i] as const)
+    .map((port, i) => [port, i] as const)
     .filter(([, i]) => i !== index)
     .map(
-      ([p, i]) =>
-        `[[seeds]]\nhost_name = "n-${i}"\ndomain = "${zones[i]}"\naddr = "127.0.0.1:${p.peer}"\n`,
+      ([port, i]) =>
+        `[[seeds]]\nhost_name = "n-${i}"\ndomain = "${zones[i]}"\naddr = "127.0.0.1:${port.peer}"\n`,
     )
     .join('');
   return `
@@ -74,8 +76,10 @@
 `;
 }
 
+/** The settings of `settingsText`, parsed. */
 export const settings = (): Settings => parseSettings(settingsText());
 
+/** A job array with one task on one GPU, but for what is given. */
 export const spec = (over: Partial<JobSpec> = {}): JobSpec => ({
   id: 'wk-000001',
   class: 'c',
@@ -101,6 +105,7 @@
   ...over,
 });
 
+/** A machine type with eight GPUs. */
 export const g8: MachineType = {
   name: 'g8',
   cores: 8,
@@ -162,8 +167,11 @@
   });
 }
 
-export const wait = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
+/** Waits for so many milliseconds. */
+export const wait = (ms: number): Promise<void> =>
+  new Promise((resolve) => setTimeout(resolve, ms));
 
+/** Waits until something is so; fails after `s` seconds, with its name. */
 export async function until(
   what: string,
   is: () => boolean | Promise<boolean>,
--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -96,7 +96,7 @@
 }
 
 // A leader that had become three times slower kept its leadership, and all machines lost their leases.
-test('a leader that is too late for long hands over at once where another one is better off', () => {
+test('a leader that is too late for long transfers leadership at once where another one is better off', () => {
   for (const { name, lags, others, age = 0, leads = true, led = 3, resigns } of CASES) {
     let now = 0;
     const electedAt = (): number => -led * LEASE_S;
@@ -116,7 +116,7 @@
   }
 });
 
-test('figures go with frames once in a quarter of a report interval; who is silent is asked', () => {
+test('figures go with frames once in a quarter of a heartbeat interval; who is silent is asked', () => {
   let now = 0;
   const node = new Node({ now: () => now }, () => true);
   const [first, second] = [node.health.nextToSend(), node.health.nextToSend()];
@@ -220,7 +220,7 @@
   }
 });
 
-test('leadership that is handed over goes to another controller, and what runs goes on', async () => {
+test('leadership that is transferred goes to another controller, and what runs goes on', async () => {
   const rows = [{ name: 'once' }];
   await playAll(rows, { leaseS: 3, cancelS: 6 }, async (cluster) => {
     await cluster.users.submit(0, 'wk-000001', { form: 'daemon', pieces: 3 });
--- a/test/lending-failures.test.ts
+++ b/test/lending-failures.test.ts
@@ -140,12 +140,12 @@
     },
   },
   {
-    name: 'an outage of the state service',
+    name: 'an outage of the key-value store',
     strike: (world) => world.outage(OUTAGE_S),
     lateBy: OUTAGE_S,
   },
   {
-    name: 'an outage of the state service in which the leader ends',
+    name: 'an outage of the key-value store in which the leader ends',
     strike: (world) => world.outage(OUTAGE_S, () => world.failOver()),
     lateBy: OUTAGE_S,
   },
@@ -209,7 +209,7 @@
     lateBy: 8,
   },
   {
-    name: 'its reports come twice and late, also to the next leader',
+    name: 'its heartbeats come twice and late, also to the next leader',
     async strike(world) {
       const copies = [...world.fleet.workers.values()].map((worker) => worker.heartbeat());
       await world.step();
@@ -240,7 +240,7 @@
   { name: 'the lender is cancelled', strike: (world) => world.cancel(LENDER), ends: /cancelled/ },
   {
     name: 'the lender is cancelled in the moment in which the leader ends',
-    strike: (world) => world.cancelAndTakeOver(LENDER),
+    strike: (world) => world.cancelAndFailOver(LENDER),
     ends: /cancelled/,
   },
   {
@@ -255,7 +255,7 @@
   },
   {
     name: 'the borrower is cancelled in the moment in which the leader ends',
-    strike: (world) => world.cancelAndTakeOver(BORROWER),
+    strike: (world) => world.cancelAndFailOver(BORROWER),
     ends: /resumed|cancelled/,
   },
   {
--- a/test/lending-leader.test.ts
+++ b/test/lending-leader.test.ts
@@ -61,7 +61,7 @@
     },
   },
   {
-    name: 'a lender is not stopped for a borrower that has found a place meanwhile',
+    name: 'a lender is not preempted for a borrower that has found a place meanwhile',
     async play(world) {
       await filled(world, { deadlineS: 200 }, 40);
       world.service({ id: BORROWER });
@@ -100,7 +100,7 @@
     },
   },
   {
-    name: 'more important work is not stopped for the slack of lesser work',
+    name: 'higher-priority work is not preempted for the slack of lower-priority work',
     async play(world) {
       world.fleet.add('m1');
       await world.run(1);
@@ -128,7 +128,7 @@
     },
   },
   {
-    name: 'two services that take both machines of a gang in one pass: its loan names who is where',
+    name: 'two services that take both machines of a gang in one cycle: its loan names who is where',
     async play(world) {
       await gangOnTwo(world);
       world.service({ id: BORROWER });
@@ -183,7 +183,7 @@
       // Its earlier job is over: all that is left of it fits into the guarantee.
       await world.runUntil(
         'it is back',
-        () => world.taskStates('wk-000012').filter((s) => s === 'running').length > 0,
+        () => world.taskStates('wk-000012').filter((state) => state === 'running').length > 0,
       );
       await world.runUntil('it is settled', () => !world.loans().some(isOpen), LEASE_S * 20);
     },
@@ -246,7 +246,7 @@
     },
   },
   {
-    name: 'room that a replica was moved out of goes to the lender before other work of its priority',
+    name: 'capacity that a replica was moved out of goes to the lender before other work of its priority',
     async play(world) {
       await world.playTo('lent');
       // Others wait for it, so it ranks before the lender.
--- a/test/lending-random.test.ts
+++ b/test/lending-random.test.ts
@@ -82,7 +82,7 @@
     run.world.canWrite = true;
     run.world.store.mode = 'serve';
     run.frozen = run.world.leader;
-    if (id !== null) run.world.cancelAndTakeOver(id);
+    if (id !== null) run.world.cancelAndFailOver(id);
   },
   'a frozen leader wakes': async (run) => {
     if (run.frozen !== null) await run.world.wake(run.frozen, 0.4);
--- a/test/lending-scenario.ts
+++ b/test/lending-scenario.ts
@@ -12,7 +12,9 @@
 const BASE = 'wk-000001';
 /** A batch job that must not be stopped for long, one that has time, and the spike. */
 export const TIGHT = 'wk-000002';
+/** A batch job with much time before its deadline. */
 export const PATIENT = 'wk-000003';
+/** The service that has a spike of load. */
 export const SPIKE = 'wk-000004';
 
 const SAVE_S = 0.3;
@@ -27,6 +29,7 @@
 /** What becomes of the leader during the spike. */
 export type LeaderTrouble = 'none' | 'killed' | 'frozen';
 
+/** How a scenario is played. */
 export interface ScenarioOptions {
   lending: boolean;
   trouble: LeaderTrouble;
@@ -36,6 +39,7 @@
   label: string;
 }
 
+/** What became of a batch job. */
 export interface BatchOutcome {
   ref: string;
   /** Seconds from the submission to its end; null: it did not end. */
@@ -44,6 +48,7 @@
   starts: number;
 }
 
+/** What became of a scenario. */
 export interface ScenarioOutcome {
   batch: BatchOutcome[];
   /** Seconds from the spike's submission until its replica runs. */
@@ -58,6 +63,7 @@
   violations: string[];
 }
 
+/** Two batch jobs and a spike of a service, with real processes. */
 export class Scenario {
   readonly cluster: ProcessCluster;
   private readonly submittedAt = new Map<string, number>();
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -17,9 +17,10 @@
 test('frames survive any cutting; what is too long or no CBOR is refused', () => {
   const bytes = Buffer.concat([encodeFrame({ a: 1 }), encodeFrame({ b: 'x'.repeat(1000) })]);
   for (const step of [1, 3, 5000]) {
-    const r = new FrameReader();
+    const reader = new FrameReader();
     const got: unknown[] = [];
-    for (let i = 0; i < bytes.length; i += step) got.push(...r.push(bytes.subarray(i, i + step)));
+    for (let i = 0; i < bytes.length; i += step)
+      got.push(...reader.push(bytes.subarray(i, i + step)));
     assert.deepEqual(got, [{ a: 1 }, { b: 'x'.repeat(1000) }]);
   }
   assert.throws(() => new FrameReader().push(Buffer.from([255, 255, 255, 255])));
@@ -114,7 +115,7 @@
     const written: Buffer[] = [];
     const socket = { destroyed: false, write: (data: Buffer) => written.push(data) > 0 };
     const writer = new FrameWriter(socket, () => null, 0.05);
-    urgent.forEach((u, i) => writer.write({ id: i }, u));
+    urgent.forEach((each, i) => writer.write({ id: i }, each));
     await new Promise((resolve) => setTimeout(resolve, 10));
     assert.equal(written.length, soon ? writes : 0, `${name}, at once`);
     await new Promise((resolve) => setTimeout(resolve, 80));
--- a/test/load-lines.test.ts
+++ b/test/load-lines.test.ts
@@ -32,7 +32,7 @@
 test('a line has what was done since the line before, and the state at its moment', () => {
   const lines = linesOf([5, 2, 0]);
   assert.deepEqual(
-    lines.map((l) => [l.reports_answered, l.requests_waiting, l.delay_ms]),
+    lines.map((line) => [line.reports_answered, line.requests_waiting, line.delay_ms]),
     [
       [5, 7, 250],
       [2, 7, 250],
--- a/test/machine-evidence.test.ts
+++ b/test/machine-evidence.test.ts
@@ -25,171 +25,187 @@
   ...over,
 });
 
-function setup(state: AttemptState): { m: Machine; a: Attempt } {
+function setup(state: AttemptState): { machine: Machine; attempt: Attempt } {
   const machine = new Machine('m', TOKEN, LEASE, 0);
   const attempt = makeAttempt({ job: 'j', index: 0, number: 50, machine: 'm' }, state, 0);
   machine.addClaim(attempt);
-  return { m: machine, a: attempt };
+  return { machine, attempt };
 }
 
 /** A start in the answer to heartbeat 10. */
-function sent(): { m: Machine; a: Attempt } {
-  const s = setup('claimed');
-  s.m.applyHeartbeat(report({ sequence: 10 }), 'heartbeat', 1);
-  const c = s.m.dueCommands(() => true, true);
+function sent(): { machine: Machine; attempt: Attempt } {
+  const scene = setup('claimed');
+  scene.machine.applyHeartbeat(report({ sequence: 10 }), 'heartbeat', 1);
+  const each = scene.machine.dueCommands(() => true, true);
   assert.deepEqual(
-    c.map((command) => command.kind),
+    each.map((command) => command.kind),
     ['start'],
   );
-  s.m.markSent(c, 'heartbeat', 1);
-  return s;
+  scene.machine.markSent(each, 'heartbeat', 1);
+  return scene;
 }
 
-function sentDirect(): { m: Machine; a: Attempt; commands: ReturnType<Machine['dueCommands']> } {
-  const s = setup('claimed');
-  s.m.applyHeartbeat(report({ sequence: 10 }), 'heartbeat', 1);
-  const commands = s.m.dueCommands(() => true, false);
-  s.m.markSent(commands, 'direct', 1);
-  return { ...s, commands };
+function sentDirect(): {
+  machine: Machine;
+  attempt: Attempt;
+  commands: ReturnType<Machine['dueCommands']>;
+} {
+  const scene = setup('claimed');
+  scene.machine.applyHeartbeat(report({ sequence: 10 }), 'heartbeat', 1);
+  const commands = scene.machine.dueCommands(() => true, false);
+  scene.machine.markSent(commands, 'direct', 1);
+  return { ...scene, commands };
 }
 
 test('when a task may be started elsewhere', () => {
-  const cases: [string, () => { m: Machine; a: Attempt }, boolean][] = [
+  const cases: [string, () => { machine: Machine; attempt: Attempt }, boolean][] = [
     ['its start is on the way', sent, false],
     [
       'an older report does not show it',
       () => {
-        const s = sent();
-        s.m.applyHeartbeat(report({ sequence: 9 }), 'heartbeat', 2);
-        return s;
+        const scene = sent();
+        scene.machine.applyHeartbeat(report({ sequence: 9 }), 'heartbeat', 2);
+        return scene;
       },
       false,
     ],
     [
       'the session has moved on',
       () => {
-        const s = sent();
-        s.m.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), 'heartbeat', 2);
-        return s;
+        const scene = sent();
+        scene.machine.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), 'heartbeat', 2);
+        return scene;
       },
       true,
     ],
     [
       'a late copy from an older session says nothing',
       () => {
-        const s = sent();
-        s.m.applyHeartbeat(report({ sequence: 11 }, [{}]), 'heartbeat', 2);
-        s.m.applyHeartbeat(report({ agentEpoch: 0, sequence: 99 }), 'heartbeat', 3);
-        return s;
+        const scene = sent();
+        scene.machine.applyHeartbeat(report({ sequence: 11 }, [{}]), 'heartbeat', 2);
+        scene.machine.applyHeartbeat(report({ agentEpoch: 0, sequence: 99 }), 'heartbeat', 3);
+        return scene;
       },
       false,
     ],
     [
       'a running task is missing from a newer fenced report',
       () => {
-        const s = sent();
-        s.m.applyHeartbeat(report({ sequence: 11 }, [{}]), 'heartbeat', 2);
-        s.m.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 3);
-        return s;
+        const scene = sent();
+        scene.machine.applyHeartbeat(report({ sequence: 11 }, [{}]), 'heartbeat', 2);
+        scene.machine.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 3);
+        return scene;
       },
       true,
     ],
     [
       'it is missing from a report that is not fenced',
       () => {
-        const s = setup('inherited');
-        s.m.applyHeartbeat(report({ sequence: 12, token: TOKEN - 1 }), 'heartbeat', 3);
-        return s;
+        const scene = setup('inherited');
+        scene.machine.applyHeartbeat(report({ sequence: 12, token: TOKEN - 1 }), 'heartbeat', 3);
+        return scene;
       },
       false,
     ],
     [
       'inherited, and a fenced report does not show it',
       () => {
-        const s = setup('inherited');
-        s.m.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 3);
-        return s;
+        const scene = setup('inherited');
+        scene.machine.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 3);
+        return scene;
       },
       true,
     ],
     [
       'it has ended',
       () => {
-        const s = sent();
-        s.m.applyHeartbeat(
+        const scene = sent();
+        scene.machine.applyHeartbeat(
           report({ sequence: 11 }, [{ state: 'ended', cause: 'stopped' }]),
           'heartbeat',
           2,
         );
-        return s;
+        return scene;
       },
       true,
     ],
     [
       'the lease has run out',
       () => {
-        const s = sent();
-        s.m.endAllAttempts(20);
-        return s;
+        const scene = sent();
+        scene.machine.endAllAttempts(20);
+        return scene;
       },
       true,
     ],
   ];
   for (const [name, make, free] of cases) {
-    const { a } = make();
-    assert.equal(a.state === 'gone' || a.state === 'ended', free, `${name}: ${a.state}`);
+    const { attempt } = make();
+    assert.equal(
+      attempt.state === 'gone' || attempt.state === 'ended',
+      free,
+      `${name}: ${attempt.state}`,
+    );
   }
 });
 
-test('a start that the next check-in lacks is sent again; a direct answer proves nothing', () => {
-  const s = sent();
-  s.m.applyHeartbeat(report({ sequence: 11 }), 'direct-answer', 2);
-  assert.equal(s.a.state, 'sent', 'the answer to check-in 10 may still be under way');
-  s.m.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 2);
-  assert.equal(s.a.state, 'claimed');
+test('a start that the next heartbeat lacks is sent again; a direct answer proves nothing', () => {
+  const scene = sent();
+  scene.machine.applyHeartbeat(report({ sequence: 11 }), 'direct-answer', 2);
+  assert.equal(scene.attempt.state, 'sent', 'the answer to check-in 10 may still be under way');
+  scene.machine.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 2);
+  assert.equal(scene.attempt.state, 'claimed');
 });
 
-test('an unanswered direct start may come at any time in its session', () => {
+test('an unanswered direct start may come at any time in its agent epoch', () => {
   // Packets held back by a cut are delivered later: the start must not be taken for lost, and what
   // it started must not be forgotten, or it would start once more.
-  const { m, a, commands } = sentDirect();
-  m.directCommandsEnded(commands, 'unknown', 1, 2);
-  m.applyHeartbeat(report({ sequence: 11 }), 'heartbeat', 3);
-  assert.equal(a.state, 'sent');
+  const { machine, attempt, commands } = sentDirect();
+  machine.directCommandsEnded(commands, 'unknown', 1, 2);
+  machine.applyHeartbeat(report({ sequence: 11 }), 'heartbeat', 3);
+  assert.equal(attempt.state, 'sent');
   assert.deepEqual(
-    m.dueCommands(() => true, true).map((command) => command.kind),
+    machine.dueCommands(() => true, true).map((command) => command.kind),
     ['start'],
     'sent again',
   );
-  m.applyHeartbeat(report({ sequence: 12 }, [{ state: 'ended', cause: 'done' }]), 'heartbeat', 4);
-  a.settled = true;
+  machine.applyHeartbeat(
+    report({ sequence: 12 }, [{ state: 'ended', cause: 'done' }]),
+    'heartbeat',
+    4,
+  );
+  attempt.settled = true;
   assert.deepEqual(
-    m.dueCommands(() => true, true),
+    machine.dueCommands(() => true, true),
     [],
     'not forgotten',
   );
-  m.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), 'heartbeat', 20);
-  assert.equal(a.state, 'gone');
+  machine.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), 'heartbeat', 20);
+  assert.equal(attempt.state, 'gone');
 });
 
 test('a direct start that provably was not carried out can be sent again', () => {
-  const { m, a, commands } = sentDirect();
-  m.directCommandsEnded(commands, 'refused', 1, 2);
-  assert.equal(a.state, 'claimed');
+  const { machine, attempt, commands } = sentDirect();
+  machine.directCommandsEnded(commands, 'refused', 1, 2);
+  assert.equal(attempt.state, 'claimed');
 });
 
 test('an ended task is forgotten only once it is settled, and started anew only after that', () => {
-  const { m, a } = sent();
-  m.applyHeartbeat(report({ sequence: 11 }, [{ state: 'ended', cause: 'error' }]), 'heartbeat', 2);
+  const { machine, attempt } = sent();
+  machine.applyHeartbeat(
+    report({ sequence: 11 }, [{ state: 'ended', cause: 'error' }]),
+    'heartbeat',
+    2,
+  );
   const next = makeAttempt({ job: 'j', index: 0, number: 51, machine: 'm' }, 'claimed', 2);
-  m.addClaim(next);
+  machine.addClaim(next);
   assert.deepEqual(
-    m.dueCommands(() => true, true),
+    machine.dueCommands(() => true, true),
     [],
   );
-  a.settled = true;
+  attempt.settled = true;
   assert.deepEqual(
-    m.dueCommands(() => true, true).map((command) => command.kind),
+    machine.dueCommands(() => true, true).map((command) => command.kind),
     ['forget', 'start'],
   );
 });
@@ -229,5 +245,5 @@
     { ...good, pieces: [{ piece: 'wk-1/1', pour: 1, temper: 'dancing' }] },
     { ...good, recall_s: 'soon' },
   ];
-  for (const c of cases) assert.throws(() => parseHeartbeat(c), BadMessage);
+  for (const each of cases) assert.throws(() => parseHeartbeat(each), BadMessage);
 });
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -86,13 +86,13 @@
 test('one of several that stand at once leads, also when the answers are lost', async () => {
   for (const mode of ['serve', 'lose answers'] as const) {
     const store = new MemoryStore();
-    const [controller, b] = [new Controller(store, 'a'), new Controller(store, 'b')];
+    const [controller, other] = [new Controller(store, 'a'), new Controller(store, 'b')];
     store.mode = mode;
-    const won = [await controller.campaign(), await b.campaign()];
+    const won = [await controller.campaign(), await other.campaign()];
     assert.deepEqual(won, [true, false], mode);
     assert.equal(controller.election.token, store.revision(records.LEADER), mode);
     assert.equal(controller.election.isEntitled, true, mode);
-    assert.equal(b.election.isEntitled, false, mode);
+    assert.equal(other.election.isEntitled, false, mode);
   }
   const store = new MemoryStore();
   const late = new Controller(store);
@@ -130,7 +130,7 @@
   }
 });
 
-test('whoever bears witness promises not to stand, and never for a leader that is over', async () => {
+test('whoever confirms a leader promises not to campaign, and never for a leader that is over', async () => {
   const cases: [string, MemoryStore['mode'], number, number, boolean | undefined][] = [
     ['served', 'serve', 0, 0, false],
     ['refused', 'refuse', 0, 0, true],
--- a/test/meeting-ends.test.ts
+++ b/test/meeting-ends.test.ts
@@ -136,7 +136,7 @@
   assert.equal(world.fleet.running(JOB), 1);
 });
 
-test('a start that was not answered may come at any time until the session ends', async () => {
+test('a start that was not answered may come at any time until the agent epoch ends', async () => {
   for (const ends of [false, true]) {
     const world = await worldWith(['a']);
     world.submitJob({ id: JOB });
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -200,7 +200,7 @@
   }
 });
 
-test('old reports that come as a new leader begins, or later, prove nothing', async () => {
+test('old heartbeats that come as a new leader begins, or later, prove nothing', async () => {
   const world = await worldWith(['a', 'b']);
   world.submitJob({ id: JOB, kind: 'service', tasks: 2, gpus: 8, cores: 8 });
   const worker = world.fleet.workers.get('a')!;
@@ -208,7 +208,7 @@
   await world.run(2);
   const old = worker.heartbeat();
   // There is capacity elsewhere.
-  const c = world.fleet.add('c');
+  const third = world.fleet.add('c');
   const check = (name: string): void => {
     assert.equal(world.fleet.running(JOB), 2, name);
     assert.ok(
@@ -220,11 +220,11 @@
   for (const when of ['at once', 'after it has heard the machine', 'after a change'] as const) {
     world.failOver();
     if (when === 'at once') {
-      for (let i = 0; i < 2; i++) world.exchangeHeartbeat(c);
+      for (let i = 0; i < 2; i++) world.exchangeHeartbeat(third);
       world.leader.answerHeartbeat(empty);
       world.runCycle();
       await world.writeAll();
-      world.exchangeHeartbeat(c);
+      world.exchangeHeartbeat(third);
     }
     await world.run(1);
     if (when !== 'at once') for (const copy of [old, empty]) world.leader.answerHeartbeat(copy);
@@ -251,9 +251,9 @@
     const world = await worldWith(['a', 'b'], 2);
     world.submitJob({ id: JOB, kind: 'service', tasks: 2, cores: 8 });
     await world.run(1);
-    const [worker, b] = [world.fleet.workers.get('a')!, world.fleet.workers.get('b')!];
-    assert.deepEqual([worker.running(JOB).length, b.running(JOB).length], [1, 1]);
-    b.mute = true;
+    const [worker, other] = [world.fleet.workers.get('a')!, world.fleet.workers.get('b')!];
+    assert.deepEqual([worker.running(JOB).length, other.running(JOB).length], [1, 1]);
+    other.mute = true;
     world.cancel(JOB);
     if (change) world.failOver();
     world.submitJob({ id: OTHER, tasks: 2 });
--- a/test/meeting-leases.test.ts
+++ b/test/meeting-leases.test.ts
@@ -7,7 +7,7 @@
 
 const JOB = 'wk-000001';
 
-test('only a check-in that its worker still waits for moves the end of its lease', async () => {
+test('only a heartbeat that its worker still waits for moves the end of its lease', async () => {
   // What the machine has heard last, the heartbeat that comes then, and whether its answer counts.
   interface Seen {
     session: number;
@@ -29,16 +29,16 @@
   for (const [name, heard, then, moves] of cases) {
     const world = new LeaderWorld();
     const worker = world.fleet.add('a');
-    const report = (s: Seen): Heartbeat => ({
+    const report = (seen: Seen): Heartbeat => ({
       ...worker.heartbeat(),
       token: world.token,
-      agentEpoch: s.session,
-      sequence: s.seq,
+      agentEpoch: seen.session,
+      sequence: seen.seq,
     });
-    for (const s of heard) {
-      if (s.direct === true)
-        world.machine('a').applyHeartbeat(report(s), 'direct-answer', world.now);
-      else world.leader.answerHeartbeat(report(s));
+    for (const seen of heard) {
+      if (seen.direct === true)
+        world.machine('a').applyHeartbeat(report(seen), 'direct-answer', world.now);
+      else world.leader.answerHeartbeat(report(seen));
     }
     const before = world.machine('a').leaseExpiresAt;
     world.fleet.now += 1;
@@ -47,7 +47,7 @@
   }
 });
 
-test('a session first shown by the answer to a direct command has its whole lease', () => {
+test('an agent epoch first shown by the answer to a direct command has its whole lease', () => {
   const lease = 10;
   const machine = new Machine('m', 5, lease, 0);
   const heartbeat: Heartbeat = {
@@ -75,7 +75,7 @@
   assert.deepEqual(world.machine('a').activeAttempts(), []);
 });
 
-test('a late copy of a report makes no machine that was returned come back', async () => {
+test('a late copy of a heartbeat makes no machine that was returned come back', async () => {
   const world = new LeaderWorld();
   const worker = world.fleet.add('a');
   await world.run(1);
--- a/test/meeting-limits.test.ts
+++ b/test/meeting-limits.test.ts
@@ -40,7 +40,7 @@
   assert.ok(record.length <= world.store.valueBytes, `${record.length} bytes`);
 });
 
-test('a machine that reports at last is not returned as one that never came', async () => {
+test('a machine that sends a heartbeat at last is not returned as one that never came', async () => {
   const world = new LeaderWorld();
   const ageS = 1000;
   await world.run(world.settings.workers.lease_s * 4);
--- a/test/meeting-outage-quorum.test.ts
+++ b/test/meeting-outage-quorum.test.ts
@@ -68,7 +68,7 @@
   assert.ok(election.acknowledge(5) >= 2, 'promised for two seconds');
 });
 
-test('a controller that has never read the store bears no witness for a leader', async () => {
+test('a controller that has never read the store confirms no leader', async () => {
   // The process before it may have acknowledged a later one.
   const store = new MemoryStore();
   const { election } = controller(store, false);
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -53,8 +53,8 @@
     };
   }
 
-  private chance(p: number): boolean {
-    return this.random() < p;
+  private chance(probability: number): boolean {
+    return this.random() < probability;
   }
 
   private pick<T>(from: readonly T[]): T {
@@ -67,43 +67,43 @@
 
   /** What users and troubles bring about. */
   private happen(): void {
-    const { w } = this;
-    if (this.chance(0.1) && w.now < LATEST_JOB_S) {
+    const { w: world } = this;
+    if (this.chance(0.1) && world.now < LATEST_JOB_S) {
       const id = `wk-${1000 + this.jobs.size}`;
       const kind = this.pick(['array', 'array', 'gang', 'service'] as const);
       const tasks = 1 + Math.floor(this.random() * 4);
       this.jobs.set(id, { kind, tasks, ends: new Map() });
-      w.submitJob({ id, kind, tasks });
+      world.submitJob({ id, kind, tasks });
     }
     if (this.chance(0.05) && this.jobs.size > 0) this.cancel(this.pick([...this.jobs.keys()]));
-    if (this.chance(0.02)) w.failOver();
-    const worker = this.pick([...w.fleet.workers.values()]);
+    if (this.chance(0.02)) world.failOver();
+    const worker = this.pick([...world.fleet.workers.values()]);
     if (this.chance(0.02)) worker.deaf = !worker.deaf;
     if (this.chance(0.02)) worker.mute = !worker.mute;
-    const live = [...w.term.jobs.values()].filter((job) => job.activeAttemptCount > 0);
+    const live = [...world.term.jobs.values()].filter((job) => job.activeAttemptCount > 0);
     if (this.chance(0.01) && live.length > 0) {
       const job = this.pick(live);
-      w.term.stopGracefully(job, this.pick([...job.activeAttempts()]));
+      world.term.stopGracefully(job, this.pick([...job.activeAttempts()]));
     }
   }
 
   private cancel(id: string): void {
-    const { w } = this;
-    if (outcome(w.store.feed(w.replica).jobs.get(id)!) !== 'open') return;
-    w.store.cancel(id);
-    this.cancelledAt.set(id, w.now);
+    const { w: world } = this;
+    if (outcome(world.store.feed(world.replica).jobs.get(id)!) !== 'open') return;
+    world.store.cancel(id);
+    this.cancelledAt.set(id, world.now);
   }
 
   /** Tasks of arrays and whole gangs end after a while. */
   private work(worker: Worker, troubles: boolean): void {
-    const { w } = this;
+    const { w: world } = this;
     for (const task of worker.tasks.values()) {
       const job = this.jobs.get(task.job)!;
       if (task.state === 'ended' || job.kind === 'service') continue;
       const run = `${worker.id} ${task.index} ${task.attempt}`;
-      const at = job.ends.get(run) ?? w.now + 1 + this.random() * 4;
+      const at = job.ends.get(run) ?? world.now + 1 + this.random() * 4;
       job.ends.set(run, at);
-      if (at > w.now) continue;
+      if (at > world.now) continue;
       if (job.kind === 'array') worker.end(task, troubles && this.chance(0.1) ? 'error' : 'done');
       else this.endGang(job, task);
     }
@@ -120,97 +120,100 @@
   }
 
   private reports(troubles: boolean): void {
-    const { w } = this;
-    for (const worker of w.fleet.workers.values()) {
+    const { w: world } = this;
+    for (const worker of world.fleet.workers.values()) {
       worker.tick();
       this.work(worker, troubles);
       if (troubles && this.chance(0.03)) {
         const copy: Heartbeat = worker.heartbeat();
-        this.delay(this.random() * 6, () => void w.leader.answerHeartbeat(copy));
+        this.delay(this.random() * 6, () => void world.leader.answerHeartbeat(copy));
       }
-      w.exchangeHeartbeat(worker);
+      world.exchangeHeartbeat(worker);
     }
   }
 
   /** Direct commands: answered, unanswered, late or lost. */
   private direct(machine: Machine, troubles: boolean): void {
-    const { w } = this;
-    const worker = w.fleet.workers.get(machine.id)!;
-    const commands = machine.dueCommands((attempt) => w.term.mayStart(attempt), false);
+    const { w: world } = this;
+    const worker = world.fleet.workers.get(machine.id)!;
+    const commands = machine.dueCommands((attempt) => world.term.mayStart(attempt), false);
     if (commands.every((command) => command.kind === 'forget')) return;
     const { agentEpoch } = machine;
-    const { token } = w;
-    machine.markSent(commands, 'direct', w.now);
+    const { token } = world;
+    machine.markSent(commands, 'direct', world.now);
     const how = worker.deaf ? 'lost' : troubles ? this.random() : 'answered';
     if (how === 'lost' || Number(how) > 0.85) {
-      machine.directCommandsEnded(commands, 'unknown', agentEpoch, w.now);
+      machine.directCommandsEnded(commands, 'unknown', agentEpoch, world.now);
     } else if (Number(how) > 0.7) {
       this.delay(this.random() * 8, () => void worker.takeDirect(token, agentEpoch, commands));
-      machine.directCommandsEnded(commands, 'unknown', agentEpoch, w.now);
+      machine.directCommandsEnded(commands, 'unknown', agentEpoch, world.now);
     } else {
       const heartbeat = worker.takeDirect(token, agentEpoch, commands);
       const answered = Number(how) > 0.6 ? 'unknown' : heartbeat === null ? 'refused' : 'done';
-      machine.directCommandsEnded(commands, answered, agentEpoch, w.now);
+      machine.directCommandsEnded(commands, answered, agentEpoch, world.now);
       if (answered === 'unknown') return;
-      w.term.reconcile(
+      world.term.reconcile(
         machine,
-        machine.applyHeartbeat(heartbeat ?? worker.heartbeat(), 'direct-answer', w.now),
+        machine.applyHeartbeat(heartbeat ?? worker.heartbeat(), 'direct-answer', world.now),
       );
     }
   }
 
   private async lead(troubles: boolean): Promise<void> {
-    const { w } = this;
-    w.runCycle();
-    if (troubles && this.chance(0.1)) w.store.mode = this.pick(['lose answers', 'hold back']);
-    await w.parts.writer.writeBatch();
-    w.store.mode = 'serve';
-    if (this.chance(0.2)) w.store.deliverHeldBack();
-    for (const id of [...w.term.machinesToCommand]) {
-      w.term.machinesToCommand.delete(id);
-      const machine = w.term.machines.get(id);
+    const { w: world } = this;
+    world.runCycle();
+    if (troubles && this.chance(0.1)) world.store.mode = this.pick(['lose answers', 'hold back']);
+    await world.parts.writer.writeBatch();
+    world.store.mode = 'serve';
+    if (this.chance(0.2)) world.store.deliverHeldBack();
+    for (const id of [...world.term.machinesToCommand]) {
+      world.term.machinesToCommand.delete(id);
+      const machine = world.term.machines.get(id);
       if (machine?.state === 'ready') this.direct(machine, troubles);
     }
-    w.leader.tick();
+    world.leader.tick();
   }
 
+  /** A second of the day, with the troubles of that second. */
   async step(troubles: boolean): Promise<void> {
-    const { w } = this;
-    w.fleet.now += STEP_S;
+    const { w: world } = this;
+    world.fleet.now += STEP_S;
     if (troubles) this.happen();
-    const due = this.late.filter((l) => l.at <= w.now);
-    this.late = this.late.filter((l) => l.at > w.now);
-    for (const l of due) l.arrive();
+    const due = this.late.filter((late) => late.at <= world.now);
+    this.late = this.late.filter((late) => late.at > world.now);
+    for (const late of due) late.arrive();
     this.reports(troubles);
     await this.lead(troubles);
     let used = 0;
-    for (const id of this.jobs.keys()) used += w.fleet.running(id);
+    for (const id of this.jobs.keys()) used += world.fleet.running(id);
     if (used > GPUS_MAX) this.broken.add(`quota: ${used}`);
     for (const [id, at] of this.cancelledAt) {
-      if (w.now - at > CANCEL_S && w.fleet.running(id) > 0)
+      if (world.now - at > CANCEL_S && world.fleet.running(id) > 0)
         this.broken.add(`cancelled, runs: ${id}`);
     }
-    for (const rule of w.fleet.violations) if (rule.startsWith('ran_twice')) this.broken.add(rule);
+    for (const rule of world.fleet.violations)
+      if (rule.startsWith('ran_twice')) this.broken.add(rule);
   }
 
+  /** All troubles end; what is held back arrives. */
   endTroubles(): void {
     for (const worker of this.w.fleet.workers.values()) worker.deaf = worker.mute = false;
   }
 
   /** What is not as it must be in the end. */
   left(): string[] {
-    const { w } = this;
-    w.store.feed(w.replica);
-    const open = [...this.jobs].filter(([id]) => outcome(w.replica.jobs.get(id)!) === 'open');
+    const { w: world } = this;
+    world.store.feed(world.replica);
+    const open = [...this.jobs].filter(([id]) => outcome(world.replica.jobs.get(id)!) === 'open');
     const wanted = open.reduce((n, [, job]) => n + job.tasks, 0);
     const left: string[] = [];
     for (const id of this.jobs.keys()) {
-      const told = outcome(w.replica.jobs.get(id)!);
+      const told = outcome(world.replica.jobs.get(id)!);
       if (told === 'cancelled' && !this.cancelledAt.has(id)) left.push(`never cancelled: ${id}`);
     }
     for (const [id, job] of open) {
       if (job.kind !== 'service' && wanted <= GPUS_MAX) left.push(`not done: ${id}`);
-      const missing = job.tasks - w.fleet.running(id);
+      const missing = job.tasks - world.fleet.running(id);
       if (wanted <= GPUS_MAX && missing > 0) left.push(`waits: ${id}, ${missing} tasks`);
     }
     return left;
--- a/test/meeting-records.test.ts
+++ b/test/meeting-records.test.ts
@@ -66,13 +66,13 @@
   world.submitJob({ id: JOB, kind: 'gang', tasks: 2, gpus: 8, cores: 8 });
   await world.run(2);
   assert.equal(world.fleet.running(JOB), 2);
-  const [worker, b] = ids.map((id) => world.fleet.workers.get(id)!);
+  const [worker, other] = ids.map((id) => world.fleet.workers.get(id)!);
   await world.run(10);
   worker!.end(worker!.running(JOB)[0]!, 'done');
   world.exchangeHeartbeat(worker!);
   await world.writeOnceAs('hold back');
-  b!.end(b!.running(JOB)[0]!, 'done');
-  world.exchangeHeartbeat(b!);
+  other!.end(other!.running(JOB)[0]!, 'done');
+  world.exchangeHeartbeat(other!);
   world.store.deliverHeldBack();
   const first = world.store.revision(records.progressKey(JOB, 0));
   assert.ok(first > 0);
@@ -82,7 +82,7 @@
   assert.equal(outcome(world.store.listed().jobs.get(JOB)!), 'done');
 });
 
-test('the record of a machine that reports again is not removed by an earlier removal', async () => {
+test('the record of a machine that sends heartbeats again is not removed by an earlier removal', async () => {
   const lost = [
     ['serve', false],
     ['lose answers', true],
--- a/test/meeting-users.test.ts
+++ b/test/meeting-users.test.ts
@@ -96,7 +96,7 @@
   }
 });
 
-test('while the state service refuses, nothing is told but what never changes any more', async () => {
+test('while the key-value store refuses, nothing is told but what never changes any more', async () => {
   const store = new MemoryStore();
   const a = usersSide(store, 'a');
   await a.userApi.submit(body());
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -135,7 +135,7 @@
   }
 });
 
-test('room is not held for long work that may not start: its team is at its limit', async () => {
+test('no capacity is held for long work that may not start: its team is at its limit', async () => {
   const world = new LeaderWorld(1);
   world.settings.teams.set('u', { name: 'u', cores: 0, coresMax: 0, gpus: 0, gpusMax: 100 });
   world.fleet.add('a');
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -132,7 +132,7 @@
   }
 });
 
-test('a report that its worker has given up is answered without work; others are served', async () => {
+test('a heartbeat that its worker has given up is answered without work; others are served', async () => {
   const cases: [string, number, string][] = [
     ['in time', ANSWER_WAIT_S * 0.8, 'r'],
     ['given up', ANSWER_WAIT_S * 0.9, 'refused'],
--- a/test/pipeline-leader.test.ts
+++ b/test/pipeline-leader.test.ts
@@ -136,7 +136,7 @@
   assert.equal(priority(), 1);
 });
 
-test('a job that an important one needs may make room for itself, and loses none to lesser work', async () => {
+test('a job that an important one needs may preempt for itself, and loses none to lower-priority work', async () => {
   const world = worldWith(['a'], MACHINE_GPUS * 2);
   world.submitJob({ id: OTHER, tasks: MACHINE_GPUS, priority: 2 });
   await world.run(2);
--- a/test/pool-features.ts
+++ b/test/pool-features.ts
@@ -10,6 +10,7 @@
   aheadS: number;
 }
 
+/** A features file with one warm pool and one burst. */
 export const burstFeatures = ({
   image,
   port,
--- a/test/redirects.test.ts
+++ b/test/redirects.test.ts
@@ -25,13 +25,13 @@
   { name: 'it is the leader that does not', home: 'n-1', late: ['n-1'], target: 'n-1' },
   { name: 'another one does not', home: 'n-1', late: ['n-2'], target: 'n-1' },
   { name: 'nobody leads', home: 'n-1', leads: false, target: null },
-  { name: 'refused by the state service', home: 'n-1', health: 'refused', target: null },
+  { name: 'refused by the key-value store', home: 'n-1', health: 'refused', target: null },
   { name: 'that controller has just come', home: 'n-1', steady: false, target: null },
 ];
 
-function redirects(c: Case, now = (): number => 0): Redirects {
-  const { home = null, late = [], leads = true, health = 'served' } = c;
-  const { steady = true } = c;
+function redirects(row: Case, now = (): number => 0): Redirects {
+  const { home = null, late = [], leads = true, health = 'served' } = row;
+  const { steady = true } = row;
   return new Redirects({
     settings: settings(),
     replica: { leader: leads ? { node: 'n-1', revision: 5, incarnation: 'i' } : null },
@@ -43,8 +43,8 @@
 }
 
 test('a worker goes to the controller of its zone where that keeps up', () => {
-  for (const c of CASES) {
-    assert.equal(redirects(c).redirectTarget({ machine: 'm', zone: 'z1' }), c.target, c.name);
+  for (const row of CASES) {
+    assert.equal(redirects(row).redirectTarget({ machine: 'm', zone: 'z1' }), row.target, row.name);
   }
 });
 
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -41,7 +41,7 @@
   ];
   for (const [name, changes, want] of cases) {
     // A listing goes by key: cancellations come before ends.
-    const listed = [...changes].sort((a, b) => (a.key < b.key ? -1 : 1));
+    const listed = [...changes].sort((job, b) => (job.key < b.key ? -1 : 1));
     const orders = [changes, [...changes].reverse(), listed];
     for (const order of orders) {
       const replica = new Replica(8192);
@@ -62,9 +62,9 @@
 });
 
 test('records survive their way through the store', () => {
-  const a = accepted({ types: ['g8'], zone: 'z1', oneZone: true, spot: true, deadlineS: 7 });
+  const job = accepted({ types: ['g8'], zone: 'z1', oneZone: true, spot: true, deadlineS: 7 });
   const through = <T>(x: T): T => JSON.parse(JSON.stringify(x)) as T;
-  assert.deepEqual(records.decodeJob(through(records.encodeJob(a))), a);
+  assert.deepEqual(records.decodeJob(through(records.encodeJob(job))), job);
   const record: records.MachineRecord = {
     owner: 'n', term: 4, addr: 'a:1', type: 'g8', zone: 'z', spot: true, returning: false,
     claims: [{ job: 'wk-000001', index: 3, attempt: 9 }], images: [['i', 4]],
@@ -79,7 +79,7 @@
   );
 });
 
-test('the largest array fits into the values of the state service', () => {
+test('the largest array fits into the values of the key-value store', () => {
   const replica = new Replica(8192);
   replica.applyListed(
     put(
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -44,7 +44,7 @@
   const follower = { ready: true, sync: () => Promise.resolve(false) };
   const times = { lease_s: 10 };
   const now = (): number => clock.now;
-  const f = new RequestForwarder({
+  const requestForwarder = new RequestForwarder({
     userApi,
     store: state,
     replicaSync: follower,
@@ -53,7 +53,7 @@
     now,
     knowsPipelines,
   });
-  return { f, asked, clock, state };
+  return { f: requestForwarder, asked, clock, state };
 }
 
 test("users' requests reach a controller that is served, if there is one", async () => {
@@ -70,9 +70,9 @@
     ['final: nobody is asked', 'refused', 200, { a: {} }, true, 200, []],
   ]; // prettier-ignore
   for (const [name, health, own, peers, final, status, asked] of cases) {
-    const t = forwarder(health, own, peers, final);
-    assert.equal((await t.f.serve({ to: 'poll', id: 'wk-1' })).status, status, name);
-    assert.deepEqual(t.asked, asked, name);
+    const scene = forwarder(health, own, peers, final);
+    assert.equal((await scene.f.serve({ to: 'poll', id: 'wk-1' })).status, status, name);
+    assert.deepEqual(scene.asked, asked, name);
   }
 });
 
@@ -85,10 +85,10 @@
   ];
   for (const [name, text, asked] of cases) {
     const peers = { old: { status: 201 }, new: { status: 201 } };
-    const t = forwarder('refused', 503, peers, false, (node) => node === 'new');
-    const reply = await t.f.serve({ to: 'submit', body: Buffer.from(text) });
+    const scene = forwarder('refused', 503, peers, false, (node) => node === 'new');
+    const reply = await scene.f.serve({ to: 'submit', body: Buffer.from(text) });
     assert.equal(reply.status, 201, name);
-    assert.deepEqual(t.asked, asked, name);
+    assert.deepEqual(scene.asked, asked, name);
   }
   const t = forwarder('refused', 503, { old: { status: 201 } }, false, () => false);
   const body = Buffer.from('{"awaits":["wk-2"]}');
--- a/test/scheduler-rules.test.ts
+++ b/test/scheduler-rules.test.ts
@@ -68,10 +68,14 @@
 });
 
 test('the sum ranks short work first and heavy work of long pipelines up', () => {
-  const r = [ready({ unfinishedS: 10 }), ready({ unfinishedS: 100 }), ready({ unfinishedS: 1000 })];
-  const [a, b, c] = scores(r, [false, false, false], policy);
+  const candidates = [
+    ready({ unfinishedS: 10 }),
+    ready({ unfinishedS: 100 }),
+    ready({ unfinishedS: 1000 }),
+  ];
+  const [a, b, c] = scores(candidates, [false, false, false], policy);
   assert.ok(a! > b! && b! > c!);
-  const boosted = scores(r, [false, false, true], policy);
+  const boosted = scores(candidates, [false, false, true], policy);
   assert.ok(boosted[2]! > boosted[1]!);
 });
 
@@ -87,17 +91,17 @@
 });
 
 test('order of jobs', () => {
-  const o = { priority: 1, guaranteed: false, score: 1, readyAt: 5 };
+  const entry = { priority: 1, guaranteed: false, score: 1, readyAt: 5 };
   const sorted = [
-    { ...o, n: 'old', readyAt: 1 },
-    { ...o, n: 'low', priority: 3, score: 9 },
-    { ...o, n: 'score', score: 2 },
-    { ...o, n: 'guaranteed', guaranteed: true },
-    { ...o, n: 'critical', priority: 0 },
-    { ...o, n: 'young' },
+    { ...entry, n: 'old', readyAt: 1 },
+    { ...entry, n: 'low', priority: 3, score: 9 },
+    { ...entry, n: 'score', score: 2 },
+    { ...entry, n: 'guaranteed', guaranteed: true },
+    { ...entry, n: 'critical', priority: 0 },
+    { ...entry, n: 'young' },
   ].sort(compareJobs);
   assert.deepEqual(
-    sorted.map((x) => x.n),
+    sorted.map((orders) => orders.n),
     ['critical', 'guaranteed', 'score', 'old', 'young', 'low'],
   );
 });
@@ -117,7 +121,7 @@
   hasImage: () => true,
   ...over,
 });
-const w = { ordinaryS: 20, spreadS: 2 };
+const waiting = { ordinaryS: 20, spreadS: 2 };
 
 test('where a task may go', () => {
   const cases: [string, Partial<JobSpec>, Partial<FreeCapacity>, boolean][] = [
@@ -136,14 +140,14 @@
   assert.ok(isZoneAllowed(spec({ scatter: true, tasks: 5 }), 'z1', zones));
 });
 
-test('the best room has the image, and is the fuller one', () => {
+test('the best fit has the image, and is the fuller one', () => {
   const cached = room({ id: 'cached' });
   const cold = room({ id: 'cold', imageDelayS: () => 9 });
   const full = room({ id: 'full', gpus: 1, cores: 1 });
   const where = { zones: new Map() };
-  assert.equal(bestFit(spec(), [cold, cached], where, w)?.id, 'cached');
-  assert.equal(bestFit(spec(), [cached, full], where, w)?.id, 'full');
-  assert.equal(bestFit(spec({ gpus: 2 }), [full], where, w), null);
+  assert.equal(bestFit(spec(), [cold, cached], where, waiting)?.id, 'cached');
+  assert.equal(bestFit(spec(), [cached, full], where, waiting)?.id, 'full');
+  assert.equal(bestFit(spec({ gpus: 2 }), [full], where, waiting), null);
 });
 
 test('a place where another image is cached is left to those who want that image', () => {
@@ -152,22 +156,22 @@
   const cached = room({ id: 'cached', gpus: 4 });
   const cold = room({ id: 'cold', imageDelayS: (i) => (i === 'big' ? 30 : 0) });
   const where = { zones: new Map() };
-  assert.equal(bestFit(spec(), [cached, cold], where, w)?.id, 'cached', 'the fuller one');
-  assert.equal(bestFit(spec(), [cached, cold], where, { ...w, hot })?.id, 'cold');
-  assert.equal(bestFit(big, [cold, cached], where, { ...w, hot })?.id, 'cached');
+  assert.equal(bestFit(spec(), [cached, cold], where, waiting)?.id, 'cached', 'the fuller one');
+  assert.equal(bestFit(spec(), [cached, cold], where, { ...waiting, hot })?.id, 'cold');
+  assert.equal(bestFit(big, [cold, cached], where, { ...waiting, hot })?.id, 'cached');
 });
 
-test('a gang gets all its rooms or none, in one zone where it must', () => {
+test('a gang gets all its places or none, in one zone where it must', () => {
   const capacities = [room({ id: 'a', gpus: 2 }), room({ id: 'b', gpus: 1, zone: 'z2' })];
   const gang = spec({ kind: 'gang', tasks: 3 });
   const free = { zones: new Map() };
-  assert.equal(placeGang({ ...gang, oneZone: true }, capacities, free, w), null);
+  assert.equal(placeGang({ ...gang, oneZone: true }, capacities, free, waiting), null);
   assert.deepEqual(
     capacities.map((capacity) => capacity.gpus),
     [2, 1],
     'nothing is taken in vain',
   );
-  assert.equal(placeGang(gang, capacities, free, w)?.length, 3);
+  assert.equal(placeGang(gang, capacities, free, waiting)?.length, 3);
   assert.deepEqual(
     capacities.map((capacity) => capacity.gpus),
     [0, 0],
@@ -189,23 +193,23 @@
     memGb: 0,
     lossS,
   });
-  const m = (id: string, victims: ReturnType<typeof v>[], spot = false) => ({
+  const candidate = (id: string, victims: ReturnType<typeof v>[], spot = false) => ({
     id, type: 'g8', zone: 'z1', spot, cores: 0, gpus: 0, memGb: 64, victims,
   }); // prettier-ignore
   const need = spec({ gpus: 4, cores: 4 });
-  const e = cheapestPreemption(
+  const preemption = cheapestPreemption(
     need,
-    [m('x', [v('a', 4, 50)]), m('y', [v('b', 1, 1), v('c', 4, 10)])],
+    [candidate('x', [v('a', 4, 50)]), candidate('y', [v('b', 1, 1), v('c', 4, 10)])],
     new Map(),
   );
-  assert.equal(e?.machine, 'y');
+  assert.equal(preemption?.machine, 'y');
   assert.deepEqual(
-    e?.victims.map((victim) => victim.id),
+    preemption?.victims.map((victim) => victim.id),
     ['c'],
     'b is not needed beside c',
   );
-  assert.equal(cheapestPreemption(need, [m('s', [v('a', 4, 0)], true)], new Map()), null);
-  assert.equal(cheapestPreemption(need, [m('t', [v('a', 2, 0)])], new Map()), null);
+  assert.equal(cheapestPreemption(need, [candidate('s', [v('a', 4, 0)], true)], new Map()), null);
+  assert.equal(cheapestPreemption(need, [candidate('t', [v('a', 2, 0)])], new Map()), null);
 });
 
 test('team limits and guarantees', () => {
@@ -221,7 +225,7 @@
   assert.equal(decimals.remainingTasks(spec({ gpus: 0.1 })), 1, 'rounding does not decide');
 });
 
-test('what is rented covers the demand and no more', () => {
+test('what is added covers the demand and no more', () => {
   const plan = (
     demand: Partial<Demand>[],
     capacities: FreeCapacity[] = [],
@@ -234,10 +238,11 @@
       zones: ['z1', 'z2'],
       isShort,
       machinesByZone: new Map(),
-      weights: w,
+      weights: waiting,
       maxMachines: 50,
     });
-  const total = (x: ReturnType<typeof plan>) => x.reduce((n, wanted) => n + wanted.count, 0);
+  const total = (orders: ReturnType<typeof plan>) =>
+    orders.reduce((n, wanted) => n + wanted.count, 0);
   assert.equal(total(plan([{ tasks: 17 }])), 3);
   assert.equal(total(plan([{ tasks: 9 }], [room({ id: 'coming' })])), 1);
   assert.equal(plan([{ spec: spec({ spot: true }) }])[0]?.spot, true);
@@ -249,25 +254,25 @@
   assert.deepEqual(zones, [2, 2]);
 });
 
-test('a machine whose GPUs are taken has no room, however many cores are left', () => {
+test('a machine whose GPUs are taken has no free capacity, however many cores are left', () => {
   // Counted by its cores instead, it once kept the fleet from renting ahead at all.
   assert.equal(freeShare(room({ gpus: 0, cores: 6 })), 0);
   assert.equal(freeShare(room({ gpus: 4, cores: 8 })), 0.5);
 });
 
-test('room kept warm covers what arrives within a boot, and ignores the first burst', () => {
-  const f = { mean: 1, deviations: 1, least: 1, reused: 0.5 };
+test('capacity kept warm covers what arrives within a boot, and ignores the first burst', () => {
+  const forecast = { mean: 1, deviations: 1, least: 1, reused: 0.5 };
   const burst = Array.from({ length: 50 }, () => ({ atMs: 0, size: 1 }));
-  assert.equal(warmTarget(burst, [], 0, 20_000, 200, 25, f), 1, 'too early to tell');
-  assert.equal(warmTarget(burst, [], 0, 100_000, 200, 25, f), 1);
+  assert.equal(warmTarget(burst, [], 0, 20_000, 200, 25, forecast), 1, 'too early to tell');
+  assert.equal(warmTarget(burst, [], 0, 100_000, 200, 25, forecast), 1);
   const steady = Array.from({ length: 20 }, (_, i) => ({ atMs: 30_000 + i * 5000, size: 0.5 }));
-  const t = warmTarget([...burst, ...steady], [], 0, 125_000, 200, 25, f);
-  const net = warmTarget([...burst, ...steady], steady, 0, 125_000, 200, 25, f);
-  assert.ok(net < t && net > 1, String(net));
-  assert.ok(t > 2.5 && t < 5, String(t));
+  const target = warmTarget([...burst, ...steady], [], 0, 125_000, 200, 25, forecast);
+  const net = warmTarget([...burst, ...steady], steady, 0, 125_000, 200, 25, forecast);
+  assert.ok(net < target && net > 1, String(net));
+  assert.ok(target > 2.5 && target < 5, String(target));
 });
 
-test('what makes room saves first, unless only stopping at once is in time', () => {
+test('what is preempted saves first, unless only stopping at once is in time', () => {
   const cases: [string, number | null, number, number, string][] = [
     ['nothing expected', null, 3, 8, 'checkpoint-first'],
     ['time enough', 4, 3, 0, 'checkpoint-first'],
@@ -309,13 +314,21 @@
   ];
   for (const [name, over, may, want] of cases) {
     const capacities = [emptier, room({ id: 'other', ...over })];
-    assert.equal(chooseMachineToDrain([candidate], capacities, () => may, w) !== null, want, name);
+    assert.equal(
+      chooseMachineToDrain([candidate], capacities, () => may, waiting) !== null,
+      want,
+      name,
+    );
     // Rooms of a class have their methods from its prototype; spreads once lost them, and with that
     // every tick of the leader ended early.
     const classy = capacities.map((capacity) =>
       Object.assign(Object.create(capacity) as FreeCapacity, { cores: capacity.cores }),
     );
-    assert.equal(chooseMachineToDrain([candidate], classy, () => may, w) !== null, want, name);
+    assert.equal(
+      chooseMachineToDrain([candidate], classy, () => may, waiting) !== null,
+      want,
+      name,
+    );
   }
 });
 
@@ -331,8 +344,8 @@
     ['the last ones count', [...Array(64).fill([10, 14]), ...Array(64).fill([10, 11])], 1.1],
   ]; // prettier-ignore
   for (const [name, seen, sure] of cases) {
-    const f = new FetchTimes();
-    for (const [predicted, took] of seen) f.record(predicted, took);
-    assert.equal(f.safetyFactor, sure, name);
+    const forecast = new FetchTimes();
+    for (const [predicted, took] of seen) forecast.record(predicted, took);
+    assert.equal(forecast.safetyFactor, sure, name);
   }
 });
--- a/test/scheduling-cycle.test.ts
+++ b/test/scheduling-cycle.test.ts
@@ -3,7 +3,7 @@
 import { settings } from './helpers.js';
 import { SchedulerWorld } from './support/scheduler-world.js';
 
-test('room that is being made for a gang is held for it until all of it is there', () => {
+test('capacity that is being freed for a gang is held for it until all of it is there', () => {
   const world = new SchedulerWorld();
   for (const id of ['a', 'b']) world.heartbeat(id, []);
   const array = { id: 'wk-000001', tasks: 40, priority: 3 as const, checkpointS: 30, saveS: 3 };
@@ -37,7 +37,7 @@
   );
 });
 
-test('claims of a pass stay within what teams and machines allow, and what is placed stays put', () => {
+test('claims of a cycle stay within what teams and machines allow, and what is placed stays put', () => {
   const world = new SchedulerWorld(10);
   for (const id of ['a', 'b']) world.heartbeat(id, []);
   world.submitJob({ id: 'wk-000001', tasks: 30, priority: 2 });
@@ -54,7 +54,7 @@
   assert.equal(held(), 10);
 });
 
-test('a critical task goes where its image is, and lesser work makes room there in time', () => {
+test('a critical task goes where its image is, and lower-priority work is preempted there in time', () => {
   const world = new SchedulerWorld(100, 10);
   world.heartbeat('a', []);
   // The image comes to "a" with a first replica; then lower-priority work fills that machine.
@@ -84,7 +84,7 @@
   assert.equal(world.activeTasksOn('a', 'wk-000003'), 1);
 });
 
-test('the share for long work holds against its own and lesser priorities, not against higher ones', () => {
+test('the share for long work holds against its own and lower priorities, not against higher ones', () => {
   // Gangs once waited for half a minute beside capacity that was held for long best-effort arrays.
   const cases: [string, 1 | 3, number][] = [
     ['long work of least priority waits', 3, 1],
--- a/test/script.test.ts
+++ b/test/script.test.ts
@@ -38,7 +38,7 @@
 });
 
 test('the examples are valid', () => {
-  const files = readdirSync('examples').filter((f) => f.endsWith('.lua'));
+  const files = readdirSync('examples').filter((file) => file.endsWith('.lua'));
   assert.ok(files.length > 0);
-  for (const f of files) loadScript(`examples/${f}`);
+  for (const file of files) loadScript(`examples/${file}`);
 });
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -125,7 +125,7 @@
   cluster.assertRules();
 });
 
-test('an outage of the state service longer than the lease: running work is kept', async () => {
+test('an outage of the key-value store longer than the lease: running work is kept', async () => {
   const starts = new Map(cluster.rules.starts);
   cluster.state.down = true;
   await wait(LEASE * 2000);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -25,24 +25,24 @@
   }
 });
 
-const withNext = (t: string, next: string): string =>
-  t.replace('[settings.cloud]', `[settings.state.next]\n${next}\n[settings.cloud]`);
+const withNext = (text: string, next: string): string =>
+  text.replace('[settings.cloud]', `[settings.state.next]\n${next}\n[settings.cloud]`);
 
-const broken: [string, (t: string) => string, RegExp][] = [
-  ['not TOML', (t) => t + '\n[[[', /not valid TOML/],
-  ['no state address', (t) => t.replace(/^state = .*$/m, ''), /endpoints\.state/],
+const broken: [string, (text: string) => string, RegExp][] = [
+  ['not TOML', (text) => text + '\n[[[', /not valid TOML/],
+  ['no state address', (text) => text.replace(/^state = .*$/m, ''), /endpoints\.state/],
   [
     'an address without a port',
-    (t) => t.replace(/^cloud = .*$/m, 'cloud = "x"'),
+    (text) => text.replace(/^cloud = .*$/m, 'cloud = "x"'),
     /endpoints\.cloud/,
   ],
-  ['a port too large', (t) => t.replace(/^cloud = .*$/m, 'cloud = "x:70000"'), /65535/],
-  ['a negative lease', (t) => t.replace(/lease_s = .*/, 'lease_s = -1.0'), /lease_s/],
-  ['a word for a number', (t) => t.replace(/write_rps = .*/, 'write_rps = "x"'), /write_rps/],
-  ['an infinite rate', (t) => t.replace(/write_rps = .*/, 'write_rps = inf'), /write_rps/],
-  ['a next limit of nothing', (t) => withNext(t, 'value_kb = 0.0'), /state\.next\.value_kb/],
-  ['a next limit as a word', (t) => withNext(t, 'txn_ops = "x"'), /state\.next\.txn_ops/],
-  ['no zones', (t) => t.replace(/zones = .*/, 'zones = []'), /zones/],
+  ['a port too large', (text) => text.replace(/^cloud = .*$/m, 'cloud = "x:70000"'), /65535/],
+  ['a negative lease', (text) => text.replace(/lease_s = .*/, 'lease_s = -1.0'), /lease_s/],
+  ['a word for a number', (text) => text.replace(/write_rps = .*/, 'write_rps = "x"'), /write_rps/],
+  ['an infinite rate', (text) => text.replace(/write_rps = .*/, 'write_rps = inf'), /write_rps/],
+  ['a next limit of nothing', (text) => withNext(text, 'value_kb = 0.0'), /state\.next\.value_kb/],
+  ['a next limit as a word', (text) => withNext(text, 'txn_ops = "x"'), /state\.next\.txn_ops/],
+  ['no zones', (text) => text.replace(/zones = .*/, 'zones = []'), /zones/],
 ];
 
 test('what is wrong is named', () => {
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -78,6 +78,7 @@
     return [200, { benches, more: false }];
   }
 
+  /** Ends the cloud with all its machines. */
   override close(): void {
     for (const worker of this.rules.workers.values()) worker.end();
     super.close();
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -21,6 +21,7 @@
 import { Users } from './users.js';
 import { occupies, type Task, type Worker } from './worker.js';
 
+/** How many controllers there are, where, and with which times. */
 export interface ClusterOptions {
   leaseS: number;
   cancelS: number;
@@ -58,6 +59,7 @@
     this.users = new Users(this.ports, this.rules);
   }
 
+  /** Starts the stand-ins and all controllers. */
   static async start(options: Partial<ClusterOptions> = {}): Promise<Cluster> {
     const { leaseS } = { ...DEFAULTS, ...options };
     const cluster = new Cluster({ cancelS: leaseS * CANCEL_LEASES, ...DEFAULTS, ...options });
@@ -91,15 +93,17 @@
         await gate.listen();
         this.links.push({ from, to, gate });
       }
-    this.cloud.around.controllers = this.ports.map((p) => p.bind);
+    this.cloud.around.controllers = this.ports.map((port) => port.bind);
   }
 
+  /** The controllers' numbers. */
   get indexes(): number[] {
     return [...this.options.zones.keys()];
   }
 
   // Controllers
 
+  /** Starts a controller anew, on the same ports. */
   async startController(index: number): Promise<void> {
     const { leaseS, cancelS, zones, nextLimits } = this.options;
     // Each of the others is known by its gate.
@@ -124,11 +128,13 @@
     return { features: controllerFeatures(parsed, steadyClock) };
   }
 
+  /** Stops a controller from one moment to the next. */
   stopController(index: number): void {
     this.controllers[index]?.stop();
     this.controllers[index] = null;
   }
 
+  /** Whether a controller takes itself for the leader. */
   leads(index: number): boolean {
     return (this.controllers[index]?.leader ?? null) !== null;
   }
@@ -180,6 +186,7 @@
 
   // Machines
 
+  /** All workers that are there. */
   get workers(): Worker[] {
     return [...this.rules.workers.values()];
   }
@@ -196,6 +203,7 @@
     );
   }
 
+  /** Waits until exactly so many tasks of a job run. */
   async runs(ref: string, count: number): Promise<void> {
     await until(
       `${count} of ${ref} run`,
@@ -203,12 +211,14 @@
     );
   }
 
+  /** Waits until no task of a job is on a machine. */
   async gone(ref: string): Promise<void> {
     await until(`${ref} is gone`, () => this.tasks(ref).length === 0);
   }
 
   // The end
 
+  /** Fails if any rule of the protocol was broken. */
   assertRules(): void {
     assert.deepEqual(this.rules.violations, []);
   }
--- a/test/standins/gate.ts
+++ b/test/standins/gate.ts
@@ -26,17 +26,20 @@
 
   constructor(private readonly target: number) {}
 
+  /** Begins to pass connections on. Returns the port. */
   async listen(): Promise<number> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     this.port = (this.server.address() as AddressInfo).port;
     return this.port;
   }
 
+  /** Cuts all connections, or lets new ones through again. */
   set(cut: boolean): void {
     this.cut = cut;
     if (cut) for (const socket of this.sockets) socket.destroy();
   }
 
+  /** Ends the gate with its connections. */
   close(): void {
     this.set(true);
     this.server.close();
--- a/test/standins/http.ts
+++ b/test/standins/http.ts
@@ -1,6 +1,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
+/** A JSON object. */
 export type Json = Record<string, unknown>;
 /** Status and body. */
 export type Answer = [number, unknown];
@@ -45,6 +46,7 @@
     this.port = (this.server.address() as AddressInfo).port;
   }
 
+  /** Ends the server with its connections. */
   close(): void {
     this.server.closeAllConnections();
     this.server.close();
--- a/test/standins/model-server.ts
+++ b/test/standins/model-server.ts
@@ -9,6 +9,7 @@
   readyAt: number | null;
 }
 
+/** Where a model server listens, and how long a model takes to load. */
 export interface ModelServerOptions {
   /** The address that it has in common with its machine, and the port. */
   host: string;
@@ -36,6 +37,7 @@
     super((_method, url, body) => this.answer(url.pathname, body));
   }
 
+  /** Begins to listen. */
   start(): Promise<void> {
     return this.listen(this.options.port, this.options.host);
   }
@@ -90,11 +92,13 @@
     this.load(name).users++;
   }
 
+  /** A task that used a model has ended. */
   leave(name: string): void {
     const model = this.models.get(name);
     if (model !== undefined) model.users--;
   }
 
+  /** Ends the server; loads under way come to nothing. */
   override close(): void {
     for (const timer of this.timers) clearTimeout(timer);
     super.close();
--- a/test/standins/process-cluster.ts
+++ b/test/standins/process-cluster.ts
@@ -14,6 +14,7 @@
 import { StateService } from './state.js';
 import { Users } from './users.js';
 
+/** How many processes there are, and with which settings. */
 export interface ProcessClusterOptions {
   controllers: number;
   leaseS: number;
@@ -42,17 +43,19 @@
     this.users = new Users(this.ports, this.rules);
   }
 
+  /** The controllers' numbers. */
   get indexes(): number[] {
     return [...Array(this.options.controllers).keys()];
   }
 
+  /** Starts the stand-ins and finds ports for the controllers. */
   async listen(): Promise<void> {
     await this.state.listen();
     await this.cloud.listen();
     while (this.ports.length < this.options.controllers) {
       this.ports.push({ bind: await freePort(), peer: await freePort() });
     }
-    this.cloud.around.controllers = this.ports.map((p) => p.bind);
+    this.cloud.around.controllers = this.ports.map((port) => port.bind);
   }
 
   /** `build`: the folder of the version; `features`: a features file, TOML; empty: none. */
@@ -93,10 +96,12 @@
     this.processes.get(index)!.kill('SIGSTOP');
   }
 
+  /** A frozen process goes on. */
   thaw(index: number): void {
     this.processes.get(index)!.kill('SIGCONT');
   }
 
+  /** Waits until a controller answers that it is ready. */
   async serves(index: number): Promise<void> {
     const url = `http://127.0.0.1:${this.ports[index]!.bind}/ready`;
     const isReady = (): Promise<boolean> =>
@@ -128,6 +133,7 @@
     return -1;
   }
 
+  /** Waits for a leader other than the one given. Returns its number. */
   async newLeader(other = -1): Promise<number> {
     let leader = -1;
     await until('a leader', async () => {
@@ -137,6 +143,7 @@
     return leader;
   }
 
+  /** Ends all processes and stand-ins. */
   async close(): Promise<void> {
     for (const index of this.processes.keys()) await this.end(index);
     this.cloud.close();
--- a/test/standins/rules.ts
+++ b/test/standins/rules.ts
@@ -37,8 +37,10 @@
   final: string | null;
 }
 
+/** What users ask of a controller. */
 export type Question = 'submit' | 'poll' | 'cancel';
 
+/** Bounds that the rules name. */
 export interface Limits {
   cancelS: number;
   /** GPUs that each team's tasks may use. */
@@ -72,6 +74,7 @@
 
   constructor(private readonly limits: Limits) {}
 
+  /** Stops looking. */
   close(): void {
     clearInterval(this.timer);
   }
@@ -103,8 +106,8 @@
     const { piece } = task;
     this.starts.set(piece, (this.starts.get(piece) ?? 0) + 1);
     this.startLog.push({ piece, machine: worker.id, at: Date.now() });
-    const others = [...this.occupying()].filter((o) => o.worker !== worker);
-    if (others.some((o) => o.task.piece === piece)) this.broken('ran_twice', piece);
+    const others = [...this.occupying()].filter((other) => other.worker !== worker);
+    if (others.some((other) => other.task.piece === piece)) this.broken('ran_twice', piece);
     const job = this.jobs.get(nameOf(piece))!;
     this.checkQuota(job.submission.crew);
     this.checkPlace(worker, job.submission);
@@ -125,8 +128,8 @@
   private checkPlace(worker: Worker, submission: Submission): void {
     const { ref, castings, yard, loaner, one_zone, scatter, pieces } = submission;
     const zones = [...this.occupying()]
-      .filter((o) => nameOf(o.task.piece) === ref)
-      .map((o) => o.worker.zone);
+      .filter((other) => nameOf(other.task.piece) === ref)
+      .map((other) => other.worker.zone);
     const here = zones.filter((zone) => zone === worker.zone).length;
     const wrong =
       (castings !== null && !castings.includes(worker.type)) ||
@@ -137,6 +140,7 @@
     if (wrong) this.broken('wrong_place', `${ref} on ${worker.id}`);
   }
 
+  /** A task was done for its last time. */
   completed(piece: string): void {
     const { completed, submission } = this.jobs.get(nameOf(piece))!;
     completed.add(indexOf(piece));
@@ -146,6 +150,7 @@
 
   // Users
 
+  /** What users were told of a job so far. */
   told(ref: string): Told {
     const job = this.jobs.get(ref);
     return { accepted: job?.accepted ?? false, final: job?.final ?? null };
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -86,6 +86,7 @@
     }
   }
 
+  /** Answers a request by the protocol of the key-value store. */
   async handle(method: string, url: URL, body: Json): Promise<Answer | null> {
     const path = url.pathname;
     if (this.slowMs > 0) await wait(this.slowMs);
@@ -122,7 +123,8 @@
     const end = Date.now() + Number(query.get('block_ms') ?? 0);
     for (;;) {
       const log = this.log.filter(
-        (e) => (e.mark as number) > after && String(e.put ?? e.remove).startsWith(prefix),
+        (entry) =>
+          (entry.mark as number) > after && String(entry.put ?? entry.remove).startsWith(prefix),
       );
       if (this.closed || (!this.down && (log.length > 0 || Date.now() >= end))) {
         return [200, { ledger: this.ledger, log }];
@@ -134,7 +136,9 @@
   private list(query: URLSearchParams): Answer {
     const prefix = query.get('prefix')!;
     const after = query.get('after') ?? '';
-    const names = [...this.keys.keys()].filter((k) => k.startsWith(prefix) && k > after).sort();
+    const names = [...this.keys.keys()]
+      .filter((key) => key.startsWith(prefix) && key > after)
+      .sort();
     const items = names.slice(0, this.page).map((path) => {
       const { value, mark } = this.keys.get(path)!;
       return { path, data: value, mark };
@@ -146,7 +150,7 @@
     const apply = body.apply as Operation[];
     const touches = (prefix: string): boolean =>
       apply.some((operation) => (operation.put ?? operation.remove!).startsWith(prefix));
-    const trouble = this.troubles.find((t) => t.left > 0 && touches(t.prefix));
+    const trouble = this.troubles.find((each) => each.left > 0 && touches(each.prefix));
     if (trouble === undefined) return this.commit(body);
     trouble.left--;
     this.disturbed++;
@@ -168,8 +172,8 @@
     const guards = body.guards as { path: string; mark: number }[];
     const apply = body.apply as Operation[];
     const failed = guards
-      .filter((g) => (this.keys.get(g.path)?.mark ?? 0) !== g.mark)
-      .map((g) => g.path);
+      .filter((guard) => (this.keys.get(guard.path)?.mark ?? 0) !== guard.mark)
+      .map((guard) => guard.path);
     if (failed.length > 0) return [409, { failed, ledger: this.ledger }];
     if (
       apply.some((operation) => operation.loan !== undefined && !this.loans.has(operation.loan))
@@ -200,6 +204,7 @@
     } else if (this.keys.delete(remove!)) this.log.push({ remove, mark: this.ledger });
   }
 
+  /** Ends the store; what waits for changes gets no answer. */
   override close(): void {
     this.closed = true;
     clearInterval(this.timer);
--- a/test/standins/users.ts
+++ b/test/standins/users.ts
@@ -5,6 +5,7 @@
 /** Users give up waiting after so long. */
 const PATIENCE_MS = 5000;
 
+/** What a user was answered. */
 export interface Reply {
   /** 0: no answer. */
   status: number;
@@ -12,6 +13,7 @@
   state: string;
 }
 
+/** A submission as it stands on the wire. */
 export function submission(ref: string, over: Partial<Submission> = {}): Submission {
   return {
     ref, guild: 'c', crew: 't', form: 'batch', rank: 'standard', pieces: 1, cores: 1, gpus: 1,
@@ -79,6 +81,7 @@
     return this.request(at, 'POST', '/submissions', wanted);
   }
 
+  /** Submits until it is accepted; each of its tasks takes `runS` seconds. */
   async submit(at: number, ref: string, over: Partial<Submission> = {}, runS = 0.3): Promise<void> {
     const wanted = submission(ref, over);
     await until(`accepted ${ref}`, async () => {
@@ -87,14 +90,17 @@
     });
   }
 
+  /** Asks once for the state of a job. */
   poll(at: number, ref: string): Promise<Reply> {
     return this.request(at, 'GET', `/submissions/${ref}`);
   }
 
+  /** Cancels a job, without a second try. */
   cancelOnce(at: number, ref: string): Promise<Reply> {
     return this.request(at, 'POST', `/submissions/${ref}/withdraw`, {});
   }
 
+  /** Cancels until it is told. */
   async cancel(at: number, ref: string): Promise<void> {
     await until(
       `cancelled ${ref}`,
@@ -102,6 +108,7 @@
     );
   }
 
+  /** Waits until a controller tells this state of a job. */
   async sees(at: number, ref: string, state: string): Promise<void> {
     await until(`${ref} is ${state}`, async () => (await this.poll(at, ref)).state === state);
   }
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -3,6 +3,7 @@
 import { HttpStandIn, type Answer, type Json } from './http.js';
 import type { RuleChecker } from './rules.js';
 
+/** A task as it stands in a heartbeat. */
 export interface Task {
   piece: string;
   pour: number;
@@ -17,12 +18,14 @@
 /** Whether a task is on its machine. */
 export const occupies = (task: Task): boolean => task.temper !== 'ended';
 
+/** What a machine is, and where. */
 export interface Place {
   type: string;
   zone: string;
   spot: boolean;
 }
 
+/** Times that all workers keep. */
 export interface FleetTimes {
   leaseS: number;
   gangPeerS: number;
@@ -41,6 +44,7 @@
   modelServers?: ModelServers;
 }
 
+/** What the workers' model servers have in common. */
 export interface ModelServers {
   /** The port of all of them, and how long a model takes to load. */
   port: number;
@@ -100,18 +104,22 @@
     return this.hallmark;
   }
 
+  /** Its machine type. */
   get type(): string {
     return this.place.type;
   }
 
+  /** Its zone. */
   get zone(): string {
     return this.place.zone;
   }
 
+  /** Whether the cloud may take it back. */
   get spot(): boolean {
     return this.place.spot;
   }
 
+  /** Begins to listen and to send heartbeats. */
   async start(): Promise<void> {
     if (this.ended) return;
     await this.listen(0, this.host);
@@ -356,6 +364,7 @@
     }, this.around.times.gangPeerS * 1000);
   }
 
+  /** The machine is gone from one moment to the next. */
   end(): void {
     this.ended = true;
     clearInterval(this.leaseTimer);
@@ -377,16 +386,19 @@
   end(worker: Worker): void;
 }
 
+/** Its heartbeats do not arrive. */
 export const mute: MachineTrouble = {
   begin: (worker) => (worker.mute = true),
   end: (worker) => (worker.mute = false),
 };
 
+/** Nothing reaches it. */
 export const deaf: MachineTrouble = {
   begin: (worker) => (worker.deaf = true),
   end: (worker) => (worker.deaf = false),
 };
 
+/** Its process stands still. */
 export const hang: MachineTrouble = {
   begin: (worker) => worker.hang(),
   end: (worker) => worker.goOn(),
--- a/test/subsystems.test.ts
+++ b/test/subsystems.test.ts
@@ -59,7 +59,7 @@
   }
 });
 
-test('work that may not use what is kept has a machine rented where it may be', () => {
+test('work that may not use what is kept has a machine added where it may be', () => {
   for (const [subsystems, count] of [
     [keeping(), 1],
     [NO_SUBSYSTEMS, 0],
--- a/test/support/batch-fleet.ts
+++ b/test/support/batch-fleet.ts
@@ -30,6 +30,7 @@
   /** How saving goes. */
   saving: 'works' | 'never ends' | 'fails' = 'works';
 
+  /** A worker whose tasks make progress. */
   protected override makeWorker(id: string, zone: string): Worker {
     return new BatchWorker(id, this, zone);
   }
@@ -41,6 +42,7 @@
     this.goneAt.set(id, this.now);
   }
 
+  /** A task is done; its job is, once all are. */
   done(job: string, index: number): void {
     const work = this.work.get(job)!;
     this.doneTasks.add(`${job}/${index}`);
@@ -66,6 +68,7 @@
     this.batch = fleet;
   }
 
+  /** Its tasks go on by a heartbeat interval; its lease may expire. */
   override tick(): void {
     for (const task of this.tasks.values()) this.proceed(task);
     const before = [...this.tasks.values()];
@@ -75,6 +78,7 @@
     for (const task of before) this.fallBack(task);
   }
 
+  /** Its tasks fall back to what is saved. */
   loseAll(): void {
     for (const task of this.tasks.values()) this.fallBack(task);
     this.tasks.clear();
@@ -123,6 +127,7 @@
     this.batch.savedS.set(`${task.job}/${task.index}`, savedS);
   }
 
+  /** Saves first if there is time for it. */
   protected override stop(task: TaskStatus, graceS: number): void {
     const work = this.batch.work.get(task.job);
     if (task.state === 'ended') return;
--- a/test/support/leader-stages.ts
+++ b/test/support/leader-stages.ts
@@ -3,9 +3,12 @@
 import { LeaderWorld } from './leader-world.js';
 import type { Worker } from './simulated-fleet.js';
 
+/** The job that most cases are about. */
 export const JOB = 'wk-000001';
+/** Another job. */
 export const OTHER = 'wk-000002';
 
+/** The task of a worker, which must be there. */
 export const task = (worker: Worker, job = JOB, index = 0): TaskStatus =>
   worker.running(job).find((task) => task.index === index)!;
 
--- a/test/support/leader-world.ts
+++ b/test/support/leader-world.ts
@@ -31,6 +31,7 @@
   dispatcher: { dispatch(): void };
 }
 
+/** What a world has besides store, fleet and leader. */
 export interface LeaderWorldOptions {
   subsystems?: readonly Subsystem[];
   cloud?: CloudClient;
@@ -63,6 +64,7 @@
     this.failOver();
   }
 
+  /** Seconds since the beginning. */
   get now(): number {
     return this.fleet.now;
   }
@@ -72,10 +74,12 @@
     return 1e9 + this.now * 1000 + this.wallJumpMs;
   }
 
+  /** The present leader's term. */
   get term(): Leader['term'] {
     return this.leader.term;
   }
 
+  /** A machine as the leader knows it. */
   machine(id: string): Machine {
     return this.term.machines.get(id)!;
   }
@@ -126,6 +130,7 @@
     this.parts.capacity.provisioner.listedOnce = true;
   }
 
+  /** A job is accepted, and the leader sees it. */
   submitJob(over: Partial<JobSpec> = {}): void {
     this.store.accept(over, 1e9 + this.now * 1000);
     this.store.feed(this.replica);
@@ -164,6 +169,7 @@
     };
   }
 
+  /** Writes until nothing is due; the leader sees it. */
   async writeAll(): Promise<void> {
     for (let i = 0; i < 20 && this.canWrite && (await this.parts.writer.writeBatch()); i++);
     this.store.feed(this.replica);
@@ -176,6 +182,7 @@
     this.store.mode = 'serve';
   }
 
+  /** The leader sees what is stored and runs a scheduling cycle. */
   runCycle(): void {
     this.store.feed(this.replica);
     this.parts.runCycle();
--- a/test/support/lending-world.ts
+++ b/test/support/lending-world.ts
@@ -15,6 +15,7 @@
 import { BatchFleet } from './batch-fleet.js';
 import type { Worker } from './simulated-fleet.js';
 
+/** GPUs of each machine. */
 export const MACHINE_GPUS = 8;
 const { lease_s: LEASE_S, report_s: REPORT_S } = settings().workers;
 
@@ -38,9 +39,12 @@
   'returned, not resumed',
 ] as const;
 
+/** A point between two steps of a loan. */
 export type Point = (typeof POINTS)[number];
 
+/** The batch job that lends. */
 export const LENDER = 'wk-000001';
+/** The service that borrows. */
 export const BORROWER = 'wk-000002';
 /** A service whose machine is free for the borrower's replica later. */
 export const OTHER = 'wk-000003';
@@ -53,6 +57,7 @@
   writer: { writeBatch(): Promise<boolean> };
 }
 
+/** A leader with lending over workers whose tasks make progress. */
 export class LendingWorld extends LeaderWorld {
   readonly batch: BatchFleet;
   private readonly subsystems: Subsystem[];
@@ -86,6 +91,7 @@
     });
   }
 
+  /** A service is accepted. */
   service(over: Partial<JobSpec> = {}): void {
     this.submitWork(Infinity, {
       ...{ kind: 'service', class: 'tutor', priority: 0, gpus: 8, cores: 8, image: 'tutor' },
@@ -108,7 +114,7 @@
   }
 
   /** Only the next leader knows of it, and the user is told then. */
-  cancelAndTakeOver(id: string): void {
+  cancelAndFailOver(id: string): void {
     this.store.cancel(id);
     this.failOver();
     this.fleet.cancelled.add(id);
@@ -122,16 +128,19 @@
     return keys.map((key) => decodeLoan(this.store.value(key))!);
   }
 
+  /** States of all loans in the store, in order. */
   states(): string {
     return this.loans().map(({ state }) => state).sort().join(' '); // prettier-ignore
   }
 
+  /** States of a job's tasks on all workers. */
   taskStates(job: string): string[] {
     return [...this.fleet.workers.values()].flatMap((worker) =>
       [...worker.tasks.values()].filter((task) => task.job === job).map((task) => task.state),
     );
   }
 
+  /** Machines with tasks of a job on them. */
   hosts(job: string): string[] {
     const on = [...this.fleet.workers.values()].filter((worker) => worker.running(job).length > 0);
     return on.map((worker) => worker.id);
@@ -170,10 +179,12 @@
     return this.look(is);
   }
 
+  /** Time passes, with the checker looking on. */
   override async run(seconds: number): Promise<void> {
     for (let left = seconds; left > 1e-9; left -= REPORT_S) await this.step();
   }
 
+  /** Time passes until something is so; fails after `mostS` seconds. */
   async runUntil(what: string, is: () => boolean, mostS = 60): Promise<void> {
     const end = this.now + mostS;
     while (!(await this.step(is))) {
@@ -310,6 +321,7 @@
     }
   }
 
+  /** Fails if the checker or the workers saw a rule broken. */
   checkRules(): void {
     assert.deepEqual(this.fleet.violations, []);
     assert.deepEqual(this.wrong, []);
--- a/test/support/memory-store.ts
+++ b/test/support/memory-store.ts
@@ -32,10 +32,12 @@
   private readonly heldBack: (() => void)[] = [];
   private leases = 0;
 
+  /** The store as the client that the code under test asks for. */
   client(): KeyValueStoreClient {
     return fake<KeyValueStoreClient>(this);
   }
 
+  /** See `KeyValueStoreClient.setRole`. */
   setRole(): void {
     // No limits to share out.
   }
@@ -61,6 +63,7 @@
     return { ok: true, revision: this.currentRevision };
   }
 
+  /** See `KeyValueStoreClient.compareAndSwap`; what becomes of it is `mode`. */
   compareAndSwap(
     preconditions: Precondition[],
     operations: Operation[],
@@ -81,38 +84,46 @@
     for (const late of this.heldBack.splice(0)) late();
   }
 
+  /** See `KeyValueStoreClient.get`. */
   get(key: string): Promise<KeyValue | null> {
     if (this.mode === 'refuse') return Promise.reject(new RequestRejectedError(503));
     return Promise.resolve(this.items.get(key) ?? null);
   }
 
+  /** See `KeyValueStoreClient.changes`. */
   changes(_prefix: string, after: number): Promise<{ revision: number; changes: Change[] }> {
     if (this.mode === 'refuse') return Promise.reject(new RequestRejectedError(503));
     const changes = this.changeLog.filter((change) => change.revision > after);
     return Promise.resolve({ revision: this.currentRevision, changes });
   }
 
+  /** See `KeyValueStoreClient.grantLease`; leases never end here. */
   grantLease(): Promise<number> {
     return Promise.resolve(++this.leases);
   }
 
+  /** See `KeyValueStoreClient.keepLeaseAlive`. */
   keepLeaseAlive(): Promise<boolean> {
     return Promise.resolve(true);
   }
 
+  /** Puts a value without a precondition. Returns its revision. */
   put(key: string, value: unknown): number {
     this.apply([], [{ put: key, value }]);
     return this.currentRevision;
   }
 
+  /** All keys. */
   keys(): string[] {
     return [...this.items.keys()];
   }
 
+  /** The value of a key, or undefined. */
   value(key: string): unknown {
     return this.items.get(key)?.value;
   }
 
+  /** The revision of a key; 0: there is none. */
   revision(key: string): number {
     return this.items.get(key)?.revision ?? 0;
   }
@@ -126,6 +137,7 @@
     return this.put(`${records.JOBS}${writer}-${this.currentRevision}`, value);
   }
 
+  /** Stores a cancellation. Returns its revision. */
   cancel(id: string, writer = 'b'): number {
     const value = records.encodeRequestBatch({ jobs: [], cancelledIds: [id] });
     return this.put(`${records.JOBS}${writer}-${this.currentRevision}`, value);
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -382,6 +382,7 @@
   }; // prettier-ignore
 }
 
+/** All forms by name, made by the present code. */
 export async function recordedForms(): Promise<RecordedForms> {
   seedRandom(7);
   const world = new LeaderWorld();
--- a/test/support/recorded-messages.ts
+++ b/test/support/recorded-messages.ts
@@ -29,6 +29,7 @@
   }
 }
 
+/** The value as it is after a way through JSON. */
 export const json = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 /** Recorded forms of these messages. */
 export function storeMessages(): RecordedForms {
--- a/test/support/scheduler-world.ts
+++ b/test/support/scheduler-world.ts
@@ -78,6 +78,7 @@
     return this.capacity.machinesToAdd().reduce((n, wanted) => n + wanted.count, 0);
   }
 
+  /** A job is accepted, and the term sees it. */
   submitJob(over: Partial<JobSpec>): void {
     const jobSpec = spec(over);
     const value = records.encodeRequestBatch({
@@ -94,6 +95,7 @@
 
   private sequence = 0;
 
+  /** A machine sends a heartbeat with these tasks. */
   heartbeat(id: string, tasks: TaskStatus[]): void {
     const machine = this.term.machine(id);
     const changes = machine.applyHeartbeat(
@@ -120,11 +122,13 @@
     this.heartbeat(id, tasks);
   }
 
+  /** A tenth of a second later a scheduling cycle runs. */
   runCycle(): void {
     this.now += 0.1;
     this.scheduler.runCycle();
   }
 
+  /** How many tasks of a job a machine has that were not told to stop. */
   activeTasksOn(id: string, job: string): number {
     const machine: Machine = this.term.machines.get(id)!;
     return machine
--- a/test/support/simulated-fleet.ts
+++ b/test/support/simulated-fleet.ts
@@ -23,6 +23,7 @@
     this.answeredAt = fleet.now;
   }
 
+  /** Its next heartbeat. */
   heartbeat(): Heartbeat {
     this.sequence++;
     return {
@@ -40,6 +41,7 @@
     this.answeredAt = this.fleet.now;
   }
 
+  /** The answer to a heartbeat that was sent at `sentAt`. */
   takeAnswer(token: number, commands: Command[], sentAt: number): void {
     if (this.deaf || token < this.token) return;
     this.token = token;
@@ -73,12 +75,14 @@
     this.end(task, 'stopped');
   }
 
+  /** A task ends. */
   end(task: TaskStatus, cause: TaskStatus['cause']): void {
     if (task.state === 'ended') return;
     task.state = 'ended';
     task.cause = cause;
   }
 
+  /** Tasks of a job that have not ended. */
   running(job: string): TaskStatus[] {
     return [...this.tasks.values()].filter((task) => task.job === job && task.state !== 'ended');
   }
@@ -95,16 +99,19 @@
 
   constructor(readonly leaseS: number) {}
 
+  /** A machine is there from now on. */
   add(id: string, zone = 'z1'): Worker {
     const worker = this.makeWorker(id, zone);
     this.workers.set(id, worker);
     return worker;
   }
 
+  /** The kind of worker that this fleet has. */
   protected makeWorker(id: string, zone: string): Worker {
     return new Worker(id, this, zone);
   }
 
+  /** A worker starts a task: looks whether a rule is broken. */
   noteStart(on: Worker, command: Command): void {
     const name = `${command.job}/${command.index}`;
     this.starts.set(name, (this.starts.get(name) ?? 0) + 1);
@@ -116,6 +123,7 @@
     }
   }
 
+  /** How many tasks of a job are on machines. */
   running(job: string): number {
     return [...this.workers.values()].reduce((n, worker) => n + worker.running(job).length, 0);
   }
@@ -124,14 +132,14 @@
 const OPS = { start: 'start', kill: 'stop', reap: 'forget' } as const;
 
 /** A command as it stands in the answer to a heartbeat. */
-export function asCommand(o: {
+export function asCommand(order: {
   verb: string;
   piece: string;
   pour: number;
   cooling_s?: number;
 }): Command {
-  const [job, index] = o.piece.split('/') as [string, string];
-  const base = { job, index: Number(index), attempt: o.pour };
-  const kind = OPS[o.verb as keyof typeof OPS];
-  return kind === 'stop' ? { kind, ...base, graceS: o.cooling_s ?? 0 } : { kind, ...base };
+  const [job, index] = order.piece.split('/') as [string, string];
+  const base = { job, index: Number(index), attempt: order.pour };
+  const kind = OPS[order.verb as keyof typeof OPS];
+  return kind === 'stop' ? { kind, ...base, graceS: order.cooling_s ?? 0 } : { kind, ...base };
 }
--- a/test/support/user-api-world.ts
+++ b/test/support/user-api-world.ts
@@ -9,16 +9,20 @@
 import type { MemoryStore } from './memory-store.js';
 import { fake } from './fake.js';
 
+/** Id of the job that is submitted. */
 export const JOB = 'wk-000412';
+/** A valid submission. */
 export const VALID = {
   ref: JOB, guild: 'train', crew: 't', form: 'batch', rank: 'high', pieces: 2, cores: 1.0,
   gpus: 1.0, mem_gb: 6.0, mould: 'i', image_gb: 6.2, castings: ['g8'], yard: null, one_zone: true,
   scatter: false, loaner: true, reckon_s: 240.0, stamp_s: 30.0, stamping_s: 4.0, due_s: 900.0,
 }; // prettier-ignore
 
+/** The valid submission with changes, as bytes. */
 export const body = (change: Record<string, unknown> = {}): Buffer =>
   Buffer.from(JSON.stringify({ ...VALID, ...change }));
 
+/** A user API with what it works with. */
 export interface UsersSide {
   userApi: UserApi;
   replicaSync: ReplicaSync;
--- a/test/support/warm-pool-cases.ts
+++ b/test/support/warm-pool-cases.ts
@@ -10,6 +10,7 @@
     .sort()
     .join(' ');
 
+/** Machines of a pool's slots in the store. */
 export const machinesOf = (world: WarmPoolWorld, pool: string): string[] =>
   [
     ...new Set(
@@ -19,6 +20,7 @@
     ),
   ].sort();
 
+/** Sums over all rows of the bill. */
 export const totals = (
   world: WarmPoolWorld,
 ): { machineS: number; uncertainS: number; slots: number; open: number } =>
@@ -32,13 +34,16 @@
     { machineS: 0, uncertainS: 0, slots: 0, open: 0 },
   );
 
+/** Fails if a figure is further off than `by`. */
 export const near = (actual: number, expected: number, by: number, what: string): void =>
   assert.ok(Math.abs(actual - expected) <= by, `${what}: ${actual}, expected ${expected} ± ${by}`);
 
 /** A pool whose every slot takes a whole machine. */
 export const WHOLE = { cores: 8, gpus: 8, mem_gb: 32 };
+/** A replica that takes a whole machine. */
 export const WHOLE_REPLICA = { cores: 8, gpus: 8, memGb: 32 };
 
+/** A case of a table: what happens, and what is checked. */
 export interface Case {
   name: string;
   pools?: string;
@@ -46,6 +51,7 @@
   play(world: WarmPoolWorld): Promise<void>;
 }
 
+/** Plays all cases; fails with the name of the one at fault. */
 export async function playAll(cases: Case[]): Promise<void> {
   const failures: string[] = [];
   for (const { name, pools, gpusMax, play } of cases) {
--- a/test/support/warm-pool-world.ts
+++ b/test/support/warm-pool-world.ts
@@ -18,16 +18,18 @@
 
 /** Seconds of the tests' clock at which the declared burst begins: 13:47:00 on 12 January 1970, UTC. */
 export const BURST_AT = 20;
+/** Seconds for which unused slots stay. */
 export const HOLD_S = 20;
 /** Seconds from a rent to the worker's first heartbeat. */
 const BOOT_S = 1;
 
+/** What becomes of the next requests to the cloud. */
 export type CloudMode = 'serve' | 'trouble' | 'no capacity' | 'lose answers';
 
-interface Rented {
+interface SimulatedMachine {
   request: ScaleOutRequest;
-  rentedAt: number;
-  returnedAt: number | null;
+  addedAt: number;
+  removedAt: number | null;
 }
 
 /** A cloud by the protocol: a request's name gives the same machines for ever. */
@@ -40,37 +42,41 @@
   left = Infinity;
   bootS = BOOT_S;
   calls = 0;
-  readonly machines = new Map<string, Rented>();
-  private readonly hires = new Map<string, string[]>();
+  readonly machines = new Map<string, SimulatedMachine>();
+  private readonly answeredRequests = new Map<string, string[]>();
   private counter = 0;
   world!: WarmPoolWorld;
 
+  /** The cloud as the client that the code under test asks for. */
   client(): CloudClient {
     return fake<CloudClient>(this);
   }
 
+  /** See `CloudClient.fetchMachineTypes`. */
   fetchMachineTypes(): Promise<MachineType[]> {
     return this.mode === 'trouble' ? Promise.reject(new Error('503')) : Promise.resolve([g8]);
   }
 
+  /** See `CloudClient.listMachines`. */
   listMachines(): Promise<ListedMachine[]> {
     if (this.mode === 'trouble') return Promise.reject(new Error('503'));
     const { now } = this.world;
     const listed: ListedMachine[] = [];
-    for (const [id, { request, rentedAt, returnedAt }] of this.machines) {
-      if (returnedAt !== null) continue;
+    for (const [id, { request, addedAt, removedAt }] of this.machines) {
+      if (removedAt !== null) continue;
       const state = this.world.fleet.workers.has(id) ? 'running' : 'booting';
       const { type, zone, spot } = request;
-      listed.push({ id, addr: '127.0.0.1:1', type, zone, spot, state, ageS: now - rentedAt });
+      listed.push({ id, addr: '127.0.0.1:1', type, zone, spot, state, ageS: now - addedAt });
     }
     return Promise.resolve(listed);
   }
 
+  /** See `CloudClient.scaleOut`; what becomes of it is `mode`. */
   scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
     this.calls++;
     if (this.mode === 'trouble') return Promise.resolve({ how: 'refused', status: 503 });
     if (this.mode === 'no capacity') return Promise.resolve({ how: 'none' });
-    const ids = this.hires.get(request.name) ?? this.boot(request);
+    const ids = this.answeredRequests.get(request.name) ?? this.boot(request);
     if (this.mode === 'lose answers') return Promise.resolve({ how: 'unknown' });
     return Promise.resolve(ids.length === 0 ? { how: 'none' } : { how: 'added', ids });
   }
@@ -83,17 +89,18 @@
       () => `host-${String(++this.counter).padStart(6, '0')}`,
     );
     for (const id of ids) {
-      this.machines.set(id, { request, rentedAt: this.world.now, returnedAt: null });
+      this.machines.set(id, { request, addedAt: this.world.now, removedAt: null });
     }
-    if (ids.length > 0) this.hires.set(request.name, ids);
+    if (ids.length > 0) this.answeredRequests.set(request.name, ids);
     return ids;
   }
 
+  /** See `CloudClient.scaleIn`. */
   scaleIn(ids: string[]): Promise<boolean> {
     if (this.mode === 'trouble') return Promise.resolve(false);
     for (const id of ids) {
       const machine = this.machines.get(id);
-      if (machine !== undefined) machine.returnedAt ??= this.world.now;
+      if (machine !== undefined) machine.removedAt ??= this.world.now;
       this.world.fleet.workers.delete(id);
     }
     return Promise.resolve(true);
@@ -101,9 +108,9 @@
 
   /** Machines whose boot is over begin to report. */
   bootUp(): void {
-    for (const [id, { request, rentedAt, returnedAt }] of this.machines) {
-      if (returnedAt !== null || this.world.fleet.workers.has(id) || this.dead.has(id)) continue;
-      if (this.world.now - rentedAt >= this.bootS) this.world.fleet.add(id, request.zone);
+    for (const [id, { request, addedAt, removedAt }] of this.machines) {
+      if (removedAt !== null || this.world.fleet.workers.has(id) || this.dead.has(id)) continue;
+      if (this.world.now - addedAt >= this.bootS) this.world.fleet.add(id, request.zone);
     }
   }
 
@@ -113,17 +120,17 @@
   kill(id: string): void {
     this.dead.add(id);
     this.world.fleet.workers.delete(id);
-    this.machines.get(id)!.returnedAt = this.world.now;
+    this.machines.get(id)!.removedAt = this.world.now;
   }
 
   /** Those of them that were rented by the requests of slots. */
-  get rentedForPools(): string[] {
-    return this.rented.filter((id) => this.machines.get(id)!.request.name.includes(WARM_POOLS));
+  get machineIdsOfSlots(): string[] {
+    return this.machineIds.filter((id) => this.machines.get(id)!.request.name.includes(WARM_POOLS));
   }
 
   /** Machines that are rented now. */
-  get rented(): string[] {
-    return [...this.machines].filter(([, m]) => m.returnedAt === null).map(([id]) => id);
+  get machineIds(): string[] {
+    return [...this.machines].filter(([, m]) => m.removedAt === null).map(([id]) => id);
   }
 }
 
@@ -170,6 +177,7 @@
     return this.parts.capacity.provisioner;
   }
 
+  /** The leader asks the cloud for what it wants. */
   async cloudRound(): Promise<void> {
     await (this.cloudFleet as unknown as FleetParts).runRound().catch(() => undefined);
   }
@@ -185,6 +193,7 @@
     }
   }
 
+  /** Time passes until this second. */
   runUntil(at: number): Promise<void> {
     return this.run(at - this.now);
   }
@@ -198,6 +207,7 @@
       .map((key) => decodeSlot(this.store.value(key))!);
   }
 
+  /** States of a pool's slots in the store, in order. */
   states(pool = 'tutor'): string {
     const states = this.slots().filter((slot) => slot.pool === pool);
     return states
@@ -206,14 +216,17 @@
       .join(' ');
   }
 
+  /** The bill as operators are shown it. */
   bill(): BillRow[] {
     return poolsView(this.replica.subsystems.of(WARM_POOLS), [], this.wallMs()).bill;
   }
 
+  /** The alarms in `/metrics`. */
   alarms(): string {
     return String(this.leader.statistics().warm_pools_alarms);
   }
 
+  /** A worker that is there. */
   worker(id: string): Worker {
     return this.fleet.workers.get(id)!;
   }
--- a/test/tools/known-red.ts
+++ b/test/tools/known-red.ts
@@ -13,11 +13,13 @@
   issue: string;
 }
 
+/** A line of the test report. */
 export interface TestResult {
   name: string;
   passed: boolean;
 }
 
+/** What the list and the results say together. */
 export interface Verdict {
   errors: string[];
   /** The listed tests that failed, to be printed. */
--- a/test/unplaced-requests.test.ts
+++ b/test/unplaced-requests.test.ts
@@ -104,7 +104,7 @@
   return seen;
 }
 
-test('passes decide the same with and without looking again for what was found nowhere', () => {
+test('cycles decide the same with and without looking again for what was found nowhere', () => {
   const { covers } = UnplacedRequests.prototype;
   let spared = 0;
   const counted = function (this: UnplacedRequests, asked: LiveJob): boolean {
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -75,5 +75,6 @@
     ['GET', '/nothing', 'nowhere'],
     ['GET', '/submissions/a/b', 'nowhere'],
   ];
-  for (const [m, t, to] of cases) assert.equal(route(m, t).to, to, `${m} ${t}`);
+  for (const [method, target, to] of cases)
+    assert.equal(route(method, target).to, to, `${method} ${target}`);
 });
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -20,12 +20,12 @@
 
 test('what the version in production writes is read, and written to the letter as it reads it', () => {
   const cases: [string, unknown, (value: unknown) => unknown][] = [
-    ['submissions', production.submissions, (v) => records.encodeRequestBatch(records.decodeRequestBatch(v))],
-    ['progress', production.progress, (v) => records.encodeProgress(records.decodeProgress(v))],
-    ['machine', production.machine, (v) => records.encodeMachine(records.decodeMachine(v))],
-    ['machine, dense allowed', production.machine, (v) => records.encodeMachine(records.decodeMachine(v), 2048, 'dense')],
-    ['leader', production.leader, (v) => records.encodeLeader(records.decodeLeader(v))],
-    ['acknowledgement', production.acknowledgement, (v) => records.encodeAcknowledgement(records.decodeAcknowledgement(v))],
+    ['submissions', production.submissions, (value) => records.encodeRequestBatch(records.decodeRequestBatch(value))],
+    ['progress', production.progress, (value) => records.encodeProgress(records.decodeProgress(value))],
+    ['machine', production.machine, (value) => records.encodeMachine(records.decodeMachine(value))],
+    ['machine, dense allowed', production.machine, (value) => records.encodeMachine(records.decodeMachine(value), 2048, 'dense')],
+    ['leader', production.leader, (value) => records.encodeLeader(records.decodeLeader(value))],
+    ['acknowledgement', production.acknowledgement, (value) => records.encodeAcknowledgement(records.decodeAcknowledgement(value))],
   ]; // prettier-ignore
   for (const [name, value, rewrite] of cases)
     assert.deepEqual(through(rewrite(value)), value, name);
--- a/test/warm-pools-random.test.ts
+++ b/test/warm-pools-random.test.ts
@@ -109,7 +109,7 @@
   check(world);
   assert.deepEqual(world.slots(), [], 'all slots are over');
   const lives = [...world.cloud.machines.values()].map(
-    ({ rentedAt, returnedAt }) => (returnedAt ?? world.now) - rentedAt,
+    ({ addedAt, removedAt }) => (removedAt ?? world.now) - addedAt,
   );
   const livedS = lives.reduce((sum, s) => sum + s, 0);
   for (const row of world.bill()) {
@@ -117,7 +117,9 @@
     const mostS = livedS + row.uncertainS + 1;
     assert.ok(row.machineS >= 0 && row.machineS <= mostS, `${row.machineS} of ${mostS}`);
   }
-  const own = [...world.cloud.machines.values()].filter((m) => m.request.name.includes('warm'));
+  const own = [...world.cloud.machines.values()].filter((machine) =>
+    machine.request.name.includes('warm'),
+  );
   assert.ok(own.length <= 16, `${own.length} machines`);
 }
 
--- a/test/warm-pools-troubles.test.ts
+++ b/test/warm-pools-troubles.test.ts
@@ -27,7 +27,7 @@
         assert.equal(world.cloud.machines.size, 1);
         near(
           totals(world).machineS,
-          world.now - world.cloud.machines.get('host-000001')!.rentedAt,
+          world.now - world.cloud.machines.get('host-000001')!.addedAt,
           1,
           'paid',
         );
@@ -106,7 +106,7 @@
       },
     },
     {
-      name: 'machines that die one after the other: at some point no more are rented',
+      name: 'machines that die one after the other: at some point no more are added',
       async play(world) {
         for (let i = 0; i < 60; i++) {
           await world.runUntil(BURST_AT - 2 + i * 0.4);
@@ -163,8 +163,8 @@
         world.wallJumpMs = 3_600_000;
         await world.run(20);
         assert.equal(all(world), '', 'the burst is over by the clock that counts now');
-        const { rentedAt } = [...world.cloud.machines.values()][0]!;
-        near(totals(world).machineS, BURST_AT + 13 - rentedAt, 2, 'machine-seconds');
+        const { addedAt } = [...world.cloud.machines.values()][0]!;
+        near(totals(world).machineS, BURST_AT + 13 - addedAt, 2, 'machine-seconds');
       },
     },
     {
@@ -241,7 +241,7 @@
         if (policy === 'release') near(money, budget, PER_S * 1, 'what was spent');
         // A dead machine shows whether any is added.
         if (warm === '') return;
-        world.cloud.kill(world.cloud.rented[0]!);
+        world.cloud.kill(world.cloud.machineIds[0]!);
         await world.run(5);
         const after = world.slots().filter(({ state }) => state === 'warm').length;
         assert.equal(after, policy === 'keep' ? 1 : 2);
@@ -322,7 +322,7 @@
       pools: poolText(WHOLE),
       async play(world) {
         await world.runUntil(BURST_AT - 1);
-        const warm = world.cloud.rented;
+        const warm = world.cloud.machineIds;
         world.submitJob(array('wk-9', { priority: 1 }));
         await world.run(4);
         assert.equal(world.fleet.running('wk-9'), 1);
@@ -333,7 +333,7 @@
       },
     },
     {
-      name: 'beside a slot there is room for what fits beside all of them',
+      name: 'beside a slot there is capacity for what fits beside all of them',
       pools: poolText({ slots: 1 }),
       async play(world) {
         await world.runUntil(BURST_AT);
@@ -351,14 +351,14 @@
       pools: poolText({ slots: 3 }),
       async play(world) {
         await world.runUntil(BURST_AT);
-        assert.equal(world.cloud.rented.length, 2);
+        assert.equal(world.cloud.machineIds.length, 2);
         world.replicaJob('wk-1', 'tutor-1', { tasks: 3 });
         await world.run(2);
         assert.equal(world.states(), 'used used used');
       },
     },
     {
-      name: 'a place that was taken in the same pass draws no other replica beside it',
+      name: 'a place that was taken in the same cycle draws no other replica beside it',
       pools: poolText({ cores: 5, gpus: 5 }),
       async play(world) {
         await world.runUntil(BURST_AT);
@@ -390,7 +390,7 @@
         await world.runUntil(BURST_AT + 150);
         assert.equal(world.states(), 'warm warm');
         assert.equal(world.cloud.machines.size, 1);
-        assert.deepEqual([...world.fleet.workers.keys()], world.cloud.rented);
+        assert.deepEqual([...world.fleet.workers.keys()], world.cloud.machineIds);
       },
     },
     {
@@ -435,8 +435,8 @@
         await world.runUntil(BURST_AT - 1.2);
         world.submitJob(array('wk-9'));
         await world.run(0.6);
-        assert.deepEqual(world.cloud.rented.includes(world.hosts('wk-9')[0]!), true);
-        assert.equal(world.cloud.rentedForPools.length, 2);
+        assert.deepEqual(world.cloud.machineIds.includes(world.hosts('wk-9')[0]!), true);
+        assert.equal(world.cloud.machineIdsOfSlots.length, 2);
         assert.match(world.states(), /warm warm/);
       },
     },
--- a/test/warm-pools.test.ts
+++ b/test/warm-pools.test.ts
@@ -19,7 +19,7 @@
       async play(world) {
         await world.runUntil(BURST_AT - 0.4);
         assert.equal(world.states(), 'warm warm');
-        const warm = world.cloud.rented;
+        const warm = world.cloud.machineIds;
         assert.equal(warm.length, 1, 'both fit on one machine');
         world.replicaJob('wk-1', 'tutor-1', { tasks: 2 });
         await world.run(0.8);
@@ -40,7 +40,7 @@
         world.replicaJob('wk-1');
         await world.run(5);
         assert.deepEqual(world.hosts('wk-1'), machinesOf(world, 'tutor'));
-        assert.deepEqual(world.cloud.rentedForPools, machinesOf(world, 'tutor'));
+        assert.deepEqual(world.cloud.machineIdsOfSlots, machinesOf(world, 'tutor'));
         assert.equal(world.states(), 'used warm');
       },
     },
@@ -74,10 +74,10 @@
       async play(world) {
         await world.runUntil(BURST_AT + HOLD_S + 60);
         assert.equal(all(world), '');
-        assert.deepEqual(world.cloud.rented, []);
+        assert.deepEqual(world.cloud.machineIds, []);
         assert.equal(world.cloud.machines.size, 2, 'nothing was rented twice');
         const reckoned = [...world.cloud.machines.values()].map(
-          ({ rentedAt }) => BURST_AT + HOLD_S - rentedAt,
+          ({ addedAt }) => BURST_AT + HOLD_S - addedAt,
         );
         near(totals(world).machineS, reckoned[0]! + reckoned[1]!, 1, 'machine-seconds');
       },
@@ -134,7 +134,7 @@
   );
 });
 
-test('a leader ends at any moment of the preparation: nothing is rented twice, nothing forgotten', async () => {
+test('a leader ends at any moment of the preparation: nothing is added twice, nothing forgotten', async () => {
   const cases: Case[] = [];
   for (let at = 12; at < 21; at += 0.4) {
     for (const mode of ['serve', 'lose answers'] as const) {
@@ -148,11 +148,11 @@
           await world.runUntil(Math.max(BURST_AT, at + 5));
           assert.equal(world.cloud.machines.size, 1);
           assert.equal(world.states(), 'warm warm');
-          assert.deepEqual(machinesOf(world, 'tutor'), world.cloud.rented);
+          assert.deepEqual(machinesOf(world, 'tutor'), world.cloud.machineIds);
           await world.runUntil(BURST_AT + HOLD_S + 3);
-          const { rentedAt } = [...world.cloud.machines.values()][0]!;
+          const { addedAt } = [...world.cloud.machines.values()][0]!;
           const { machineS, uncertainS } = totals(world);
-          near(machineS, BURST_AT + HOLD_S - rentedAt, 1 + uncertainS, 'machine-seconds');
+          near(machineS, BURST_AT + HOLD_S - addedAt, 1 + uncertainS, 'machine-seconds');
         },
       });
     }
@@ -160,7 +160,7 @@
   await playAll(cases);
 });
 
-test('a leader that froze between its check and its call rents nothing more', async () => {
+test('a leader that froze between its check and its call adds nothing more', async () => {
   const world = new WarmPoolWorld();
   const late: (() => void)[] = [];
   const rent = world.cloud.scaleOut.bind(world.cloud);
@@ -197,7 +197,7 @@
   assert.equal(world.cloud.machines.size, 1);
 });
 
-test('an outage of the state service lies over the whole lead time', async () => {
+test('an outage of the key-value store lies over the whole lead time', async () => {
   const outage = async (world: WarmPoolWorld, from: number, to: number): Promise<void> => {
     await world.runUntil(from);
     world.canWrite = false;
@@ -213,8 +213,8 @@
       name: 'requests that were named before go out in it, once',
       async play(world) {
         await outage(world, 14, BURST_AT + 1);
-        assert.equal(world.cloud.rented.length, 1, 'rented in the outage');
-        assert.ok(world.cloud.machines.get(world.cloud.rented[0]!)!.rentedAt < BURST_AT - 2);
+        assert.equal(world.cloud.machineIds.length, 1, 'rented in the outage');
+        assert.ok(world.cloud.machines.get(world.cloud.machineIds[0]!)!.addedAt < BURST_AT - 2);
         over(world);
         await world.run(1.5);
         assert.equal(world.states(), 'warm warm');
@@ -234,7 +234,7 @@
       },
     },
     {
-      name: 'the pool is removed after it: what was rented is not forgotten, and paid for',
+      name: 'the pool is removed after it: what was added is not forgotten, and paid for',
       async play(world) {
         await outage(world, 14, BURST_AT + 1);
         over(world);
@@ -246,7 +246,7 @@
       },
     },
     {
-      name: 'nothing was named: nothing is rented on no evidence, and it is late',
+      name: 'nothing was named: nothing is added on no evidence, and it is late',
       async play(world) {
         await outage(world, 8, BURST_AT + 1);
         assert.equal(world.cloud.calls, 0);
--- a/test/warm-slots.test.ts
+++ b/test/warm-slots.test.ts
@@ -274,7 +274,9 @@
 
   carryOut(write: OwnedWrite): number | null {
     const changes = [write, ...write.alsoChanges];
-    const fits = changes.every((c) => (this.all.get(c.key)?.revision ?? 0) === c.revision);
+    const fits = changes.every(
+      (change) => (this.all.get(change.key)?.revision ?? 0) === change.revision,
+    );
     if (!fits) return null;
     this.revision++;
     for (const { key, value } of changes) {
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -23,19 +23,22 @@
 import { Cluster } from './standins/cluster.js';
 import { fake } from './support/fake.js';
 
-test('a zone has a zone keeper when exactly one of several zones’ controllers is in it', () => {
-  const n = (node: string, zone: string): { node: string; zone: string } => ({ node, zone });
+test('a zone has a zone lease holder when exactly one of several zones’ controllers is in it', () => {
+  const controller = (node: string, zone: string): { node: string; zone: string } => ({
+    node,
+    zone,
+  });
   const cases: [string, { node: string; zone: string }[], [string, string][]][] = [
-    ['one zone', [n('a', 'x'), n('b', 'x')], []],
-    ['a single controller', [n('a', 'x')], []],
-    ['one each', [n('a', 'x'), n('b', 'y')], [['x', 'a'], ['y', 'b']]],
-    ['two in one', [n('a', 'x'), n('b', 'x'), n('c', 'y')], [['y', 'c']]],
+    ['one zone', [controller('a', 'x'), controller('b', 'x')], []],
+    ['a single controller', [controller('a', 'x')], []],
+    ['one each', [controller('a', 'x'), controller('b', 'y')], [['x', 'a'], ['y', 'b']]],
+    ['two in one', [controller('a', 'x'), controller('b', 'x'), controller('c', 'y')], [['y', 'c']]],
   ]; // prettier-ignore
   for (const [name, nodes, want] of cases)
     assert.deepEqual([...zoneLeaseHolders(nodes)], want, name);
 });
 
-test('a zone keeper begins before workers give up waiting, whatever their lease', () => {
+test('a zone lease holder begins before workers give up waiting, whatever their lease', () => {
   for (const lease of [2, 10, 13, 15.25, 120]) {
     const { ttlS, beginS, renewForS } = zoneLeaseTimes(lease);
     assert.ok(beginS <= ANSWER_WAIT_S * RENEWAL_WAIT_SHARE, `${lease}: ${beginS}`);
@@ -50,7 +53,7 @@
   const at = { now: 100 };
   const setup = (present: boolean, freshAt: number, rejectedAt: number): ZoneLeaseWatch => {
     const replica = { controllers: new Map(present ? [['a', 5]] : []) };
-    const w = new ZoneLeaseWatch({
+    const watch = new ZoneLeaseWatch({
       byZone: new Map([['x', 'a']]),
       leaseS: lease,
       replica,
@@ -59,9 +62,9 @@
       clock: { now: () => at.now },
     });
     at.now = 90;
-    w.keyChanged('a');
+    watch.keyChanged('a');
     at.now = 100;
-    return w;
+    return watch;
   };
   const gone = 90 + renewForS;
   const cases: [string, ZoneLeaseWatch, string, number, number][] = [
@@ -71,14 +74,14 @@
     ['long after one it does', setup(true, 99, 99 - beginS * 2), 'x', 90, 99],
     ['key gone: up to the bound', setup(false, 99, -Infinity), 'x', gone, Infinity],
   ]; // prettier-ignore
-  for (const [name, w, zone, keptUntil, provenAt] of cases) {
-    const z = w.zone(zone);
-    assert.ok(Math.abs(z.keptUntil - keptUntil) < 1 || z.keptUntil === keptUntil, name);
-    assert.equal(z.provenAt, provenAt, name);
+  for (const [name, watch, zone, keptUntil, provenAt] of cases) {
+    const renewal = watch.zone(zone);
+    assert.ok(Math.abs(renewal.keptUntil - keptUntil) < 1 || renewal.keptUntil === keptUntil, name);
+    assert.equal(renewal.provenAt, provenAt, name);
   }
 });
 
-test('a zone keeper keeps nothing before its key is certainly gone, and renews at most once in doubt', async () => {
+test('a zone lease holder keeps nothing before its key is certainly gone, and renews at most once in doubt', async () => {
   const lease = 0.4;
   const { beginS } = zoneLeaseTimes(lease);
   let silent = false;
