--- a/test/controller-stop.test.ts
+++ b/test/controller-stop.test.ts
@@ -29,6 +29,7 @@
 class CountingState extends StateService {
   requests = 0;
 
+  /** Counts the requests that come. */
   override handle(
     ...request: Parameters<StateService['handle']>
   ): ReturnType<StateService['handle']> {
--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -90,6 +90,7 @@
     });
   }
 
+  /** What this controller tells the others of itself. */
   get own(): ControllerHealth {
     return { latenessS: this.overload.latenessS, served: true };
   }
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -45,16 +45,19 @@
     this.served.length = 0;
   }
 
+  /** One turn of the event loop. */
   turn(): void {
     const callbacks = this.deferred;
     this.deferred = [];
     for (const callback of callbacks) callback();
   }
 
+  /** Whether a turn is still to come. */
   get busy(): boolean {
     return this.deferred.length > 0;
   }
 
+  /** Turns until nothing waits. */
   drain(): void {
     while (this.busy) this.turn();
   }
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -32,12 +32,14 @@
 class Reference {
   readonly jobs = new Map<number, Expected>();
 
+  /** When the job was cancelled, by itself or with what it needs; Infinity: never. */
   cancelledAt(job: number): number {
     const { acceptedAt, cancelledAt, awaits } = this.jobs.get(job)!;
     const needed = awaits.filter((id) => this.outcome(id) === 'cancelled');
     return Math.min(cancelledAt, ...needed.map((id) => Math.max(this.cancelledAt(id), acceptedAt)));
   }
 
+  /** What became of the job. */
   outcome(job: number): string {
     const { doneAt } = this.jobs.get(job)!;
     const cancelledAt = this.cancelledAt(job);
@@ -45,6 +47,7 @@
     return doneAt < Infinity ? 'done' : 'open';
   }
 
+  /** From when on its tasks may start; null: not yet. */
   readyAt(job: number): number | null {
     const { acceptedAt, awaits } = this.jobs.get(job)!;
     if (!awaits.every((id) => this.outcome(id) === 'done')) return null;
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -16,6 +16,7 @@
     }); // prettier-ignore
   }
 
+  /** A task starts on a machine of its own. */
   start(index: number, place: Partial<Place> = {}): void {
     const id = `host-${this.machines++}`;
     const times = { leaseS: 1, gangPeerS: 1 };
@@ -36,6 +37,7 @@
     this.rules.started(worker, task, false);
   }
 
+  /** A user is answered. */
   answer(question: Question, status: number, state = '', ref = 'wk-1'): void {
     this.rules.answered(question, ref, this.rules.told(ref), status, state);
   }
@@ -49,6 +51,7 @@
     }); // prettier-ignore
   }
 
+  /** The user was told so long ago that the job is cancelled. */
   cancelled(agoMs = 0): void {
     this.rules.jobs.get('wk-1')!.cancelAsked = true;
     this.answer('cancel', 200, 'cancelled');
--- /dev/null
+++ b/test/warm-pool-times.test.ts
@@ -0,0 +1,101 @@
+/** When bursts begin, the time of day that counts, and how long preparation takes. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { BurstClock } from '../src/warm-pools/burst-clock.js';
+import { BurstSchedule, ScheduleError } from '../src/warm-pools/burst-schedule.js';
+import { quantile } from '../src/subsystems/samples.js';
+import { LeadTimes } from '../src/warm-pools/lead-times.js';
+import { g8 } from './helpers.js';
+
+test('schedules: time zones, hours that are skipped and hours that come twice', () => {
+  const rows: [string, string, string, string, string[]][] = [
+    ['an hour ahead of UTC by five', '0 8 * * *', 'Asia/Karachi', '2026-12-02T00:00Z', ['2026-12-02T03:00Z', '2026-12-03T03:00Z']],
+    ['no Sundays', '0 8 * * 1-6', 'Asia/Karachi', '2026-12-05T04:00Z', ['2026-12-07T03:00Z', '2026-12-08T03:00Z']],
+    ['the hour is skipped: right after it', '30 2 * * *', 'Europe/Berlin', '2026-03-28T12:00Z', ['2026-03-29T01:30Z', '2026-03-30T00:30Z']],
+    ['the hour comes twice: once', '30 2 * * *', 'Europe/Berlin', '2026-10-24T12:00Z', ['2026-10-25T00:30Z', '2026-10-26T01:30Z']],
+    ['before and after the change', '0 8 * * *', 'Europe/Berlin', '2026-10-24T12:00Z', ['2026-10-25T07:00Z', '2026-10-26T07:00Z']],
+  ]; // prettier-ignore
+  for (const [name, expression, zone, from, want] of rows) {
+    const schedule = new BurstSchedule(expression, zone);
+    const fromMs = Date.parse(from);
+    const [first, second] = want.map((text) => Date.parse(text)) as [number, number];
+    assert.equal(schedule.nextAfter(fromMs), first, name);
+    assert.deepEqual(schedule.between(fromMs, second), [first, second], name);
+    assert.equal(schedule.nextAfter(first), second, `${name}: after the first`);
+    assert.equal(schedule.nextAfter(fromMs), first, `${name}: asked for an earlier time again`);
+    assert.deepEqual(schedule.between(fromMs, first - 1), [], name);
+  }
+  const once = new BurstSchedule('2026-12-02T08:00:00', 'Asia/Karachi');
+  assert.deepEqual(once.between(Date.parse('2026-12-01'), Infinity), [
+    Date.parse('2026-12-02T03:00Z'),
+  ]);
+  assert.equal(once.nextAfter(Date.parse('2026-12-03')), null);
+  assert.throws(() => once.check(Date.parse('2026-12-03'), 1), ScheduleError);
+});
+
+test('the time of day by which bursts are kept', () => {
+  let now = 0;
+  let jumpMs = 0;
+  const rate = 1.0004;
+  const make = (): BurstClock => {
+    now = jumpMs = 0;
+    return new BurstClock({
+      ...{ now: () => now, wallMs: () => 1e12 + now * 1000 * rate + jumpMs },
+      ...{ skewMs: 100, settleS: 60 },
+    });
+  };
+  const offMs = (clock: BurstClock): number => Math.abs(clock.nowMs() - (1e12 + now * 1000 * rate));
+  const run = (clock: BurstClock, seconds: number): void => {
+    for (let i = 0; i < seconds; i++) {
+      now++;
+      clock.nowMs();
+    }
+  };
+  const steady = make();
+  run(steady, 100_000);
+  assert.ok(offMs(steady) < 250, 'a steady clock that drifts is followed for days');
+  const moment = make();
+  run(moment, 10);
+  jumpMs = 3_600_000;
+  run(moment, 30);
+  assert.ok(offMs(moment) < 250 && moment.doubted, 'a jump for a moment is not');
+  jumpMs = 0;
+  run(moment, 1);
+  assert.ok(!moment.doubted && moment.jumps === 0);
+  for (const by of [3_600_000, -3_600_000]) {
+    const lasting = make();
+    run(lasting, 10);
+    jumpMs = by;
+    run(lasting, 70);
+    assert.ok(Math.abs(offMs(lasting) - 3_600_000) < 250, 'one that lasts is');
+    assert.equal(lasting.jumps, 1);
+  }
+});
+
+test('lead times: measured ones count, few of them beside what is expected', () => {
+  const rows: [string, number[], number][] = [
+    ['none: slow boots and fetches are expected', [], 1.6 + 2 * 1.35],
+    ['few and fast', [0.2, 0.2], 1.6 + 2 * 1.35],
+    ['few and slow', [9, 2], 9 + 2 * 1.35],
+    ['many: what covers most of them', [...Array<number>(19).fill(0.4), 7], 0.4 + 2 * 1.35],
+    ['old ones are forgotten', [...Array<number>(40).fill(9), ...Array<number>(24).fill(0.5)], 0.5 + 2 * 1.35],
+  ]; // prettier-ignore
+  for (const [name, boots, leadS] of rows) {
+    const times = new LeadTimes();
+    for (const boot of boots) times.noteBoot('g8', 'z1', boot);
+    assert.ok(Math.abs(times.leadS(g8, 'z1', 'i', 2) - leadS) < 1e-9, name);
+    assert.equal(times.leadS(g8, 'z2', 'i', 2), 1.6 + 2 * 1.35, `${name}: another zone`);
+    // A new leader has them from the store.
+    const next = new LeadTimes();
+    next.reconcile(
+      new Map(times.dueWrites().map(({ key, value }) => [key, { value, revision: 1 }])),
+    );
+    assert.equal(next.leadS(g8, 'z1', 'i', 2), times.leadS(g8, 'z1', 'i', 2), name);
+    assert.deepEqual(next.dueWrites(), [], name);
+  }
+  const loads = new LeadTimes();
+  for (let i = 0; i < 40; i++) loads.noteLoad('g8', 'z1', `image-${i}`, 5);
+  const { l } = loads.dueWrites()[0]!.value as { l: unknown[] };
+  assert.equal(l.length, 32, 'the record stays small');
+  assert.equal(quantile([], 0.9), 0);
+});
--- /dev/null
+++ b/test/warm-pools-limits.test.ts
@@ -0,0 +1,238 @@
+/** Budgets, team limits, and what is kept from other work. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { BURST_AT, poolText } from './support/warm-pool-world.js';
+import { machinesOf, near, WHOLE, WHOLE_REPLICA, playAll } from './support/warm-pool-cases.js';
+
+test('the budget ends in the middle of a burst', async () => {
+  const PER_S = (2 * 10) / 3600;
+  const budget = PER_S * 8;
+  const rows: [string, string, RegExp][] = [
+    ['release', '', /budget_exhausted/],
+    ['keep', 'warm warm', /budget_exhausted/],
+    ['alarm', 'warm warm', /budget_exhausted/],
+  ];
+  await playAll(
+    rows.map(([policy, warm, alarm]) => ({
+      name: policy,
+      pools: poolText({ ...WHOLE, budget, on_exhausted: policy }),
+      async play(world) {
+        await world.runUntil(BURST_AT + 12);
+        const open = world.slots().filter(({ state }) => state === 'warm');
+        assert.equal(open.map(({ state }) => state).join(' '), warm);
+        assert.match(world.alarms(), alarm);
+        const money = world.bill().reduce((sum, row) => sum + row.money, 0);
+        if (policy === 'release') near(money, budget, PER_S * 1, 'what was spent');
+        // A dead machine shows whether any is added.
+        if (warm === '') return;
+        world.cloud.kill(world.cloud.machineIds[0]!);
+        await world.run(5);
+        const after = world.slots().filter(({ state }) => state === 'warm').length;
+        assert.equal(after, policy === 'keep' ? 1 : 2);
+      },
+    })),
+  );
+});
+
+test('no more is kept warm than the payer could start', async () => {
+  await playAll([
+    {
+      name: 'a team that uses most of its limit',
+      gpusMax: 10,
+      async play(world) {
+        world.replicaJob('wk-1', 'other', { gpus: 4 });
+        await world.runUntil(BURST_AT);
+        assert.equal(world.slots().filter(({ state }) => state === 'warm').length, 1);
+        assert.match(world.alarms(), /over_team_limit:tutor \(1 of 2 slots\)/);
+      },
+    },
+    {
+      name: 'it uses more while they are warm: given up once, not to and fro',
+      gpusMax: 10,
+      async play(world) {
+        await world.runUntil(BURST_AT);
+        assert.equal(world.states(), 'warm warm');
+        world.replicaJob('wk-1', 'other', { gpus: 4 });
+        await world.run(3);
+        assert.equal(world.states(), 'released warm');
+        world.cancel('wk-1');
+        await world.run(1);
+        assert.equal(world.slots().length, 2, 'not taken up again at once');
+      },
+    },
+    {
+      name: 'a replica that takes its slot counts once',
+      gpusMax: 8,
+      async play(world) {
+        await world.runUntil(BURST_AT);
+        world.replicaJob('wk-1');
+        // Claimed, and not stored yet.
+        world.runCycle();
+        world.leader.tick();
+        assert.equal(world.leader.statistics().warm_slots_released, 0);
+        await world.run(3);
+        assert.equal(world.states(), 'used warm');
+      },
+    },
+    {
+      name: 'a machine type that the cloud does not have',
+      pools: poolText({ types: 'x' }).replace('types = "x"', 'types = ["gone"]'),
+      async play(world) {
+        await world.runUntil(BURST_AT);
+        assert.match(world.alarms(), /unknown_type:tutor \(gone: none fits\)/);
+        assert.equal(world.cloud.machines.size, 0);
+      },
+    },
+  ]);
+});
+
+test('what is kept warm is kept from other work', async () => {
+  const array = (id: string, over = {}): object => ({
+    ...{
+      id,
+      tasks: 1,
+      gpus: 8,
+      cores: 8,
+      priority: 3,
+      checkpointS: 1,
+      estimateS: 0.2,
+      imageGb: 0.1,
+      ...over,
+    },
+  });
+  await playAll([
+    {
+      name: 'other work gets a machine of its own',
+      pools: poolText(WHOLE),
+      async play(world) {
+        await world.runUntil(BURST_AT - 1);
+        const warm = world.cloud.machineIds;
+        world.submitJob(array('wk-9', { priority: 1 }));
+        await world.run(4);
+        assert.equal(world.fleet.running('wk-9'), 1);
+        assert.ok(!warm.includes(world.hosts('wk-9')[0]!));
+        world.replicaJob('wk-1', 'tutor-1', { tasks: 2, ...WHOLE_REPLICA });
+        await world.run(1);
+        assert.deepEqual(world.hosts('wk-1').sort(), warm);
+      },
+    },
+    {
+      name: 'beside a slot there is capacity for what fits beside all of them',
+      pools: poolText({ slots: 1 }),
+      async play(world) {
+        await world.runUntil(BURST_AT);
+        world.submitJob({ id: 'wk-8', tasks: 1, gpus: 4, cores: 4, priority: 1 });
+        await world.run(2);
+        assert.deepEqual(world.hosts('wk-8'), ['host-000001']);
+        world.submitJob({ id: 'wk-9', tasks: 1, gpus: 1, cores: 1, priority: 1 });
+        await world.run(4);
+        assert.notDeepEqual(world.hosts('wk-9'), ['host-000001']);
+        assert.equal(world.states(), 'warm');
+      },
+    },
+    {
+      name: 'replicas go to places of slots, each to one, and not beside them',
+      pools: poolText({ slots: 3 }),
+      async play(world) {
+        await world.runUntil(BURST_AT);
+        assert.equal(world.cloud.machineIds.length, 2);
+        world.replicaJob('wk-1', 'tutor-1', { tasks: 3 });
+        await world.run(2);
+        assert.equal(world.states(), 'used used used');
+      },
+    },
+    {
+      name: 'a place that was taken in the same cycle draws no other replica beside it',
+      pools: poolText({ cores: 5, gpus: 5 }),
+      async play(world) {
+        await world.runUntil(BURST_AT);
+        world.replicaJob('wk-1', 'tutor-1', { tasks: 2, cores: 3, gpus: 3 });
+        await world.run(2);
+        assert.equal(world.states(), 'used used');
+      },
+    },
+    {
+      name: 'a replica that was there before the slot does not use it',
+      pools: poolText({ slots: 1 }),
+      async play(world) {
+        world.replicaJob('wk-1');
+        await world.runUntil(BURST_AT + 1);
+        assert.equal(world.states(), 'warm');
+        assert.deepEqual(world.hosts('wk-1'), machinesOf(world, 'tutor'), 'beside it');
+        world.failOver();
+        await world.run(2);
+        assert.equal(world.states(), 'warm');
+      },
+    },
+    {
+      name: 'an idle machine with a slot stays longer than any other would',
+      pools: poolText({ hold_s: 200 }),
+      async play(world) {
+        await world.runUntil(BURST_AT);
+        // One too many: that is the one that goes.
+        world.fleet.add('host-900000');
+        await world.runUntil(BURST_AT + 150);
+        assert.equal(world.states(), 'warm warm');
+        assert.equal(world.cloud.machines.size, 1);
+        assert.deepEqual([...world.fleet.workers.keys()], world.cloud.machineIds);
+      },
+    },
+    {
+      name: 'work whose image would push out that of a slot goes elsewhere',
+      pools: poolText({ slots: 1 }),
+      async play(world) {
+        world.replicaJob('wk-1');
+        await world.runUntil(BURST_AT);
+        const [warm] = machinesOf(world, 'tutor');
+        world.machine(warm!).noteImage('tutor-1', 1, 100, world.now);
+        world.cancel('wk-1');
+        await world.run(1);
+        world.submitJob({
+          id: 'wk-9',
+          tasks: 1,
+          gpus: 2,
+          cores: 2,
+          priority: 1,
+          image: 'x',
+          imageGb: 99.5,
+        });
+        await world.run(4);
+        assert.equal(world.fleet.running('wk-9'), 1);
+        assert.notDeepEqual(world.hosts('wk-9'), [warm]);
+        world.submitJob({
+          id: 'wk-8',
+          tasks: 1,
+          gpus: 2,
+          cores: 2,
+          priority: 1,
+          image: 'y',
+          imageGb: 1,
+        });
+        await world.run(2);
+        assert.equal(world.fleet.running('wk-8'), 1);
+      },
+    },
+    {
+      name: 'short best-effort work may borrow it where operators say so',
+      pools: poolText({ ...WHOLE, lend: true }),
+      async play(world) {
+        await world.runUntil(BURST_AT - 1.2);
+        world.submitJob(array('wk-9'));
+        await world.run(0.6);
+        assert.deepEqual(world.cloud.machineIds.includes(world.hosts('wk-9')[0]!), true);
+        assert.equal(world.cloud.machineIdsOfSlots.length, 2);
+        assert.match(world.states(), /warm warm/);
+      },
+    },
+    {
+      name: 'long work may not, since it could not be off it in time',
+      pools: poolText({ ...WHOLE, lend: true }),
+      async play(world) {
+        await world.runUntil(BURST_AT - 1.2);
+        world.submitJob(array('wk-9', { estimateS: 30 }));
+        await world.run(0.6);
+        assert.deepEqual(world.hosts('wk-9'), []);
+      },
+    },
+  ]);
+});
