--- a/eslint.config.js
+++ b/eslint.config.js
@@ -5,7 +5,7 @@
 /** Lines of a function and of a file, blank lines and comments aside. */
 const FUNCTION_LINES = 40;
 const FILE_LINES = 300;
-const TEST_FILE_LINES = 400;
+const TEST_FILE_LINES = 500;
 
 const bounds = (fileLines, functionLines) => ({
   'max-lines': ['error', { max: fileLines, skipBlankLines: true, skipComments: true }],
