--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -124,12 +124,7 @@
   world.cancel('wk-1');
   world.failOver();
   await world.run(6);
-  const { store, fleet } = world;
-  const stored = store
-    .keys()
-    .sort()
-    .map((key) => [key, store.revision(key), store.value(key)]);
-  return { stored, starts: [...fleet.starts], wanted: world.parts.capacity.machinesToAdd() };
+  return world.decisions();
 }
 
 test('without a features file, without a table and without pools the same is decided', async () => {
--- a/test/lending-leader.test.ts
+++ b/test/lending-leader.test.ts
@@ -327,9 +327,7 @@
   world.service({ id: BORROWER, gpus: 1, cores: 1, memGb: 1 });
   world.failOver();
   await world.run(20);
-  const { store, fleet } = world;
-  const stored = store.keys().sort().map((key) => [key, store.revision(key), store.value(key)]); // prettier-ignore
-  return { stored, starts: [...fleet.starts], wanted: world.parts.capacity.machinesToAdd() };
+  return world.decisions();
 }
 
 test('without the table, and with it where nothing is borrowed, the same is decided', async () => {
--- a/test/meeting-ends.test.ts
+++ b/test/meeting-ends.test.ts
@@ -94,13 +94,22 @@
   }
 });
 
-test('a direct start or stop that arrives late is carried out once, and starts nothing anew', async () => {
+/** A job whose start went to machine `a` straight, and was not answered: `start.arrive` has it arrive late. */
+async function unansweredStart(): Promise<{
+  world: LeaderWorld;
+  start: ReturnType<LeaderWorld['sendDirect']>;
+}> {
   const world = await worldWith(['a']);
   world.submitJob({ id: JOB });
   world.runCycle();
   await world.writeAll();
   const start = world.sendDirect('a');
   start.unanswered();
+  return { world, start };
+}
+
+test('a direct start or stop that arrives late is carried out once, and starts nothing anew', async () => {
+  const { world, start } = await unansweredStart();
   await world.run(1);
   const worker = world.fleet.workers.get('a')!;
   assert.equal(world.fleet.running(JOB), 1, 'sent again with an answer');
@@ -138,12 +147,7 @@
 
 test('a start that was not answered may come at any time until the agent epoch ends', async () => {
   for (const ends of [false, true]) {
-    const world = await worldWith(['a']);
-    world.submitJob({ id: JOB });
-    world.runCycle();
-    await world.writeAll();
-    const start = world.sendDirect('a');
-    start.unanswered();
+    const { world, start } = await unansweredStart();
     const worker = world.fleet.workers.get('a')!;
     world.fleet.add('b');
     // The machine is to be taken: its task is wanted elsewhere.
--- a/test/support/leader-world.ts
+++ b/test/support/leader-world.ts
@@ -31,6 +31,15 @@
   dispatcher: { dispatch(): void };
 }
 
+/** What a leader has decided so far. */
+interface Decisions {
+  /** Key, revision and value of each record, by key. */
+  stored: [string, number, unknown][];
+  /** How often each task was started, by `job/index`. */
+  starts: [string, number][];
+  wanted: ReturnType<CapacityManager['machinesToAdd']>;
+}
+
 /** What a world has besides store, fleet and leader. */
 export interface LeaderWorldOptions {
   subsystems?: readonly Subsystem[];
@@ -182,6 +191,19 @@
     this.store.mode = 'serve';
   }
 
+  /** All that is stored, was started and would be added now: the same, if the same was decided. */
+  decisions(): Decisions {
+    const { store, fleet } = this;
+    return {
+      stored: store
+        .keys()
+        .sort()
+        .map((key) => [key, store.revision(key), store.value(key)]),
+      starts: [...fleet.starts],
+      wanted: this.parts.capacity.machinesToAdd(),
+    };
+  }
+
   /** The leader sees what is stored and runs a scheduling cycle. */
   runCycle(): void {
     this.store.feed(this.replica);
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -291,19 +291,19 @@
   world.cancel('wk-1');
   world.failOver();
   await world.run(6);
-  const { store: state, fleet } = world;
-  const stored = state.keys().sort();
+  const { fleet } = world;
+  const { stored, starts, wanted } = world.decisions();
   return {
-    stored: stored.map((key) => [key, state.revision(key), state.value(key)]),
-    starts: [...fleet.starts],
+    stored,
+    starts,
     tasks: [...fleet.workers.values()].map((worker) => [worker.id, [...worker.tasks.keys()]]),
-    wanted: world.parts.capacity.machinesToAdd().map((each) => Object.values(each)),
+    wanted: wanted.map((each) => Object.values(each)),
     broken: fleet.violations,
   };
 }
 
 /** What is on each machine, and what is told to stop there, after every scheduling cycle of a short history. */
-function decisionsOfPasses(): unknown[] {
+function decisionsOfCycles(): unknown[] {
   const seen: unknown[] = [];
   const world = new SchedulerWorld(100, 10);
   const ids = ['a', 'b', 'c'];
@@ -399,7 +399,7 @@
     configuration: configurationErrors(),
     day: await decisionsOfDay(world),
     dayWithPools: await decisionsOfDay(withPools),
-    passes: decisionsOfPasses(),
+    passes: decisionsOfCycles(),
     metrics: metrics(world),
     metricsWithPools: withPools.leader.statistics(),
     help: help(),
