--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -103,7 +103,12 @@
 
 export class SettingsError extends Error {}
 
+/** Checks a settings file. Throws SettingsError, which names the first field that is wrong. */
 export function parseSettings(text: string): Settings {
+  return toSettings(validate(text));
+}
+
+function validate(text: string): Parsed {
   let raw: unknown;
   try {
     raw = parse(text);
@@ -111,11 +116,12 @@
     throw new SettingsError(`not valid TOML: ${(error as Error).message.split('\n')[0]}`);
   }
   const result = v.safeParse(schema, raw);
-  if (!result.success) {
-    const issue = result.issues[0];
-    throw new SettingsError(`${v.getDotPath(issue) ?? 'file'}: ${issue.message}`);
-  }
-  const platform = result.output;
+  if (result.success) return result.output;
+  const issue = result.issues[0];
+  throw new SettingsError(`${v.getDotPath(issue) ?? 'file'}: ${issue.message}`);
+}
+
+function toSettings(platform: Parsed): Settings {
   return {
     node: platform.host_name,
     zone: platform.domain,
--- a/src/heartbeat/heartbeat-handler.ts
+++ b/src/heartbeat/heartbeat-handler.ts
@@ -52,6 +52,16 @@
 }
 
 /** Workers' reports as they come to any controller: answered, passed on, or sent elsewhere. */
+/** What became of asking other controllers. */
+interface ForwardingOutcome {
+  /** Null: nobody settled it. */
+  reply: Reply | null;
+  /** The leader was reached and does not lead, or there is none. */
+  reached: boolean;
+  /** Any other controller answered. */
+  answered: boolean;
+}
+
 export class HeartbeatHandler {
   private readonly redirects: Redirects;
   readonly counts = new HeartbeatCounts();
@@ -118,7 +128,7 @@
   }
 
   /**
-   * Passes a report on to the leader, straight or by way of another controller. The worker stays
+   * Forwards a heartbeat to the leader, straight or by way of another controller. The worker stays
    * where it is: a leader that it cannot reach, or one that ends, costs it no connection of its own.
    */
   private async forward(
@@ -126,55 +136,76 @@
     leader: string | null,
     deadline: number,
   ): Promise<Reply> {
-    const { settings, peers, replica, election, zoneLeaseHolder, clock } = this.options;
+    const { reply, reached, answered } = await this.askControllers(heartbeat, leader, deadline);
+    if (reply !== null) return reply;
+    this.counts.forwardingFailed++;
+    const renewal = await this.renewWithoutLeader(heartbeat.parse(), answered, deadline);
+    if (renewal !== null) return renewal;
+    if (reached) return { status: 503, retryAfter: 1 };
+    return { status: 421, body: encodeRedirect(leader) };
+  }
+
+  /** Asks the leader and then the others, as long as there is time and one may do better. */
+  private async askControllers(
+    heartbeat: ReceivedHeartbeat,
+    leader: string | null,
+    deadline: number,
+  ): Promise<ForwardingOutcome> {
+    const { settings, peers, clock } = this.options;
     const others = peers.names.filter((node) => node !== leader);
-    // One that the state service does not serve may not know who leads by now, but others may: cut off
-    // from the store alone it once kept its zone's workers waiting, in vain, until their leases ran out.
+    // One that the store does not serve may not know who leads by now, but others may: cut off from the
+    // store alone it once kept its zone's workers waiting, in vain, until their leases expired.
     const stale = this.options.store.health !== 'served';
     const nobody = leader === null || leader === settings.node;
     const ways = nobody ? (leader !== null && stale ? others : []) : [leader, ...others];
-    let reached = nobody;
-    let answered = false;
+    const outcome: ForwardingOutcome = { reply: null, reached: nobody, answered: false };
     for (const to of ways) {
       const hop = to !== leader;
-      const patience = Math.min(
-        ANSWER_WAIT_S * (hop ? RELAY_WAIT_SHARE : LEADER_WAIT_SHARE),
-        deadline - clock.now(),
-      );
+      const share = hop ? RELAY_WAIT_SHARE : LEADER_WAIT_SHARE;
+      const patience = Math.min(ANSWER_WAIT_S * share, deadline - clock.now());
       if (patience <= 0) break;
       const askedAt = clock.now();
       const answer = await peers.ask(to, { q: 'report', body: heartbeat.body, hop }, patience);
       if (!hop) this.forwardingDelay.note(clock.now() - askedAt);
-      if (answer?.status === 200 && answer.body !== undefined) {
-        this.counts.forwarded++;
-        return { status: 200, body: answer.body };
-      }
-      if (answer?.status === 400) return { status: 400, body: '{}' };
-      answered ||= answer !== null;
+      outcome.reply = this.replyOf(answer);
+      if (outcome.reply !== null) break;
+      outcome.answered ||= answer !== null;
       // It was reached and does not lead: nothing is gained by other ways.
       if (answer?.status === 503 && !hop) {
-        reached = true;
+        outcome.reached = true;
         if (!stale) break;
       }
     }
-    this.counts.forwardingFailed++;
-    // No leader has judged it.
-    const parsed = heartbeat.parse();
+    return outcome;
+  }
+
+  /** What the worker is told of another controller's answer; null: it settles nothing. */
+  private replyOf(answer: ReplyAnswer | null): Reply | null {
+    if (answer?.status === 200 && answer.body !== undefined) {
+      this.counts.forwarded++;
+      return { status: 200, body: answer.body };
+    }
+    return answer?.status === 400 ? { status: 400, body: '{}' } : null;
+  }
+
+  /**
+   * No leader has judged it: renewed in an outage, or by the holder of the zone's lease where the whole zone
+   * is cut off, so that what runs there goes on. Null: neither is allowed. `answered`: another controller
+   * has answered, so the zone is not cut off.
+   */
+  private async renewWithoutLeader(
+    heartbeat: Heartbeat,
+    answered: boolean,
+    deadline: number,
+  ): Promise<Reply | null> {
+    const { settings, replica, election, zoneLeaseHolder } = this.options;
     const token = replica.leader?.revision;
-    if (token !== undefined && (await election.outage.mayRenewLeases()))
-      return this.renewForLeader(parsed, token);
-    // Cut off together with this zone: what runs here goes on.
-    const mine = parsed.zone === settings.zone;
-    if (
-      mine &&
-      !answered &&
-      zoneLeaseHolder !== null &&
-      (await zoneLeaseHolder.waitUntilDecided(deadline))
-    ) {
-      return this.renewForLeader(parsed, replica.lastToken);
+    if (token !== undefined && (await election.outage.mayRenewLeases())) {
+      return this.renewForLeader(heartbeat, token);
     }
-    if (reached) return { status: 503, retryAfter: 1 };
-    return { status: 421, body: encodeRedirect(leader) };
+    if (heartbeat.zone !== settings.zone || answered || zoneLeaseHolder === null) return null;
+    if (!(await zoneLeaseHolder.waitUntilDecided(deadline))) return null;
+    return this.renewForLeader(heartbeat, replica.lastToken);
   }
 
   /** Renews a worker's lease in a leader's place. The only commands: cancelled tasks stop. */
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -38,7 +38,20 @@
 
 type State = 'head' | 'sized' | 'chunkSize' | 'chunkData' | 'chunkEnd' | 'trailer' | 'close';
 
+/** A message; null: bytes are missing; or another step can be made at once. */
+type Step = Message | null | 'again';
+
 const EMPTY = Buffer.alloc(0);
+const CARRIAGE_RETURN = 13;
+const LINE_FEED = 10;
+const LINE_END = '\r\n';
+const HEAD_END = '\r\n\r\n';
+/** Bytes of the line with a chunk's size, and of all lines after the last chunk, at most. */
+const MAX_CHUNK_LINE_BYTES = 1024;
+const MAX_TRAILER_BYTES = 4096;
+const CHUNK_SIZE = /^[0-9a-fA-F]{1,8}$/;
+const CONTENT_LENGTH = /^\d{1,15}$/;
+const STATUS_LINE = /^(HTTP\/1\.[01]) (\d{3})( .*)?$/;
 const TOKEN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
 
 export class HttpParser {
@@ -86,83 +99,107 @@
   /** The next complete message, or null when more bytes are needed. Throws HttpError. */
   next(ended = false): Message | null {
     for (;;) {
-      const buf = this.receivedBytes();
-      switch (this.state) {
-        case 'head': {
-          let from = 0;
-          if (this.kind === 'request' && buf.length >= 2 && buf[0] === 13 && buf[1] === 10)
-            from = 2;
-          const end = buf.indexOf('\r\n\r\n', from);
-          if (end < 0) {
-            if (buf.length > this.limits.headBytes) throw new HttpError(400, 'header too large');
-            return null;
-          }
-          if (end > this.limits.headBytes) throw new HttpError(400, 'header too large');
-          this.readHead(buf.toString('latin1', from, end));
-          this.held = buf.subarray(end + 4);
-          break;
-        }
-        case 'sized': {
-          if (buf.length < this.neededBytes) return null;
-          this.body = this.neededBytes > 0 ? [buf.subarray(0, this.neededBytes)] : [];
-          this.held = buf.subarray(this.neededBytes);
-          return this.finish();
-        }
-        case 'close': {
-          if (buf.length > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
-          if (!ended) return null;
-          this.body = [buf];
-          this.held = EMPTY;
-          return this.finish();
-        }
-        case 'chunkSize': {
-          const end = buf.indexOf('\r\n');
-          if (end < 0) {
-            if (buf.length > 1024) throw new HttpError(400, 'bad chunk');
-            return null;
-          }
-          const word = buf.toString('latin1', 0, end).split(';')[0]!.trim();
-          if (!/^[0-9a-fA-F]{1,8}$/.test(word)) throw new HttpError(400, 'bad chunk size');
-          this.neededBytes = parseInt(word, 16);
-          this.held = buf.subarray(end + 2);
-          if (this.neededBytes === 0) {
-            this.trailerSize = 0;
-            this.state = 'trailer';
-          } else {
-            this.bodySize += this.neededBytes;
-            if (this.bodySize > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
-            this.state = 'chunkData';
-          }
-          break;
-        }
-        case 'chunkData': {
-          if (buf.length < this.neededBytes) return null;
-          this.body.push(buf.subarray(0, this.neededBytes));
-          this.held = buf.subarray(this.neededBytes);
-          this.state = 'chunkEnd';
-          break;
-        }
-        case 'chunkEnd': {
-          if (buf.length < 2) return null;
-          if (buf[0] !== 13 || buf[1] !== 10) throw new HttpError(400, 'bad chunk end');
-          this.held = buf.subarray(2);
-          this.state = 'chunkSize';
-          break;
-        }
-        case 'trailer': {
-          const end = buf.indexOf('\r\n');
-          if (end < 0) {
-            if (buf.length > 4096) throw new HttpError(400, 'trailer too large');
-            return null;
-          }
-          this.held = buf.subarray(end + 2);
-          if (end === 0) return this.finish();
-          this.trailerSize += end;
-          if (this.trailerSize > 4096) throw new HttpError(400, 'trailer too large');
-          break;
-        }
-      }
+      const step = this.step(this.receivedBytes(), ended);
+      if (step !== 'again') return step;
+    }
+  }
+
+  /** One step in the present state: a message, null where bytes are missing, or another step. */
+  private step(bytes: Buffer, ended: boolean): Step {
+    switch (this.state) {
+      case 'head':
+        return this.stepHead(bytes);
+      case 'sized':
+        return this.stepSized(bytes);
+      case 'close':
+        return this.stepUntilClose(bytes, ended);
+      case 'chunkSize':
+        return this.stepChunkSize(bytes);
+      case 'chunkData':
+        return this.stepChunkData(bytes);
+      case 'chunkEnd':
+        return this.stepChunkEnd(bytes);
+      case 'trailer':
+        return this.stepTrailer(bytes);
+    }
+  }
+
+  private stepHead(bytes: Buffer): Step {
+    // An empty line before a request is allowed.
+    const from = this.kind === 'request' && startsWithLineEnd(bytes) ? LINE_END.length : 0;
+    const end = bytes.indexOf(HEAD_END, from);
+    if (Math.max(end, end < 0 ? bytes.length : 0) > this.limits.headBytes) {
+      throw new HttpError(400, 'header too large');
+    }
+    if (end < 0) return null;
+    this.readHead(bytes.toString('latin1', from, end));
+    this.held = bytes.subarray(end + HEAD_END.length);
+    return 'again';
+  }
+
+  private stepSized(bytes: Buffer): Step {
+    if (bytes.length < this.neededBytes) return null;
+    this.body = this.neededBytes > 0 ? [bytes.subarray(0, this.neededBytes)] : [];
+    this.held = bytes.subarray(this.neededBytes);
+    return this.finish();
+  }
+
+  private stepUntilClose(bytes: Buffer, ended: boolean): Step {
+    if (bytes.length > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
+    if (!ended) return null;
+    this.body = [bytes];
+    this.held = EMPTY;
+    return this.finish();
+  }
+
+  private stepChunkSize(bytes: Buffer): Step {
+    const end = bytes.indexOf(LINE_END);
+    if (end < 0) {
+      if (bytes.length > MAX_CHUNK_LINE_BYTES) throw new HttpError(400, 'bad chunk');
+      return null;
+    }
+    const word = bytes.toString('latin1', 0, end).split(';')[0]!.trim();
+    if (!CHUNK_SIZE.test(word)) throw new HttpError(400, 'bad chunk size');
+    this.neededBytes = parseInt(word, 16);
+    this.held = bytes.subarray(end + LINE_END.length);
+    if (this.neededBytes === 0) {
+      this.trailerSize = 0;
+      this.state = 'trailer';
+      return 'again';
+    }
+    this.bodySize += this.neededBytes;
+    if (this.bodySize > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
+    this.state = 'chunkData';
+    return 'again';
+  }
+
+  private stepChunkData(bytes: Buffer): Step {
+    if (bytes.length < this.neededBytes) return null;
+    this.body.push(bytes.subarray(0, this.neededBytes));
+    this.held = bytes.subarray(this.neededBytes);
+    this.state = 'chunkEnd';
+    return 'again';
+  }
+
+  private stepChunkEnd(bytes: Buffer): Step {
+    if (bytes.length < LINE_END.length) return null;
+    if (!startsWithLineEnd(bytes)) throw new HttpError(400, 'bad chunk end');
+    this.held = bytes.subarray(LINE_END.length);
+    this.state = 'chunkSize';
+    return 'again';
+  }
+
+  private stepTrailer(bytes: Buffer): Step {
+    const end = bytes.indexOf(LINE_END);
+    if (end < 0) {
+      if (bytes.length > MAX_TRAILER_BYTES) throw new HttpError(400, 'trailer too large');
+      return null;
     }
+    this.held = bytes.subarray(end + LINE_END.length);
+    if (end === 0) return this.finish();
+    this.trailerSize += end;
+    if (this.trailerSize > MAX_TRAILER_BYTES) throw new HttpError(400, 'trailer too large');
+    return 'again';
   }
 
   private finish(): Message {
@@ -176,67 +213,87 @@
   }
 
   private readHead(text: string): void {
-    const lines = text.split('\r\n');
-    const first = lines[0]!;
-    const headers = new Map<string, string>();
-    for (let i = 1; i < lines.length; i++) {
-      const line = lines[i]!;
-      const colon = line.indexOf(':');
-      if (colon <= 0) throw new HttpError(400, 'bad header line');
-      const name = line.slice(0, colon);
-      if (!TOKEN.test(name)) throw new HttpError(400, 'bad header name');
-      const key = name.toLowerCase();
-      const value = line.slice(colon + 1).trim();
-      const old = headers.get(key);
-      if (old !== undefined && (key === 'content-length' || key === 'transfer-encoding')) {
-        // Two lengths, even equal ones: a smuggling attempt or a broken client.
-        throw new HttpError(400, `repeated ${key}`);
-      }
-      headers.set(key, old === undefined ? value : `${old}, ${value}`);
-    }
-    let method = '';
-    let target = '';
-    let status = 0;
-    let version: string;
-    if (this.kind === 'request') {
-      const parts = first.split(' ');
-      if (parts.length !== 3 || !TOKEN.test(parts[0]!) || parts[1] === '') {
-        throw new HttpError(400, 'bad request line');
-      }
-      [method, target, version] = parts as [string, string, string];
-    } else {
-      const match = /^(HTTP\/1\.[01]) (\d{3})( .*)?$/.exec(first);
-      if (match === null) throw new HttpError(400, 'bad status line');
-      version = match[1]!;
-      status = Number(match[2]);
-    }
+    const lines = text.split(LINE_END);
+    const headers = parseHeaders(lines);
+    const start =
+      this.kind === 'request' ? parseRequestLine(lines[0]!) : parseStatusLine(lines[0]!);
+    const { method, target, status, version } = start;
     if (version !== 'HTTP/1.1' && version !== 'HTTP/1.0') throw new HttpError(400, 'bad version');
     const connection = (headers.get('connection') ?? '').toLowerCase();
     const keepAlive =
       version === 'HTTP/1.1' ? !connection.includes('close') : connection.includes('keep-alive');
-    this.head = { method, target, status, headers, keepAlive };
+    const head = { method, target, status, headers, keepAlive };
+    this.head = head;
+    this.state = this.bodyState(head);
+  }
 
-    const length = headers.get('content-length');
-    const coding = headers.get('transfer-encoding');
+  /** How the body after a head is delimited. */
+  private bodyState(head: Head): State {
+    const length = head.headers.get('content-length');
+    const coding = head.headers.get('transfer-encoding');
     if (length !== undefined && coding !== undefined) throw new HttpError(400, 'two body lengths');
     if (coding !== undefined) {
       if (coding.toLowerCase() !== 'chunked') throw new HttpError(400, 'unknown transfer coding');
-      this.state = 'chunkSize';
-      return;
+      return 'chunkSize';
     }
     if (length !== undefined) {
-      if (!/^\d{1,15}$/.test(length)) throw new HttpError(400, 'bad content length');
+      if (!CONTENT_LENGTH.test(length)) throw new HttpError(400, 'bad content length');
       this.neededBytes = Number(length);
       if (this.neededBytes > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
-      this.state = 'sized';
-      return;
+      return 'sized';
     }
-    if (this.kind === 'response' && status !== 204 && status !== 304) {
-      this.state = 'close';
-      this.head.keepAlive = false;
-      return;
+    if (this.kind === 'response' && head.status !== 204 && head.status !== 304) {
+      head.keepAlive = false;
+      return 'close';
     }
     this.neededBytes = 0;
-    this.state = 'sized';
+    return 'sized';
+  }
+}
+
+const startsWithLineEnd = (bytes: Buffer): boolean =>
+  bytes.length >= LINE_END.length && bytes[0] === CARRIAGE_RETURN && bytes[1] === LINE_FEED;
+
+/** Headers by their names in small letters; the first line is the start line. */
+function parseHeaders(lines: string[]): Map<string, string> {
+  const headers = new Map<string, string>();
+  for (let i = 1; i < lines.length; i++) {
+    const line = lines[i]!;
+    const colon = line.indexOf(':');
+    if (colon <= 0) throw new HttpError(400, 'bad header line');
+    const name = line.slice(0, colon);
+    if (!TOKEN.test(name)) throw new HttpError(400, 'bad header name');
+    const key = name.toLowerCase();
+    const value = line.slice(colon + 1).trim();
+    const old = headers.get(key);
+    if (old !== undefined && (key === 'content-length' || key === 'transfer-encoding')) {
+      // Two lengths, even equal ones: a smuggling attempt or a broken client.
+      throw new HttpError(400, `repeated ${key}`);
+    }
+    headers.set(key, old === undefined ? value : `${old}, ${value}`);
   }
+  return headers;
+}
+
+/** What a message begins with; the fields that its kind does not have are empty. */
+interface StartLine {
+  method: string;
+  target: string;
+  status: number;
+  version: string;
+}
+
+function parseRequestLine(line: string): StartLine {
+  const parts = line.split(' ');
+  const [method = '', target = '', version = ''] = parts;
+  if (parts.length !== 3 || !TOKEN.test(method) || target === '') {
+    throw new HttpError(400, 'bad request line');
+  }
+  return { method, target, status: 0, version };
+}
+
+function parseStatusLine(line: string): StartLine {
+  const match = STATUS_LINE.exec(line);
+  if (match === null) throw new HttpError(400, 'bad status line');
+  return { method: '', target: '', status: Number(match[2]), version: match[1]! };
 }
--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -1,5 +1,5 @@
 import type { LiveJob } from '../../jobs/live-job.js';
-import { fits } from '../../jobs/types.js';
+import { fits, type JobSpec } from '../../jobs/types.js';
 import {
   isAllowedOn,
   release,
@@ -32,6 +32,12 @@
   victims: VictimTask[];
 }
 
+/** A machine on which tasks are stopped for the job. */
+interface PreemptionChoice {
+  place: OpenCandidate;
+  victims: VictimTask[];
+}
+
 /** Sets work of one priority apart from that of the next, whatever it loses. */
 const PRIORITY_TIER = 1e6;
 /** A start that is late for its class counts as so many seconds, whatever its wait. */
@@ -80,100 +86,123 @@
   }
 
   /**
-   * Makes room where that is allowed, and takes it out of the rooms, so that nothing that ranks lower
-   * takes it while it is being made. Returns the tasks for which none could be made.
+   * Makes capacity where that is allowed, and allocates it, so that nothing that ranks lower takes it while
+   * it is being freed. Returns the tasks for which none could be made. `inTime`: only where the tasks start
+   * in time.
    */
   makeCapacity(
     job: LiveJob,
     tasks: number,
     zones: Map<string, number>,
     mayUse: (capacity: FreeCapacity) => boolean,
-    /** Only where the tasks start in time. */
     inTime = false,
   ): number {
+    const open = this.openCandidates(job, mayUse, inTime);
+    const { places, chosen } = choosePlaces(job, open, tasks, zones);
+    this.logPlan(job, tasks, places, chosen, inTime);
+    // A gang gains nothing from capacity for some of its tasks.
+    if (job.isGang && places.length < tasks) return tasks;
+    for (const choice of chosen) this.preempt(job, choice);
+    // A gang of several was once passed over for a minute and more: as soon as one of its places was
+    // free, lower-priority work took it, while the others were still being made.
+    for (const { candidate } of places) allocate(job.spec, candidate.capacity);
+    return tasks - places.length;
+  }
+
+  /** Machines on which a task of the job could start, now or once something there has stopped. */
+  private openCandidates(
+    job: LiveJob,
+    mayUse: (capacity: FreeCapacity) => boolean,
+    inTime: boolean,
+  ): OpenCandidate[] {
     this.candidates ??= this.capacities.map((capacity) =>
       preemptionCandidate(this.term, capacity, this.subsystems),
     );
-    const spec = job.spec;
-    const from = spec.priority - (job.isGuaranteed ? 1 : 0);
-    const ageS = this.term.now - job.readySince;
-    const within = this.startObjectives.nextTargetS(spec.class, ageS);
-    const leftS = within === null ? null : within - ageS - COMMAND_LATENCY_S;
+    const leftS = this.leftS(job);
     const open: OpenCandidate[] = [];
     for (const candidate of this.candidates) {
-      const { capacity, stopping } = candidate;
-      if (!isAllowedOn(spec, capacity) || !mayUse(capacity)) continue;
-      const { id, type, zone, spot } = capacity;
-      // Most machines hold nothing that may be stopped: no need to look at each task there.
-      const may =
-        candidate.lowestPriority > from
-          ? candidate.victims.filter((victim) => this.mayPreempt(job, victim.job))
-          : [];
-      const imageS =
-        capacity.imageDelayS(spec.image, spec.imageGb) * this.term.fetchTimes.safetyFactor;
-      const saveS = may.reduce((most, victim) => Math.max(most, victim.saveS), 0);
-      const mode = preemptionMode(leftS, saveS, imageS + candidate.stoppingS);
-      if (inTime && mode === 'too-late') continue;
-      const victims = may.map((victim) => this.withCost(job, victim, mode));
-      const delayS = imageS + (mode === 'too-late' ? LATE_PENALTY_S : 0);
-      const cores = capacity.cores + stopping.cores;
-      const gpus = capacity.gpus + stopping.gpus;
-      const memGb = capacity.memGb + stopping.memGb;
-      if (victims.length === 0 && !fits(spec, { cores, gpus, memGb })) continue;
-      open.push({ id, type, zone, spot, cores, gpus, memGb, candidate, victims, delayS, mode });
-    }
-    const chosen: { candidate: OpenCandidate; victims: VictimTask[] }[] = [];
-    const got: OpenCandidate[] = [];
-    while (got.length < tasks) {
-      // Room that is being made already comes first.
-      let candidate: OpenCandidate | undefined;
-      for (const chosenCandidate of open) {
-        if (!fits(spec, chosenCandidate) || !isZoneAllowed(spec, chosenCandidate.zone, zones))
-          continue;
-        if (candidate === undefined || chosenCandidate.delayS < candidate.delayS)
-          candidate = chosenCandidate;
-      }
-      if (candidate === undefined) {
-        const plan = cheapestPreemption(spec, open, zones);
-        if (plan === null) break;
-        candidate = open.find((candidate) => candidate.id === plan.machine)!;
-        const victims = plan.victims as VictimTask[];
-        chosen.push({ candidate, victims });
-        for (const victim of victims) {
-          release(victim, candidate);
-          candidate.victims.splice(candidate.victims.indexOf(victim), 1);
-        }
-      }
-      allocate(spec, candidate);
-      zones.set(candidate.zone, (zones.get(candidate.zone) ?? 0) + 1);
-      got.push(candidate);
+      const { capacity } = candidate;
+      if (!isAllowedOn(job.spec, capacity) || !mayUse(capacity)) continue;
+      const entry = this.openCandidate(job, candidate, leftS, inTime);
+      if (entry === null) continue;
+      if (entry.victims.length === 0 && !fits(job.spec, entry)) continue;
+      open.push(entry);
     }
+    return open;
+  }
+
+  /** Seconds within which a task should be told to start; null: its class has no objective left. */
+  private leftS(job: LiveJob): number | null {
+    const ageS = this.term.now - job.readySince;
+    const targetS = this.startObjectives.nextTargetS(job.spec.class, ageS);
+    return targetS === null ? null : targetS - ageS - COMMAND_LATENCY_S;
+  }
+
+  /** Null: a start there is too late, and only those in time are wanted. */
+  private openCandidate(
+    job: LiveJob,
+    candidate: PreemptionCandidate,
+    leftS: number | null,
+    inTime: boolean,
+  ): OpenCandidate | null {
+    const { spec } = job;
+    const { capacity, stopping } = candidate;
+    const { id, type, zone, spot } = capacity;
+    const victims = this.victimsOf(job, candidate);
+    const imageS =
+      capacity.imageDelayS(spec.image, spec.imageGb) * this.term.fetchTimes.safetyFactor;
+    const saveS = victims.reduce((most, victim) => Math.max(most, victim.saveS), 0);
+    const mode = preemptionMode(leftS, saveS, imageS + candidate.stoppingS);
+    if (inTime && mode === 'too-late') return null;
+    return {
+      id,
+      type,
+      zone,
+      spot,
+      cores: capacity.cores + stopping.cores,
+      gpus: capacity.gpus + stopping.gpus,
+      memGb: capacity.memGb + stopping.memGb,
+      candidate,
+      victims: victims.map((victim) => this.withCost(job, victim, mode)),
+      delayS: imageS + (mode === 'too-late' ? LATE_PENALTY_S : 0),
+      mode,
+    };
+  }
+
+  /** Most machines hold nothing that may be stopped: no need to look at each task there. */
+  private victimsOf(job: LiveJob, { lowestPriority, victims }: PreemptionCandidate): VictimTask[] {
+    const highest = job.spec.priority - (job.isGuaranteed ? 1 : 0);
+    if (lowestPriority <= highest) return [];
+    return victims.filter((victim) => this.mayPreempt(job, victim.job));
+  }
+
+  private logPlan(
+    job: LiveJob,
+    tasks: number,
+    places: OpenCandidate[],
+    chosen: PreemptionChoice[],
+    inTime: boolean,
+  ): void {
     const { log } = this.term.context;
-    if (log.isLevelEnabled('debug')) {
-      const stopped = chosen.flatMap((choice) => choice.victims.map((victim) => victim.id));
-      const how = [...new Set(got.map((candidate) => candidate.mode))];
-      const { id, class: cls } = spec;
-      log.debug(
-        { job: id, class: cls, tasks, got: got.length, stopped, how, inTime, ageS },
-        'preemption planned',
-      );
-    }
-    // A gang gains nothing from room for some of its tasks.
-    if (job.isGang && got.length < tasks) return tasks;
-    for (const { candidate, victims } of chosen) {
-      const saves = candidate.mode !== 'immediate';
-      const carryOut = (): boolean => this.carryOut(job, victims, saves);
-      this.subsystems.preempt({ machine: candidate.id, borrower: job, victims, saves, carryOut });
-      for (const victim of victims) release(victim, candidate.candidate.stopping);
-      const gone = new Set(victims.map((victim) => victim.id));
-      candidate.candidate.victims = candidate.candidate.victims.filter(
-        (victim) => !gone.has(victim.id),
-      );
-    }
-    // A gang of several was once passed over for a minute and more: as soon as one of its places was
-    // free, lesser work took it, while the others were still being made.
-    for (const candidate of got) allocate(spec, candidate.candidate.capacity);
-    return tasks - got.length;
+    if (!log.isLevelEnabled('debug')) return;
+    const { id, class: jobClass } = job.spec;
+    const ageS = this.term.now - job.readySince;
+    const stopped = chosen.flatMap(({ victims }) => victims.map((victim) => victim.id));
+    const modes = [...new Set(places.map(({ mode }) => mode))];
+    log.debug(
+      { job: id, class: jobClass, tasks, places: places.length, stopped, modes, inTime, ageS },
+      'preemption planned',
+    );
+  }
+
+  private preempt(job: LiveJob, { place, victims }: PreemptionChoice): void {
+    const { candidate } = place;
+    const saves = place.mode !== 'immediate';
+    const carryOut = (): boolean => this.carryOut(job, victims, saves);
+    this.subsystems.preempt({ machine: place.id, borrower: job, victims, saves, carryOut });
+    for (const victim of victims) release(victim, candidate.stopping);
+    const gone = new Set(victims.map((victim) => victim.id));
+    candidate.victims = candidate.victims.filter((victim) => !gone.has(victim.id));
   }
 
   /** Stops what is still there, unless the job that wanted the room is over or has a place by now. */
@@ -188,3 +217,60 @@
     return true;
   }
 }
+
+/**
+ * Places for tasks: what is being freed already comes first, then the cheapest preemption. `zones` counts
+ * the job's tasks and grows with each place.
+ */
+function choosePlaces(
+  { spec }: LiveJob,
+  open: OpenCandidate[],
+  tasks: number,
+  zones: Map<string, number>,
+): { places: OpenCandidate[]; chosen: PreemptionChoice[] } {
+  const chosen: PreemptionChoice[] = [];
+  const places: OpenCandidate[] = [];
+  while (places.length < tasks) {
+    let place = soonestFit(spec, open, zones);
+    if (place === null) {
+      const choice = cheapestChoice(spec, open, zones);
+      if (choice === null) break;
+      chosen.push(choice);
+      ({ place } = choice);
+    }
+    allocate(spec, place);
+    zones.set(place.zone, (zones.get(place.zone) ?? 0) + 1);
+    places.push(place);
+  }
+  return { places, chosen };
+}
+
+function soonestFit(
+  spec: JobSpec,
+  open: OpenCandidate[],
+  zones: Map<string, number>,
+): OpenCandidate | null {
+  let soonest: OpenCandidate | null = null;
+  for (const place of open) {
+    if (!fits(spec, place) || !isZoneAllowed(spec, place.zone, zones)) continue;
+    if (soonest === null || place.delayS < soonest.delayS) soonest = place;
+  }
+  return soonest;
+}
+
+/** The victims leave their machine, as far as the places that are still open go. */
+function cheapestChoice(
+  spec: JobSpec,
+  open: OpenCandidate[],
+  zones: Map<string, number>,
+): PreemptionChoice | null {
+  const plan = cheapestPreemption(spec, open, zones);
+  if (plan === null) return null;
+  const place = open.find(({ id }) => id === plan.machine)!;
+  const victims = plan.victims as VictimTask[];
+  for (const victim of victims) {
+    release(victim, place);
+    place.victims.splice(place.victims.indexOf(victim), 1);
+  }
+  return { place, victims };
+}
--- a/src/leader/writes/record-writer.ts
+++ b/src/leader/writes/record-writer.ts
@@ -6,7 +6,7 @@
 import { RequestRejectedError, type KeyValueStoreClient } from '../../store/client.js';
 import * as records from '../../store/records.js';
 import type { ActiveSubsystems } from '../../subsystems/active-subsystems.js';
-import type { Precondition } from '../../wire/key-value-store.js';
+import type { Operation, Precondition } from '../../wire/key-value-store.js';
 import { DueWrites, LATER } from './due-writes.js';
 import { RecordWrites, type RecordWrite } from './record-writes.js';
 import type { Term } from '../term/term.js';
@@ -120,21 +120,9 @@
 
   private async commitBatch(batch: RecordWrite[]): Promise<void> {
     const { term, store, log, onLeadershipLost } = this.options;
-    const preconditions: Precondition[] = [{ key: records.LEADER, revision: term.context.token }];
-    for (const write of batch) {
-      for (const { key, expectedRevision } of [write, ...write.alsoOperations]) {
-        preconditions.push({ key, revision: expectedRevision });
-      }
-    }
+    const { preconditions, operations } = transactionOf(batch, term.context.token);
     try {
-      const result = await store.compareAndSwap(
-        preconditions,
-        batch.flatMap((write) => [
-          write.operation,
-          ...write.alsoOperations.map(({ operation }) => operation),
-        ]),
-        COMMIT_TIMEOUT_S,
-      );
+      const result = await store.compareAndSwap(preconditions, operations, COMMIT_TIMEOUT_S);
       if (this.stopped) return;
       if (result.ok) {
         term.latestRevision = Math.max(term.latestRevision, result.revision);
@@ -195,3 +183,19 @@
     this.pause.wakeUp();
   }
 }
+
+/** All changes of a batch, each guarded by its own key's revision and all by the leader's key. */
+function transactionOf(
+  batch: RecordWrite[],
+  token: number,
+): { preconditions: Precondition[]; operations: Operation[] } {
+  const preconditions: Precondition[] = [{ key: records.LEADER, revision: token }];
+  const operations: Operation[] = [];
+  for (const write of batch) {
+    for (const { key, expectedRevision, operation } of [write, ...write.alsoOperations]) {
+      preconditions.push({ key, revision: expectedRevision });
+      operations.push(operation);
+    }
+  }
+  return { preconditions, operations };
+}
--- a/src/operator/script.ts
+++ b/src/operator/script.ts
@@ -12,6 +12,17 @@
 
 const { lua, lauxlib, lualib, to_luastring, to_jsstring } = fengari;
 
+/** Libraries that a script may use. */
+const LIBRARIES: [string, unknown][] = [
+  ['_G', lualib.luaopen_base],
+  ['math', lualib.luaopen_math],
+  ['string', lualib.luaopen_string],
+  ['table', lualib.luaopen_table],
+];
+const BANNED_GLOBALS = ['dofile', 'loadfile', 'load', 'require', 'print', 'collectgarbage'];
+/** A pattern match or a repeated string can take long within a single step. */
+const BANNED_STRING_FUNCTIONS = ['rep', 'find', 'match', 'gmatch', 'gsub', 'dump', 'format'];
+/** Steps of the interpreter that a script may take. */
 const STEPS = 1_000_000;
 const MAX_BYTES = 64 * 1024;
 
@@ -30,6 +41,7 @@
   heavy: 'heavy',
 };
 
+/** Throws ScriptError: what keeps a script from being read or run. */
 export function loadScript(file: string): Policy {
   let text: string;
   try {
@@ -42,67 +54,66 @@
   return runScript(text);
 }
 
+/** The policy that a script sets; what it leaves out has its default. Throws ScriptError. */
 export function runScript(text: string): Policy {
   if (text.length > MAX_BYTES) throw new ScriptError('is over 64 KiB');
+  const state = makeSandbox();
+  const before = new Set(globals(state).keys());
+  execute(state, text);
+  const policy: Policy = { ...DEFAULT_POLICY };
+  for (const [name, value] of globals(state)) {
+    if (!before.has(name)) setFactor(policy, name, value, lineOf(text, name));
+  }
+  return policy;
+}
+
+/** A Lua state with the harmless part of its standard library. */
+function makeSandbox(): unknown {
   const state = lauxlib.luaL_newstate();
-  const open: [string, unknown][] = [
-    ['_G', lualib.luaopen_base],
-    ['math', lualib.luaopen_math],
-    ['string', lualib.luaopen_string],
-    ['table', lualib.luaopen_table],
-  ];
-  for (const [name, fn] of open) {
-    lauxlib.luaL_requiref(state, to_luastring(name), fn, 1);
+  for (const [name, open] of LIBRARIES) {
+    lauxlib.luaL_requiref(state, to_luastring(name), open, 1);
     lua.lua_pop(state, 1);
   }
-  const banned = ['dofile', 'loadfile', 'load', 'require', 'print', 'collectgarbage'];
-  // A pattern match or a repeated string can take long within a single step.
-  const bannedString = ['rep', 'find', 'match', 'gmatch', 'gsub', 'dump', 'format'];
-  for (const name of banned) {
+  for (const name of BANNED_GLOBALS) {
     lua.lua_pushnil(state);
     lua.lua_setglobal(state, to_luastring(name));
   }
   lua.lua_getglobal(state, to_luastring('string'));
-  for (const name of bannedString) {
+  for (const name of BANNED_STRING_FUNCTIONS) {
     lua.lua_pushnil(state);
     lua.lua_setfield(state, -2, to_luastring(name));
   }
   lua.lua_pop(state, 1);
-  const before = new Set(globals(state).keys());
-  lua.lua_sethook(
-    state,
-    () => lauxlib.luaL_error(state, to_luastring('takes too many steps')),
-    lua.LUA_MASKCOUNT,
-    STEPS,
-  );
+  return state;
+}
+
+/** Runs a script within the bound on its steps. Throws ScriptError. */
+function execute(state: unknown, text: string): void {
+  const stop = (): never => lauxlib.luaL_error(state, to_luastring('takes too many steps'));
+  lua.lua_sethook(state, stop, lua.LUA_MASKCOUNT, STEPS);
   const status =
     lauxlib.luaL_loadbuffer(state, to_luastring(text), null, to_luastring('=script')) ||
     lua.lua_pcall(state, 0, 0, 0);
   if (status !== lua.LUA_OK) throw new ScriptError(to_jsstring(lauxlib.luaL_tolstring(state, -1)));
   lua.lua_sethook(state, null, 0, 0);
-  const policy: Policy = { ...DEFAULT_POLICY };
-  for (const [name, value] of globals(state)) {
-    if (before.has(name)) continue;
-    const where = lineOf(text, name);
-    if (name === 'omega') {
-      if (
-        !Array.isArray(value) ||
-        value.length !== 3 ||
-        !value.every((factor) => inRange(factor, 0, 1000))
-      ) {
-        throw new ScriptError(`${where}omega: must be three numbers from 0 to 1000`);
-      }
-      policy.omega = value as [number, number, number];
-      continue;
-    }
-    const range = RANGES[name];
-    if (range === undefined) throw new ScriptError(`${where}${name}: unknown name`);
-    if (!inRange(value, range[0], range[1])) {
-      throw new ScriptError(`${where}${name}: must be a number from ${range[0]} to ${range[1]}`);
+}
+
+/** `where`: the line that sets it, for messages. */
+function setFactor(policy: Policy, name: string, value: unknown, where: string): void {
+  if (name === 'omega') {
+    const isTriple = Array.isArray(value) && value.length === 3;
+    if (!isTriple || !value.every((factor) => inRange(factor, 0, 1000))) {
+      throw new ScriptError(`${where}omega: must be three numbers from 0 to 1000`);
     }
-    policy[FIELDS[name]!] = value as number;
+    policy.omega = value as [number, number, number];
+    return;
   }
-  return policy;
+  const range = RANGES[name];
+  if (range === undefined) throw new ScriptError(`${where}${name}: unknown name`);
+  if (!inRange(value, range[0], range[1])) {
+    throw new ScriptError(`${where}${name}: must be a number from ${range[0]} to ${range[1]}`);
+  }
+  policy[FIELDS[name]!] = value as number;
 }
 
 const inRange = (value: unknown, low: number, high: number): boolean =>
