--- a/src/admission/controller-health.ts
+++ b/src/admission/controller-health.ts
@@ -5,39 +5,39 @@
 import { ANSWER_WAIT_S } from '../wire/workers.js';
 import { LATE_S } from './overload.js';
 
-/** A connection carries this controller's figure once in so many heartbeat intervals, at most. */
-const SEND_HEARTBEATS = 0.25;
-/** Another controller that has told no figure for so many heartbeat intervals is asked. */
-const ASK_HEARTBEATS = 1;
-/** A figure that is older than so many heartbeat intervals says nothing of the present. */
-const FRESH_HEARTBEATS = 3;
+/** Minimum time between two sends of this controller's health on a connection, in heartbeat intervals. */
+const SEND_GAP_INTERVALS = 0.25;
+/** A controller that has sent no health data for this number of heartbeat intervals is asked. */
+const ASK_AFTER_INTERVALS = 1;
+/** Health data that is older than this number of heartbeat intervals is stale. */
+const FRESH_INTERVALS = 3;
 /** Another controller is healthier when it is late by less than this share of this one's lateness. */
 const HEALTHIER_SHARE = 0.5;
 
-/** What a `HealthTable` works with. */
+/** Dependencies of `HealthTable`. */
 export interface HealthTableOptions {
   clock: Clock;
   /** The workers' heartbeat interval, in seconds. */
   heartbeatIntervalS: number;
-  /** This controller's figure now. */
+  /** This controller's current health. */
   own: () => ControllerHealth;
 }
 
-/** What a controller knows of another one. Times are in seconds of this controller's clock. */
-interface LastHeard {
+/** What is known of another controller. Times are in seconds of this controller's clock. */
+interface PeerEntry {
   health: ControllerHealth | null;
-  heardAt: number;
+  receivedAt: number;
   askedAt: number;
 }
 
 /**
- * How fit the controllers are to lead: this one's figure goes to the others with the frames that are
- * exchanged anyway, theirs are kept here. So a late controller can decide with what it has: an answer to
- * a question would reach it a turn of its late event loop later. What is decided by these figures is
- * only who had better lead, never whether anybody may.
+ * How well each controller is able to lead. This controller's health is sent to the others with frames that are
+ * exchanged anyway, and theirs is stored here, so that a late controller can decide without asking: an answer
+ * would reach it one turn of its late event loop later. The data decides only which controller should lead,
+ * never whether one may lead.
  */
 export class HealthTable implements HealthExchange {
-  private readonly others = new Map<string, LastHeard>();
+  private readonly peers = new Map<string, PeerEntry>();
 
   constructor(private readonly options: HealthTableOptions) {}
 
@@ -47,7 +47,7 @@
     let sentAt = -Infinity;
     return () => {
       const now = clock.now();
-      if (now - sentAt < heartbeatIntervalS * SEND_HEARTBEATS) return null;
+      if (now - sentAt < heartbeatIntervalS * SEND_GAP_INTERVALS) return null;
       sentAt = now;
       return own();
     };
@@ -57,35 +57,38 @@
   note(node: string, health: ControllerHealth): void {
     const entry = this.entry(node);
     entry.health = health;
-    entry.heardAt = this.options.clock.now();
+    entry.receivedAt = this.options.clock.now();
   }
 
   /**
-   * Asks those that have told no figure for a heartbeat interval; called regularly. The question carries
-   * this controller's figure, so that of a pair of controllers one asks.
+   * Asks controllers that have sent no health data for one heartbeat interval; called regularly. The question
+   * carries this controller's health, so that only one of two controllers has to ask.
    */
   refresh(peers: Pick<PeerNetwork, 'names' | 'ask'>): void {
     const { clock, heartbeatIntervalS } = this.options;
     const now = clock.now();
     for (const node of peers.names) {
       const entry = this.entry(node);
-      if (now - Math.max(entry.heardAt, entry.askedAt) < heartbeatIntervalS * ASK_HEARTBEATS)
+      if (
+        now - Math.max(entry.receivedAt, entry.askedAt) <
+        heartbeatIntervalS * ASK_AFTER_INTERVALS
+      )
         continue;
       entry.askedAt = now;
-      // With the longest patience: a link is taken down when an answer is late.
+      // The longest time-out, because a link is closed when an answer is late.
       void peers.ask(node, { q: 'there' }, ANSWER_WAIT_S);
     }
   }
 
   /**
-   * The controller that is best off by a fresh figure, where the key-value store serves it and it is less than
-   * half as late as `latenessS`, this one's lateness. Null: none is known.
+   * The least late controller, by fresh health data, among those that the key-value store serves and that are
+   * less than half as late as `latenessS`, this controller's lateness. Null: there is none.
    */
   healthier(latenessS = this.options.own().latenessS): string | null {
     let best: string | null = null;
     let bestS = latenessS * HEALTHIER_SHARE;
-    for (const node of this.others.keys()) {
-      const health = this.current(node);
+    for (const node of this.peers.keys()) {
+      const health = this.freshHealth(node);
       if (health === null || !health.served || health.latenessS >= bestS) continue;
       best = node;
       bestS = health.latenessS;
@@ -93,44 +96,47 @@
     return best;
   }
 
-  /** Whether another controller is too late, by a fresh figure. */
+  /** Whether another controller is too late to lead, by fresh health data. */
   isLate(node: string): boolean {
-    const health = this.current(node);
+    const health = this.freshHealth(node);
     return health !== null && health.latenessS > LATE_S;
   }
 
   /**
-   * Seconds that heartbeats forwarded to this controller wait for its answers, by fresh figures of the others:
-   * the least of them, since one that is slow itself waits longer. 0: none has told.
+   * Seconds that heartbeats forwarded to this controller wait for its answers, by fresh health data of the
+   * others. The minimum counts, since a controller that is slow itself waits longer. 0: there is no data.
    */
   forwardingDelayS(): number {
     let least = Infinity;
-    for (const node of this.others.keys()) {
-      const relayS = this.current(node)?.relayS;
+    for (const node of this.peers.keys()) {
+      const relayS = this.freshHealth(node)?.relayS;
       if (relayS !== undefined) least = Math.min(least, relayS);
     }
     return least === Infinity ? 0 : least;
   }
 
-  /** Seconds since another controller told a figure, over any connection; Infinity: it has told none. */
+  /** Seconds since another controller last sent health data, over any connection; Infinity: it never did. */
   silentS(node: string): number {
-    const { others } = this;
-    return this.options.clock.now() - (others.get(node)?.heardAt ?? -Infinity);
+    const { peers } = this;
+    return this.options.clock.now() - (peers.get(node)?.receivedAt ?? -Infinity);
   }
 
-  private current(node: string): ControllerHealth | null {
+  private freshHealth(node: string): ControllerHealth | null {
     const { clock, heartbeatIntervalS } = this.options;
-    const entry = this.others.get(node);
-    if (entry === undefined || clock.now() - entry.heardAt >= heartbeatIntervalS * FRESH_HEARTBEATS)
+    const entry = this.peers.get(node);
+    if (
+      entry === undefined ||
+      clock.now() - entry.receivedAt >= heartbeatIntervalS * FRESH_INTERVALS
+    )
       return null;
     return entry.health;
   }
 
-  private entry(node: string): LastHeard {
-    let entry = this.others.get(node);
+  private entry(node: string): PeerEntry {
+    let entry = this.peers.get(node);
     if (entry === undefined) {
-      entry = { health: null, heardAt: -Infinity, askedAt: -Infinity };
-      this.others.set(node, entry);
+      entry = { health: null, receivedAt: -Infinity, askedAt: -Infinity };
+      this.peers.set(node, entry);
     }
     return entry;
   }
--- a/src/admission/leadership-transfer.ts
+++ b/src/admission/leadership-transfer.ts
@@ -3,16 +3,17 @@
 import type { HealthTable } from './controller-health.js';
 import { TRANSFER_AFTER_S, FORWARDING_LATE_S, type Overload } from './overload.js';
 
-/** A controller transfers leadership no more than once in so many workers' leases. */
-const GAP_LEASES = 2;
+/** Minimum time between two transfers of leadership by this controller, in workers' leases. */
+const TRANSFER_INTERVAL_LEASES = 2;
 /**
- * Nor within so many workers' leases of its election. Whoever takes over is late for some seconds: it hears
- * of every machine anew, on code that has not been compiled yet. It once transferred leadership because of that, so
- * did the next one, and machines lost their leases to five changes of leader in forty seconds.
+ * Time after its election in which a leader transfers no leadership, in workers' leases. A new leader is late
+ * for some seconds, because all machines join its term while its code is not compiled yet. Without this limit a
+ * new leader transferred leadership for that reason, the next one did the same, and machines lost their leases
+ * in five changes of leader within forty seconds.
  */
-const SETTLE_LEASES = 2;
+const SETTLING_LEASES = 2;
 
-/** What a `LeadershipTransfer` works with. */
+/** Dependencies of `LeadershipTransfer`. */
 export interface LeadershipTransferOptions {
   overload: Overload;
   health: Pick<HealthTable, 'healthier' | 'forwardingDelayS'>;
@@ -23,35 +24,38 @@
   leads: () => boolean;
   /** When it was elected, in seconds of the clock; asked only while it leads. */
   electedAt: () => number;
-  /** Gives up leadership, so that another controller is elected at once. */
+  /** Ends leadership so that another controller can be elected at once. */
   stepDown: () => Promise<void>;
 }
 
 /**
- * An overloaded leader transfers leadership. It renews its own lease, which is little work, while workers' heartbeats
- * wait longer than the workers do: on a controller that had become three times slower, leadership was
- * kept like this until the leases of all machines had expired. Where no other controller is better
- * off it stays.
+ * Transfers leadership away from an overloaded leader. Such a leader still renews its own lease, which is
+ * little work, while workers' heartbeats wait longer than the workers' time-out: a controller that had become
+ * three times slower stayed leader until the leases of all machines had expired. A leader stays where no other
+ * controller is healthier.
  *
- * It decides at once, on the figures that the others have told. When it asked them first, the answers
- * were read a turn of the late event loop later, and in one of three runs its lease had ended by then.
+ * The decision is immediate and uses the health data that the others have already sent. When the leader asked
+ * them first, it read the answers one turn of its late event loop later, and in one of three runs its lease had
+ * ended by then.
  */
 export class LeadershipTransfer {
   private transferredAt = -Infinity;
-  /** Since when heartbeats forwarded to this controller have waited for too long; null: they have not. */
+  /** Since when heartbeats forwarded to this controller have waited too long; null: they have not. */
   private forwardingLateSince: number | null = null;
 
   constructor(private readonly options: LeadershipTransferOptions) {}
 
-  /** Called regularly. */
+  /**
+   * Transfers leadership if this leader is overloaded and another controller is healthier; called regularly.
+   */
   consider(): void {
     const { leads, electedAt, overload, health, clock, leaseS, log, stepDown } = this.options;
     const now = clock.now();
     const forwardingDelayS = health.forwardingDelayS();
     if (!leads()) return;
-    if (!this.isForwardingTooLate(forwardingDelayS, now) && !overload.tooLateToLead(now)) return;
-    if (now - this.transferredAt < leaseS * GAP_LEASES) return;
-    if (now - electedAt() < leaseS * SETTLE_LEASES) return;
+    if (!this.isForwardingOverdue(forwardingDelayS, now) && !overload.tooLateToLead(now)) return;
+    if (now - this.transferredAt < leaseS * TRANSFER_INTERVAL_LEASES) return;
+    if (now - electedAt() < leaseS * SETTLING_LEASES) return;
     const latenessS = Math.max(overload.latenessS, forwardingDelayS);
     const successor = health.healthier(latenessS);
     if (successor === null) return;
@@ -60,8 +64,8 @@
     void stepDown();
   }
 
-  /** Whether other controllers have waited too long for too long. */
-  private isForwardingTooLate(forwardingDelayS: number, now: number): boolean {
+  /** Whether heartbeats forwarded to this controller have waited too long for `TRANSFER_AFTER_S`. */
+  private isForwardingOverdue(forwardingDelayS: number, now: number): boolean {
     if (forwardingDelayS <= FORWARDING_LATE_S) {
       this.forwardingLateSince = null;
       return false;
--- a/src/admission/request-queue.ts
+++ b/src/admission/request-queue.ts
@@ -3,10 +3,10 @@
 import { refusedAboveS, REQUEST_CLASSES, type Overload, type RequestClass } from './overload.js';
 
 /**
- * A slice's share of the workers' lease: a sixth of the time between two renewals of the leader's own
- * lease (see `Election`), so that a renewal is late by a few slices at most. A controller that found
- * hundreds of heartbeats in one turn of the event loop once answered them all before its timers and the
- * store's answers had their turn, and lost its leadership to a lease that it had not renewed.
+ * Length of a slice as a share of the workers' lease: a sixth of the time between two renewals of the leader's
+ * own lease (see `Election`), so that a renewal is late by a few slices at most. A controller that found
+ * hundreds of heartbeats in one turn of the event loop once answered all of them before its timers and the
+ * store's answers were processed, and lost its leadership because its lease had not been renewed.
  */
 const SLICE_LEASES = 0.01;
 
@@ -14,13 +14,13 @@
  *   idle -> open -> idle
  *           open -> draining -> idle
  *
- * `idle`: nothing has come in this turn of the event loop. `open`: a slice has begun, requests are
- * handled as they come. `draining`: the slice was used up and requests wait; each turn of the event
- * loop serves a slice of them.
+ * `idle`: no request has arrived in this turn of the event loop. `open`: a slice has begun, and requests are
+ * handled as they arrive. `draining`: the slice was used up and requests wait; each turn of the event loop
+ * serves one slice of them.
  */
 export type QueueState = 'idle' | 'open' | 'draining';
 
-const ALLOWED: Record<QueueState, QueueState[]> = {
+const TRANSITIONS: Record<QueueState, QueueState[]> = {
   idle: ['open'],
   open: ['idle', 'draining'],
   draining: ['idle'],
@@ -28,37 +28,37 @@
 
 interface WaitingRequest {
   arrivedAt: number;
-  /** Seconds after which whoever asked has given up. */
-  patienceS: number;
+  /** Seconds after which the sender has timed out. */
+  timeoutS: number;
   serve: () => void;
   refuse: () => void;
 }
 
-/** What a `RequestQueue` works with. */
+/** Dependencies and limits of a `RequestQueue`. */
 export interface RequestQueueOptions {
   clock: Clock;
   leaseS: number;
-  /** Requests that may wait, of all classes. */
+  /** The maximum number of waiting requests, of all classes. */
   capacity: number;
   overload: Overload;
-  /** Calls back in the next turn of the event loop, after timers and input. */
+  /** Runs the callback in the next turn of the event loop, after timers and input. */
   defer?: (callback: () => void) => void;
   onError: (error: unknown) => void;
 }
 
-/** First in, first out, without moving what is behind. */
+/** A first-in, first-out queue that does not move the remaining items at each removal. */
 class FifoQueue {
   private items: WaitingRequest[] = [];
-  private first = 0;
+  private headIndex = 0;
 
-  /** The oldest item; undefined: it is empty. */
+  /** The oldest item; undefined: the queue is empty. */
   get head(): WaitingRequest | undefined {
-    return this.items[this.first];
+    return this.items[this.headIndex];
   }
 
-  /** Items that wait. */
+  /** The number of waiting items. */
   get length(): number {
-    return this.items.length - this.first;
+    return this.items.length - this.headIndex;
   }
 
   /** Adds an item at the end. */
@@ -68,22 +68,22 @@
 
   /** Removes the oldest item. */
   shift(): void {
-    this.first++;
-    // Served requests would be held in memory until the queue runs empty, which under load it may not.
-    if (this.first * 2 > this.items.length) {
-      this.items = this.items.slice(this.first);
-      this.first = 0;
+    this.headIndex++;
+    // Otherwise served requests would stay in memory until the queue is empty, which may not happen under load.
+    if (this.headIndex * 2 > this.items.length) {
+      this.items = this.items.slice(this.headIndex);
+      this.headIndex = 0;
     }
   }
 }
 
 /**
- * Requests by priority, in slices of time. On a controller that keeps up each is handled at once, when
- * it arrives. What the slice leaves over waits, and between two slices the event loop runs timers and
- * reads input: the leader's lease, the store's answers and the other controllers come first.
+ * Serves requests by priority, in slices of time. On a controller that keeps up, each request is handled
+ * immediately on arrival. Requests that exceed the slice wait, and between two slices the event loop runs
+ * timers and reads input, so that the leader's lease, the store's answers and the other controllers come first.
  *
- * Requests of one class keep the order in which they came, and none overtakes one that waits: a
- * machine's heartbeats are never reordered.
+ * Requests of one class keep their order of arrival, and none overtakes a waiting one: the heartbeats of a
+ * machine are never reordered.
  */
 export class RequestQueue {
   private state: QueueState = 'idle';
@@ -94,7 +94,7 @@
     poll: new FifoQueue(),
     submission: new FifoQueue(),
   };
-  /** Refused for the load, or dropped, since the start. */
+  /** Requests refused because of load, or dropped, since the start. */
   readonly refused: Record<RequestClass, number> = {
     report: 0,
     cancellation: 0,
@@ -111,12 +111,12 @@
   }
 
   private changeState(state: QueueState): void {
-    if (!ALLOWED[this.state].includes(state))
+    if (!TRANSITIONS[this.state].includes(state))
       throw new IllegalTransitionError('request queue', this.state, state);
     this.state = state;
   }
 
-  /** Requests that wait, of all classes. */
+  /** The number of waiting requests, of all classes. */
   get size(): number {
     return REQUEST_CLASSES.reduce((n, kind) => n + this.waiting[kind].length, 0);
   }
@@ -129,26 +129,26 @@
   }
 
   /**
-   * Handles a request now, later, or not at all: `refusal` is the answer then. A request that is refused
-   * for the load is refused when it arrives. `patienceS`: how long whoever asked waits for the answer;
-   * what has waited longer is not worth the work any more.
+   * Handles a request now, later, or not at all; the answer is then `refusal`. A request refused because of
+   * load is refused on arrival. `timeoutS`: how long the sender waits for the answer; a request that has waited
+   * longer is dropped.
    */
   run<T>(
     kind: RequestClass,
     work: () => T | Promise<T>,
     refusal: T,
-    patienceS = Infinity,
+    timeoutS = Infinity,
   ): T | Promise<T> {
     const now = this.options.clock.now();
     if (this.options.overload.refuses(kind)) return this.refuse(kind, refusal);
     if (this.state === 'idle') this.open(now);
     if (this.state === 'open' && now < this.sliceEnd) return work();
-    // Bounded, whatever comes: connections are as well, but one peer's link carries many requests.
+    // A bound for all sources: connections are limited as well, but the link of one peer carries many requests.
     if (this.size >= this.options.capacity) return this.refuse(kind, refusal);
     return new Promise((resolve, reject) => {
       this.waiting[kind].push({
         arrivedAt: now,
-        patienceS,
+        timeoutS,
         serve: () => {
           try {
             resolve(work());
@@ -173,7 +173,7 @@
     this.defer(() => this.runTurn());
   }
 
-  /** Once in each turn of the event loop in which there is something to do. */
+  /** Runs once in each turn of the event loop in which requests wait or the slice is open. */
   private runTurn(): void {
     try {
       if (this.state === 'draining') this.runSlice();
@@ -188,22 +188,23 @@
     const { clock } = this.options;
     const end = clock.now() + this.sliceS;
     let now = clock.now();
-    // At least one, however late it is: otherwise a slow clock would stop everything.
+    // At least one, however late it is: otherwise slices on a slow machine might serve no request at all.
     do {
-      const next = this.next(now);
-      if (next === undefined) return;
-      if (now - next.arrivedAt > next.patienceS) next.refuse();
-      else next.serve();
+      const request = this.takeNext(now);
+      if (request === undefined) return;
+      if (now - request.arrivedAt > request.timeoutS) request.refuse();
+      else request.serve();
       now = clock.now();
     } while (now < end);
   }
 
   /**
-   * By class. But what was let in is served in time: a user's request that has waited for as long as
-   * makes newer ones of its class be refused goes first, or a steady stream of heartbeats would hold it
-   * back until its user gives up. No more of its class are let in meanwhile, so these are few.
+   * Removes and returns the next request, by class. An admitted request is served in time: one that has waited
+   * for as long as makes newer requests of its class be refused goes first; otherwise a steady stream of
+   * heartbeats would delay it until its user times out. These are few, since no more requests of its class are
+   * admitted meanwhile.
    */
-  private next(now: number): WaitingRequest | undefined {
+  private takeNext(now: number): WaitingRequest | undefined {
     const queues = REQUEST_CLASSES.map((kind) => ({ kind, queue: this.waiting[kind] }));
     const due = queues.find(
       ({ kind, queue }) =>
--- a/src/heartbeat/forwarding-delay.ts
+++ b/src/heartbeat/forwarding-delay.ts
@@ -1,18 +1,18 @@
 import type { Clock } from '../clock.js';
 
-/** What the latest heartbeat counts in the mean. */
-const WEIGHT = 0.1;
-/** A mean to which nothing was added for so many heartbeat intervals says nothing of the present. */
-const FRESH_HEARTBEATS = 2;
+/** The weight of the latest sample in the exponentially weighted mean. */
+const LATEST_SAMPLE_WEIGHT = 0.1;
+/** Number of heartbeat intervals without a sample after which the mean is stale. */
+const FRESH_INTERVALS = 2;
 
 /**
- * How long heartbeats that this controller forwards to the leader wait for their answers, those that got none
- * included. A leader that falls behind may not see it itself: while its timers are hardly late, others
- * give up waiting for it.
+ * Measures how long heartbeats that this controller forwards to the leader wait for an answer, time-outs
+ * included. A leader that falls behind may not detect this itself: its timers can be almost on time while
+ * forwarded heartbeats time out.
  */
 export class ForwardingDelay {
-  private mean = 0;
-  private notedAt = -Infinity;
+  private smoothedS = 0;
+  private lastSampleAt = -Infinity;
 
   constructor(
     private readonly clock: Clock,
@@ -20,18 +20,20 @@
     private readonly heartbeatIntervalS: number,
   ) {}
 
-  /** Seconds from a question to its answer, or until it was given up. */
-  note(seconds: number): void {
-    this.mean = this.isFresh ? this.mean + (seconds - this.mean) * WEIGHT : seconds;
-    this.notedAt = this.clock.now();
+  /** Adds the time from a request to its answer or time-out. */
+  addSample(delayS: number): void {
+    this.smoothedS = this.isFresh
+      ? this.smoothedS + (delayS - this.smoothedS) * LATEST_SAMPLE_WEIGHT
+      : delayS;
+    this.lastSampleAt = this.clock.now();
   }
 
   private get isFresh(): boolean {
-    return this.clock.now() - this.notedAt < this.heartbeatIntervalS * FRESH_HEARTBEATS;
+    return this.clock.now() - this.lastSampleAt < this.heartbeatIntervalS * FRESH_INTERVALS;
   }
 
-  /** The mean of the latest, in seconds; undefined: none was forwarded lately. */
+  /** Mean delay of recent heartbeats, in seconds; undefined: none was forwarded recently. */
   get meanS(): number | undefined {
-    return this.isFresh ? this.mean : undefined;
+    return this.isFresh ? this.smoothedS : undefined;
   }
 }
--- a/src/heartbeat/heartbeat-counts.ts
+++ b/src/heartbeat/heartbeat-counts.ts
@@ -1,19 +1,19 @@
 import type { Reply } from '../http/server.js';
 
-/** What became of workers' heartbeats on this controller, counted since its start. */
+/** Counts the workers' heartbeats that this controller received since its start, by outcome. */
 export class HeartbeatCounts {
-  /** Answered with 200 as leader: straight from workers. */
+  /** Answered with 200 as leader, received directly from workers. */
   answered = 0;
-  /** Answered with 200 as leader: forwarded by another controller. */
+  /** Answered with 200 as leader, forwarded by another controller. */
   answeredForPeers = 0;
-  /** Answered in a leader's place. */
+  /** Leases renewed in place of the leader. */
   renewedForLeader = 0;
   /** Forwarded to another controller that answered them. */
   forwarded = 0;
-  /** No other controller answered them; those that were answered in a leader's place then among them. */
+  /** Answered by no other controller, including those whose leases were then renewed in place of the leader. */
   forwardingFailed = 0;
 
-  /** Counts the leader's answer to a heartbeat, if it is one, and returns it. */
+  /** Counts the reply if it is a leader's 200 to a heartbeat, and returns it. */
   countReply(reply: Reply, from: 'worker' | 'peer'): Reply {
     if (reply.status !== 200) return reply;
     if (from === 'worker') this.answered++;
--- a/src/heartbeat/heartbeat-handler.ts
+++ b/src/heartbeat/heartbeat-handler.ts
@@ -20,13 +20,15 @@
 import { substituteToken } from './substitute-token.js';
 
 /**
- * Of the time that a worker waits for an answer, what it may be left waiting here, and what one of the
- * others may take. These were heartbeat intervals once. With heartbeats every 2.5 s the answers came after
- * workers had given up: those of a zone just cut off went to look elsewhere, which took a lease.
+ * Share of the time that a worker waits for an answer within which this controller must have answered. The shares
+ * are not multiples of the heartbeat interval: with those and heartbeats every 2.5 s, answers came after workers
+ * had timed out, and the workers of a zone that had just been cut off searched for another controller, which took
+ * a lease.
  */
 export const RENEWAL_WAIT_SHARE = 0.875;
-/** Of the time that a worker waits for an answer, what the leader may take for it. */
+/** Share of the time that a worker waits for an answer that a request to the leader may take. */
 export const LEADER_WAIT_SHARE = 0.25;
+/** The same for a request to another controller that forwards it to the leader. */
 const RELAY_WAIT_SHARE = 0.3;
 
 interface HeartbeatHandlerOptions {
@@ -38,28 +40,31 @@
   /** Only where this controller is its zone's lease holder. */
   zoneLeaseHolder: ZoneLeaseHolder | null;
   zoneLeases: ZoneLeaseWatch;
-  /** Whether another controller, as far as it has told lately, does not keep up. */
+  /** Whether another controller is too late, by its latest health data. */
   isLate: (node: string) => boolean;
   leader: () => Leader | null;
-  /** Cancelled, as far as this controller has been told by any way. */
+  /** Whether this controller knows from any source that the job is cancelled. */
   isKnownCancelled: (job: string) => boolean;
-  /** Whether a stored cancellation was heard of that this controller has not read. */
+  /** Whether this controller was notified of a stored cancellation that its replica does not show yet. */
   hasUnreadCancellations: () => boolean;
   clock: Clock;
   log: Log;
 }
 
-/** What became of asking other controllers. */
+/** The outcome of asking other controllers. */
 interface ForwardingOutcome {
-  /** Null: nobody settled it. */
+  /** Null: no answer can be passed to the worker. */
   reply: Reply | null;
-  /** The leader was reached and does not lead, or there is none. */
-  reached: boolean;
+  /** The presumed leader was reached and does not lead, or there is none to ask. */
+  leaderReached: boolean;
   /** Any other controller answered. */
-  answered: boolean;
+  anyAnswer: boolean;
 }
 
-/** Workers' heartbeats: answered by the leader, forwarded to it, or renewed in its place. */
+/**
+ * Handles workers' heartbeats: answers them as leader, forwards them to the leader, or renews leases in its
+ * place.
+ */
 export class HeartbeatHandler {
   private readonly redirects: Redirects;
   readonly counts = new HeartbeatCounts();
@@ -70,7 +75,7 @@
     this.redirects = new Redirects(options);
   }
 
-  /** `arrivedAt`: it may have waited here before its turn came. */
+  /** `arrivedAt`: when the heartbeat arrived; it may have waited in the request queue since. */
   handle(body: Buffer, arrivedAt = this.options.clock.now()): Reply | Promise<Reply> {
     return this.rejectMalformed(() => this.route(body, arrivedAt));
   }
@@ -86,17 +91,21 @@
       return this.renewForLeader(heartbeat.parse(), replica.lastToken);
     }
     const deadline = arrivedAt + ANSWER_WAIT_S * RENEWAL_WAIT_SHARE;
-    const alone = zoneLeaseHolder?.state === 'alone';
-    const leads = replica.leader;
-    const served = this.options.store.health === 'served';
-    if (!alone && leads === null && served) {
+    const isZoneIsolated = zoneLeaseHolder?.state === 'alone';
+    const knownLeader = replica.leader;
+    const isStoreAvailable = this.options.store.health === 'served';
+    if (!isZoneIsolated && knownLeader === null && isStoreAvailable) {
       heartbeat.parse();
       return { status: 503, retryAfter: 1 };
     }
-    return this.forward(heartbeat, alone ? null : (leads?.node ?? settings.node), deadline);
+    return this.forward(
+      heartbeat,
+      isZoneIsolated ? null : (knownLeader?.node ?? settings.node),
+      deadline,
+    );
   }
 
-  /** A heartbeat straight from a worker to the leader. */
+  /** Answers a heartbeat that the leader received directly from a worker. */
   private answerAsLeader(leader: Leader, body: Buffer): Reply {
     const heartbeat = leader.decodeHeartbeat(body);
     const target = this.redirects.redirectTarget(heartbeat);
@@ -104,46 +113,50 @@
     return this.counts.countReply(leader.answerHeartbeat(heartbeat, body), 'worker');
   }
 
-  /** Answers a malformed heartbeat with 400, whatever part of the work finds it to be so. */
+  /** Answers a malformed heartbeat with 400, whichever step of the work detects it. */
   private rejectMalformed<S, A>(work: () => S | Promise<A>): S | Reply | Promise<A | Reply> {
-    const refuse = (error: unknown): Reply => {
+    const toBadRequest = (error: unknown): Reply => {
       if (!(error instanceof BadMessage)) throw error;
-      // Garbage goes no further than here.
+      // Malformed input is an error of the sender and is not passed on to the caller.
       this.options.log.info({ reason: error.message }, 'heartbeat rejected: malformed');
       return { status: 400, body: '{}' };
     };
     try {
       const answer = work();
-      return answer instanceof Promise ? answer.catch(refuse) : answer;
+      return answer instanceof Promise ? answer.catch(toBadRequest) : answer;
     } catch (error) {
-      return refuse(error);
+      return toBadRequest(error);
     }
   }
 
   private redirect(heartbeat: Heartbeat, target: string): Reply {
-    this.redirects.recordSent(heartbeat.machine);
+    this.redirects.recordRedirect(heartbeat.machine);
     return { status: 421, body: encodeRedirect(target) };
   }
 
   /**
-   * Forwards a heartbeat to the leader, straight or by way of another controller. The worker stays
-   * where it is: a leader that it cannot reach, or one that ends, costs it no connection of its own.
+   * Forwards a heartbeat to the leader, directly or through another controller. The worker stays connected to
+   * this controller: a leader that it cannot reach, or that terminates, costs it no reconnection.
    */
   private async forward(
     heartbeat: ReceivedHeartbeat,
     leader: string | null,
     deadline: number,
   ): Promise<Reply> {
-    const { reply, reached, answered } = await this.askControllers(heartbeat, leader, deadline);
+    const { reply, leaderReached, anyAnswer } = await this.askControllers(
+      heartbeat,
+      leader,
+      deadline,
+    );
     if (reply !== null) return reply;
     this.counts.forwardingFailed++;
-    const renewal = await this.renewWithoutLeader(heartbeat.parse(), answered, deadline);
+    const renewal = await this.renewWithoutLeader(heartbeat.parse(), anyAnswer, deadline);
     if (renewal !== null) return renewal;
-    if (reached) return { status: 503, retryAfter: 1 };
+    if (leaderReached) return { status: 503, retryAfter: 1 };
     return { status: 421, body: encodeRedirect(leader) };
   }
 
-  /** Asks the leader and then the others, as long as there is time and one may do better. */
+  /** Asks the leader and then the other controllers, while there is time and another answer may help. */
   private async askControllers(
     heartbeat: ReceivedHeartbeat,
     leader: string | null,
@@ -151,33 +164,39 @@
   ): Promise<ForwardingOutcome> {
     const { settings, peers, clock } = this.options;
     const others = peers.names.filter((node) => node !== leader);
-    // One that the store does not serve may not know who leads by now, but others may: cut off from the
-    // store alone it once kept its zone's workers waiting, in vain, until their leases expired.
-    const stale = this.options.store.health !== 'served';
-    const nobody = leader === null || leader === settings.node;
-    const ways = nobody ? (leader !== null && stale ? others : []) : [leader, ...others];
-    const outcome: ForwardingOutcome = { reply: null, reached: nobody, answered: false };
-    for (const to of ways) {
-      const hop = to !== leader;
-      const share = hop ? RELAY_WAIT_SHARE : LEADER_WAIT_SHARE;
-      const patience = Math.min(ANSWER_WAIT_S * share, deadline - clock.now());
-      if (patience <= 0) break;
+    // Without access to the store this controller may not know the current leader, but others may. A former
+    // leader that was cut off from the store alone once kept its zone's workers waiting until their leases
+    // expired.
+    const isOutdated = this.options.store.health !== 'served';
+    const noLeader = leader === null || leader === settings.node;
+    const targets = noLeader ? (leader !== null && isOutdated ? others : []) : [leader, ...others];
+    const outcome: ForwardingOutcome = {
+      reply: null,
+      leaderReached: noLeader,
+      anyAnswer: false,
+    };
+    for (const target of targets) {
+      const hop = target !== leader;
+      const waitShare = hop ? RELAY_WAIT_SHARE : LEADER_WAIT_SHARE;
+      const timeoutS = Math.min(ANSWER_WAIT_S * waitShare, deadline - clock.now());
+      if (timeoutS <= 0) break;
       const askedAt = clock.now();
-      const answer = await peers.ask(to, { q: 'report', body: heartbeat.body, hop }, patience);
-      if (!hop) this.forwardingDelay.note(clock.now() - askedAt);
+      const answer = await peers.ask(target, { q: 'report', body: heartbeat.body, hop }, timeoutS);
+      if (!hop) this.forwardingDelay.addSample(clock.now() - askedAt);
       outcome.reply = this.replyOf(answer);
       if (outcome.reply !== null) break;
-      outcome.answered ||= answer !== null;
-      // It was reached and does not lead: nothing is gained by other ways.
+      outcome.anyAnswer ||= answer !== null;
+      // The presumed leader was reached and does not lead. Others know a different leader only if this
+      // controller's knowledge is outdated.
       if (answer?.status === 503 && !hop) {
-        outcome.reached = true;
-        if (!stale) break;
+        outcome.leaderReached = true;
+        if (!isOutdated) break;
       }
     }
     return outcome;
   }
 
-  /** What the worker is told of another controller's answer; null: it settles nothing. */
+  /** The reply to the worker for another controller's answer; null: the answer cannot be passed on. */
   private replyOf(answer: ReplyAnswer | null): Reply | null {
     if (answer?.status === 200 && answer.body !== undefined) {
       this.counts.forwarded++;
@@ -187,13 +206,13 @@
   }
 
   /**
-   * No leader has judged it: renewed in an outage, or by the holder of the zone's lease where the whole zone
-   * is cut off, so that what runs there goes on. Null: neither is allowed. `answered`: another controller
-   * has answered, so the zone is not cut off.
+   * Renews the lease when no leader has answered: in an outage of the store, or as zone lease holder where the
+   * whole zone is cut off, so that its running tasks continue. Null: neither is allowed. `peerAnswered`:
+   * another controller has answered, so the zone is not cut off.
    */
   private async renewWithoutLeader(
     heartbeat: Heartbeat,
-    answered: boolean,
+    peerAnswered: boolean,
     deadline: number,
   ): Promise<Reply | null> {
     const { settings, replica, election, zoneLeaseHolder } = this.options;
@@ -201,12 +220,15 @@
     if (token !== undefined && (await election.outage.mayRenewLeases())) {
       return this.renewForLeader(heartbeat, token);
     }
-    if (heartbeat.zone !== settings.zone || answered || zoneLeaseHolder === null) return null;
+    if (heartbeat.zone !== settings.zone || peerAnswered || zoneLeaseHolder === null) return null;
     if (!(await zoneLeaseHolder.waitUntilDecided(deadline))) return null;
     return this.renewForLeader(heartbeat, replica.lastToken);
   }
 
-  /** Renews a worker's lease in a leader's place. The only commands: cancelled tasks stop. */
+  /**
+   * Renews a worker's lease in place of the leader. The only commands in the answer are stops of cancelled
+   * tasks.
+   */
   private renewForLeader(heartbeat: Heartbeat, leaderToken: number): Reply {
     const { replica, isKnownCancelled, hasUnreadCancellations } = this.options;
     const isCancelled = (job: string): boolean =>
@@ -223,7 +245,9 @@
     return renewLease({ token, tasks: heartbeat.tasks, isCancelled });
   }
 
-  /** Forwarded by another controller. */
+  /**
+   * Handles a heartbeat that another controller forwarded. `hop`: it may be forwarded once more, to the leader.
+   */
   handleForwarded(body: Buffer, hop: boolean): Promise<ReplyAnswer | null> | ReplyAnswer {
     return this.rejectMalformed(() => this.answerOrForward(body, hop));
   }
@@ -237,8 +261,12 @@
         'peer',
       );
     }
-    const leads = replica.leader?.node;
-    if (!hop || leads === undefined || leads === settings.node) return { status: 503 };
-    return peers.ask(leads, { q: 'report', body, hop: false }, ANSWER_WAIT_S * LEADER_WAIT_SHARE);
+    const leaderNode = replica.leader?.node;
+    if (!hop || leaderNode === undefined || leaderNode === settings.node) return { status: 503 };
+    return peers.ask(
+      leaderNode,
+      { q: 'report', body, hop: false },
+      ANSWER_WAIT_S * LEADER_WAIT_SHARE,
+    );
   }
 }
--- a/src/heartbeat/received-heartbeat.ts
+++ b/src/heartbeat/received-heartbeat.ts
@@ -1,24 +1,27 @@
 import { scanHeartbeat } from '../wire/heartbeat-scan.js';
 import { decodeHeartbeat, type Heartbeat } from '../wire/workers.js';
 
-/** What decides where a heartbeat goes. */
-export interface Routing {
+/** The fields that decide which controller handles a heartbeat. */
+export interface RoutingFields {
   machine: string;
   zone: string;
 }
 
 /**
- * A heartbeat as it came from a worker, parsed only when that is needed. Whoever answers it without the leader's
- * word must have parsed it first, so that malformed bytes get 400 by every way.
+ * A heartbeat as received from a worker, parsed only when necessary. Code that answers it without asking the
+ * leader must parse it first, so that malformed bytes get 400 on every path.
  */
 export class ReceivedHeartbeat {
   private parsed: Heartbeat | null = null;
-  private scanned: Routing | null = null;
+  private scanned: RoutingFields | null = null;
 
   constructor(readonly body: Buffer) {}
 
-  /** Throws BadMessage if a full parse was needed and failed. That it does not throw proves nothing. */
-  get routing(): Routing {
+  /**
+   * Throws BadMessage if a full parse was needed and failed. Success does not prove that the heartbeat is
+   * well-formed.
+   */
+  get routing(): RoutingFields {
     this.scanned ??= scanHeartbeat(this.body) ?? this.parse();
     return this.scanned;
   }
--- a/src/heartbeat/redirects.ts
+++ b/src/heartbeat/redirects.ts
@@ -3,78 +3,84 @@
 import type { ZoneLeaseWatch } from '../leadership/zone-lease.js';
 import type { KeyValueStoreClient } from '../store/client.js';
 import type { Replica } from '../store/replica.js';
-import type { Routing } from './received-heartbeat.js';
+import type { RoutingFields } from './received-heartbeat.js';
 
 /**
- * A controller sends a worker elsewhere no more than once in so many leases. With three, workers that had left their
- * zone's controller while the leader was late were still away when their zone was cut off, 25 s later.
+ * Minimum time between two redirects of the same worker by a controller, in leases. With 3 leases, workers that
+ * had left their zone's controller while the leader was late had not returned when their zone was cut off 25 s
+ * later.
  */
-const REDIRECT_LEASES = 1.5;
-/** The controller of a zone has been there for so many heartbeat intervals before workers are sent to it. */
-const HOME_HEARTBEATS = 2;
+const REDIRECT_INTERVAL_LEASES = 1.5;
+/**
+ * Number of heartbeat intervals for which a zone's controller must have been present before workers are
+ * redirected to it.
+ */
+const STEADY_INTERVALS = 2;
 
-/** What `Redirects` work with. */
+/** Dependencies of `Redirects`. */
 export interface RedirectOptions {
   settings: Pick<Settings, 'node' | 'workers'>;
   replica: Pick<Replica, 'leader'>;
   store: Pick<KeyValueStoreClient, 'health'>;
   zoneLeases: Pick<ZoneLeaseWatch, 'holderOf' | 'isSteady'>;
-  /** Whether another controller, as far as it has told lately, does not keep up. */
+  /** Whether another controller is too late, by its latest health data. */
   isLate: (node: string) => boolean;
   clock: Clock;
 }
 
 /**
- * Which workers are told to send heartbeats to another controller. Seldom for each worker, so that none is sent back
- * and forth: by one controller once in one and a half leases. The answer is a 421, which renews nothing.
+ * Decides which workers are redirected to another controller. A controller redirects each worker at most once
+ * in 1.5 leases, so that no worker is sent back and forth. A redirect is a 421, which renews no lease.
  *
- * A late controller that sent its own workers to a healthier one was tried: they were away when their zone was
- * cut off, or lost their leases on the way, see docs/results.md.
+ * A late controller does not redirect its own workers to a healthier one. This was tried: those workers were
+ * connected elsewhere when their zone was cut off, or lost their leases during the change, see docs/results.md.
  */
 export class Redirects {
-  /** When workers were last sent elsewhere, the earliest first. */
-  private readonly sentAt = new Map<string, number>();
+  /** When each machine's worker was last redirected, the earliest first. */
+  private readonly redirectedAt = new Map<string, number>();
 
   constructor(private readonly options: RedirectOptions) {}
 
-  /** Where the worker should go; null: it stays. */
-  redirectTarget({ machine, zone }: Routing): string | null {
-    const home = this.homeOf(zone);
-    return home === null || this.wasSentLately(machine) ? null : home;
+  /** The controller to redirect the worker to; null: it stays. */
+  redirectTarget({ machine, zone }: RoutingFields): string | null {
+    const controller = this.zoneControllerFor(zone);
+    return controller === null || this.wasRecentlyRedirected(machine) ? null : controller;
   }
 
   /**
-   * The controller of a worker's own zone, when the worker should go there. Should the zone be cut off, it is
-   * already where it can be kept; to look for that controller only then takes it longer than its lease. Not
-   * while that controller is late: it could not pass the heartbeat on in time. A late leader answers by itself, and
-   * transfers leadership where another one is healthier; kept from it, workers were away when their zone was cut off.
+   * The controller of a worker's zone if the worker should connect to it, otherwise null. If the zone is cut
+   * off, the worker is then already connected to the controller that can renew its lease; a search for it that
+   * starts only then takes longer than the lease. A late controller is excluded, since it could not forward
+   * heartbeats in time, unless it is the leader: a late leader answers heartbeats itself, and transfers
+   * leadership if another controller is healthier. When workers were not redirected to a late leader, they were
+   * connected elsewhere when their zone was cut off.
    */
-  private homeOf(zone: string): string | null {
+  private zoneControllerFor(zone: string): string | null {
     const { settings, replica, store, zoneLeases, isLate } = this.options;
-    const home = zoneLeases.holderOf(zone);
-    if (home === null || home === settings.node) return null;
+    const controller = zoneLeases.holderOf(zone);
+    if (controller === null || controller === settings.node) return null;
     if (replica.leader === null || store.health !== 'served') return null;
-    if (!zoneLeases.isSteady(home, settings.workers.report_s * HOME_HEARTBEATS)) return null;
-    return isLate(home) && home !== replica.leader.node ? null : home;
+    if (!zoneLeases.isSteady(controller, settings.workers.report_s * STEADY_INTERVALS)) return null;
+    return isLate(controller) && controller !== replica.leader.node ? null : controller;
   }
 
-  private get spanS(): number {
-    return this.options.settings.workers.lease_s * REDIRECT_LEASES;
+  private get redirectIntervalS(): number {
+    return this.options.settings.workers.lease_s * REDIRECT_INTERVAL_LEASES;
   }
 
-  private wasSentLately(machine: string): boolean {
-    const at = this.sentAt.get(machine);
-    return at !== undefined && this.options.clock.now() - at < this.spanS;
+  private wasRecentlyRedirected(machine: string): boolean {
+    const at = this.redirectedAt.get(machine);
+    return at !== undefined && this.options.clock.now() - at < this.redirectIntervalS;
   }
 
-  /** The worker of a machine is told to go elsewhere. */
-  recordSent(machine: string): void {
+  /** Records that a machine's worker is being redirected. */
+  recordRedirect(machine: string): void {
     const now = this.options.clock.now();
-    this.sentAt.delete(machine);
-    this.sentAt.set(machine, now);
-    for (const [sent, at] of this.sentAt) {
-      if (now - at < this.spanS) break;
-      this.sentAt.delete(sent);
+    this.redirectedAt.delete(machine);
+    this.redirectedAt.set(machine, now);
+    for (const [redirected, at] of this.redirectedAt) {
+      if (now - at < this.redirectIntervalS) break;
+      this.redirectedAt.delete(redirected);
     }
   }
 }
--- a/src/jobs/bit-set.ts
+++ b/src/jobs/bit-set.ts
@@ -1,4 +1,4 @@
-/** A set of numbers below `size`, a bit for each: which tasks of a job are done. */
+/** A set of integers below `size`, stored as one bit each: the tasks of a job that are done. */
 export class BitSet {
   private bytes: Uint8Array;
   count = 0;
@@ -12,7 +12,7 @@
     return (this.bytes[index >> 3]! & (1 << (index & 7))) !== 0;
   }
 
-  /** False when it was set already. */
+  /** Adds a number. False: it is out of range or was in the set already. */
   add(index: number): boolean {
     if (index < 0 || index >= this.size || this.has(index)) return false;
     this.bytes[index >> 3]! |= 1 << (index & 7);
@@ -25,17 +25,17 @@
     for (let i = 0; i < this.size; i++) this.add(i);
   }
 
-  /** Whether it has all numbers. */
+  /** Whether the set contains all numbers. */
   get full(): boolean {
     return this.count === this.size;
   }
 
-  /** Base64, the lowest number in the lowest bit of the first byte. */
+  /** Base64; the lowest number is the lowest bit of the first byte. */
   encode(): string {
     return Buffer.from(this.bytes).toString('base64');
   }
 
-  /** Of what `encode` made. Bits beyond the text are not set, those beyond `size` are ignored. */
+  /** Reads what `encode` wrote. Bits beyond the text are not set, those beyond `size` are ignored. */
   static decode(size: number, text: string): BitSet {
     const bits = new BitSet(size);
     const raw = Buffer.from(text, 'base64');
--- a/src/jobs/live-job.ts
+++ b/src/jobs/live-job.ts
@@ -6,15 +6,15 @@
 import type { BitSet } from './bit-set.js';
 import { chunkCount } from './chunks.js';
 import { JobProgress, type ProgressLayout } from './progress.js';
-import { requestKindOf } from './request-kind.js';
+import { placementKeyOf } from './placement-key.js';
 import type { JobSpec, Priority } from './types.js';
 
 /**
- * A leader's running picture of one accepted job. Its phases:
+ * The phases of an accepted job in a leader's term.
  *
- *   open     has tasks that are not done
- *   closing  cancelled, or all done: nothing starts any more, what is left goes away
- *   closed   nothing of it can be on any machine
+ *   active   has tasks that are not done
+ *   closing  cancelled, or all tasks done: nothing starts any more, and remaining attempts end
+ *   closed   none of its tasks can be on any machine
  */
 export type JobPhase = 'active' | 'closing' | 'closed';
 
@@ -23,18 +23,18 @@
   notBefore: number;
 }
 
-/** An accepted job as its leader sees it: tasks that are done, run, or wait to be started. */
+/** An accepted job as its leader sees it: tasks that are done, running, or waiting to be started. */
 export class LiveJob {
-  /** What the user asked for, with the priority of the most important job that needs this one. */
+  /** What the user asked for, with the highest priority among this job and the jobs that depend on it. */
   spec: JobSpec;
   phase: JobPhase = 'active';
   cancelled = false;
   readonly progress: JobProgress;
-  /** Tasks that are done, stored or not: those of `progress`, asked for very often. */
+  /** Tasks that are done, stored or not: the set in `progress`, read very often. */
   readonly done: BitSet;
-  /** Attempts of each task that hold capacity somewhere, or that may. */
+  /** Attempts of each task that occupy or may occupy capacity on some machine. */
   readonly attemptsByTask = new Map<number, Attempt[]>();
-  /** Done tasks whose end is not stored yet. */
+  /** Ended attempts of done tasks that are not stored as done yet. */
   endsToStore: Attempt[] = [];
   attainedS: number;
   /** Machines on which its tasks failed. */
@@ -47,11 +47,11 @@
   private readonly requeued = new Set<number>();
   private readonly retries = new Map<number, RetryDelay>();
   private readonly lastAttemptNumbers = new Map<number, number>();
-  /** Revision from which its tasks may start. */
+  /** The revision as of which its tasks may start. */
   readonly readyAt: number;
-  /** Steady time since when its tasks may start, as well as this node can tell. */
+  /** The steady time since when its tasks may start, as estimated on this controller. */
   readonly readySince: number;
-  /** See `requestKindOf`. */
+  /** See `placementKeyOf`. */
   requestKind: string;
 
   constructor(
@@ -61,7 +61,7 @@
     wallMs: number,
   ) {
     this.spec = storedJob.spec;
-    this.requestKind = requestKindOf(storedJob.spec);
+    this.requestKind = placementKeyOf(storedJob.spec);
     this.readyAt = storedJob.readyAt ?? storedJob.acceptedAt;
     this.readySince = now - Math.max(0, wallMs - storedJob.readyMs) / 1000;
     this.attainedS = storedJob.attainedS;
@@ -73,11 +73,11 @@
     if (this.done.count > 0) this.hasSucceeded = true;
   }
 
-  /** Treats the job as one of this priority. */
+  /** Treats the job as one of the given priority. */
   setPriority(priority: Priority): void {
     if (priority === this.spec.priority) return;
     this.spec = { ...this.storedJob.spec, priority };
-    this.requestKind = requestKindOf(this.spec);
+    this.requestKind = placementKeyOf(this.spec);
   }
 
   /** Whether its tasks start and end together. */
@@ -85,16 +85,16 @@
     return this.spec.kind === 'gang';
   }
 
-  /** The one function that changes its phase. Throws IllegalTransitionError. */
+  /** Changes its phase; no other function does. Throws IllegalTransitionError. */
   changePhase(phase: JobPhase): void {
-    const ok =
+    const isAllowed =
       (this.phase === 'active' && phase === 'closing') ||
       (this.phase === 'closing' && phase === 'closed');
-    if (!ok) throw new IllegalTransitionError(`job ${this.spec.id}`, this.phase, phase);
+    if (!isAllowed) throw new IllegalTransitionError(`job ${this.spec.id}`, this.phase, phase);
     this.phase = phase;
   }
 
-  /** An attempt of one of its tasks that holds capacity somewhere, or may. */
+  /** Adds an attempt of one of its tasks that occupies or may occupy capacity. */
   addAttempt(attempt: Attempt): void {
     const list = this.attemptsByTask.get(attempt.index);
     if (list === undefined) this.attemptsByTask.set(attempt.index, [attempt]);
@@ -105,19 +105,19 @@
     );
   }
 
-  /** A new attempt's number: above all earlier ones of the task, of every leader before. */
+  /** The number of a new attempt: above all earlier ones of the task, including those of earlier leaders. */
   nextNumber(index: number, token: number): number {
     return Math.max(token, (this.lastAttemptNumbers.get(index) ?? 0) + 1);
   }
 
-  /** A new attempt's number for all tasks of a gang. */
+  /** The number of a new attempt for all tasks of a gang. */
   nextGangNumber(token: number): number {
     let number = token;
     for (const last of this.lastAttemptNumbers.values()) number = Math.max(number, last + 1);
     return number;
   }
 
-  /** An attempt is over. The task is wanted again unless it is done or on some other machine. */
+  /** Removes an attempt that is over. Its task is queued again unless it is done or has another attempt. */
   removeAttempt(attempt: Attempt): void {
     const list = this.attemptsByTask.get(attempt.index);
     if (list !== undefined) {
@@ -131,25 +131,26 @@
       this.requeued.add(attempt.index);
   }
 
-  /** After a failure: not at once again, and later each time. */
-  delayRetry(index: number, now: number, firstS: number, mostS: number): void {
+  /** Delays the next attempt of a task after a failure: longer after each failure. */
+  delayRetry(index: number, now: number, initialS: number, maxS: number): void {
     const delay = this.retries.get(index) ?? { failures: 0, notBefore: 0 };
-    delay.notBefore = now + Math.min(mostS, firstS * 2 ** delay.failures);
+    delay.notBefore = now + Math.min(maxS, initialS * 2 ** delay.failures);
     delay.failures++;
     this.retries.set(index, delay);
   }
 
   /**
-   * A task has run for so long: not a job whose tasks fail wherever they start. Services never have a
-   * task that is done; one whose replicas had met three faulty machines once got no replica any more.
+   * Records that a task has run for `ranS`. From `minRunS` on this shows that the job's tasks do not fail
+   * wherever they start. Services never have a task that is done: without this rule, one whose replicas had
+   * failed on three faulty machines got no replica any more.
    */
-  recordRunTime(ranS: number, provenS: number): void {
-    if (ranS < provenS) return;
+  recordRunTime(ranS: number, minRunS: number): void {
+    if (ranS < minRunS) return;
     this.hasSucceeded = true;
     this.failedOn.clear();
   }
 
-  /** A task is done; false: it was before. */
+  /** Marks a task as done; false: it was done already. */
   markDone(index: number, now: number): boolean {
     this.hasSucceeded = true;
     if (!this.progress.markDone(index, now)) return false;
@@ -158,15 +159,15 @@
     return true;
   }
 
-  /** These are stored now. Returns the ended attempts that have been dealt with by this. */
+  /** Marks tasks as stored. Returns the ended attempts that are settled by this. */
   tasksStored(unit: number, indexes: number[], now: number): Attempt[] {
     this.progress.markStored(unit, indexes, now);
-    const over = this.endsToStore.filter((attempt) => this.progress.isStored(attempt.index));
+    const settled = this.endsToStore.filter((attempt) => this.progress.isStored(attempt.index));
     this.endsToStore = this.endsToStore.filter((attempt) => !this.progress.isStored(attempt.index));
-    return over;
+    return settled;
   }
 
-  /** What is to be stored of a chunk or part of its progress. */
+  /** The record to be stored for a unit of its progress. */
   progressRecord(unit: number): ProgressRecord {
     const { layout } = this.progress;
     const units = chunkCount(this.spec.tasks, layout.tasksEach);
@@ -182,32 +183,32 @@
     return progressPartKey(id, this.progress.range(unit).first);
   }
 
-  /** Attempts that hold capacity. */
+  /** Attempts that occupy capacity. */
   *activeAttempts(): IterableIterator<Attempt> {
     for (const list of this.attemptsByTask.values())
       for (const attempt of list) if (occupiesCapacity(attempt)) yield attempt;
   }
 
-  /** Attempts that hold capacity. */
+  /** The number of attempts that occupy capacity. */
   get activeAttemptCount(): number {
     return [...this.activeAttempts()].length;
   }
 
-  /** Tasks that are neither done nor on any machine. */
+  /** The number of tasks that are neither done nor on any machine. */
   get pendingTaskCount(): number {
     let busy = 0;
     for (const index of this.attemptsByTask.keys()) if (!this.done.has(index)) busy++;
     return this.spec.tasks - this.done.count - busy;
   }
 
-  /** Tasks that may start now, at most `most`. */
-  pendingTasks(now: number, most: number): number[] {
-    const out: number[] = [];
+  /** Tasks that may start now, at most `limit`. */
+  pendingTasks(now: number, limit: number): number[] {
+    const tasks: number[] = [];
     for (const index of this.requeued) {
-      if (out.length >= most) return out;
+      if (tasks.length >= limit) return tasks;
       if (this.attemptsByTask.has(index) || this.done.has(index)) continue;
       if ((this.retries.get(index)?.notBefore ?? 0) > now) continue;
-      out.push(index);
+      tasks.push(index);
     }
     while (
       this.firstUntried < this.spec.tasks &&
@@ -215,15 +216,15 @@
     ) {
       this.firstUntried++;
     }
-    for (let index = this.firstUntried; index < this.spec.tasks && out.length < most; index++) {
+    for (let index = this.firstUntried; index < this.spec.tasks && tasks.length < limit; index++) {
       if (this.attemptsByTask.has(index) || this.done.has(index) || this.requeued.has(index))
         continue;
-      out.push(index);
+      tasks.push(index);
     }
-    return out;
+    return tasks;
   }
 
-  /** A task was placed: it waits no more. */
+  /** Records the claim of a task, which is then no longer pending. */
   taskClaimed(attempt: Attempt): void {
     this.requeued.delete(attempt.index);
     this.addAttempt(attempt);
@@ -234,12 +235,12 @@
     return this.done.full;
   }
 
-  /** Predicted time of what is done and of what is not, for the ranking. */
+  /** Predicted time of the done tasks, for the ranking. */
   get finishedPredictedS(): number {
     return this.isGang ? 0 : this.done.count * this.spec.estimateS;
   }
 
-  /** Predicted time of what is not done, for the ranking. */
+  /** Predicted time of the tasks that are not done, for the ranking. */
   get unfinishedPredictedS(): number {
     return this.isGang
       ? this.spec.estimateS
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -4,21 +4,21 @@
 /**
  * How the record of a job's done tasks is divided into values of the store.
  *
- *   chunks  by the size that belongs to the stored format; all versions read these
- *   parts   smaller, each says which tasks it is of; written where a chunk is too large for a value, and
- *           only once every controller reads them
+ *   chunks  of the size that the stored format defines; all versions read these
+ *   parts   smaller, and each names its range of tasks; written where a chunk is too large for a value, and only
+ *           once every controller reads them
  */
 export interface ProgressLayout {
   kind: 'chunks' | 'parts';
-  /** Tasks in each but the last. */
+  /** Tasks in each unit except the last. */
   tasksEach: number;
 }
 
-/** Which tasks of a job are done, and what of it is stored. A unit is a chunk or a part. */
+/** Which tasks of a job are done, and which of them are stored as done. A unit is a chunk or a part. */
 export class JobProgress {
   readonly done: BitSet;
   private readonly storedDone: BitSet;
-  /** Units with done tasks that no stored record names. */
+  /** Units with done tasks that no stored record contains. */
   readonly dirty = new Set<number>();
   dirtySince: number | null = null;
   /** Revisions of the records, by key. */
@@ -32,7 +32,7 @@
     this.storedDone = new BitSet(tasks);
   }
 
-  /** What a stored record names. */
+  /** Adds the done tasks of a stored record. */
   addStored(key: string, first: number, bits: BitSet, revision: number): void {
     this.revisions.set(key, revision);
     for (let i = 0; i < bits.size; i++) {
@@ -42,12 +42,12 @@
     }
   }
 
-  /** Whether a stored record names the task as done. */
+  /** Whether a stored record contains the task as done. */
   isStored(index: number): boolean {
     return this.storedDone.has(index);
   }
 
-  /** False when it was done already. */
+  /** Marks a task as done. False: it was done already. */
   markDone(index: number, now: number): boolean {
     if (!this.done.add(index)) return false;
     this.dirty.add(this.unitOf(index));
@@ -55,7 +55,7 @@
     return true;
   }
 
-  /** Divides what is written from now on otherwise. */
+  /** Changes how records are divided from now on. */
   changeLayout(layout: ProgressLayout): void {
     this.layout = layout;
     this.dirty.clear();
@@ -74,24 +74,24 @@
     return { first: unit * tasksEach, count: chunkSize(this.tasks, tasksEach, unit) };
   }
 
-  /** Done tasks of a unit that no stored record names yet. */
+  /** Done tasks of a unit that no stored record contains yet. */
   unstoredTasks(unit: number): number[] {
     const { first, count } = this.range(unit);
-    const out: number[] = [];
+    const tasks: number[] = [];
     for (let index = first; index < first + count; index++) {
-      if (this.done.has(index) && !this.storedDone.has(index)) out.push(index);
+      if (this.done.has(index) && !this.storedDone.has(index)) tasks.push(index);
     }
-    return out;
+    return tasks;
   }
 
-  /** These are stored now. */
+  /** Marks tasks of a unit as stored. */
   markStored(unit: number, indexes: number[], now: number): void {
     for (const index of indexes) this.storedDone.add(index);
     if (this.unstoredTasks(unit).length === 0) this.dirty.delete(unit);
     this.dirtySince = this.dirty.size === 0 ? null : now;
   }
 
-  /** The bits of a unit in base64; null: all are done. */
+  /** The bits of a unit in base64; null: all its tasks are done. */
   encodeBits(unit: number): string | null {
     const { first, count } = this.range(unit);
     const bits = new BitSet(count);
--- a/src/jobs/types.ts
+++ b/src/jobs/types.ts
@@ -1,4 +1,4 @@
-/** Arrays run tasks one by one, gangs together, services for ever. */
+/** The tasks of an array run independently, those of a gang together, those of a service without an end. */
 export type JobKind = 'array' | 'gang' | 'service';
 
 /** 0 is the most important. */
@@ -28,14 +28,17 @@
   checkpointS: number;
   saveS: number;
   deadlineS: number | null;
-  /** Ids of the jobs that have to be done before any task of this one starts, each once. */
+  /** Ids of the jobs that must be done before any task of this one starts, without duplicates. */
   dependencies: readonly string[];
 }
 
-/** What most jobs need: no other one. Shared, since there are very many of them. */
+/** The dependencies of most jobs: none. One shared instance, since there are very many such jobs. */
 export const NO_DEPENDENCIES: readonly string[] = Object.freeze([]);
 
-/** A machine type as the cloud offers it. It is stored as it is: its names are part of the stored format. */
+/**
+ * A machine type as the cloud offers it. It is stored in this form: its property names are part of the stored
+ * format.
+ */
 export interface MachineType {
   name: string;
   cores: number;
@@ -56,10 +59,10 @@
   memGb: number;
 }
 
-/** Amounts are decimal: sums of them carry rounding errors, which must not decide. */
+/** Amounts are decimal fractions, and sums of them carry rounding errors, which must not decide. */
 const ROUNDING_SLACK = 1e-6;
 
-/** Whether a task fits into what is free. */
+/** Whether a task fits into the free resources. */
 export function fits(task: Resources, room: Resources): boolean {
   return (
     task.cores <= room.cores + ROUNDING_SLACK &&
@@ -68,7 +71,7 @@
   );
 }
 
-/** Whether a sum is within a limit; a limit of 0 is none. */
+/** Whether a sum is within a limit; a limit of 0 means no limit. */
 export const isWithinLimit = (used: number, limit: number): boolean =>
   limit <= 0 || used <= limit + ROUNDING_SLACK;
 
--- a/src/workers/attempt.ts
+++ b/src/workers/attempt.ts
@@ -2,15 +2,15 @@
 import type { ExitCause } from '../wire/workers.js';
 
 /**
- * One try of one task on one machine.
+ * The states of an attempt.
  *
- *   claiming   the claim is on its way into the store
- *   claimed    stored; the start has not been sent, or provably was not carried out
+ *   claiming   its claim is being stored
+ *   claimed    the claim is stored; the start was not sent, or provably was not carried out
  *   inherited  claimed by an earlier leader: it may be on the machine
- *   sent       the start went out: it may be on the machine
- *   fetching, waiting, running, saving   as the heartbeats say
- *   ended      exited, still in the worker's heartbeats
- *   gone       provably not on the machine and never will be
+ *   sent       the start was sent: it may be on the machine
+ *   fetching, waiting, running, saving   as reported by heartbeats
+ *   ended      exited, but still reported by the worker's heartbeats
+ *   gone       provably not on the machine, now or later
  */
 export type AttemptState =
   | 'claiming'
@@ -45,7 +45,7 @@
   gone: [],
 };
 
-/** One try of one task on one machine; times in seconds of the steady clock. */
+/** An attempt to run one task on one machine; times in seconds of the steady clock. */
 export interface Attempt {
   job: string;
   index: number;
@@ -53,43 +53,44 @@
   machine: string;
   state: AttemptState;
   /**
-   * Revision of this term's commit that stored the claim; null: not of this term, or not stored yet. A start is sent
-   * directly only with a token below it: then a higher token that refuses the start is there without a further commit.
+   * Revision of this term's commit that stored the claim; null: claimed in another term, or not stored yet. A
+   * start is sent directly only with a token below it, so that a higher token, which refuses the start, exists
+   * without a further commit.
    */
   claimRevision: number | null;
-  /** Session of the worker for which the start went out; null: not known. */
+  /** Agent epoch in which the start was sent or the attempt was last reported; null: unknown. */
   agentEpoch: number | null;
-  /** The start went out in the answer to the heartbeat with this number. */
+  /** Number of the heartbeat whose answer carried the start; null: no answer did. */
   sentInHeartbeat: number | null;
-  /** A direct message with the start is under way. */
+  /** A direct message with the start is in flight. */
   sendingDirectly: boolean;
   /**
-   * Token of a direct message with the start that was never answered: it may arrive at any time in its
-   * session, unless the worker has seen a higher token. Null: there is none.
+   * Token of a direct message with the start that was not answered: it may arrive at any time in its agent
+   * epoch, unless the worker has seen a higher token. Null: there is none.
    */
   unansweredToken: number | null;
   cause: ExitCause | null;
   saved: boolean;
-  /** Wanted gone: since when and with what grace. */
+  /** The requested stop: when it was requested, its grace period, and when the command was sent. Null: none. */
   stopRequest: { at: number; graceS: number; sentAt: number | null } | null;
-  /** Its end has been dealt with and stored: the worker may forget it. */
+  /** Its end has been processed and stored: the worker may forget it. */
   settled: boolean;
   createdAt: number;
   startedAt: number | null;
   endedAt: number | null;
   rejectedStarts: number;
-  /** Seconds of fetching that were predicted for it alone; 0: none, or it shares a fetch. */
+  /** Predicted fetch time of this attempt alone, in seconds; 0: no prediction, or it shares a fetch. */
   predictedFetchS: number;
-  /** When its start went out. */
+  /** When its start was sent. */
   startSentAt: number | null;
 }
 
-/** Which try of which task, and where. */
-export type AttemptName = Pick<Attempt, 'job' | 'index' | 'number' | 'machine'>;
+/** The fields that identify an attempt, and its machine. */
+export type AttemptIdentity = Pick<Attempt, 'job' | 'index' | 'number' | 'machine'>;
 
-/** A new attempt in this state. */
+/** Creates an attempt in the given state. */
 export function makeAttempt(
-  { job, index, number, machine }: AttemptName,
+  { job, index, number, machine }: AttemptIdentity,
   state: AttemptState,
   now: number,
 ): Attempt {
@@ -117,7 +118,7 @@
   };
 }
 
-/** The one function through which an attempt changes its state. False: not a change. */
+/** Changes an attempt's state; no other function does. False: it already had this state. */
 export function advanceAttempt(attempt: Attempt, to: AttemptState, now: number): boolean {
   if (attempt.state === to) return false;
   if (!TRANSITIONS[attempt.state].includes(to)) {
@@ -134,14 +135,14 @@
   return true;
 }
 
-/** Whether it holds capacity on its machine, in its zone and in its team's limit. */
+/** Whether it occupies capacity on its machine, in its zone and in its team's limit. */
 export const occupiesCapacity = (attempt: Attempt): boolean =>
   attempt.state !== 'ended' && attempt.state !== 'gone';
 
-/** Whether the worker may know of it, so that it has to be stopped by command. */
+/** Whether the worker may know of it, so that a command is needed to stop it. */
 export const mayBeOnMachine = (attempt: Attempt): boolean =>
   occupiesCapacity(attempt) && attempt.state !== 'claiming' && attempt.state !== 'claimed';
 
-/** Names an attempt. */
+/** The key of an attempt. */
 export const attemptKey = (job: string, index: number, number: number): string =>
   `${job}/${index}#${number}`;
--- a/src/workers/heartbeat-changes.ts
+++ b/src/workers/heartbeat-changes.ts
@@ -1,24 +1,24 @@
-/** What a heartbeat showed of the attempts on its machine. */
+/** What a heartbeat showed about the attempts on its machine. */
 
 import type { Attempt } from './attempt.js';
 
 /** What a heartbeat, an expired lease or a returned machine changed. */
 export interface HeartbeatChanges {
-  /** Attempts that are provably not on the machine any more, or exited. */
+  /** Attempts that have exited or are provably no longer on the machine. */
   exited: Attempt[];
   /** Attempts whose state changed otherwise. */
   changed: Attempt[];
-  /** On the machine by its heartbeat, but unknown here. */
+  /** Attempts that the heartbeat shows but this leader did not know. */
   unclaimed: Attempt[];
-  /** Starts that the worker did not take. */
+  /** Number of starts that the worker did not carry out. */
   rejectedStarts: number;
-  /** The agent began anew: everything of its former epoch is gone. */
+  /** The agent restarted: all attempts of its former epoch are gone. */
   agentRestarted: boolean;
-  /** A late copy, or overtaken by a newer message: it proves nothing. */
+  /** The heartbeat is a late copy or was overtaken by a newer message: it proves nothing. */
   stale: boolean;
 }
 
-/** Nothing changed yet. */
+/** An empty set of changes. */
 export const noChanges = (): HeartbeatChanges => ({
   exited: [],
   changed: [],
--- a/src/workers/image-cache.ts
+++ b/src/workers/image-cache.ts
@@ -3,13 +3,13 @@
 /** A cached image: its size in GB, and when it was last used, in seconds of the steady clock. */
 export interface CachedImage {
   gb: number;
-  at: number;
+  lastUsedAt: number;
 }
 
 /** Evidence of a machine's image cache, least recently used first. */
 export class ImageCache implements Iterable<[string, CachedImage]> {
   private readonly cached = new Map<string, CachedImage>();
-  /** All that was ever seen to be fetched there, in GB. */
+  /** Total size of the images that were seen to be fetched there, in GB. */
   fetchedGb = 0;
 
   /** Whether the image is believed to be there. */
@@ -34,17 +34,19 @@
     return total;
   }
 
-  /** An image that a record of the store names. */
+  /** Adds an image that a stored record names. */
   restore(image: string, gb: number, now: number): void {
-    this.cached.set(image, { gb, at: now });
+    this.cached.set(image, { gb, lastUsedAt: now });
     this.fetchedGb += gb;
   }
 
-  /** An image is used now: those used longest ago are dropped when the cache of `cacheGb` is full. */
-  noteUse(image: string, gb: number, cacheGb: number, now: number): void {
+  /**
+   * Records that an image is used now. Evicts the least recently used images while the total exceeds `cacheGb`.
+   */
+  recordUse(image: string, gb: number, cacheGb: number, now: number): void {
     if (!this.cached.has(image)) this.fetchedGb += gb;
     this.cached.delete(image);
-    this.cached.set(image, { gb, at: now });
+    this.cached.set(image, { gb, lastUsedAt: now });
     let total = this.totalGb;
     for (const [name, entry] of this.cached) {
       if (total <= cacheGb || name === image) break;
--- a/src/workers/lease-renewal.ts
+++ b/src/workers/lease-renewal.ts
@@ -1,37 +1,37 @@
 /**
- * The one way to renew a worker's lease.
+ * The only module that renews workers' leases.
  *
- * A worker that gets a 200 keeps its tasks for another lease. So each such answer stops every task there that
- * whoever gives it knows to be cancelled: then the stop arrives, or the lease is not renewed. This holds whether
- * or not the machine has shown its token, for late and repeated heartbeats, and for answers in a leader's place.
- * docs/design.md, "Cancellations and outages".
+ * A worker that gets a 200 keeps its tasks for another lease. So each such answer stops every task on the
+ * machine that the answering controller knows to be cancelled: either the stop arrives, or the lease is not
+ * renewed. This holds whether or not the machine has shown its token, for late and repeated heartbeats, and for
+ * answers in place of the leader. docs/design.md, "Cancellations and outages".
  */
 
 import type { Reply } from '../http/server.js';
 import { encodeHeartbeatReply, type Command, type TaskStatus } from '../wire/workers.js';
 import { attemptKey, mayBeOnMachine, type Attempt } from './attempt.js';
 
-/** What a renewal rests on. */
+/** Inputs of a lease renewal. */
 export interface LeaseRenewal {
   /** Fencing token of the answer. */
   token: number;
-  /** Tasks that the heartbeat shows. */
+  /** Tasks that the heartbeat reports. */
   tasks: readonly Readonly<TaskStatus>[];
-  /** Attempts that may be on the machine as well, shown or not: a start may still arrive there. */
+  /** Attempts that may also be on the machine, reported or not: a start may still arrive there. */
   attempts?: Iterable<Attempt>;
   isCancelled: (job: string) => boolean;
-  /** What else the machine is told, in order. */
+  /** Other commands that are due to the machine, in order. */
   due?: readonly Command[];
 }
 
-/** A 200 with the stops that have to go with it, and with what else is due. */
+/** A 200 with the stops of cancelled tasks and the other due commands. */
 export function renewLease({ token, due = [], ...renewal }: LeaseRenewal): Reply {
   const stops = cancelledStops(renewal);
-  const commands = stops.size === 0 ? due : [...withoutStopsOf(due, stops), ...due];
+  const commands = stops.size === 0 ? due : [...removeDueStops(due, stops), ...due];
   return { status: 200, body: encodeHeartbeatReply(token, commands) };
 }
 
-/** Stops of all cancelled tasks that are or may be there, by attempt. */
+/** Stops of all cancelled tasks that are or may be on the machine, by attempt. */
 function cancelledStops({
   tasks,
   attempts = [],
@@ -53,8 +53,10 @@
   return stops;
 }
 
-/** Those that are not due anyway: of what is due, no more is sent than one message takes. */
-function withoutStopsOf(due: readonly Command[], stops: Map<string, Command>): Command[] {
+/**
+ * Removes the stops that are due anyway and returns the rest. Only `due` is limited to what one message takes.
+ */
+function removeDueStops(due: readonly Command[], stops: Map<string, Command>): Command[] {
   for (const { kind, job, index, attempt } of due) {
     if (kind === 'stop') stops.delete(attemptKey(job, index, attempt));
   }
--- a/src/workers/machine-attempts.ts
+++ b/src/workers/machine-attempts.ts
@@ -1,4 +1,4 @@
-/** What a leader knows of the attempts on one machine, on evidence. */
+/** What a leader knows from evidence about the attempts on one machine. */
 
 import type { Command, Heartbeat, TaskStatus } from '../wire/workers.js';
 import {
@@ -12,41 +12,43 @@
 import { noChanges, type HeartbeatChanges } from './heartbeat-changes.js';
 
 /**
- * How a message of the worker came: by itself, or as the answer to a direct command. Only a heartbeat that
- * came by itself proves that a start has not been carried out: one that is answered with it is over before
- * the next is sent.
+ * How a worker's message arrived: as a heartbeat, or as the answer to a direct command. Only a heartbeat proves
+ * that a start was not carried out: a worker has processed the answer to one heartbeat before it sends the
+ * next.
  */
 export type MessageOrigin = 'heartbeat' | 'direct-answer';
 
-/** How a direct message ended: carried out or not, provably; or nobody knows. */
+/** The outcome of a direct message: carried out, provably not carried out, or unknown. */
 export type DirectOutcome = 'done' | 'refused' | 'unknown';
 
 const keyOf = ({ job, index, number }: Attempt): string => attemptKey(job, index, number);
 
-/** The attempts of one machine: what its worker's messages prove of them, and what it is told. */
+/** The attempts of one machine: what its worker's messages prove about them, and the commands due to it. */
 export class MachineAttempts {
   readonly attempts = new Map<string, Attempt>();
-  /** Counts changes of what is on it, so that what is derived from that is computed anew only then. */
+  /** Number of changes on the machine, so that derived data is recomputed only after a change. */
   changeCount = 0;
-  /** The epoch of its agent that was seen last; 0: none. */
+  /** The latest agent epoch seen; 0: none. */
   agentEpoch = 0;
-  /** Number of the last fenced heartbeat of this epoch; answers to direct commands count separately. */
+  /** Number of the last fenced heartbeat of this epoch; answers to direct commands are not included. */
   fencedSequence = 0;
 
   constructor(
     readonly id: string,
-    /** What commands to it carry: the term's token, or a higher one of the term; see `fenceUnanswered`. */
+    /**
+     * Fencing token of commands to it: the term's token, or a higher one of the term; see `fenceUnanswered`.
+     */
     public token: number,
   ) {}
 
-  /** What is on it has changed. */
+  /** Records a change on the machine. */
   markChanged(): void {
     this.changeCount++;
   }
 
   /**
-   * Whether an unanswered start that may still arrive, since no higher token has been given since, keeps a task from
-   * ending or being forgotten.
+   * Whether an unanswered start prevents a task from ending or being forgotten: one that may still arrive,
+   * because no higher token was given since.
    */
   isBlockedByUnansweredStart(): boolean {
     for (const attempt of this.attempts.values()) {
@@ -57,7 +59,9 @@
     return false;
   }
 
-  /** It has shown its token: starts that were sent with a lower one are not carried out any more. */
+  /**
+   * The worker has shown the machine's token: starts that were sent with a lower one will not be carried out.
+   */
   protected clearUnansweredStarts(): void {
     for (const attempt of this.attempts.values()) {
       if (attempt.unansweredToken !== null && attempt.unansweredToken < this.token)
@@ -65,16 +69,16 @@
     }
   }
 
-  /** Attempts that the heartbeat names. Returns their keys. */
+  /** Applies the tasks that the heartbeat reports. Returns the keys of their attempts. */
   protected applyTasks(
     tasks: Heartbeat['tasks'],
     now: number,
     changes: HeartbeatChanges,
   ): ReadonlySet<string> {
-    const shown = new Set<string>();
+    const reportedKeys = new Set<string>();
     for (const task of tasks) {
       const key = attemptKey(task.job, task.index, task.attempt);
-      shown.add(key);
+      reportedKeys.add(key);
       const attempt = this.attempts.get(key) ?? this.addUnclaimed(key, task, now, changes);
       attempt.agentEpoch = this.agentEpoch;
       attempt.cause = task.cause;
@@ -85,7 +89,7 @@
       this.markChanged();
       (task.state === 'ended' ? changes.exited : changes.changed).push(attempt);
     }
-    return shown;
+    return reportedKeys;
   }
 
   private addUnclaimed(
@@ -102,22 +106,22 @@
     return attempt;
   }
 
-  /** Attempts that the heartbeat does not name. */
+  /** Updates the attempts that the heartbeat does not report. */
   protected applyAbsences(
-    shown: ReadonlySet<string>,
+    reportedKeys: ReadonlySet<string>,
     origin: MessageOrigin,
     now: number,
     changes: HeartbeatChanges,
   ): void {
     for (const [key, attempt] of [...this.attempts]) {
-      if (shown.has(key)) continue;
+      if (reportedKeys.has(key)) continue;
       switch (attempt.state) {
         case 'claiming':
         case 'claimed':
         case 'gone':
           break;
         case 'sent':
-          if (origin === 'heartbeat') this.noteStartNotTaken(attempt, now, changes);
+          if (origin === 'heartbeat') this.revertRejectedStart(attempt, now, changes);
           break;
         default:
           this.endAttempt(attempt, now, changes);
@@ -125,8 +129,11 @@
     }
   }
 
-  /** The answer that carried the start is over and the task is not there: it never will be. */
-  private noteStartNotTaken(attempt: Attempt, now: number, changes: HeartbeatChanges): void {
+  /**
+   * The worker has processed the answer with the start, and the task is not there: this start will never be
+   * carried out.
+   */
+  private revertRejectedStart(attempt: Attempt, now: number, changes: HeartbeatChanges): void {
     if (attempt.sendingDirectly || attempt.unansweredToken !== null) return;
     if (attempt.sentInHeartbeat !== null && this.fencedSequence <= attempt.sentInHeartbeat) return;
     advanceAttempt(attempt, 'claimed', now);
@@ -135,7 +142,7 @@
     changes.changed.push(attempt);
   }
 
-  /** It is provably not on the machine any more. */
+  /** Marks an attempt as provably no longer on the machine. */
   protected endAttempt(attempt: Attempt, now: number, changes: HeartbeatChanges): void {
     const before = attempt.state;
     if (!advanceAttempt(attempt, 'gone', now)) return;
@@ -144,37 +151,43 @@
     if (before !== 'ended') changes.exited.push(attempt);
   }
 
-  /** Everything on it is gone: the lease has expired for certain, or the cloud has confirmed it. */
+  /**
+   * Ends all attempts on the machine: its lease has certainly expired, or the cloud has confirmed that it is
+   * gone.
+   */
   endAllAttempts(now: number): Attempt[] {
     const changes = noChanges();
     for (const attempt of [...this.attempts.values()]) this.endAttempt(attempt, now, changes);
     return changes.exited;
   }
 
-  /** A claim that was never sent is withdrawn. */
+  /** Withdraws a claim whose start was never sent. */
   withdrawClaim(attempt: Attempt, now: number): void {
     advanceAttempt(attempt, 'gone', now);
     this.markChanged();
     this.attempts.delete(keyOf(attempt));
   }
 
-  /** A claim that is to be stored, or that a record names. */
+  /** Adds a claim that is to be stored, or that a stored record names. */
   addClaim(attempt: Attempt): void {
     this.markChanged();
     this.attempts.set(keyOf(attempt), attempt);
   }
 
-  /** The claims that its stored record must name: everything that may be or may come on it. */
+  /**
+   * The claims that the machine's stored record must name: all attempts that are or may later be on the
+   * machine.
+   */
   claims(): Attempt[] {
     return [...this.attempts.values()].filter((attempt) => attempt.state !== 'gone');
   }
 
   /** The commands due now; see `dueCommands`. */
-  dueCommands(mayStart: (attempt: Attempt) => boolean, repeatStops: boolean): Command[] {
-    return dueCommands(this.attempts, mayStart, repeatStops);
+  dueCommands(mayStart: (attempt: Attempt) => boolean, repeatSent: boolean): Command[] {
+    return dueCommands(this.attempts, mayStart, repeatSent);
   }
 
-  /** Marks what goes out with the answer to a heartbeat, or straight to the worker. */
+  /** Records that commands are sent with the answer to a heartbeat, or directly to the worker. */
   markSent(commands: Command[], via: 'heartbeat' | 'direct', now: number): void {
     for (const command of commands) {
       const attempt = this.attempts.get(attemptKey(command.job, command.index, command.attempt));
@@ -197,7 +210,7 @@
     }
   }
 
-  /** How a direct message ended that carried this epoch and token. */
+  /** Applies the outcome of a direct message that carried this epoch and token. */
   directCommandsEnded(
     commands: Command[],
     outcome: DirectOutcome,
@@ -220,13 +233,13 @@
     }
   }
 
-  /** Whether any attempt holds capacity here. */
+  /** Whether any attempt occupies capacity here. */
   hasActiveAttempts(): boolean {
     for (const attempt of this.attempts.values()) if (occupiesCapacity(attempt)) return true;
     return false;
   }
 
-  /** Attempts that hold capacity here. */
+  /** Attempts that occupy capacity here. */
   activeAttempts(): Attempt[] {
     return [...this.attempts.values()].filter(occupiesCapacity);
   }
--- a/src/workers/machine-condition.ts
+++ b/src/workers/machine-condition.ts
@@ -1,15 +1,15 @@
-/** What failed tasks say of a machine: whether it is left alone for a while, or put into quarantine. */
+/** What failed tasks indicate about a machine: whether it is cordoned for a while, or quarantined. */
 export class MachineCondition {
-  /** No new work before this time, because it did not do what it was told; seconds of the steady clock. */
+  /** No new work before this time, since a task failed or was refused here; seconds of the steady clock. */
   cordonedUntil = -Infinity;
-  /** How often in a row it was cordoned; a success sets it back. */
+  /** Number of cordons since the last success. */
   cordonCount = 0;
-  /** Tasks that failed here, as `job/index`, and when; drained by a success. */
+  /** Tasks that failed here since the last success, as `job/index`, and when. */
   readonly taskFailures = new Map<string, number>();
-  /** Tasks of jobs that do well elsewhere fail here: it gets nothing new and is given back. */
+  /** Tasks of jobs that succeed elsewhere fail here: it gets no new work and is returned. */
   quarantined = false;
 
-  /** A task was done here: earlier failures say nothing any more. */
+  /** A task succeeded here: earlier failures no longer count. */
   taskSucceeded(): void {
     this.taskFailures.clear();
     this.cordonCount = 0;
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -7,13 +7,13 @@
 import { MachineCondition } from './machine-condition.js';
 
 /**
- * What a leader knows of one machine, on evidence.
+ * What a leader knows from evidence about one machine.
  *
- *   unheard    nothing heard in this term
- *   fencing    heard, but it has not yet shown that it knows this term's token
- *   ready      it has: its task list can be trusted
- *   silent     its lease has provably run out; whatever was on it is gone
- *   returning  to be given back; nothing new starts
+ *   unheard    no message received in this term
+ *   fencing    message received, but the worker has not yet shown this term's token
+ *   ready      it has shown the token: its task list can be trusted
+ *   silent     its lease has provably expired; all tasks on it are gone
+ *   returning  to be returned to the cloud; nothing new starts
  *   returned   the cloud has confirmed that it is gone
  */
 export type MachineState = 'unheard' | 'fencing' | 'ready' | 'silent' | 'returning' | 'returned';
@@ -28,11 +28,11 @@
 };
 
 /** Share of a lease that a worker may need to notice that its lease has expired. */
-const EXPIRY_SHARE = 0.04;
-/** Share of a lease for which a substitute may still have renewed when a term began. */
-const SUBSTITUTE_SHARE = 0.1;
+const EXPIRY_DETECTION_SHARE = 0.04;
+/** Share of a lease for which a substitute may still have renewed leases after a term began. */
+const SUBSTITUTE_RENEWAL_SHARE = 0.1;
 
-/** One machine in a term of leadership: who it is, what its lease and token say, and its attempts. */
+/** One machine in a term of leadership: its identity, lease, fencing token and attempts. */
 export class Machine extends MachineAttempts {
   state: MachineState = 'unheard';
   addr = '';
@@ -40,24 +40,25 @@
   zone = '';
   spot = false;
   sequence = 0;
-  /** The newest heartbeat that came by itself, fenced or not, and when. */
+  /** The newest heartbeat, fenced or not; answers to direct commands are not included. */
   private newestHeartbeat = { agentEpoch: 0, sequence: -1 };
+  /** When it arrived. */
   heartbeatAt = -Infinity;
-  /** The newest heartbeat that had to be parsed, to recognise those that only repeat it. */
+  /** The newest heartbeat that had to be parsed, to recognise heartbeats that only repeat it. */
   readonly lastHeartbeat = new LastHeartbeat();
   lastSeenAt: number;
   firstSeenAt: number | null = null;
-  /** When the worker's lease has expired for certain. */
+  /** When the worker's lease has certainly expired. */
   leaseExpiresAt: number;
-  /** Time at which the cloud takes it, from its notice. */
+  /** When the cloud reclaims the machine, by its notice; null: no notice. */
   reclaimedAt: number | null = null;
   readonly images = new ImageCache();
-  /** Since when nothing holds capacity on it. */
+  /** Since when no attempt occupies capacity on it. */
   idleSince: number;
   readonly condition = new MachineCondition();
-  /** Being drained to be given back: nothing new until then. */
+  /** Since when it is drained to be returned and gets nothing new; null: it is not. */
   drainingSince: number | null = null;
-  /** Revision of its record, 0: none stored. */
+  /** Revision of its stored record; 0: none. */
   recordRevision = 0;
   recordTerm = 0;
   /** Its record says that it is being returned. */
@@ -73,16 +74,17 @@
     super(id, token);
     this.lastSeenAt = knownAt;
     this.idleSince = knownAt;
-    // Whoever led before may have renewed its lease until this term began; a substitute, in an outage
-    // that had just ended then, for a moment more.
-    this.leaseExpiresAt = knownAt + this.leaseSpanS() + this.leaseS * SUBSTITUTE_SHARE;
+    // The former leader may have renewed its lease until this term began; a substitute slightly longer, if a
+    // store outage had ended at that time.
+    this.leaseExpiresAt =
+      knownAt + this.maxLeaseDurationS() + this.leaseS * SUBSTITUTE_RENEWAL_SHARE;
   }
 
-  private leaseSpanS(): number {
-    return this.leaseS * (1 + 2 * MAX_CLOCK_DRIFT) + this.leaseS * EXPIRY_SHARE;
+  private maxLeaseDurationS(): number {
+    return this.leaseS * (1 + 2 * MAX_CLOCK_DRIFT) + this.leaseS * EXPIRY_DETECTION_SHARE;
   }
 
-  /** The one function that changes its state; false: it stays as it is. */
+  /** Changes its state; no other function does. False: the state is unchanged. */
   changeState(to: MachineState): boolean {
     if (to === this.state) return false;
     if (!TRANSITIONS[this.state].includes(to)) return false;
@@ -90,7 +92,7 @@
     return true;
   }
 
-  /** From now on it is given a higher token, and trusted once it shows it. */
+  /** Gives the machine a higher token; it is trusted again once it shows this token. */
   raiseToken(token: number): void {
     if (token <= this.token) return;
     this.token = token;
@@ -98,19 +100,19 @@
   }
 
   /**
-   * Whether a heartbeat at least as new has come by itself before. Then it is a late copy: the worker
-   * has long stopped waiting for its answer, which renews nothing.
+   * Whether a heartbeat at least as new has arrived before. Then this one is a late copy: the worker no longer
+   * waits for its answer, which renews no lease.
    */
   isRepeated(heartbeat: Heartbeat): boolean {
     return !isNewer(heartbeat, this.newestHeartbeat);
   }
 
-  /** A 200 to a heartbeat is about to be sent: it renews the lease, counted from the sending. */
+  /** A 200 to a heartbeat is about to be sent: it renews the lease, counted from the time of sending. */
   leaseRenewed(now: number): void {
-    this.leaseExpiresAt = Math.max(this.leaseExpiresAt, now + this.leaseSpanS());
+    this.leaseExpiresAt = Math.max(this.leaseExpiresAt, now + this.maxLeaseDurationS());
   }
 
-  /** Takes in a heartbeat, and what it proves of the attempts here. */
+  /** Applies a heartbeat and what it proves about the attempts here. */
   applyHeartbeat(heartbeat: Heartbeat, origin: MessageOrigin, now: number): HeartbeatChanges {
     const changes = noChanges();
     if (origin === 'heartbeat' && !this.isRepeated(heartbeat)) {
@@ -119,31 +121,34 @@
       this.heartbeatAt = now;
     }
     if (!isNewer(heartbeat, this)) {
-      // A late copy, or overtaken by the answer to a direct message. It proves nothing new.
+      // A late copy, or overtaken by the answer to a direct message: it proves nothing new.
       changes.stale = true;
       return changes;
     }
     if (heartbeat.agentEpoch > this.agentEpoch) this.beginEpoch(heartbeat, now, changes);
-    this.noteIdentity(heartbeat, now);
+    this.updateIdentity(heartbeat, now);
     if (this.state === 'silent') this.changeState('fencing');
     if (heartbeat.token !== this.token) {
-      // Not fenced: an older leader's commands may still be carried out after this heartbeat.
+      // Not fenced: commands of an older leader may still be carried out after this heartbeat.
       this.changeState('fencing');
       return changes;
     }
     this.changeState('ready');
     this.clearUnansweredStarts();
     if (origin === 'heartbeat') this.fencedSequence = heartbeat.sequence;
-    const shown = this.applyTasks(heartbeat.tasks, now, changes);
-    this.applyAbsences(shown, origin, now, changes);
+    const reportedKeys = this.applyTasks(heartbeat.tasks, now, changes);
+    this.applyAbsences(reportedKeys, origin, now, changes);
     return changes;
   }
 
-  /** The agent began anew: an epoch that has moved on takes everything with it, late messages included. */
+  /**
+   * The agent restarted: all attempts of earlier epochs are gone, and so are starts of earlier epochs that
+   * arrive late.
+   */
   private beginEpoch({ agentEpoch }: Heartbeat, now: number, changes: HeartbeatChanges): void {
     changes.agentRestarted = this.agentEpoch !== 0;
-    // Shown by the answer to a direct command perhaps, which renews nothing: but an epoch begins
-    // with a lease of its own, and what is started in it may be there until that has expired.
+    // The answer to a direct command may be the first to show the epoch. It renews no lease, but an epoch
+    // begins with a lease of its own, and tasks started in it may run until that lease expires.
     this.leaseRenewed(now);
     this.agentEpoch = agentEpoch;
     for (const attempt of [...this.attempts.values()]) {
@@ -152,7 +157,7 @@
     }
   }
 
-  private noteIdentity(heartbeat: Heartbeat, now: number): void {
+  private updateIdentity(heartbeat: Heartbeat, now: number): void {
     this.sequence = heartbeat.sequence;
     this.lastSeenAt = now;
     this.firstSeenAt ??= now;
@@ -165,14 +170,17 @@
     this.reclaimedAt = this.reclaimedAt === null ? at : Math.min(this.reclaimedAt, at);
   }
 
-  /** A task there uses this image. */
+  /** Records that a task here uses this image. */
   noteImage(image: string, gb: number, cacheGb: number, now: number): void {
     this.markChanged();
-    this.images.noteUse(image, gb, cacheGb, now);
+    this.images.recordUse(image, gb, cacheGb, now);
   }
 }
 
-/** Whether a heartbeat is newer than a point in the sequence of its worker's messages. */
-const isNewer = (heartbeat: Heartbeat, than: { agentEpoch: number; sequence: number }): boolean =>
-  heartbeat.agentEpoch > than.agentEpoch ||
-  (heartbeat.agentEpoch === than.agentEpoch && heartbeat.sequence > than.sequence);
+/** Whether a heartbeat is newer than a reference point in the sequence of its worker's messages. */
+const isNewer = (
+  heartbeat: Heartbeat,
+  reference: { agentEpoch: number; sequence: number },
+): boolean =>
+  heartbeat.agentEpoch > reference.agentEpoch ||
+  (heartbeat.agentEpoch === reference.agentEpoch && heartbeat.sequence > reference.sequence);
--- a/test/heartbeat-bytes.test.ts
+++ b/test/heartbeat-bytes.test.ts
@@ -20,7 +20,7 @@
   `{"piece":"wk-1/0","pour":2,"temper":"running"},` +
   `{"piece":"wk-2/0","pour":1,"temper":"ended","cause":"done"}]}`;
 
-function parsed(body: Buffer): Heartbeat | null {
+function decodeOrNull(body: Buffer): Heartbeat | null {
   try {
     return decodeHeartbeat(body);
   } catch (error) {
@@ -33,7 +33,7 @@
 type Ask = (to: string, question: Question) => Promise<Answer | null>;
 
 /** A controller that knows of a leader, or is one. */
-function controller(
+function makeHandler(
   over: Partially<HandlerOptions>,
   ask: Ask = () => Promise.resolve(null),
 ): HeartbeatHandler {
@@ -64,7 +64,7 @@
 }
 
 /** What a leader knows of its machines. */
-const known = ({ term }: LeaderWorld): unknown =>
+const leaderState = ({ term }: LeaderWorld): unknown =>
   [...term.machines.values()].map((machine) => [
     ...[
       machine.id,
@@ -87,13 +87,13 @@
   ]);
 
 const pick = <T>(list: readonly T[]): T => list[Math.floor(random() * list.length)]!;
-const PIECES_OF_JSON = [
+const JSON_FRAGMENTS = [
   '"bench":"other",', '"yard":"z2",', '"hallmark":1,', '"tally":99,', '"x":{"bench":"y","a":["yard"]},',
   '"x":"\\"tally\\":5",', '"b\\u0065nch":"other",', '"h\\u0061llmark":2,', ' ', '\n\t', '0', '1', '-', '.5', 'e1',
   '"', '\\', '\\"', '{', '}', '[', ']', ',', ':', 'null', 'é', '\u0000', '1234567890123456',
 ]; // prettier-ignore
 
-function mutated(text: string): Buffer {
+function mutate(text: string): Buffer {
   const bytes = Buffer.from(text);
   const at = Math.floor(random() * (bytes.length + 1));
   const member = [...text.matchAll(/(?<=[{,])"/g)].map((match) => match.index);
@@ -102,10 +102,10 @@
     Buffer.concat([bytes.subarray(0, from), Buffer.from(put), bytes.subarray(to)]);
   switch (Math.floor(random() * 6)) {
     case 0:
-      return change(at, at, pick(PIECES_OF_JSON));
+      return change(at, at, pick(JSON_FRAGMENTS));
     case 1: {
       const before = pick(member);
-      return change(before, before, pick(PIECES_OF_JSON));
+      return change(before, before, pick(JSON_FRAGMENTS));
     }
     case 2:
       return change(at, at + 1 + Math.floor(random() * 4), '');
@@ -130,7 +130,7 @@
   seedRandom(20);
   const [straight, passedOn, plain] = [new LeaderWorld(), new LeaderWorld(), new LeaderWorld()];
   const leads = (world: LeaderWorld): HeartbeatHandler =>
-    controller({ leader: () => world.leader });
+    makeHandler({ leader: () => world.leader });
   const [direct, leader] = [leads(straight), leads(passedOn)];
   const ask: Ask = async (_to, question) => {
     const [asked] = new FrameReader().push(encodeFrame(question)) as [
@@ -138,16 +138,16 @@
     ];
     return { ...(await leader.handleForwarded(asked.body, asked.hop)) };
   };
-  const follower = controller({}, ask);
+  const follower = makeHandler({}, ask);
   const count = { good: 0, malformed: 0, scanned: 0, repeated: 0 };
   const sent: Buffer[] = [];
   for (let i = 1; i <= 3000; i++) {
     const text = bodyOf(plain.token, i, pick(['m', 'n']));
     const kind = random();
-    const body = kind < 0.4 ? Buffer.from(text) : kind < 0.5 && i > 1 ? pick(sent) : mutated(text);
+    const body = kind < 0.4 ? Buffer.from(text) : kind < 0.5 && i > 1 ? pick(sent) : mutate(text);
     sent.push(body);
     for (const world of [straight, passedOn, plain]) world.fleet.now += 0.01;
-    const heartbeat = parsed(body);
+    const heartbeat = decodeOrNull(body);
     const scanned = scanHeartbeat(body);
     const last =
       heartbeat &&
@@ -172,7 +172,10 @@
     const onward = await follower.handle(body);
     // A leader's 503 is no verdict: the follower may renew in its place then.
     if (want.status !== 503) assert.deepEqual(answer(onward), answer(want), body.toString());
-    assert.deepEqual([known(straight), known(passedOn)], [known(plain), known(plain)]);
+    assert.deepEqual(
+      [leaderState(straight), leaderState(passedOn)],
+      [leaderState(plain), leaderState(plain)],
+    );
   }
   // Each kind in numbers, or the comparisons above show nothing.
   assert.ok(Object.values(count).every((n) => n > 400), JSON.stringify(count)); // prettier-ignore
@@ -219,12 +222,12 @@
   const home = { zoneLeases: { holderOf: () => 'n-1', isSteady: () => true } };
   const zoneLeaseHolder = { mayRenewLeases: () => true };
   const cases: [string, HeartbeatHandler, number][] = [
-    ['sent home', controller(home), 421],
-    ['kept in a cut zone', controller({ zoneLeaseHolder }), 200],
-    ['nobody leads', controller({ replica: { leader: null } }), 503],
-    ['renewed in an outage', controller({}, busy), 200],
-    ['nobody answers', controller({ election: { outage: { mayRenewLeases: () => false } } }), 421],
-    ['the leader found it', controller({}, judged), 400],
+    ['sent home', makeHandler(home), 421],
+    ['kept in a cut zone', makeHandler({ zoneLeaseHolder }), 200],
+    ['nobody leads', makeHandler({ replica: { leader: null } }), 503],
+    ['renewed in an outage', makeHandler({}, busy), 200],
+    ['nobody answers', makeHandler({ election: { outage: { mayRenewLeases: () => false } } }), 421],
+    ['the leader found it', makeHandler({}, judged), 400],
   ];
   for (const [name, heartbeats, status] of cases) {
     assert.equal((await heartbeats.handle(bad)).status, 400, name);
@@ -232,7 +235,7 @@
   }
   const { leader } = new LeaderWorld();
   assert.equal(
-    (await controller({ leader: () => leader }).handleForwarded(bad, false))?.status,
+    (await makeHandler({ leader: () => leader }).handleForwarded(bad, false))?.status,
     400,
   );
 });
@@ -265,7 +268,7 @@
   ]; // prettier-ignore
   for (const [name, text, want] of cases) {
     const world = new LeaderWorld();
-    const heartbeats = controller({ leader: () => world.leader });
+    const heartbeats = makeHandler({ leader: () => world.leader });
     // The second shows the token to a machine that is known by now.
     for (const tally of [1, 8]) void heartbeats.handle(Buffer.from(bodyOf(world.token, tally)));
     world.fleet.now = 1;
@@ -302,7 +305,7 @@
   const body = Buffer.from(bodyOf(5, largest));
   last.keep(decodeHeartbeat(body), body);
   assert.equal(last.decodeRepetition(Buffer.from(bodyOf(5, tooLarge))), null);
-  assert.equal(parsed(Buffer.from(bodyOf(5, tooLarge))), null);
+  assert.equal(decodeOrNull(Buffer.from(bodyOf(5, tooLarge))), null);
 });
 
 test('what is kept to recognise heartbeats by is bounded, and in memory of its own', () => {
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -10,7 +10,7 @@
 import { settings } from './helpers.js';
 import { fake } from './support/fake.js';
 
-const report = Buffer.from(
+const heartbeatBody = Buffer.from(
   JSON.stringify({
     bench: 'host-1', addr: '127.0.0.1:1', casting: 'g8', yard: 'z1', loaner: false, shift: 1,
     tally: 1, hallmark: 5, recall_s: null, pieces: [],
@@ -63,7 +63,7 @@
       log: silentLog(),
     });
     const heartbeats = new HeartbeatHandler(parts);
-    assert.equal((await heartbeats.handle(report)).status, status, name);
+    assert.equal((await heartbeats.handle(heartbeatBody)).status, status, name);
     // Only what the leader itself was asked tells how long it lets others wait.
     const asksLeader = seen.some((way) => !way.endsWith('hop'));
     assert.equal(heartbeats.forwardingDelay.meanS !== undefined, asksLeader, `${name}: wait noted`);
@@ -108,17 +108,17 @@
   let now = 0;
   const wait = new ForwardingDelay({ now: () => now }, 1);
   assert.equal(wait.meanS, undefined);
-  wait.note(1);
+  wait.addSample(1);
   assert.equal(wait.meanS, 1);
   // One that is late does not make a mean, many do.
-  for (let i = 0; i < 30; i++) wait.note(0.1);
+  for (let i = 0; i < 30; i++) wait.addSample(0.1);
   assert.ok(wait.meanS < 0.15);
-  wait.note(1);
+  wait.addSample(1);
   assert.ok(wait.meanS < 0.25);
-  for (let i = 0; i < 10; i++) wait.note(1);
+  for (let i = 0; i < 10; i++) wait.addSample(1);
   assert.ok(wait.meanS > 0.6);
   now = 2.5;
   assert.equal(wait.meanS, undefined, 'nothing was passed on lately');
-  wait.note(0.1);
+  wait.addSample(0.1);
   assert.equal(wait.meanS, 0.1, 'and what was before does not count');
 });
--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -11,9 +11,9 @@
 import { fake } from './support/fake.js';
 
 const LEASE_S = 10;
-const REPORT_S = 1;
-const TICK_S = REPORT_S / 2;
-const LATE = ANSWER_WAIT_S / 2;
+const HEARTBEAT_INTERVAL_S = 1;
+const TICK_S = HEARTBEAT_INTERVAL_S / 2;
+const LATE_S = ANSWER_WAIT_S / 2;
 
 interface Case {
   name: string;
@@ -21,59 +21,63 @@
   lags: number[];
   others: (ControllerHealth | null)[];
   /** Report intervals since the others have told their figures. */
-  age?: number;
+  figuresAgeIntervals?: number;
   leads?: boolean;
   /** Leases since it was elected. */
-  led?: number;
-  resigns: number;
+  ledForLeases?: number;
+  stepDowns: number;
 }
 
 const idle: ControllerHealth = { latenessS: 0, served: true };
-const asLate: ControllerHealth = { ...idle, latenessS: LATE };
+const asLate: ControllerHealth = { ...idle, latenessS: LATE_S };
 const cutOff: ControllerHealth = { ...idle, served: false };
 /** Another controller whose heartbeats wait for the leader. */
-const waits = (relayS: number, latenessS = 0): ControllerHealth => ({
+const withForwardingDelay = (relayS: number, latenessS = 0): ControllerHealth => ({
   latenessS,
   served: true,
   relayS,
 });
-const lately = (lag: number): number[] => Array<number>(6).fill(lag);
+const sixTimes = (lag: number): number[] => Array<number>(6).fill(lag);
 
 const CASES: Case[] = [
-  { name: 'in time', lags: lately(0.01), others: [idle, idle], resigns: 0 },
-  { name: 'late every other time, another is idle', lags: [0, LATE, 0, LATE, 0, LATE], others: [null, idle], resigns: 1 },
-  { name: 'late, another is idle', lags: lately(LATE), others: [null, idle], resigns: 1 },
-  { name: 'late, another is half as late', lags: lately(LATE), others: [asLate, { ...idle, latenessS: LATE * 0.45 }], resigns: 1 },
-  { name: 'late once', lags: [0, LATE, 0, 0, 0, 0], others: [idle, idle], resigns: 0 },
-  { name: 'late by much twice in a row', lags: [0, LATE, LATE, 0, 0, 0], others: [idle, idle], resigns: 1 },
-  { name: 'late, the others too', lags: lately(LATE), others: [asLate, asLate], resigns: 0 },
-  { name: 'late, the others are not served', lags: lately(LATE), others: [cutOff, cutOff], resigns: 0 },
-  { name: 'late, nobody has told anything', lags: lately(LATE), others: [null, null], resigns: 0 },
-  { name: 'late, what the others told is somewhat old', lags: lately(LATE), others: [idle, idle], age: 2.5, resigns: 1 },
-  { name: 'late, what the others told is stale', lags: lately(LATE), others: [idle, idle], age: 3.5, resigns: 0 },
-  { name: 'late, but it does not lead', lags: lately(LATE), others: [idle, idle], leads: false, resigns: 0 },
-  { name: 'late because it has just been elected', lags: lately(LATE), others: [idle, idle], led: 1.6, resigns: 0 },
-  { name: 'in time by its timers, but whoever passes reports on waits', lags: lately(0.01), others: [waits(0.8), waits(0.9)], resigns: 1 },
-  { name: 'only one of them waits, which is slow itself', lags: lately(0.01), others: [waits(0.1), waits(0.9)], resigns: 0 },
-  { name: 'they wait, and are late themselves', lags: lately(0.01), others: [waits(0.8, 0.45), waits(0.9, 0.5)], resigns: 0 },
-  { name: 'they waited, as they told too long ago', lags: lately(0.01), others: [waits(0.8), waits(0.9)], age: 3.5, resigns: 0 },
-  { name: 'late for longer: once', lags: [...lately(LATE), ...lately(LATE)], others: [idle, idle], resigns: 1 },
+  { name: 'in time', lags: sixTimes(0.01), others: [idle, idle], stepDowns: 0 },
+  { name: 'late every other time, another is idle', lags: [0, LATE_S, 0, LATE_S, 0, LATE_S], others: [null, idle], stepDowns: 1 },
+  { name: 'late, another is idle', lags: sixTimes(LATE_S), others: [null, idle], stepDowns: 1 },
+  { name: 'late, another is half as late', lags: sixTimes(LATE_S), others: [asLate, { ...idle, latenessS: LATE_S * 0.45 }], stepDowns: 1 },
+  { name: 'late once', lags: [0, LATE_S, 0, 0, 0, 0], others: [idle, idle], stepDowns: 0 },
+  { name: 'late by much twice in a row', lags: [0, LATE_S, LATE_S, 0, 0, 0], others: [idle, idle], stepDowns: 1 },
+  { name: 'late, the others too', lags: sixTimes(LATE_S), others: [asLate, asLate], stepDowns: 0 },
+  { name: 'late, the others are not served', lags: sixTimes(LATE_S), others: [cutOff, cutOff], stepDowns: 0 },
+  { name: 'late, nobody has told anything', lags: sixTimes(LATE_S), others: [null, null], stepDowns: 0 },
+  { name: 'late, what the others told is somewhat old', lags: sixTimes(LATE_S), others: [idle, idle], figuresAgeIntervals: 2.5, stepDowns: 1 },
+  { name: 'late, what the others told is stale', lags: sixTimes(LATE_S), others: [idle, idle], figuresAgeIntervals: 3.5, stepDowns: 0 },
+  { name: 'late, but it does not lead', lags: sixTimes(LATE_S), others: [idle, idle], leads: false, stepDowns: 0 },
+  { name: 'late because it has just been elected', lags: sixTimes(LATE_S), others: [idle, idle], ledForLeases: 1.6, stepDowns: 0 },
+  { name: 'in time by its timers, but whoever passes reports on waits', lags: sixTimes(0.01), others: [withForwardingDelay(0.8), withForwardingDelay(0.9)], stepDowns: 1 },
+  { name: 'only one of them waits, which is slow itself', lags: sixTimes(0.01), others: [withForwardingDelay(0.1), withForwardingDelay(0.9)], stepDowns: 0 },
+  { name: 'they wait, and are late themselves', lags: sixTimes(0.01), others: [withForwardingDelay(0.8, 0.45), withForwardingDelay(0.9, 0.5)], stepDowns: 0 },
+  { name: 'they waited, as they told too long ago', lags: sixTimes(0.01), others: [withForwardingDelay(0.8), withForwardingDelay(0.9)], figuresAgeIntervals: 3.5, stepDowns: 0 },
+  { name: 'late for longer: once', lags: [...sixTimes(LATE_S), ...sixTimes(LATE_S)], others: [idle, idle], stepDowns: 1 },
 ]; // prettier-ignore
 
 /** A controller's own part: what it knows of itself and the others, and whether it transfers leadership. */
-class Node {
+class TestController {
   readonly overload = new Overload();
   readonly health: HealthTable;
   readonly leadershipTransfer: LeadershipTransfer;
-  resigned = 0;
+  stepDowns = 0;
 
   constructor(
     clock: { now: () => number },
     leads: () => boolean,
-    resign = (): void => undefined,
+    onStepDown = (): void => undefined,
     electedAt = (): number => -Infinity,
   ) {
-    this.health = new HealthTable({ clock, heartbeatIntervalS: REPORT_S, own: () => this.own });
+    this.health = new HealthTable({
+      clock,
+      heartbeatIntervalS: HEARTBEAT_INTERVAL_S,
+      own: () => this.own,
+    });
     this.leadershipTransfer = new LeadershipTransfer({
       overload: this.overload,
       health: this.health,
@@ -83,8 +87,8 @@
       leads,
       electedAt,
       stepDown: () => {
-        this.resigned++;
-        resign();
+        this.stepDowns++;
+        onStepDown();
         return Promise.resolve();
       },
     });
@@ -98,33 +102,41 @@
 
 // A leader that had become three times slower kept its leadership, and all machines lost their leases.
 test('a leader that is too late for long transfers leadership at once where another one is better off', () => {
-  for (const { name, lags, others, age = 0, leads = true, led = 3, resigns } of CASES) {
+  for (const {
+    name,
+    lags,
+    others,
+    figuresAgeIntervals = 0,
+    leads = true,
+    ledForLeases = 3,
+    stepDowns,
+  } of CASES) {
     let now = 0;
-    const electedAt = (): number => -led * LEASE_S;
-    const node = new Node({ now: () => now }, () => leads, undefined, electedAt);
+    const electedAt = (): number => -ledForLeases * LEASE_S;
+    const node = new TestController({ now: () => now }, () => leads, undefined, electedAt);
     for (const lag of lags) {
       now += TICK_S;
       others.forEach((figure, i) => {
         const at = now;
-        now -= age * REPORT_S;
+        now -= figuresAgeIntervals * HEARTBEAT_INTERVAL_S;
         if (figure !== null) node.health.note(`n-${i}`, figure);
         now = at;
       });
       node.overload.noteLag(lag, now);
       node.leadershipTransfer.consider();
     }
-    assert.equal(node.resigned, resigns, name);
+    assert.equal(node.stepDowns, stepDowns, name);
   }
 });
 
 test('figures go with frames once in a quarter of a heartbeat interval; who is silent is asked', () => {
   let now = 0;
-  const node = new Node({ now: () => now }, () => true);
+  const node = new TestController({ now: () => now }, () => true);
   const [first, second] = [node.health.nextToSend(), node.health.nextToSend()];
   assert.deepEqual([first(), first(), second()], [node.own, null, node.own], 'by connection');
-  now += REPORT_S * 0.2;
+  now += HEARTBEAT_INTERVAL_S * 0.2;
   assert.equal(first(), null);
-  now += REPORT_S * 0.1;
+  now += HEARTBEAT_INTERVAL_S * 0.1;
   assert.deepEqual(first(), node.own);
 
   const asked: string[] = [];
@@ -140,12 +152,12 @@
 
 test('of several fitter ones the best off is chosen; a late one is known as late', () => {
   let now = 0;
-  const node = new Node({ now: () => now }, () => true);
-  for (let i = 0; i < 6; i++) node.overload.noteLag(LATE, now);
+  const node = new TestController({ now: () => now }, () => true);
+  for (let i = 0; i < 6; i++) node.overload.noteLag(LATE_S, now);
   const figures: [string, number, boolean][] = [
-    ['a', LATE * 0.3, true],
-    ['b', LATE * 0.1, true],
-    ['c', LATE * 0.2, true],
+    ['a', LATE_S * 0.3, true],
+    ['b', LATE_S * 0.1, true],
+    ['c', LATE_S * 0.2, true],
     ['d', 0, false],
   ];
   for (const [name, latenessS, served] of figures) node.health.note(name, { latenessS, served });
@@ -154,9 +166,9 @@
     ['a', 'b', 'nobody'].map((name) => node.health.isLate(name)),
     [true, false, false],
   );
-  node.health.note('e', waits(ANSWER_WAIT_S * 0.2));
+  node.health.note('e', withForwardingDelay(ANSWER_WAIT_S * 0.2));
   assert.equal(node.health.isLate('e'), false, 'what it passes on waits for the leader');
-  now += REPORT_S * 4;
+  now += HEARTBEAT_INTERVAL_S * 4;
   assert.deepEqual([node.health.healthier(), node.health.isLate('a')], [null, false], 'stale');
 });
 
@@ -164,9 +176,9 @@
 type Lateness = (leads: boolean, now: number) => number;
 const FAST: Lateness = () => 0;
 /** Late under a leader's work only: as a follower it looks fit. */
-const SLOW: Lateness = (leads) => (leads ? LATE : 0);
-const SLOW_ALWAYS: Lateness = () => LATE;
-const ALTERNATING: Lateness = (_leads, now) => (Math.floor(now / 5) % 2 === 0 ? LATE : 0);
+const SLOW: Lateness = (leads) => (leads ? LATE_S : 0);
+const SLOW_ALWAYS: Lateness = () => LATE_S;
+const ALTERNATING: Lateness = (_leads, now) => (Math.floor(now / 5) % 2 === 0 ? LATE_S : 0);
 
 test('leadership changes are bounded, whoever is slow and whenever', () => {
   const MINUTES = 10;
@@ -194,16 +206,16 @@
         const others = nodes.map((_node, k) => (i + 1 + k) % nodes.length);
         return others.find((k) => k !== i && !nodes[k]!.overload.late) ?? i;
       };
-      const resign = (): void => {
+      const stepDown = (): void => {
         leader = next();
         electedAt = now;
         changes++;
       };
       const clock = { now: () => now };
-      const node: Node = new Node(
+      const node: TestController = new TestController(
         clock,
         () => leader === i,
-        resign,
+        stepDown,
         () => electedAt,
       );
       return node;
@@ -217,7 +229,8 @@
       for (const node of nodes) node.leadershipTransfer.consider();
     }
     assert.ok(changes >= least && changes <= most, `${name}: ${changes}`);
-    for (const node of nodes) assert.ok(node.resigned <= EACH, `${name}: ${node.resigned} of one`);
+    for (const node of nodes)
+      assert.ok(node.stepDowns <= EACH, `${name}: ${node.stepDowns} of one`);
   }
 });
 
--- a/test/machine-evidence.test.ts
+++ b/test/machine-evidence.test.ts
@@ -7,9 +7,12 @@
 import { Machine } from '../src/workers/machine.js';
 
 const TOKEN = 50;
-const LEASE = 10;
+const LEASE_S = 10;
 
-const report = (over: Partial<Heartbeat> = {}, tasks: Partial<TaskStatus>[] = []): Heartbeat => ({
+const makeHeartbeat = (
+  over: Partial<Heartbeat> = {},
+  tasks: Partial<TaskStatus>[] = [],
+): Heartbeat => ({
   machine: 'm',
   addr: '127.0.0.1:1',
   type: 'g8',
@@ -25,116 +28,124 @@
   ...over,
 });
 
-function setup(state: AttemptState): { machine: Machine; attempt: Attempt } {
-  const machine = new Machine('m', TOKEN, LEASE, 0);
+function machineWithAttempt(state: AttemptState): { machine: Machine; attempt: Attempt } {
+  const machine = new Machine('m', TOKEN, LEASE_S, 0);
   const attempt = makeAttempt({ job: 'j', index: 0, number: 50, machine: 'm' }, state, 0);
   machine.addClaim(attempt);
   return { machine, attempt };
 }
 
 /** A start in the answer to heartbeat 10. */
-function sent(): { machine: Machine; attempt: Attempt } {
-  const scene = setup('claimed');
-  scene.machine.applyHeartbeat(report({ sequence: 10 }), 'heartbeat', 1);
-  const each = scene.machine.dueCommands(() => true, true);
+function machineWithSentStart(): { machine: Machine; attempt: Attempt } {
+  const setup = machineWithAttempt('claimed');
+  setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 10 }), 'heartbeat', 1);
+  const each = setup.machine.dueCommands(() => true, true);
   assert.deepEqual(
     each.map((command) => command.kind),
     ['start'],
   );
-  scene.machine.markSent(each, 'heartbeat', 1);
-  return scene;
+  setup.machine.markSent(each, 'heartbeat', 1);
+  return setup;
 }
 
-function sentDirect(): {
+function machineWithDirectStart(): {
   machine: Machine;
   attempt: Attempt;
   commands: ReturnType<Machine['dueCommands']>;
 } {
-  const scene = setup('claimed');
-  scene.machine.applyHeartbeat(report({ sequence: 10 }), 'heartbeat', 1);
-  const commands = scene.machine.dueCommands(() => true, false);
-  scene.machine.markSent(commands, 'direct', 1);
-  return { ...scene, commands };
+  const setup = machineWithAttempt('claimed');
+  setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 10 }), 'heartbeat', 1);
+  const commands = setup.machine.dueCommands(() => true, false);
+  setup.machine.markSent(commands, 'direct', 1);
+  return { ...setup, commands };
 }
 
 test('when a task may be started elsewhere', () => {
   const cases: [string, () => { machine: Machine; attempt: Attempt }, boolean][] = [
-    ['its start is on the way', sent, false],
+    ['its start is on the way', machineWithSentStart, false],
     [
       'an older report does not show it',
       () => {
-        const scene = sent();
-        scene.machine.applyHeartbeat(report({ sequence: 9 }), 'heartbeat', 2);
-        return scene;
+        const setup = machineWithSentStart();
+        setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 9 }), 'heartbeat', 2);
+        return setup;
       },
       false,
     ],
     [
       'the session has moved on',
       () => {
-        const scene = sent();
-        scene.machine.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), 'heartbeat', 2);
-        return scene;
+        const setup = machineWithSentStart();
+        setup.machine.applyHeartbeat(makeHeartbeat({ agentEpoch: 2, sequence: 1 }), 'heartbeat', 2);
+        return setup;
       },
       true,
     ],
     [
       'a late copy from an older session says nothing',
       () => {
-        const scene = sent();
-        scene.machine.applyHeartbeat(report({ sequence: 11 }, [{}]), 'heartbeat', 2);
-        scene.machine.applyHeartbeat(report({ agentEpoch: 0, sequence: 99 }), 'heartbeat', 3);
-        return scene;
+        const setup = machineWithSentStart();
+        setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 11 }, [{}]), 'heartbeat', 2);
+        setup.machine.applyHeartbeat(
+          makeHeartbeat({ agentEpoch: 0, sequence: 99 }),
+          'heartbeat',
+          3,
+        );
+        return setup;
       },
       false,
     ],
     [
       'a running task is missing from a newer fenced report',
       () => {
-        const scene = sent();
-        scene.machine.applyHeartbeat(report({ sequence: 11 }, [{}]), 'heartbeat', 2);
-        scene.machine.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 3);
-        return scene;
+        const setup = machineWithSentStart();
+        setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 11 }, [{}]), 'heartbeat', 2);
+        setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 12 }), 'heartbeat', 3);
+        return setup;
       },
       true,
     ],
     [
       'it is missing from a report that is not fenced',
       () => {
-        const scene = setup('inherited');
-        scene.machine.applyHeartbeat(report({ sequence: 12, token: TOKEN - 1 }), 'heartbeat', 3);
-        return scene;
+        const setup = machineWithAttempt('inherited');
+        setup.machine.applyHeartbeat(
+          makeHeartbeat({ sequence: 12, token: TOKEN - 1 }),
+          'heartbeat',
+          3,
+        );
+        return setup;
       },
       false,
     ],
     [
       'inherited, and a fenced report does not show it',
       () => {
-        const scene = setup('inherited');
-        scene.machine.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 3);
-        return scene;
+        const setup = machineWithAttempt('inherited');
+        setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 12 }), 'heartbeat', 3);
+        return setup;
       },
       true,
     ],
     [
       'it has ended',
       () => {
-        const scene = sent();
-        scene.machine.applyHeartbeat(
-          report({ sequence: 11 }, [{ state: 'ended', cause: 'stopped' }]),
+        const setup = machineWithSentStart();
+        setup.machine.applyHeartbeat(
+          makeHeartbeat({ sequence: 11 }, [{ state: 'ended', cause: 'stopped' }]),
           'heartbeat',
           2,
         );
-        return scene;
+        return setup;
       },
       true,
     ],
     [
       'the lease has run out',
       () => {
-        const scene = sent();
-        scene.machine.endAllAttempts(20);
-        return scene;
+        const setup = machineWithSentStart();
+        setup.machine.endAllAttempts(20);
+        return setup;
       },
       true,
     ],
@@ -150,19 +161,19 @@
 });
 
 test('a start that the next heartbeat lacks is sent again; a direct answer proves nothing', () => {
-  const scene = sent();
-  scene.machine.applyHeartbeat(report({ sequence: 11 }), 'direct-answer', 2);
-  assert.equal(scene.attempt.state, 'sent', 'the answer to check-in 10 may still be under way');
-  scene.machine.applyHeartbeat(report({ sequence: 12 }), 'heartbeat', 2);
-  assert.equal(scene.attempt.state, 'claimed');
+  const setup = machineWithSentStart();
+  setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 11 }), 'direct-answer', 2);
+  assert.equal(setup.attempt.state, 'sent', 'the answer to check-in 10 may still be under way');
+  setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 12 }), 'heartbeat', 2);
+  assert.equal(setup.attempt.state, 'claimed');
 });
 
 test('an unanswered direct start may come at any time in its agent epoch', () => {
   // Packets held back by a cut are delivered later: the start must not be taken for lost, and what
   // it started must not be forgotten, or it would start once more.
-  const { machine, attempt, commands } = sentDirect();
+  const { machine, attempt, commands } = machineWithDirectStart();
   machine.directCommandsEnded(commands, 'unknown', 1, 2);
-  machine.applyHeartbeat(report({ sequence: 11 }), 'heartbeat', 3);
+  machine.applyHeartbeat(makeHeartbeat({ sequence: 11 }), 'heartbeat', 3);
   assert.equal(attempt.state, 'sent');
   assert.deepEqual(
     machine.dueCommands(() => true, true).map((command) => command.kind),
@@ -170,7 +181,7 @@
     'sent again',
   );
   machine.applyHeartbeat(
-    report({ sequence: 12 }, [{ state: 'ended', cause: 'done' }]),
+    makeHeartbeat({ sequence: 12 }, [{ state: 'ended', cause: 'done' }]),
     'heartbeat',
     4,
   );
@@ -180,20 +191,20 @@
     [],
     'not forgotten',
   );
-  machine.applyHeartbeat(report({ agentEpoch: 2, sequence: 1 }), 'heartbeat', 20);
+  machine.applyHeartbeat(makeHeartbeat({ agentEpoch: 2, sequence: 1 }), 'heartbeat', 20);
   assert.equal(attempt.state, 'gone');
 });
 
 test('a direct start that provably was not carried out can be sent again', () => {
-  const { machine, attempt, commands } = sentDirect();
+  const { machine, attempt, commands } = machineWithDirectStart();
   machine.directCommandsEnded(commands, 'refused', 1, 2);
   assert.equal(attempt.state, 'claimed');
 });
 
 test('an ended task is forgotten only once it is settled, and started anew only after that', () => {
-  const { machine, attempt } = sent();
+  const { machine, attempt } = machineWithSentStart();
   machine.applyHeartbeat(
-    report({ sequence: 11 }, [{ state: 'ended', cause: 'error' }]),
+    makeHeartbeat({ sequence: 11 }, [{ state: 'ended', cause: 'error' }]),
     'heartbeat',
     2,
   );
@@ -211,17 +222,17 @@
 });
 
 test('a renewed lease moves its end, a late copy never moves it back', () => {
-  const machine = new Machine('m', TOKEN, LEASE, 0);
+  const machine = new Machine('m', TOKEN, LEASE_S, 0);
   machine.leaseRenewed(5);
   const end = machine.leaseExpiresAt;
-  assert.ok(end > 5 + LEASE);
+  assert.ok(end > 5 + LEASE_S);
   machine.leaseRenewed(4);
   assert.equal(machine.leaseExpiresAt, end);
 });
 
 test('tasks nobody here knows of are told apart', () => {
-  const machine = new Machine('m', TOKEN, LEASE, 0);
-  const changes = machine.applyHeartbeat(report({}, [{ job: 'x' }]), 'heartbeat', 1);
+  const machine = new Machine('m', TOKEN, LEASE_S, 0);
+  const changes = machine.applyHeartbeat(makeHeartbeat({}, [{ job: 'x' }]), 'heartbeat', 1);
   assert.deepEqual(
     changes.unclaimed.map((attempt) => attempt.job),
     ['x'],
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -10,7 +10,7 @@
 const SLICE_S = LEASE_S / 100;
 
 /** A queue with a clock and an event loop of the test's own; `turn` is one turn of that loop. */
-class Rig {
+class QueueHarness {
   now = 0;
   readonly served: string[] = [];
   readonly overload = new Overload();
@@ -30,7 +30,7 @@
   }
 
   /** A request whose handling takes `costS`; the answer is its name, or `refused`. */
-  ask(kind: RequestClass, name: string, costS = 0, patienceS?: number): unknown {
+  request(kind: RequestClass, name: string, costS = 0, patienceS?: number): unknown {
     const work = (): string => {
       this.served.push(name);
       this.now += costS;
@@ -40,39 +40,39 @@
   }
 
   /** Uses the slice up, so that what comes next waits. */
-  fill(): void {
-    this.ask('report', 'first', SLICE_S);
+  exhaustSlice(): void {
+    this.request('report', 'first', SLICE_S);
     this.served.length = 0;
   }
 
   /** One turn of the event loop. */
-  turn(): void {
+  runTurn(): void {
     const callbacks = this.deferred;
     this.deferred = [];
     for (const callback of callbacks) callback();
   }
 
   /** Whether a turn is still to come. */
-  get busy(): boolean {
+  get hasDeferredTurn(): boolean {
     return this.deferred.length > 0;
   }
 
   /** Turns until nothing waits. */
-  drain(): void {
-    while (this.busy) this.turn();
+  runUntilIdle(): void {
+    while (this.hasDeferredTurn) this.runTurn();
   }
 }
 
 test('a controller that keeps up handles each request when it comes, whatever its class', () => {
-  const rig = new Rig();
+  const harness = new QueueHarness();
   for (let turn = 0; turn < 3; turn++) {
     for (const kind of ['submission', 'report', 'poll', 'cancellation'] as const) {
-      assert.equal(rig.ask(kind, kind, SLICE_S / 10), kind, 'no promise: answered at once');
+      assert.equal(harness.request(kind, kind, SLICE_S / 10), kind, 'no promise: answered at once');
     }
-    rig.turn();
-    assert.equal(rig.busy, false, 'nothing is left to do');
+    harness.runTurn();
+    assert.equal(harness.hasDeferredTurn, false, 'nothing is left to do');
   }
-  assert.equal(rig.queue.statistics().requests_waiting, 0);
+  assert.equal(harness.queue.statistics().requests_waiting, 0);
 });
 
 test('what waits is served by class, each class in the order of arrival', async () => {
@@ -89,12 +89,12 @@
     ],
   ]; // prettier-ignore
   for (const [name, requests, served] of cases) {
-    const rig = new Rig();
-    rig.fill();
-    const answers = requests.map(([kind, request]) => rig.ask(kind, request));
-    assert.deepEqual(rig.served, [], `${name}: the slice was used up`);
-    rig.drain();
-    assert.deepEqual(rig.served, served, name);
+    const harness = new QueueHarness();
+    harness.exhaustSlice();
+    const answers = requests.map(([kind, request]) => harness.request(kind, request));
+    assert.deepEqual(harness.served, [], `${name}: the slice was used up`);
+    harness.runUntilIdle();
+    assert.deepEqual(harness.served, served, name);
     assert.deepEqual(
       await Promise.all(answers),
       requests.map(([, request]) => request),
@@ -103,16 +103,16 @@
 });
 
 test('nothing overtakes a request of its class that waits, also in a new turn', () => {
-  const rig = new Rig();
-  rig.fill();
-  rig.ask('report', 'm1', SLICE_S);
-  rig.ask('report', 'm2', SLICE_S);
-  rig.turn();
-  assert.deepEqual(rig.served, ['m1'], 'one slice a turn');
-  rig.ask('report', 'm3');
-  assert.deepEqual(rig.served, ['m1']);
-  rig.drain();
-  assert.deepEqual(rig.served, ['m1', 'm2', 'm3']);
+  const harness = new QueueHarness();
+  harness.exhaustSlice();
+  harness.request('report', 'm1', SLICE_S);
+  harness.request('report', 'm2', SLICE_S);
+  harness.runTurn();
+  assert.deepEqual(harness.served, ['m1'], 'one slice a turn');
+  harness.request('report', 'm3');
+  assert.deepEqual(harness.served, ['m1']);
+  harness.runUntilIdle();
+  assert.deepEqual(harness.served, ['m1', 'm2', 'm3']);
 });
 
 test('a turn serves a slice and no more, but always one request', () => {
@@ -121,13 +121,13 @@
     [SLICE_S * 0.7, 2],
     [SLICE_S * 50, 1],
   ] as const) {
-    const rig = new Rig();
-    rig.fill();
-    for (let i = 0; i < 25; i++) rig.ask('report', `${i}`, costS);
+    const harness = new QueueHarness();
+    harness.exhaustSlice();
+    for (let i = 0; i < 25; i++) harness.request('report', `${i}`, costS);
     let served = 0;
     while (served < 25) {
-      rig.turn();
-      const now = rig.served.length - served;
+      harness.runTurn();
+      const now = harness.served.length - served;
       // One more than fit, at most: sums of fractions are not exact.
       assert.ok(now >= 1 && now <= most + 1, `${now} of ${costS} s`);
       served += now;
@@ -141,14 +141,14 @@
     ['given up', ANSWER_WAIT_S * 0.9, 'refused'],
   ];
   for (const [name, waitedS, answer] of cases) {
-    const rig = new Rig();
-    rig.fill();
-    const got = rig.ask('report', 'r', 0, ANSWER_WAIT_S * 0.875);
-    rig.now += waitedS;
-    rig.drain();
-    assert.equal(await got, answer, name);
-    assert.deepEqual(rig.served, answer === 'r' ? ['r'] : [], name);
-    assert.equal(rig.queue.statistics().reports_refused, answer === 'r' ? 0 : 1);
+    const harness = new QueueHarness();
+    harness.exhaustSlice();
+    const answered = harness.request('report', 'r', 0, ANSWER_WAIT_S * 0.875);
+    harness.now += waitedS;
+    harness.runUntilIdle();
+    assert.equal(await answered, answer, name);
+    assert.deepEqual(harness.served, answer === 'r' ? ['r'] : [], name);
+    assert.equal(harness.queue.statistics().reports_refused, answer === 'r' ? 0 : 1);
   }
 });
 
@@ -165,17 +165,17 @@
   ];
   for (const [delayS, placesLess, refused] of cases) {
     for (const cause of ['loop', 'queue'] as const) {
-      const rig = new Rig();
-      rig.fill();
+      const harness = new QueueHarness();
+      harness.exhaustSlice();
       if (cause === 'loop') {
-        for (let i = 0; i < 2; i++) rig.overload.noteLag(delayS, 0);
+        for (let i = 0; i < 2; i++) harness.overload.noteLag(delayS, 0);
       } else {
-        rig.ask('report', 'oldest');
-        rig.now += delayS;
+        harness.request('report', 'oldest');
+        harness.now += delayS;
       }
-      assert.equal(rig.overload.cycleShare < calm, placesLess, `${cause} ${delayS}`);
+      assert.equal(harness.overload.cycleShare < calm, placesLess, `${cause} ${delayS}`);
       for (const kind of ['report', 'cancellation', 'poll', 'submission'] as const) {
-        const atOnce = rig.ask(kind, kind) === 'refused';
+        const atOnce = harness.request(kind, kind) === 'refused';
         assert.equal(atOnce, refused.includes(kind), `${cause} ${delayS} ${kind}`);
       }
     }
@@ -189,33 +189,33 @@
     ['late, then in time', [3, 3, 0], false],
   ];
   for (const [name, lags, refused] of cases) {
-    const rig = new Rig();
-    for (const lag of lags) rig.overload.noteLag(lag, 0);
-    assert.equal(rig.ask('submission', 's') === 'refused', refused, name);
+    const harness = new QueueHarness();
+    for (const lag of lags) harness.overload.noteLag(lag, 0);
+    assert.equal(harness.request('submission', 's') === 'refused', refused, name);
   }
-  const rig = new Rig();
-  rig.fill();
-  rig.ask('report', 'r');
-  rig.now += 3;
-  assert.equal(rig.ask('submission', 's'), 'refused');
-  rig.drain();
-  assert.equal(rig.ask('submission', 's'), 's');
+  const harness = new QueueHarness();
+  harness.exhaustSlice();
+  harness.request('report', 'r');
+  harness.now += 3;
+  assert.equal(harness.request('submission', 's'), 'refused');
+  harness.runUntilIdle();
+  assert.equal(harness.request('submission', 's'), 's');
 });
 
 test('what was let in is served within its threshold, however many reports come', () => {
   // By class alone a submission would wait until its user gives up, under reports without an end.
   for (const kind of ['cancellation', 'poll', 'submission'] as const) {
-    const rig = new Rig();
-    rig.fill();
-    const arrivedAt = rig.now;
+    const harness = new QueueHarness();
+    harness.exhaustSlice();
+    const arrivedAt = harness.now;
     let waitedS: number | null = null;
     const note = (): void => {
-      waitedS = rig.now - arrivedAt;
+      waitedS = harness.now - arrivedAt;
     };
-    void rig.queue.run(kind, note, undefined);
+    void harness.queue.run(kind, note, undefined);
     for (let i = 0; waitedS === null && i < 1000; i++) {
-      rig.ask('report', `${i}`, SLICE_S);
-      rig.turn();
+      harness.request('report', `${i}`, SLICE_S);
+      harness.runTurn();
     }
     // One report more may be under way; sums of fractions are not exact.
     assert.ok(waitedS !== null && waitedS < refusedAboveS(kind) + 1.5 * SLICE_S, kind);
@@ -223,22 +223,22 @@
 });
 
 test('the queue is bounded, and an error of one request is its own', async () => {
-  const rig = new Rig(2);
-  rig.fill();
-  const failing = rig.queue.run(
+  const harness = new QueueHarness(2);
+  harness.exhaustSlice();
+  const failing = harness.queue.run(
     'report',
     () => {
       throw new Error('broken');
     },
     'refused',
   );
-  const second = rig.ask('report', 'second');
-  assert.equal(rig.ask('report', 'third'), 'refused');
-  rig.drain();
+  const second = harness.request('report', 'second');
+  assert.equal(harness.request('report', 'third'), 'refused');
+  harness.runUntilIdle();
   await assert.rejects(Promise.resolve(failing), /broken/);
   assert.equal(await second, 'second');
-  assert.deepEqual(rig.errors, []);
-  assert.equal(rig.ask('report', 'fourth'), 'fourth');
+  assert.deepEqual(harness.errors, []);
+  assert.equal(harness.request('report', 'fourth'), 'fourth');
 });
 
 test("a flood of requests leaves timers their turn: the leader's lease is renewed in time", async () => {
--- a/test/redirects.test.ts
+++ b/test/redirects.test.ts
@@ -3,7 +3,7 @@
 import { Redirects, type RedirectOptions } from '../src/heartbeat/redirects.js';
 import { settings } from './helpers.js';
 
-const HERE = settings().node;
+const THIS_NODE = settings().node;
 const { lease_s: LEASE_S } = settings().workers;
 
 interface Case {
@@ -19,7 +19,7 @@
 
 const CASES: Case[] = [
   { name: 'to the controller of its zone', home: 'n-1', target: 'n-1' },
-  { name: 'it is there already', home: HERE, target: null },
+  { name: 'it is there already', home: THIS_NODE, target: null },
   { name: 'its zone has none, or several', home: null, target: null },
   { name: 'that controller does not keep up', home: 'n-2', late: ['n-2'], target: null },
   { name: 'it is the leader that does not', home: 'n-1', late: ['n-1'], target: 'n-1' },
@@ -29,7 +29,7 @@
   { name: 'that controller has just come', home: 'n-1', steady: false, target: null },
 ];
 
-function redirects(row: Case, now = (): number => 0): Redirects {
+function makeRedirects(row: Case, now = (): number => 0): Redirects {
   const { home = null, late = [], leads = true, health = 'served' } = row;
   const { steady = true } = row;
   return new Redirects({
@@ -44,21 +44,25 @@
 
 test('a worker goes to the controller of its zone where that keeps up', () => {
   for (const row of CASES) {
-    assert.equal(redirects(row).redirectTarget({ machine: 'm', zone: 'z1' }), row.target, row.name);
+    assert.equal(
+      makeRedirects(row).redirectTarget({ machine: 'm', zone: 'z1' }),
+      row.target,
+      row.name,
+    );
   }
 });
 
 test('a worker is sent home once in one and a half leases at most', () => {
   let now = 0;
-  const here = redirects({ name: '', home: 'n-1', target: 'n-1' }, () => now);
+  const redirects = makeRedirects({ name: '', home: 'n-1', target: 'n-1' }, () => now);
   const moves: number[] = [];
   for (; now < LEASE_S * 4; now++) {
     // Sent back each time, by a controller that it could not reach.
-    if (here.redirectTarget({ machine: 'm', zone: 'z1' }) === null) continue;
-    here.recordSent('m');
+    if (redirects.redirectTarget({ machine: 'm', zone: 'z1' }) === null) continue;
+    redirects.recordRedirect('m');
     moves.push(now);
     assert.equal(
-      here.redirectTarget({ machine: 'other', zone: 'z1' }),
+      redirects.redirectTarget({ machine: 'other', zone: 'z1' }),
       'n-1',
       'others go as before',
     );
--- a/test/renewals-of-cancelled.test.ts
+++ b/test/renewals-of-cancelled.test.ts
@@ -27,17 +27,17 @@
 const MACHINE = 'host-000001';
 const TASKS = 4;
 /** Tasks that a heartbeat of 64 KiB shows at the most. */
-const SHOWN_TASKS = 1300;
+const LARGEST_HEARTBEAT_TASKS = 1300;
 
 /** Only this controller stands for election from now on. */
-function letStand(world: ControlPlaneWorld, node: string): void {
+function makeOnlyCandidate(world: ControlPlaneWorld, node: string): void {
   for (const controller of world.controllers) controller.stands = controller.node === node;
 }
 
 /** A service runs on a machine, and n-2 leads with a token that the machine has shown. */
-async function runningService(): Promise<{ world: ControlPlaneWorld; worker: Worker }> {
+async function startService(): Promise<{ world: ControlPlaneWorld; worker: Worker }> {
   const world = new ControlPlaneWorld();
-  letStand(world, 'n-2');
+  makeOnlyCandidate(world, 'n-2');
   await world.runUntil(1);
   const worker = world.fleet.add(MACHINE);
   await world.exchangeHeartbeat(worker, 'n-0');
@@ -51,7 +51,7 @@
 }
 
 /** The leader is killed, and 0.4 s later a cancellation is stored and confirmed. */
-async function cancelAfterLeaderEnded(world: ControlPlaneWorld): Promise<void> {
+async function cancelAfterLeaderKilled(world: ControlPlaneWorld): Promise<void> {
   await world.runUntil(25);
   world.controller('n-2').kill();
   await world.runUntil(25.4);
@@ -67,28 +67,28 @@
   until: number;
   frozenUntil?: number;
   /** When the machine is heard, and by which controller. */
-  heardAt: number;
-  by: string;
+  heartbeatAt: number;
+  via: string;
 }
 
 /** The terms of the incident: the machine was heard once in each. */
 const TERMS: Term[] = [
-  { node: 'n-1', from: 28, until: 32, frozenUntil: 36, heardAt: 28.97, by: 'n-0' },
-  { node: 'n-2', from: 35, until: 38, heardAt: 36.1, by: 'n-1' },
-  { node: 'n-1', from: 42, until: 44, heardAt: 43.85, by: 'n-0' },
-  { node: 'n-1', from: 49.8, until: 55.8, heardAt: 52.63, by: 'n-1' },
+  { node: 'n-1', from: 28, until: 32, frozenUntil: 36, heartbeatAt: 28.97, via: 'n-0' },
+  { node: 'n-2', from: 35, until: 38, heartbeatAt: 36.1, via: 'n-1' },
+  { node: 'n-1', from: 42, until: 44, heartbeatAt: 43.85, via: 'n-0' },
+  { node: 'n-1', from: 49.8, until: 55.8, heartbeatAt: 52.63, via: 'n-1' },
 ];
 
 /** One term, as recorded. The machine gets one answer. */
-async function playTerm(world: ControlPlaneWorld, worker: Worker, term: Term): Promise<void> {
+async function runTerm(world: ControlPlaneWorld, worker: Worker, term: Term): Promise<void> {
   await world.runUntil(term.from);
   const leader = world.controller(term.node);
   for (const controller of world.controllers) if (!controller.alive) controller.restart();
-  letStand(world, term.node);
-  await world.runUntil(term.heardAt);
-  assert.equal(world.leader, leader, `${term.node} leads at ${term.heardAt}`);
-  const reply = await world.exchangeHeartbeat(worker, term.by);
-  assert.equal(reply?.status, 200, `answered at ${term.heardAt}`);
+  makeOnlyCandidate(world, term.node);
+  await world.runUntil(term.heartbeatAt);
+  assert.equal(world.leader, leader, `${term.node} leads at ${term.heartbeatAt}`);
+  const reply = await world.exchangeHeartbeat(worker, term.via);
+  assert.equal(reply?.status, 200, `answered at ${term.heartbeatAt}`);
   // It knows both: the cancellation by its replica, the attempts by the machine's record.
   const storedJob = leader.replica.jobs.get(JOB)!;
   assert.equal(outcome(storedJob), 'cancelled', 'the leader has read the cancellation');
@@ -100,9 +100,9 @@
 }
 
 test('leaders that hear of a machine once, one after another, end its cancelled tasks in time', async () => {
-  const { world, worker } = await runningService();
-  await cancelAfterLeaderEnded(world);
-  for (const term of TERMS) await playTerm(world, worker, term);
+  const { world, worker } = await startService();
+  await cancelAfterLeaderKilled(world);
+  for (const term of TERMS) await runTerm(world, worker, term);
   await world.runUntil(world.toldAt.get(JOB)! + world.times.cancelS + 0.25);
   assert.deepEqual(world.overdueTasks(), []);
   assert.deepEqual(world.omittedStops, [], 'every renewal carries the stop');
@@ -116,8 +116,12 @@
 }
 
 /** Heartbeats at these seconds, by n-0 to whoever leads. */
-async function exchangeAt(world: ControlPlaneWorld, worker: Worker, ats: number[]): Promise<void> {
-  for (const at of ats) {
+async function exchangeAt(
+  world: ControlPlaneWorld,
+  worker: Worker,
+  times: number[],
+): Promise<void> {
+  for (const at of times) {
     await world.runUntil(at);
     await world.exchangeHeartbeat(worker, 'n-0');
   }
@@ -128,8 +132,8 @@
     [
       'the first term goes on, and the machine shows its token',
       async (world, worker) => {
-        await cancelAfterLeaderEnded(world);
-        letStand(world, 'n-1');
+        await cancelAfterLeaderKilled(world);
+        makeOnlyCandidate(world, 'n-1');
         await exchangeAt(world, worker, [28.97, 31.47, 33.97]);
       },
     ],
@@ -147,9 +151,9 @@
     [
       'the attempts are in no record: they are found by what the machine shows',
       async (world, worker) => {
-        await cancelAfterLeaderEnded(world);
+        await cancelAfterLeaderKilled(world);
         forgetClaims(world);
-        letStand(world, 'n-1');
+        makeOnlyCandidate(world, 'n-1');
         await exchangeAt(world, worker, [28.97, 31.47, 33.97]);
       },
     ],
@@ -159,13 +163,13 @@
         world.controller('n-2').ownStoreHealth = 'silent';
         await world.runUntil(25.4);
         world.cancel(JOB);
-        letStand(world, 'n-1');
+        makeOnlyCandidate(world, 'n-1');
         await exchangeAt(world, worker, [26.5, 29, 31.5, 34]);
       },
     ],
   ];
   for (const [name, play] of cases) {
-    const { world, worker } = await runningService();
+    const { world, worker } = await startService();
     await play(world, worker);
     assert.equal(world.fleet.running(JOB), 0, name);
     assert.ok(world.toldAt.has(JOB), name);
@@ -189,14 +193,14 @@
 /** Every way by which a lease is renewed, up to the one answer that must stop the tasks. */
 const RENEWALS: Record<string, Renewal> = {
   'the first answer of a term': async (world, worker) => {
-    await cancelAfterLeaderEnded(world);
-    letStand(world, 'n-1');
+    await cancelAfterLeaderKilled(world);
+    makeOnlyCandidate(world, 'n-1');
     await exchangeAt(world, worker, [29]);
   },
   'the first answer of a term, to attempts that no record names': async (world, worker) => {
-    await cancelAfterLeaderEnded(world);
+    await cancelAfterLeaderKilled(world);
     forgetClaims(world);
-    letStand(world, 'n-1');
+    makeOnlyCandidate(world, 'n-1');
     await exchangeAt(world, worker, [29]);
   },
   'an answer of a term that goes on': async (world, worker) => {
@@ -238,8 +242,8 @@
     await world.runUntil(25);
     assert.equal(world.fleet.running(OTHER_JOB), 0, 'its start is on the way');
     world.cancel(OTHER_JOB);
-    await cancelAfterLeaderEnded(world);
-    letStand(world, 'n-1');
+    await cancelAfterLeaderKilled(world);
+    makeOnlyCandidate(world, 'n-1');
     world.deliverBeforeAnswer = () => world.deliverHeldBack();
     await exchangeAt(world, worker, [29]);
     assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), 1, 'it arrived');
@@ -267,7 +271,7 @@
   ) => {
     await world.runUntil(25);
     world.controller('n-2').kill();
-    letStand(world, 'n-1');
+    makeOnlyCandidate(world, 'n-1');
     await world.runUntil(29);
     world.controller('n-1').ownStoreHealth = 'refused';
     world.cancel(JOB);
@@ -278,15 +282,19 @@
   },
   'by the only controller of a zone that is cut off': async (world, worker) => {
     await cancelWithoutDirect(world);
-    const holder = world.controller('n-0');
-    Object.assign(holder, { aloneInZone: true, peersReachable: false, ownStoreHealth: 'silent' });
+    const zoneLeaseHolder = world.controller('n-0');
+    Object.assign(zoneLeaseHolder, {
+      aloneInZone: true,
+      peersReachable: false,
+      ownStoreHealth: 'silent',
+    });
     await exchangeAt(world, worker, [29]);
   },
 };
 
 test('whoever renews a lease, and however: the one answer stops what is cancelled', async () => {
   for (const [name, renew] of Object.entries(RENEWALS)) {
-    const { world, worker } = await runningService();
+    const { world, worker } = await startService();
     await renew(world, worker);
     assert.equal(worker.answeredAt, world.now, `${name}: renewed`);
     assert.equal(world.fleet.running(JOB), 0, name);
@@ -298,7 +306,7 @@
 
 test('a renewal stops all that is cancelled, however much else is due', () => {
   const status = { state: 'running', cause: null, saved: false } as const;
-  const tasks = Array.from({ length: SHOWN_TASKS }, (_, index) => ({
+  const tasks = Array.from({ length: LARGEST_HEARTBEAT_TASKS }, (_, index) => ({
     ...{ job: JOB, index, attempt: 7 },
     ...status,
   }));
@@ -309,8 +317,8 @@
   const body = String(renewLease({ token: 9, tasks, isCancelled, due }).body);
   const { hallmark, orders } = JSON.parse(body) as { hallmark: number; orders: { verb: string }[] };
   assert.equal(hallmark, 9);
-  assert.equal(orders.filter(({ verb }) => verb === 'kill').length, SHOWN_TASKS);
-  assert.equal(orders.length, SHOWN_TASKS + MAX_COMMANDS_PER_MESSAGE);
+  assert.equal(orders.filter(({ verb }) => verb === 'kill').length, LARGEST_HEARTBEAT_TASKS);
+  assert.equal(orders.length, LARGEST_HEARTBEAT_TASKS + MAX_COMMANDS_PER_MESSAGE);
   const longest = Math.max(...body.split('\n').map((line) => line.length));
   assert.ok(longest < 64 * 1024, `a line of ${longest} bytes`);
   // What is due anyway is not sent twice, and what has ended is not stopped.
@@ -321,7 +329,7 @@
 });
 
 test('cancelled tasks that outlast their time are told, across terms, and counted', async () => {
-  const { world, worker } = await runningService();
+  const { world, worker } = await startService();
   // Nothing is heard of the machine, and no term is long enough to count its lease as expired.
   worker.mute = true;
   world.holdsDirectCommands = true;
@@ -333,7 +341,7 @@
   await world.runUntil(cancelledAt + cancelS * 0.25);
   assert.deepEqual(warnings(), []);
   world.controller('n-2').kill();
-  letStand(world, 'n-0');
+  makeOnlyCandidate(world, 'n-0');
   await world.runUntil(cancelledAt + cancelS * 0.52);
   const [warning, ...more] = warnings();
   assert.deepEqual(more, [], 'one line a job and term');
@@ -356,7 +364,7 @@
  * keeps the start from being carried out is a higher token, and in an outage none can be stored.
  */
 test('a direct start that is held back beyond cancel_s in an outage does not start a cancelled task', async () => {
-  const { world, worker } = await runningService();
+  const { world, worker } = await startService();
   world.holdsDirectCommands = true;
   world.submitJob({ id: OTHER_JOB });
   await world.runUntil(25);
