--- a/src/jobs/bit-set.ts
+++ b/src/jobs/bit-set.ts
@@ -7,7 +7,7 @@
     this.bytes = new Uint8Array(Math.ceil(size / 8));
   }
 
-  /** `i` must be an integer from 0 to `size` - 1. */
+  /** `index` must be an integer from 0 to `size` - 1. */
   has(index: number): boolean {
     return (this.bytes[index >> 3]! & (1 << (index & 7))) !== 0;
   }
--- a/test/cluster-cancelled.test.ts
+++ b/test/cluster-cancelled.test.ts
@@ -6,7 +6,7 @@
 const LEASE_S = 3;
 const LONG_RUN_S = 60;
 
-// Small jobs
+// One-task jobs
 
 const JOBS = 24;
 const GAP_MS = 250;
@@ -14,14 +14,14 @@
 const LEADER_ENDS_AT_JOB = 10;
 
 interface StreamRow extends Row {
-  /** Jobs after which the controller that led returns. */
+  /** Number of jobs after which the former leader restarts. */
   returnsAfterJobs: number;
 }
 
 const jobIdOf = (i: number): string => `wk-0001${String(i).padStart(2, '0')}`;
 const isCancelled = (i: number): boolean => i % 4 === 0;
 
-/** Called off at once, or when it has had the time to start. */
+/** Submits a job. If it is to be cancelled, cancels it at once, or after it has had time to start. */
 async function runSmallJob(cluster: Cluster, i: number): Promise<void> {
   const { users } = cluster;
   const at = cluster.indexes.filter((index) => cluster.controllers[index] !== null);
@@ -32,8 +32,8 @@
   await users.cancel(ask(i + 1), jobIdOf(i));
 }
 
-// A job that falls between two leaders is forgotten, done again, or started though it was cancelled.
-test('one-task jobs come four a second, a quarter is cancelled, the leader changes: each ends once', async () => {
+// Without a correct handover between leaders, a job may be lost, run twice, or started although it was cancelled.
+test('four one-task jobs a second, a quarter cancelled, and a change of leader: each job ends once', async () => {
   const rows: StreamRow[] = [
     { name: 'the old leader returns at once', returnsAfterJobs: 1 },
     { name: 'the old leader returns later', returnsAfterJobs: 8 },
@@ -68,14 +68,14 @@
 interface HangRow extends Row {
   /** In leases. */
   durationLeases: number;
-  /** What they are told meanwhile is lost, not held until they go on. */
+  /** Commands sent meanwhile are lost, instead of being held back until the machines resume. */
   commandsLost?: boolean;
-  /** The leader ends before or after the cancellations. */
+  /** Whether the leader ends before or after the cancellations. */
   leaderEnds?: 'before' | 'after';
 }
 
-// What hangs is told nothing: it has to be told when it goes on, by whoever leads then.
-test('several jobs are cancelled at once while their machines hang: their tasks do not go on', async () => {
+// A machine that hangs gets no commands: when it resumes, the leader at that time has to send the stops.
+test('several jobs are cancelled at once while their machines hang: their tasks do not continue', async () => {
   const rows: HangRow[] = [
     { name: 'for a moment', durationLeases: 0.4 },
     { name: 'for a moment, commands are lost', durationLeases: 0.4, commandsLost: true },
@@ -99,7 +99,7 @@
     worker.hang();
   }
   if (row.leaderEnds === 'before') cluster.stopController(old);
-  const hangs = wait(row.durationLeases * LEASE_S * 1000).then(() => {
+  const resumed = wait(row.durationLeases * LEASE_S * 1000).then(() => {
     for (const worker of cluster.workers) {
       worker.deaf = false;
       worker.goOn();
@@ -108,11 +108,11 @@
   const others = cluster.indexes.filter((at) => at !== old);
   await Promise.all(SERVICES.map((ref, i) => users.cancel(others[i % 2]!, ref)));
   if (row.leaderEnds === 'after') cluster.stopController(old);
-  await hangs;
+  await resumed;
 
   for (const ref of SERVICES) await cluster.gone(ref);
   await cluster.runs(NOT_CANCELLED, 2);
-  // None is started again by whoever leads now.
+  // The current leader starts none of them again.
   await wait(LEASE_S * 500);
   for (const ref of SERVICES) assert.equal(cluster.tasks(ref).length, 0, ref);
 }
--- a/test/heartbeat-bytes.test.ts
+++ b/test/heartbeat-bytes.test.ts
@@ -32,7 +32,7 @@
 type HandlerOptions = ConstructorParameters<typeof HeartbeatHandler>[0];
 type Ask = (to: string, question: Question) => Promise<Answer | null>;
 
-/** A controller that knows of a leader, or is one. */
+/** The heartbeat handler of a follower that knows the leader, or of the leader itself. */
 function makeHandler(
   over: Partially<HandlerOptions>,
   ask: Ask = () => Promise.resolve(null),
@@ -63,7 +63,7 @@
   );
 }
 
-/** What a leader knows of its machines. */
+/** A leader's state of its machines. */
 const leaderState = ({ term }: LeaderWorld): unknown =>
   [...term.machines.values()].map((machine) => [
     ...[
@@ -126,7 +126,7 @@
   }
 }
 
-test('a heartbeat gets the same verdict straight, passed on and without any shortcut', async () => {
+test('a heartbeat gets the same answer directly, forwarded, and by a full parse', async () => {
   seedRandom(20);
   const [straight, passedOn, plain] = [new LeaderWorld(), new LeaderWorld(), new LeaderWorld()];
   const leads = (world: LeaderWorld): HeartbeatHandler =>
@@ -170,18 +170,18 @@
     const answer = (reply: Reply): unknown => [reply.status, reply.body];
     assert.deepEqual(answer(await direct.handle(body)), answer(want), body.toString());
     const onward = await follower.handle(body);
-    // A leader's 503 is no verdict: the follower may renew in its place then.
+    // A leader's 503 is not final: the follower may then renew the lease in its place.
     if (want.status !== 503) assert.deepEqual(answer(onward), answer(want), body.toString());
     assert.deepEqual(
       [leaderState(straight), leaderState(passedOn)],
       [leaderState(plain), leaderState(plain)],
     );
   }
-  // Each kind in numbers, or the comparisons above show nothing.
+  // The comparisons above prove something only if each kind occurred often.
   assert.ok(Object.values(count).every((n) => n > 400), JSON.stringify(count)); // prettier-ignore
 });
 
-test('a scan finds what a full parse finds, or leaves the heartbeat to it', () => {
+test('a scan returns the same fields as a full parse, or null', () => {
   const found = { machine: 'm', zone: 'z1', token: 5 };
   const text = bodyOf(5, 8);
   const ahead = (members: string): string => text.replace('{', `{${members},`);
@@ -191,10 +191,14 @@
   const cases: [string, string, object | null][] = [
     ['as workers write it', text, found],
     ['white space', `\t${spaced}\r\n`, found],
-    ['in another order', JSON.stringify(turned), found],
+    ['fields in another order', JSON.stringify(turned), found],
     ['fields inside others', ahead('"x":[{"bench":"o","yard":"z2"},{"hallmark":1}]'), found],
-    ['strings like fields and brackets', ahead('"x":["]","}","{",":\'bench\':"]'), found],
-    ['the last of two counts', ahead('"bench":"o","yard":"z2","hallmark":1,"tally":1'), found],
+    ['strings that look like fields and brackets', ahead('"x":["]","}","{",":\'bench\':"]'), found],
+    [
+      'the last of two equal names counts',
+      ahead('"bench":"o","yard":"z2","hallmark":1,"tally":1'),
+      found,
+    ],
     ['an escaped field name', text.replace('}]}', '}],"b\\u0065nch":"o"}'), null],
     ['an escape in a name', named('\\u006d'), null],
     ['a name beyond ASCII', named('é'), null],
@@ -202,8 +206,8 @@
     ['an empty name', named(''), null],
     ['a name that is a number', text.replace('"m"', '31'), null],
     ['no name', text.replace('bench', 'bank'), null],
-    ['something behind', `${text}]`, null],
-    ['cut short', text.slice(0, -1), null],
+    ['bytes after the end', `${text}]`, null],
+    ['truncated', text.slice(0, -1), null],
     ['a token in another form', text.replace('"hallmark":5', '"hallmark":50e-1'), null],
   ];
   for (const [name, body, want] of cases) {
@@ -213,21 +217,25 @@
   }
 });
 
-test('malformed heartbeats get 400 wherever they end, and whoever finds them out', async () => {
+test('malformed heartbeats get 400 on every path, whichever controller detects them', async () => {
   const good = Buffer.from(bodyOf(5, 1));
   const bad = Buffer.from(bodyOf(5, 1).replace('running', 'dancing'));
-  assert.ok(scanHeartbeat(bad) !== null, 'the scan alone does not find it');
-  const busy: Ask = () => Promise.resolve({ status: 503 });
-  const judged: Ask = () => Promise.resolve({ status: 400, body: '{}' });
-  const home = { zoneLeases: { holderOf: () => 'n-1', isSteady: () => true } };
+  assert.ok(scanHeartbeat(bad) !== null, 'the scan alone does not detect the error');
+  const unavailable: Ask = () => Promise.resolve({ status: 503 });
+  const rejected: Ask = () => Promise.resolve({ status: 400, body: '{}' });
+  const zoneController = { zoneLeases: { holderOf: () => 'n-1', isSteady: () => true } };
   const zoneLeaseHolder = { mayRenewLeases: () => true };
   const cases: [string, HeartbeatHandler, number][] = [
-    ['sent home', makeHandler(home), 421],
-    ['kept in a cut zone', makeHandler({ zoneLeaseHolder }), 200],
-    ['nobody leads', makeHandler({ replica: { leader: null } }), 503],
-    ['renewed in an outage', makeHandler({}, busy), 200],
-    ['nobody answers', makeHandler({ election: { outage: { mayRenewLeases: () => false } } }), 421],
-    ['the leader found it', makeHandler({}, judged), 400],
+    ['redirected to the controller of its zone', makeHandler(zoneController), 421],
+    ['renewed in a zone that is cut off', makeHandler({ zoneLeaseHolder }), 200],
+    ['there is no leader', makeHandler({ replica: { leader: null } }), 503],
+    ['renewed in an outage', makeHandler({}, unavailable), 200],
+    [
+      'no controller answers',
+      makeHandler({ election: { outage: { mayRenewLeases: () => false } } }),
+      421,
+    ],
+    ['detected by the leader', makeHandler({}, rejected), 400],
   ];
   for (const [name, heartbeats, status] of cases) {
     assert.equal((await heartbeats.handle(bad)).status, 400, name);
@@ -240,23 +248,23 @@
   );
 });
 
-test('only a heartbeat that repeats the last one is taken for it, and its order counts all the same', () => {
+test('only a heartbeat that repeats the last one is recognised as such, and its sequence number still counts', () => {
   type Seen = [repeated: boolean, status: number, seq: number, renewed: boolean];
   const swap = (from: string, to: string) => (token: number) => bodyOf(token, 9).replace(from, to);
   const cases: [string, (token: number) => string, Seen][] = [
-    ['the next one', (token) => bodyOf(token, 9), [true, 200, 9, true]],
-    ['the next one, longer', (token) => bodyOf(token, 10), [true, 200, 10, true]],
+    ['the next heartbeat', (token) => bodyOf(token, 9), [true, 200, 9, true]],
+    ['the next heartbeat, one digit longer', (token) => bodyOf(token, 10), [true, 200, 10, true]],
     ['an old copy', (token) => bodyOf(token, 7), [true, 200, 8, false]],
-    ['doubled', (token) => bodyOf(token, 8), [true, 200, 8, false]],
-    ['a later session', swap('"shift":1', '"shift":2'), [false, 200, 9, true]],
-    ['an earlier session', swap('"shift":1', '"shift":0'), [false, 200, 8, false]],
+    ['the same heartbeat again', (token) => bodyOf(token, 8), [true, 200, 8, false]],
+    ['a later agent epoch', swap('"shift":1', '"shift":2'), [false, 200, 9, true]],
+    ['an earlier agent epoch', swap('"shift":1', '"shift":0'), [false, 200, 8, false]],
     ['an older token', (token) => bodyOf(token - 1, 9), [false, 200, 9, true]],
     ['a later token', (token) => bodyOf(token + 1, 9), [false, 503, 8, false]],
-    ['a notice appears', swap('null', '30'), [false, 200, 9, true]],
-    ['a task moves', swap('running', 'flushing'), [false, 200, 9, true]],
+    ['a reclaim notice appears', swap('null', '30'), [false, 200, 9, true]],
+    ['a task changes its state', swap('running', 'flushing'), [false, 200, 9, true]],
     ['a task is gone', swap('{"piece":"wk-1/0","pour":2,"temper":"running"},', ''), [false, 200, 9, true]],
     ['another machine', (token) => bodyOf(token, 9, 'n'), [false, 200, 8, false]],
-    ['another machine, as long', swap('"addr":"1', '"addr":"2'), [false, 200, 9, true]],
+    ['another address of the same length', swap('"addr":"1', '"addr":"2'), [false, 200, 9, true]],
     ['leading zeros', (token) => bodyOf(token, '09'), [false, 400, 8, false]],
     ['an exponent', (token) => bodyOf(token, '9e0'), [false, 200, 9, true]],
     ['a fraction', (token) => bodyOf(token, '9.5'), [false, 400, 8, false]],
@@ -264,12 +272,12 @@
     ['too large', (token) => bodyOf(token, '9007199254740993'), [false, 400, 8, false]],
     ['no number', (token) => bodyOf(token, ''), [false, 400, 8, false]],
     ['a second number', (token) => bodyOf(token, '9,"tally":3'), [false, 200, 8, false]],
-    ['cut short', (token) => bodyOf(token, 9).slice(0, -1), [false, 400, 8, false]],
+    ['truncated', (token) => bodyOf(token, 9).slice(0, -1), [false, 400, 8, false]],
   ]; // prettier-ignore
   for (const [name, text, want] of cases) {
     const world = new LeaderWorld();
     const heartbeats = makeHandler({ leader: () => world.leader });
-    // The second shows the token to a machine that is known by now.
+    // The first registers the machine, the second shows the token.
     for (const tally of [1, 8]) void heartbeats.handle(Buffer.from(bodyOf(world.token, tally)));
     world.fleet.now = 1;
     const machine = world.machine('m');
@@ -282,13 +290,13 @@
       want,
       name,
     );
-    // A late copy takes no newer one's place.
+    // A late copy does not replace a newer heartbeat.
     if (machine.sequence === 8)
       assert.equal(
         machine.lastHeartbeat.decodeRepetition(Buffer.from(bodyOf(world.token, 10)))?.sequence,
         10,
       );
-    // What came in another form is compared with from then on, if it was newer.
+    // A newer heartbeat is the reference from then on, also in another form.
     if (status === 200 && machine.sequence === 9) {
       assert.equal(
         machine.lastHeartbeat.decodeRepetition(body)?.sequence,
@@ -299,7 +307,7 @@
   }
 });
 
-test('a sequence number beyond what a number holds exactly is left to the parser', () => {
+test('a sequence number above the largest safe integer is left to the parser', () => {
   const [largest, tooLarge] = ['9007199254740991', '9007199254740993'];
   const last = new LastHeartbeat();
   const body = Buffer.from(bodyOf(5, largest));
@@ -308,7 +316,7 @@
   assert.equal(decodeOrNull(Buffer.from(bodyOf(5, tooLarge))), null);
 });
 
-test('what is kept to recognise heartbeats by is bounded, and in memory of its own', () => {
+test('the stored reference heartbeat is bounded in size and held in a buffer of its own', () => {
   const long = (tasks: number): Buffer => {
     const pieces = Array(tasks).fill('{"piece":"wk-1/0","pour":2,"temper":"running"}').join(',');
     return Buffer.from(bodyOf(5, 1).replace(/\[.*\]/, `[${pieces}]`));
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -17,21 +17,22 @@
   }),
 ); // prettier-ignore
 
-test('a heartbeat finds its way to the leader, also from a controller that does not know it', async () => {
-  // Cut off from the store alone, a former leader took itself for the leader, and its workers waited.
+test('a heartbeat is forwarded to the leader, also by a controller that does not know the leader', async () => {
+  // A former leader that was cut off from the store alone took itself for the leader and did not forward heartbeats, so
+  // that its workers waited in vain.
   const ok = { status: 200, body: '{}' };
   const no = { status: 503 };
   const cases: [string, string, string | null, Record<string, ReplyAnswer | null>, number, string[], string[]?][] = [
-    ['straight to the leader', 'served', 'n-1', { 'n-1': ok }, 200, ['n-1']],
-    ['by way of another', 'served', 'n-1', { 'n-1': null, 'n-2': ok }, 200, ['n-1', 'n-2 hop']],
-    ['it does not lead', 'served', 'n-1', { 'n-1': no, 'n-2': ok }, 503, ['n-1']],
-    ['nobody reaches it', 'served', 'n-1', { 'n-1': null, 'n-2': null }, 421, ['n-1', 'n-2 hop']],
-    ['nobody leads', 'served', null, {}, 503, []],
-    ['cut off, it led', 'silent', 'n-0', { 'n-1': null, 'n-2': ok }, 200, ['n-1 hop', 'n-2 hop']],
-    ['cut off, the leader has changed', 'silent', 'n-1', { 'n-1': no, 'n-2': ok }, 200, ['n-1', 'n-2 hop']],
-    ['refused since its start', 'refused', null, { 'n-1': ok }, 200, ['n-1 hop']],
-    ['cut off from all', 'silent', 'n-0', {}, 503, ['n-1 hop', 'n-2 hop']],
-    ['cut off from many', 'silent', 'n-1', {}, 421, ['n-1', 'n-2 hop'], ['n-3', 'n-4', 'n-5', 'n-6']],
+    ['directly to the leader', 'served', 'n-1', { 'n-1': ok }, 200, ['n-1']],
+    ['through another controller', 'served', 'n-1', { 'n-1': null, 'n-2': ok }, 200, ['n-1', 'n-2 hop']],
+    ['the presumed leader does not lead', 'served', 'n-1', { 'n-1': no, 'n-2': ok }, 503, ['n-1']],
+    ['no controller reaches the leader', 'served', 'n-1', { 'n-1': null, 'n-2': null }, 421, ['n-1', 'n-2 hop']],
+    ['there is no leader', 'served', null, {}, 503, []],
+    ['cut off from the store, a former leader', 'silent', 'n-0', { 'n-1': null, 'n-2': ok }, 200, ['n-1 hop', 'n-2 hop']],
+    ['cut off from the store, the leader has changed', 'silent', 'n-1', { 'n-1': no, 'n-2': ok }, 200, ['n-1', 'n-2 hop']],
+    ['refused by the store since its start', 'refused', null, { 'n-1': ok }, 200, ['n-1 hop']],
+    ['cut off from the store and all controllers', 'silent', 'n-0', {}, 503, ['n-1 hop', 'n-2 hop']],
+    ['cut off from many controllers', 'silent', 'n-1', {}, 421, ['n-1', 'n-2 hop'], ['n-3', 'n-4', 'n-5', 'n-6']],
   ]; // prettier-ignore
   for (const [name, health, leader, answers, status, asked, more = []] of cases) {
     const seen: string[] = [];
@@ -64,16 +65,20 @@
     });
     const heartbeats = new HeartbeatHandler(parts);
     assert.equal((await heartbeats.handle(heartbeatBody)).status, status, name);
-    // Only what the leader itself was asked tells how long it lets others wait.
+    // Only requests to the leader itself show how long it makes others wait.
     const asksLeader = seen.some((way) => !way.endsWith('hop'));
-    assert.equal(heartbeats.forwardingDelay.meanS !== undefined, asksLeader, `${name}: wait noted`);
+    assert.equal(
+      heartbeats.forwardingDelay.meanS !== undefined,
+      asksLeader,
+      `${name}: delay recorded`,
+    );
     assert.deepEqual(more.length > 0 ? seen.slice(0, 2) : seen, asked, name);
-    // Reports came every 2.5 s, and their answers after the worker had gone elsewhere.
+    // With heartbeats every 2.5 s, answers came after the worker had turned to another controller.
     assert.ok(now < ANSWER_WAIT_S, `${name}: ${now} s`);
   }
 });
 
-test('no cancellation is forgotten while its tasks may be kept, however many there are', () => {
+test('no cancellation is forgotten while leases of its tasks may be renewed, however many cancellations there are', () => {
   const clock = { now: () => now };
   let now = 0;
   const jobs = new Map<string, unknown>();
@@ -88,10 +93,10 @@
     });
   const broadcast = make();
   const id = (i: number): string => `wk-${i}`;
-  // A thousand were remembered once; a cut of a large fleet's zone sees more.
+  // A limit of 1,000 is too low: while a zone of a large fleet is cut off, more jobs are cancelled.
   for (let i = 0; i < 5000; i++) broadcast.noteAnnounced(id(i));
   assert.ok([0, 2500, 4999].every((i) => broadcast.knows(id(i))));
-  // Stored: whoever has read that needs no telling.
+  // Stored cancellations need no broadcast to controllers that have read them.
   for (let i = 0; i < 4000; i++) jobs.set(id(i), { cancelledAt: 5, doneAt: null });
   broadcast.noteAnnounced('wk-a');
   assert.equal(broadcast.size, 1001);
@@ -104,13 +109,13 @@
   );
 });
 
-test('how long forwarded heartbeats wait: a mean of the latest, and only of the present', () => {
+test('the delay of forwarded heartbeats is a mean of recent samples only', () => {
   let now = 0;
   const wait = new ForwardingDelay({ now: () => now }, 1);
   assert.equal(wait.meanS, undefined);
   wait.addSample(1);
   assert.equal(wait.meanS, 1);
-  // One that is late does not make a mean, many do.
+  // A single late answer hardly changes the mean, many do.
   for (let i = 0; i < 30; i++) wait.addSample(0.1);
   assert.ok(wait.meanS < 0.15);
   wait.addSample(1);
@@ -118,7 +123,7 @@
   for (let i = 0; i < 10; i++) wait.addSample(1);
   assert.ok(wait.meanS > 0.6);
   now = 2.5;
-  assert.equal(wait.meanS, undefined, 'nothing was passed on lately');
+  assert.equal(wait.meanS, undefined, 'nothing was forwarded recently');
   wait.addSample(0.1);
-  assert.equal(wait.meanS, 0.1, 'and what was before does not count');
+  assert.equal(wait.meanS, 0.1, 'earlier samples do not count');
 });
--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -17,10 +17,10 @@
 
 interface Case {
   name: string;
-  /** Latenesses of the timer, a tick apart. */
+  /** Lags of the timer, one per tick. */
   lags: number[];
   others: (ControllerHealth | null)[];
-  /** Report intervals since the others have told their figures. */
+  /** Age of the other controllers' health data, in heartbeat intervals. */
   figuresAgeIntervals?: number;
   leads?: boolean;
   /** Leases since it was elected. */
@@ -31,7 +31,7 @@
 const idle: ControllerHealth = { latenessS: 0, served: true };
 const asLate: ControllerHealth = { ...idle, latenessS: LATE_S };
 const cutOff: ControllerHealth = { ...idle, served: false };
-/** Another controller whose heartbeats wait for the leader. */
+/** Health of another controller whose forwarded heartbeats wait for the leader. */
 const withForwardingDelay = (relayS: number, latenessS = 0): ControllerHealth => ({
   latenessS,
   served: true,
@@ -45,22 +45,22 @@
   { name: 'late, another is idle', lags: sixTimes(LATE_S), others: [null, idle], stepDowns: 1 },
   { name: 'late, another is half as late', lags: sixTimes(LATE_S), others: [asLate, { ...idle, latenessS: LATE_S * 0.45 }], stepDowns: 1 },
   { name: 'late once', lags: [0, LATE_S, 0, 0, 0, 0], others: [idle, idle], stepDowns: 0 },
-  { name: 'late by much twice in a row', lags: [0, LATE_S, LATE_S, 0, 0, 0], others: [idle, idle], stepDowns: 1 },
-  { name: 'late, the others too', lags: sixTimes(LATE_S), others: [asLate, asLate], stepDowns: 0 },
-  { name: 'late, the others are not served', lags: sixTimes(LATE_S), others: [cutOff, cutOff], stepDowns: 0 },
-  { name: 'late, nobody has told anything', lags: sixTimes(LATE_S), others: [null, null], stepDowns: 0 },
-  { name: 'late, what the others told is somewhat old', lags: sixTimes(LATE_S), others: [idle, idle], figuresAgeIntervals: 2.5, stepDowns: 1 },
-  { name: 'late, what the others told is stale', lags: sixTimes(LATE_S), others: [idle, idle], figuresAgeIntervals: 3.5, stepDowns: 0 },
+  { name: 'very late twice in a row', lags: [0, LATE_S, LATE_S, 0, 0, 0], others: [idle, idle], stepDowns: 1 },
+  { name: 'late, and so are the others', lags: sixTimes(LATE_S), others: [asLate, asLate], stepDowns: 0 },
+  { name: 'late, the store does not serve the others', lags: sixTimes(LATE_S), others: [cutOff, cutOff], stepDowns: 0 },
+  { name: 'late, no health data of the others', lags: sixTimes(LATE_S), others: [null, null], stepDowns: 0 },
+  { name: 'late, health data of the others is old but not stale', lags: sixTimes(LATE_S), others: [idle, idle], figuresAgeIntervals: 2.5, stepDowns: 1 },
+  { name: 'late, health data of the others is stale', lags: sixTimes(LATE_S), others: [idle, idle], figuresAgeIntervals: 3.5, stepDowns: 0 },
   { name: 'late, but it does not lead', lags: sixTimes(LATE_S), others: [idle, idle], leads: false, stepDowns: 0 },
-  { name: 'late because it has just been elected', lags: sixTimes(LATE_S), others: [idle, idle], ledForLeases: 1.6, stepDowns: 0 },
-  { name: 'in time by its timers, but whoever passes reports on waits', lags: sixTimes(0.01), others: [withForwardingDelay(0.8), withForwardingDelay(0.9)], stepDowns: 1 },
-  { name: 'only one of them waits, which is slow itself', lags: sixTimes(0.01), others: [withForwardingDelay(0.1), withForwardingDelay(0.9)], stepDowns: 0 },
-  { name: 'they wait, and are late themselves', lags: sixTimes(0.01), others: [withForwardingDelay(0.8, 0.45), withForwardingDelay(0.9, 0.5)], stepDowns: 0 },
-  { name: 'they waited, as they told too long ago', lags: sixTimes(0.01), others: [withForwardingDelay(0.8), withForwardingDelay(0.9)], figuresAgeIntervals: 3.5, stepDowns: 0 },
-  { name: 'late for longer: once', lags: [...sixTimes(LATE_S), ...sixTimes(LATE_S)], others: [idle, idle], stepDowns: 1 },
+  { name: 'late just after its election', lags: sixTimes(LATE_S), others: [idle, idle], ledForLeases: 1.6, stepDowns: 0 },
+  { name: 'its timers are on time, but heartbeats forwarded to it wait', lags: sixTimes(0.01), others: [withForwardingDelay(0.8), withForwardingDelay(0.9)], stepDowns: 1 },
+  { name: 'heartbeats of only one controller wait, and that one is slow itself', lags: sixTimes(0.01), others: [withForwardingDelay(0.1), withForwardingDelay(0.9)], stepDowns: 0 },
+  { name: 'forwarded heartbeats wait, and the other controllers are late too', lags: sixTimes(0.01), others: [withForwardingDelay(0.8, 0.45), withForwardingDelay(0.9, 0.5)], stepDowns: 0 },
+  { name: 'forwarded heartbeats waited, but that data is stale', lags: sixTimes(0.01), others: [withForwardingDelay(0.8), withForwardingDelay(0.9)], figuresAgeIntervals: 3.5, stepDowns: 0 },
+  { name: 'late for longer: one transfer only', lags: [...sixTimes(LATE_S), ...sixTimes(LATE_S)], others: [idle, idle], stepDowns: 1 },
 ]; // prettier-ignore
 
-/** A controller's own part: what it knows of itself and the others, and whether it transfers leadership. */
+/** The part of a controller that measures overload, exchanges health data and transfers leadership. */
 class TestController {
   readonly overload = new Overload();
   readonly health: HealthTable;
@@ -94,14 +94,14 @@
     });
   }
 
-  /** What this controller tells the others of itself. */
+  /** The health data that this controller sends to the others. */
   get own(): ControllerHealth {
     return { latenessS: this.overload.latenessS, served: true };
   }
 }
 
-// A leader that had become three times slower kept its leadership, and all machines lost their leases.
-test('a leader that is too late for long transfers leadership at once where another one is better off', () => {
+// A leader that had become three times slower stayed leader, and all machines lost their leases.
+test('a leader that is too late for some time transfers leadership at once if another controller is healthier', () => {
   for (const {
     name,
     lags,
@@ -129,11 +129,11 @@
   }
 });
 
-test('figures go with frames once in a quarter of a heartbeat interval; who is silent is asked', () => {
+test('health data is sent once in a quarter of a heartbeat interval; a silent controller is asked', () => {
   let now = 0;
   const node = new TestController({ now: () => now }, () => true);
   const [first, second] = [node.health.nextToSend(), node.health.nextToSend()];
-  assert.deepEqual([first(), first(), second()], [node.own, null, node.own], 'by connection');
+  assert.deepEqual([first(), first(), second()], [node.own, null, node.own], 'per connection');
   now += HEARTBEAT_INTERVAL_S * 0.2;
   assert.equal(first(), null);
   now += HEARTBEAT_INTERVAL_S * 0.1;
@@ -150,7 +150,7 @@
   assert.deepEqual([refresh(), refresh(), refresh(), refresh()], [['a'], [], ['a'], []]);
 });
 
-test('of several fitter ones the best off is chosen; a late one is known as late', () => {
+test('of several healthier controllers the healthiest is chosen; a late one is known to be late', () => {
   let now = 0;
   const node = new TestController({ now: () => now }, () => true);
   for (let i = 0; i < 6; i++) node.overload.noteLag(LATE_S, now);
@@ -167,24 +167,28 @@
     [true, false, false],
   );
   node.health.note('e', withForwardingDelay(ANSWER_WAIT_S * 0.2));
-  assert.equal(node.health.isLate('e'), false, 'what it passes on waits for the leader');
+  assert.equal(
+    node.health.isLate('e'),
+    false,
+    'its forwarded heartbeats wait because of the leader',
+  );
   now += HEARTBEAT_INTERVAL_S * 4;
   assert.deepEqual([node.health.healthier(), node.health.isLate('a')], [null, false], 'stale');
 });
 
-/** How late a controller is while it leads, or while it follows, at a time. */
+/** How late a controller is at a given time, as leader or follower. */
 type Lateness = (leads: boolean, now: number) => number;
 const FAST: Lateness = () => 0;
-/** Late under a leader's work only: as a follower it looks fit. */
+/** Late only under a leader's load: as a follower it appears healthy. */
 const SLOW: Lateness = (leads) => (leads ? LATE_S : 0);
 const SLOW_ALWAYS: Lateness = () => LATE_S;
 const ALTERNATING: Lateness = (_leads, now) => (Math.floor(now / 5) % 2 === 0 ? LATE_S : 0);
 
-test('leadership changes are bounded, whoever is slow and whenever', () => {
+test('the number of leadership changes is bounded, whichever controllers are slow and when', () => {
   const MINUTES = 10;
-  /** Of one controller: twice in a minute of 60 s with two leases of 10 s, and once at the beginning. */
+  /** Limit per controller: one in two leases of 10 s, and one at the beginning. */
   const EACH = (MINUTES * 60) / (2 * LEASE_S) + 1;
-  /** Of all together: whoever was elected stays for two leases. */
+  /** Limit for all together: an elected controller stays leader for two leases. */
   const ALL = (MINUTES * 60) / (2 * LEASE_S) + 1;
   const cases: [string, Lateness[], number, number][] = [
     ['all are fast', [FAST, FAST, FAST], 0, 0],
@@ -192,8 +196,8 @@
     ['one is fast', [SLOW_ALWAYS, SLOW_ALWAYS, FAST], 1, 1],
     ['all are always slow', [SLOW_ALWAYS, SLOW_ALWAYS, SLOW_ALWAYS], 0, 0],
     ['all are slow when they lead', [SLOW, SLOW, SLOW], 3, ALL],
-    ['two change, one is slow', [ALTERNATING, ALTERNATING, SLOW_ALWAYS], 0, EACH],
-    ['one changes, the others are slow when they lead', [ALTERNATING, SLOW, SLOW], 1, ALL],
+    ['two alternate, one is slow', [ALTERNATING, ALTERNATING, SLOW_ALWAYS], 0, EACH],
+    ['one alternates, the others are slow when they lead', [ALTERNATING, SLOW, SLOW], 1, ALL],
   ];
   for (const [name, latenesses, least, most] of cases) {
     let now = 0;
@@ -201,7 +205,7 @@
     let electedAt = -Infinity;
     let changes = 0;
     const nodes = latenesses.map((_, i) => {
-      // The next one in turn is elected among those that are not late.
+      // Elects the next controller that is not late.
       const next = (): number => {
         const others = nodes.map((_node, k) => (i + 1 + k) % nodes.length);
         return others.find((k) => k !== i && !nodes[k]!.overload.late) ?? i;
@@ -234,7 +238,7 @@
   }
 });
 
-test('leadership that is transferred goes to another controller, and what runs goes on', async () => {
+test('transferred leadership goes to another controller, and running tasks continue', async () => {
   const rows = [{ name: 'once' }];
   await playAll(rows, { leaseS: 3, cancelS: 6 }, async (cluster) => {
     await cluster.users.submit(0, 'wk-000001', { form: 'daemon', pieces: 3 });
@@ -244,8 +248,8 @@
     await cluster.controllers[old]!.election.stepDown();
     assert.equal(cluster.leads(old), false);
     await cluster.newLeader(old);
-    // Without the key's end the others would wait for its lease, 0.3 of a worker's.
-    assert.ok(Date.now() - began < 3 * 0.3 * 1000, 'at once');
+    // If the leader did not delete its key, the others would wait for the key's lease, 0.3 of a worker's lease.
+    assert.ok(Date.now() - began < 3 * 0.3 * 1000, 'without waiting for the lease');
     await wait(3000);
     await cluster.runs('wk-000001', 3);
     for (let i = 0; i < 3; i++) assert.equal(cluster.rules.starts.get(`wk-000001/${i}`), 1);
--- a/test/machine-evidence.test.ts
+++ b/test/machine-evidence.test.ts
@@ -35,7 +35,7 @@
   return { machine, attempt };
 }
 
-/** A start in the answer to heartbeat 10. */
+/** A machine whose start was sent in the answer to heartbeat 10. */
 function machineWithSentStart(): { machine: Machine; attempt: Attempt } {
   const setup = machineWithAttempt('claimed');
   setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 10 }), 'heartbeat', 1);
@@ -62,9 +62,9 @@
 
 test('when a task may be started elsewhere', () => {
   const cases: [string, () => { machine: Machine; attempt: Attempt }, boolean][] = [
-    ['its start is on the way', machineWithSentStart, false],
+    ['its start is in flight', machineWithSentStart, false],
     [
-      'an older report does not show it',
+      'an older heartbeat does not show it',
       () => {
         const setup = machineWithSentStart();
         setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 9 }), 'heartbeat', 2);
@@ -73,7 +73,7 @@
       false,
     ],
     [
-      'the session has moved on',
+      'a new agent epoch has begun',
       () => {
         const setup = machineWithSentStart();
         setup.machine.applyHeartbeat(makeHeartbeat({ agentEpoch: 2, sequence: 1 }), 'heartbeat', 2);
@@ -82,7 +82,7 @@
       true,
     ],
     [
-      'a late copy from an older session says nothing',
+      'a late copy from an older agent epoch proves nothing',
       () => {
         const setup = machineWithSentStart();
         setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 11 }, [{}]), 'heartbeat', 2);
@@ -96,7 +96,7 @@
       false,
     ],
     [
-      'a running task is missing from a newer fenced report',
+      'a running task is missing from a newer fenced heartbeat',
       () => {
         const setup = machineWithSentStart();
         setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 11 }, [{}]), 'heartbeat', 2);
@@ -106,7 +106,7 @@
       true,
     ],
     [
-      'it is missing from a report that is not fenced',
+      'it is missing from a heartbeat that is not fenced',
       () => {
         const setup = machineWithAttempt('inherited');
         setup.machine.applyHeartbeat(
@@ -119,7 +119,7 @@
       false,
     ],
     [
-      'inherited, and a fenced report does not show it',
+      'inherited, and a fenced heartbeat does not show it',
       () => {
         const setup = machineWithAttempt('inherited');
         setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 12 }), 'heartbeat', 3);
@@ -141,7 +141,7 @@
       true,
     ],
     [
-      'the lease has run out',
+      'the lease has expired',
       () => {
         const setup = machineWithSentStart();
         setup.machine.endAllAttempts(20);
@@ -160,17 +160,17 @@
   }
 });
 
-test('a start that the next heartbeat lacks is sent again; a direct answer proves nothing', () => {
+test('a start that the next heartbeat does not show is sent again; a direct answer proves nothing', () => {
   const setup = machineWithSentStart();
   setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 11 }), 'direct-answer', 2);
-  assert.equal(setup.attempt.state, 'sent', 'the answer to check-in 10 may still be under way');
+  assert.equal(setup.attempt.state, 'sent', 'the answer to heartbeat 10 may still be in flight');
   setup.machine.applyHeartbeat(makeHeartbeat({ sequence: 12 }), 'heartbeat', 2);
   assert.equal(setup.attempt.state, 'claimed');
 });
 
-test('an unanswered direct start may come at any time in its agent epoch', () => {
-  // Packets held back by a cut are delivered later: the start must not be taken for lost, and what
-  // it started must not be forgotten, or it would start once more.
+test('an unanswered direct start may arrive at any time in its agent epoch', () => {
+  // Packets delayed by a network partition are delivered later. The start must not be taken for lost, and the worker must
+  // not forget an attempt that it started, or the delayed start would run it again.
   const { machine, attempt, commands } = machineWithDirectStart();
   machine.directCommandsEnded(commands, 'unknown', 1, 2);
   machine.applyHeartbeat(makeHeartbeat({ sequence: 11 }), 'heartbeat', 3);
@@ -201,7 +201,7 @@
   assert.equal(attempt.state, 'claimed');
 });
 
-test('an ended task is forgotten only once it is settled, and started anew only after that', () => {
+test('an ended task is forgotten only once it is settled, and started again only after that', () => {
   const { machine, attempt } = machineWithSentStart();
   machine.applyHeartbeat(
     makeHeartbeat({ sequence: 11 }, [{ state: 'ended', cause: 'error' }]),
@@ -221,7 +221,7 @@
   );
 });
 
-test('a renewed lease moves its end, a late copy never moves it back', () => {
+test('a renewal extends the lease, an earlier one never shortens it', () => {
   const machine = new Machine('m', TOKEN, LEASE_S, 0);
   machine.leaseRenewed(5);
   const end = machine.leaseExpiresAt;
@@ -230,7 +230,7 @@
   assert.equal(machine.leaseExpiresAt, end);
 });
 
-test('tasks nobody here knows of are told apart', () => {
+test('unknown tasks of a heartbeat are listed separately', () => {
   const machine = new Machine('m', TOKEN, LEASE_S, 0);
   const changes = machine.applyHeartbeat(makeHeartbeat({}, [{ job: 'x' }]), 'heartbeat', 1);
   assert.deepEqual(
@@ -239,7 +239,7 @@
   );
 });
 
-test('garbage from a worker is refused as a whole', () => {
+test('a malformed heartbeat is rejected as a whole', () => {
   const good = {
     bench: 'm', addr: 'a:1', casting: 'g8', yard: 'a', loaner: true, shift: 1, tally: 8,
     hallmark: 4, recall_s: null, pieces: [{ piece: 'wk-1/3', pour: 2, temper: 'running' }],
--- a/test/meeting-leases.test.ts
+++ b/test/meeting-leases.test.ts
@@ -1,4 +1,4 @@
-/** Late reports, mute machines and agent epochs: until when a worker may keep its tasks, as counted here. */
+/** Until when a worker may keep its tasks, as the leader computes it: late heartbeats, mute machines and agent epochs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Machine } from '../src/workers/machine.js';
@@ -7,18 +7,18 @@
 
 const JOB = 'wk-000001';
 
-test('only a heartbeat that its worker still waits for moves the end of its lease', async () => {
-  // What the machine has heard last, the heartbeat that comes then, and whether its answer counts.
+test('only a heartbeat whose answer the worker still waits for extends its lease', async () => {
+  // The heartbeats received so far, the next one, and whether its answer extends the lease.
   interface Seen {
     session: number;
     seq: number;
     direct?: boolean;
   }
   const cases: [string, Seen[], Seen, boolean][] = [
-    ['the next one', [{ session: 1, seq: 10 }], { session: 1, seq: 11 }, true],
+    ['the next heartbeat', [{ session: 1, seq: 10 }], { session: 1, seq: 11 }, true],
     ['a copy of the last', [{ session: 1, seq: 10 }], { session: 1, seq: 10 }, false],
     ['a copy of an older one', [{ session: 1, seq: 10 }], { session: 1, seq: 7 }, false],
-    ['of an earlier session', [{ session: 2, seq: 3 }], { session: 1, seq: 9 }, false],
+    ['one of an earlier agent epoch', [{ session: 2, seq: 3 }], { session: 1, seq: 9 }, false],
     [
       'overtaken by the answer to a direct command',
       [{ session: 1, seq: 10 }, { session: 1, seq: 12, direct: true }],
@@ -47,7 +47,7 @@
   }
 });
 
-test('an agent epoch first shown by the answer to a direct command has its whole lease', () => {
+test('an agent epoch first shown by the answer to a direct command has a full lease', () => {
   const lease = 10;
   const machine = new Machine('m', 5, lease, 0);
   const heartbeat: Heartbeat = {
@@ -58,10 +58,10 @@
   machine.leaseRenewed(0);
   const at = lease + 0.1;
   machine.applyHeartbeat({ ...heartbeat, agentEpoch: 2, sequence: 1 }, 'direct-answer', at);
-  assert.ok(machine.leaseExpiresAt >= at + lease, 'the worker began it no later than now');
+  assert.ok(machine.leaseExpiresAt >= at + lease, 'the worker began the epoch no later than now');
 });
 
-test('a machine that reaches no controller gets nothing new, though direct commands reach it', async () => {
+test('a machine that reaches no controller gets no new work, although direct commands reach it', async () => {
   const world = new LeaderWorld();
   const worker = world.fleet.add('a');
   await world.run(1);
@@ -75,7 +75,7 @@
   assert.deepEqual(world.machine('a').activeAttempts(), []);
 });
 
-test('a late copy of a heartbeat makes no machine that was returned come back', async () => {
+test('a late copy of a heartbeat does not restore a returned machine', async () => {
   const world = new LeaderWorld();
   const worker = world.fleet.add('a');
   await world.run(1);
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -6,10 +6,10 @@
 import { ANSWER_WAIT_S } from '../src/wire/workers.js';
 
 const LEASE_S = 10;
-/** What the queue takes for a slice: a hundredth of the lease. */
+/** Length of a slice of the queue: a hundredth of the lease. */
 const SLICE_S = LEASE_S / 100;
 
-/** A queue with a clock and an event loop of the test's own; `turn` is one turn of that loop. */
+/** A queue with a simulated clock and event loop; `runTurn` runs one turn of that loop. */
 class QueueHarness {
   now = 0;
   readonly served: string[] = [];
@@ -39,7 +39,7 @@
     return this.queue.run(kind, work, 'refused', patienceS);
   }
 
-  /** Uses the slice up, so that what comes next waits. */
+  /** Uses up the slice, so that the next requests wait. */
   exhaustSlice(): void {
     this.request('report', 'first', SLICE_S);
     this.served.length = 0;
@@ -52,38 +52,42 @@
     for (const callback of callbacks) callback();
   }
 
-  /** Whether a turn is still to come. */
+  /** Whether a turn is scheduled. */
   get hasDeferredTurn(): boolean {
     return this.deferred.length > 0;
   }
 
-  /** Turns until nothing waits. */
+  /** Runs turns until no request waits. */
   runUntilIdle(): void {
     while (this.hasDeferredTurn) this.runTurn();
   }
 }
 
-test('a controller that keeps up handles each request when it comes, whatever its class', () => {
+test('a controller that keeps up handles each request on arrival, whatever its class', () => {
   const harness = new QueueHarness();
   for (let turn = 0; turn < 3; turn++) {
     for (const kind of ['submission', 'report', 'poll', 'cancellation'] as const) {
-      assert.equal(harness.request(kind, kind, SLICE_S / 10), kind, 'no promise: answered at once');
+      assert.equal(
+        harness.request(kind, kind, SLICE_S / 10),
+        kind,
+        'no promise: answered synchronously',
+      );
     }
     harness.runTurn();
-    assert.equal(harness.hasDeferredTurn, false, 'nothing is left to do');
+    assert.equal(harness.hasDeferredTurn, false, 'no turn is scheduled');
   }
   assert.equal(harness.queue.statistics().requests_waiting, 0);
 });
 
-test('what waits is served by class, each class in the order of arrival', async () => {
+test('waiting requests are served by class, within a class in the order of arrival', async () => {
   const cases: [string, [RequestClass, string][], string[]][] = [
     [
-      'all classes, the least first',
+      'all classes, the lowest first',
       [['submission', 's'], ['poll', 'p'], ['cancellation', 'c'], ['report', 'r']],
       ['r', 'c', 'p', 's'],
     ],
     [
-      "a machine's reports",
+      "a machine's heartbeats",
       [['report', 'm1'], ['poll', 'p'], ['report', 'm2'], ['report', 'm3']],
       ['m1', 'm2', 'm3', 'p'],
     ],
@@ -102,20 +106,20 @@
   }
 });
 
-test('nothing overtakes a request of its class that waits, also in a new turn', () => {
+test('no request overtakes a waiting one of its class, also in a new turn', () => {
   const harness = new QueueHarness();
   harness.exhaustSlice();
   harness.request('report', 'm1', SLICE_S);
   harness.request('report', 'm2', SLICE_S);
   harness.runTurn();
-  assert.deepEqual(harness.served, ['m1'], 'one slice a turn');
+  assert.deepEqual(harness.served, ['m1'], 'one slice per turn');
   harness.request('report', 'm3');
   assert.deepEqual(harness.served, ['m1']);
   harness.runUntilIdle();
   assert.deepEqual(harness.served, ['m1', 'm2', 'm3']);
 });
 
-test('a turn serves a slice and no more, but always one request', () => {
+test('a turn serves one slice at most, but at least one request', () => {
   for (const [costS, most] of [
     [SLICE_S / 10, 10],
     [SLICE_S * 0.7, 2],
@@ -128,17 +132,17 @@
     while (served < 25) {
       harness.runTurn();
       const now = harness.served.length - served;
-      // One more than fit, at most: sums of fractions are not exact.
+      // One request more than fits is allowed, because sums of fractions are not exact.
       assert.ok(now >= 1 && now <= most + 1, `${now} of ${costS} s`);
       served += now;
     }
   }
 });
 
-test('a heartbeat that its worker has given up is answered without work; others are served', async () => {
+test('a heartbeat whose worker has timed out is refused without work; others are served', async () => {
   const cases: [string, number, string][] = [
     ['in time', ANSWER_WAIT_S * 0.8, 'r'],
-    ['given up', ANSWER_WAIT_S * 0.9, 'refused'],
+    ['timed out', ANSWER_WAIT_S * 0.9, 'refused'],
   ];
   for (const [name, waitedS, answer] of cases) {
     const harness = new QueueHarness();
@@ -152,7 +156,7 @@
   }
 });
 
-test('by delay: placing less often, then submissions, polls and cancellations are refused at once', () => {
+test('with rising delay, less is scheduled, then submissions, polls and cancellations are refused on arrival', () => {
   const calm = new Overload().cycleShare;
   const cases: [number, boolean, RequestClass[]][] = [
     [0, false, []],
@@ -182,7 +186,7 @@
   }
 });
 
-test('one late timer is no overload, and neither is what is over', () => {
+test('one late timer is no overload, and neither is a lag that has ended', () => {
   const cases: [string, number[], boolean][] = [
     ['late once', [0, 3], false],
     ['late twice', [3, 3], true],
@@ -202,8 +206,8 @@
   assert.equal(harness.request('submission', 's'), 's');
 });
 
-test('what was let in is served within its threshold, however many reports come', () => {
-  // By class alone a submission would wait until its user gives up, under reports without an end.
+test('an admitted request is served within its threshold, however many heartbeats arrive', () => {
+  // By class alone, a submission would wait until its user times out under an endless stream of heartbeats.
   for (const kind of ['cancellation', 'poll', 'submission'] as const) {
     const harness = new QueueHarness();
     harness.exhaustSlice();
@@ -217,12 +221,12 @@
       harness.request('report', `${i}`, SLICE_S);
       harness.runTurn();
     }
-    // One report more may be under way; sums of fractions are not exact.
+    // One more heartbeat may be in progress; sums of fractions are not exact.
     assert.ok(waitedS !== null && waitedS < refusedAboveS(kind) + 1.5 * SLICE_S, kind);
   }
 });
 
-test('the queue is bounded, and an error of one request is its own', async () => {
+test('the queue is bounded, and an error of one request does not affect others', async () => {
   const harness = new QueueHarness(2);
   harness.exhaustSlice();
   const failing = harness.queue.run(
@@ -241,8 +245,8 @@
   assert.equal(harness.request('report', 'fourth'), 'fourth');
 });
 
-test("a flood of requests leaves timers their turn: the leader's lease is renewed in time", async () => {
-  // 300 requests of 4 ms each were one turn of 1.2 s; the lease of this leader lasts 0.6 s.
+test("timers still run under a flood of requests: the leader's lease is renewed in time", async () => {
+  // In a single turn, 300 requests of 4 ms each would take 1.2 s; the lease of this leader lasts 0.6 s.
   const leaseS = 2;
   const lifeS = leaseS * 0.3;
   const costMs = 4;
--- a/test/redirects.test.ts
+++ b/test/redirects.test.ts
@@ -19,14 +19,14 @@
 
 const CASES: Case[] = [
   { name: 'to the controller of its zone', home: 'n-1', target: 'n-1' },
-  { name: 'it is there already', home: THIS_NODE, target: null },
-  { name: 'its zone has none, or several', home: null, target: null },
+  { name: 'it is connected there already', home: THIS_NODE, target: null },
+  { name: 'its zone has no controller, or several', home: null, target: null },
   { name: 'that controller does not keep up', home: 'n-2', late: ['n-2'], target: null },
-  { name: 'it is the leader that does not', home: 'n-1', late: ['n-1'], target: 'n-1' },
-  { name: 'another one does not', home: 'n-1', late: ['n-2'], target: 'n-1' },
-  { name: 'nobody leads', home: 'n-1', leads: false, target: null },
+  { name: 'the leader does not keep up', home: 'n-1', late: ['n-1'], target: 'n-1' },
+  { name: 'another controller does not keep up', home: 'n-1', late: ['n-2'], target: 'n-1' },
+  { name: 'there is no leader', home: 'n-1', leads: false, target: null },
   { name: 'refused by the key-value store', home: 'n-1', health: 'refused', target: null },
-  { name: 'that controller has just come', home: 'n-1', steady: false, target: null },
+  { name: 'that controller has only just started', home: 'n-1', steady: false, target: null },
 ];
 
 function makeRedirects(row: Case, now = (): number => 0): Redirects {
@@ -42,7 +42,7 @@
   } as RedirectOptions);
 }
 
-test('a worker goes to the controller of its zone where that keeps up', () => {
+test('a worker is redirected to the controller of its zone if that keeps up', () => {
   for (const row of CASES) {
     assert.equal(
       makeRedirects(row).redirectTarget({ machine: 'm', zone: 'z1' }),
@@ -52,19 +52,19 @@
   }
 });
 
-test('a worker is sent home once in one and a half leases at most', () => {
+test('a worker is redirected once in one and a half leases at most', () => {
   let now = 0;
   const redirects = makeRedirects({ name: '', home: 'n-1', target: 'n-1' }, () => now);
   const moves: number[] = [];
   for (; now < LEASE_S * 4; now++) {
-    // Sent back each time, by a controller that it could not reach.
+    // The worker cannot reach that controller and returns each time.
     if (redirects.redirectTarget({ machine: 'm', zone: 'z1' }) === null) continue;
     redirects.recordRedirect('m');
     moves.push(now);
     assert.equal(
       redirects.redirectTarget({ machine: 'other', zone: 'z1' }),
       'n-1',
-      'others go as before',
+      'other workers are still redirected',
     );
   }
   assert.deepEqual(moves, [0, LEASE_S * 1.5, LEASE_S * 3]);
--- a/test/renewals-of-cancelled.test.ts
+++ b/test/renewals-of-cancelled.test.ts
@@ -1,17 +1,17 @@
 /**
- * Renewals of leases on machines where cancelled tasks are.
+ * Renewals of leases on machines with cancelled tasks.
  *
- * What users saw: a job's cancellation was confirmed 0.4 s after the leader had been killed, and 35 s later, the time
- * allowed, its tasks still ran. They went only when the machine's lease ended.
- * Order of events: four leaders followed one another, each for a few seconds. Each heard of the machine once, by a
- * heartbeat that named an older token, and answered 200 with its own token and no command; each answer renewed the
- * lease of 10 s, 7 to 9 s after the one before.
- * Cause: a leader gave no command to a machine that had not yet shown its token, but renewed its lease all the same.
- * Starts must wait for that; stops of cancelled tasks need not, and nothing else ended the task.
- * Evidence: the answers of the four terms at the recorded times renew the lease with the cancellation in the leader's
- * replica and the attempt among those it knows ("knows both"), and a second heartbeat in any of the terms, or one
- * leader that goes on, ends the task within a heartbeat interval. A replica that lags, an attempt that no record
- * names, or a lost direct command would have left other traces; each was tried and is a case below.
+ * Guards against this failure: a job's cancellation was confirmed 0.4 s after the leader had been killed, and 35 s
+ * later, the time allowed, its tasks still ran. They ended only when the machine's lease expired.
+ * Four leaders followed one another, each for a few seconds. Each received one heartbeat of the machine, with an older
+ * token, and answered 200 with its own token and no command; each answer renewed the lease of 10 s, 7 to 9 s after the
+ * one before.
+ * Cause: a leader gave no command to a machine that had not yet shown its token, but renewed its lease nevertheless.
+ * Starts must wait for the token; stops of cancelled tasks need not, and nothing else ended the tasks.
+ * Evidence: at the recorded times, each of the four leaders knew both the cancellation and the attempts when it renewed
+ * the lease. A second heartbeat in any of the terms, or a single leader that stays, ends the tasks within a heartbeat
+ * interval. A replica that lags, an attempt that no record names, or a lost direct command would have left other
+ * traces; each is a case below.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -26,15 +26,15 @@
 const OTHER_JOB = 'wk-000002';
 const MACHINE = 'host-000001';
 const TASKS = 4;
-/** Tasks that a heartbeat of 64 KiB shows at the most. */
+/** The most tasks that a heartbeat of 64 KiB shows. */
 const LARGEST_HEARTBEAT_TASKS = 1300;
 
-/** Only this controller stands for election from now on. */
+/** From now on, only this controller is a candidate in elections. */
 function makeOnlyCandidate(world: ControlPlaneWorld, node: string): void {
   for (const controller of world.controllers) controller.stands = controller.node === node;
 }
 
-/** A service runs on a machine, and n-2 leads with a token that the machine has shown. */
+/** Starts a service on a machine. n-2 leads with a token that the machine has shown. */
 async function startService(): Promise<{ world: ControlPlaneWorld; worker: Worker }> {
   const world = new ControlPlaneWorld();
   makeOnlyCandidate(world, 'n-2');
@@ -57,21 +57,21 @@
   await world.runUntil(25.4);
   world.cancel(JOB);
   await world.runUntil(26);
-  assert.ok(world.toldAt.has(JOB), 'two of three controllers have noted it');
+  assert.ok(world.toldAt.has(JOB), 'two of three controllers have recorded it');
 }
 
 interface Term {
-  /** Who leads, from when, and when its process is killed, or frozen. */
+  /** The leader, the start of its term, and when its process is killed or frozen. */
   node: string;
   from: number;
   until: number;
   frozenUntil?: number;
-  /** When the machine is heard, and by which controller. */
+  /** When the machine's heartbeat arrives, and at which controller. */
   heartbeatAt: number;
   via: string;
 }
 
-/** The terms of the incident: the machine was heard once in each. */
+/** The terms of the incident, with one heartbeat of the machine in each. */
 const TERMS: Term[] = [
   { node: 'n-1', from: 28, until: 32, frozenUntil: 36, heartbeatAt: 28.97, via: 'n-0' },
   { node: 'n-2', from: 35, until: 38, heartbeatAt: 36.1, via: 'n-1' },
@@ -79,7 +79,7 @@
   { node: 'n-1', from: 49.8, until: 55.8, heartbeatAt: 52.63, via: 'n-1' },
 ];
 
-/** One term, as recorded. The machine gets one answer. */
+/** Runs one term as recorded. The machine gets one answer. */
 async function runTerm(world: ControlPlaneWorld, worker: Worker, term: Term): Promise<void> {
   await world.runUntil(term.from);
   const leader = world.controller(term.node);
@@ -89,7 +89,7 @@
   assert.equal(world.leader, leader, `${term.node} leads at ${term.heartbeatAt}`);
   const reply = await world.exchangeHeartbeat(worker, term.via);
   assert.equal(reply?.status, 200, `answered at ${term.heartbeatAt}`);
-  // It knows both: the cancellation by its replica, the attempts by the machine's record.
+  // The leader knows both: the cancellation from its replica, the attempts from the machine's record.
   const storedJob = leader.replica.jobs.get(JOB)!;
   assert.equal(outcome(storedJob), 'cancelled', 'the leader has read the cancellation');
   const attempts = leader.term!.leader.term.machines.get(MACHINE)!.attempts;
@@ -99,7 +99,7 @@
   else leader.frozenUntil = term.frozenUntil;
 }
 
-test('leaders that hear of a machine once, one after another, end its cancelled tasks in time', async () => {
+test('successive leaders that each receive one heartbeat of a machine stop its cancelled tasks in time', async () => {
   const { world, worker } = await startService();
   await cancelAfterLeaderKilled(world);
   for (const term of TERMS) await runTerm(world, worker, term);
@@ -108,14 +108,14 @@
   assert.deepEqual(world.omittedStops, [], 'every renewal carries the stop');
 });
 
-/** The machine's record names no attempt any more. */
+/** Removes all claims from the machine's record. */
 function forgetClaims({ store }: ControlPlaneWorld): void {
   const key = records.machineKey(MACHINE);
   const record = records.decodeMachine(store.value(key));
   store.put(key, records.encodeMachine({ ...record, claims: [] }));
 }
 
-/** Heartbeats at these seconds, by n-0 to whoever leads. */
+/** Sends heartbeats at these times, in seconds, through n-0 to the current leader. */
 async function exchangeAt(
   world: ControlPlaneWorld,
   worker: Worker,
@@ -130,7 +130,7 @@
 test('other explanations of the incident: each would have ended the tasks', async () => {
   const cases: [string, (world: ControlPlaneWorld, worker: Worker) => Promise<void>][] = [
     [
-      'the first term goes on, and the machine shows its token',
+      'the first term continues, and the machine shows its token',
       async (world, worker) => {
         await cancelAfterLeaderKilled(world);
         makeOnlyCandidate(world, 'n-1');
@@ -138,7 +138,7 @@
       },
     ],
     [
-      'the first stop goes directly and is lost: the next answer names it again',
+      'the first stop is sent directly and lost: the next answer repeats it',
       async (world, worker) => {
         worker.deaf = true;
         await world.runUntil(25.4);
@@ -149,7 +149,7 @@
       },
     ],
     [
-      'the attempts are in no record: they are found by what the machine shows',
+      'the attempts are in no record: they are known from the heartbeats',
       async (world, worker) => {
         await cancelAfterLeaderKilled(world);
         forgetClaims(world);
@@ -158,7 +158,7 @@
       },
     ],
     [
-      'the leader is silent to the store and reads nothing: its entitlement ends, and with it the lease',
+      'the leader is cut off from the store and reads nothing: its entitlement ends, and with it the lease',
       async (world, worker) => {
         world.controller('n-2').ownStoreHealth = 'silent';
         await world.runUntil(25.4);
@@ -176,10 +176,10 @@
   }
 });
 
-/** The leader's term, which must be there. */
+/** The term of this controller, which must be leader. */
 const termOf = (world: ControlPlaneWorld, node: string) => world.controller(node).term!.leader.term;
 
-/** A cancellation that its user is told of. Direct commands go nowhere: the renewal alone must do. */
+/** Cancels the job until this is confirmed to its user. Direct commands are held back: only a renewal can stop the tasks. */
 async function cancelWithoutDirect(world: ControlPlaneWorld): Promise<void> {
   world.holdsDirectCommands = true;
   await world.runUntil(25.4);
@@ -190,7 +190,7 @@
 
 type Renewal = (world: ControlPlaneWorld, worker: Worker) => Promise<void>;
 
-/** Every way by which a lease is renewed, up to the one answer that must stop the tasks. */
+/** Every path on which a lease is renewed, up to the one answer that must stop the tasks. */
 const RENEWALS: Record<string, Renewal> = {
   'the first answer of a term': async (world, worker) => {
     await cancelAfterLeaderKilled(world);
@@ -203,11 +203,11 @@
     makeOnlyCandidate(world, 'n-1');
     await exchangeAt(world, worker, [29]);
   },
-  'an answer of a term that goes on': async (world, worker) => {
+  'an answer of a term that continues': async (world, worker) => {
     await cancelWithoutDirect(world);
     await exchangeAt(world, worker, [26.5]);
   },
-  'a machine that was forgotten and is back': async (world, worker) => {
+  'a machine that was forgotten and has returned': async (world, worker) => {
     await cancelWithoutDirect(world);
     const term = termOf(world, 'n-2');
     term.forgetMachine(term.machines.get(MACHINE)!);
@@ -222,7 +222,10 @@
     assert.equal(termOf(world, 'n-2').machines.get(MACHINE)!.state, 'fencing');
     await exchangeAt(world, worker, [26.5]);
   },
-  'the same heartbeat again by another way, the first answer being lost': async (world, worker) => {
+  'the same heartbeat again through another controller, after the first answer was lost': async (
+    world,
+    worker,
+  ) => {
     await cancelWithoutDirect(world);
     world.controller('n-0').answersLostFrom.add('n-2');
     await exchangeAt(world, worker, [26.5]);
@@ -232,7 +235,7 @@
     const heartbeat = worker.heartbeat();
     world.submitJob({ id: OTHER_JOB });
     await world.runUntil(25.3);
-    assert.equal(world.fleet.running(OTHER_JOB), 1, 'started directly, and answered');
+    assert.equal(world.fleet.running(OTHER_JOB), 1, 'started directly and answered');
     await cancelWithoutDirect(world);
     await world.exchangeHeartbeat(worker, 'n-0', heartbeat);
   },
@@ -240,7 +243,7 @@
     world.holdsDirectCommands = true;
     world.submitJob({ id: OTHER_JOB });
     await world.runUntil(25);
-    assert.equal(world.fleet.running(OTHER_JOB), 0, 'its start is on the way');
+    assert.equal(world.fleet.running(OTHER_JOB), 0, 'its start is in flight');
     world.cancel(OTHER_JOB);
     await cancelAfterLeaderKilled(world);
     makeOnlyCandidate(world, 'n-1');
@@ -248,13 +251,13 @@
     await exchangeAt(world, worker, [29]);
     assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), 1, 'it arrived');
   },
-  'in the place of a leader that ended in an outage': async (world, worker) => {
+  'in place of a leader that ended in a store outage': async (world, worker) => {
     await cancelWithoutDirect(world);
     world.storeOutage = true;
     world.controller('n-2').kill();
     await exchangeAt(world, worker, [29]);
   },
-  'the same, by a controller that has heard of the cancellation and not read it': async (
+  'the same, by a controller that was notified of the cancellation and has not read it': async (
     world,
     worker,
   ) => {
@@ -265,7 +268,7 @@
     assert.equal(world.controller('n-0').knowsCancelled(JOB), false);
     await exchangeAt(world, worker, [29]);
   },
-  'the first answer of a leader that has heard of the cancellation and not read it': async (
+  'the first answer of a leader that was notified of the cancellation and has not read it': async (
     world,
     worker,
   ) => {
@@ -292,7 +295,7 @@
   },
 };
 
-test('whoever renews a lease, and however: the one answer stops what is cancelled', async () => {
+test('on every path, the one answer that renews a lease stops the cancelled tasks', async () => {
   for (const [name, renew] of Object.entries(RENEWALS)) {
     const { world, worker } = await startService();
     await renew(world, worker);
@@ -304,7 +307,7 @@
   }
 });
 
-test('a renewal stops all that is cancelled, however much else is due', () => {
+test('a renewal stops all cancelled tasks, however many other commands are due', () => {
   const status = { state: 'running', cause: null, saved: false } as const;
   const tasks = Array.from({ length: LARGEST_HEARTBEAT_TASKS }, (_, index) => ({
     ...{ job: JOB, index, attempt: 7 },
@@ -321,16 +324,16 @@
   assert.equal(orders.length, LARGEST_HEARTBEAT_TASKS + MAX_COMMANDS_PER_MESSAGE);
   const longest = Math.max(...body.split('\n').map((line) => line.length));
   assert.ok(longest < 64 * 1024, `a line of ${longest} bytes`);
-  // What is due anyway is not sent twice, and what has ended is not stopped.
+  // A stop that is due anyway is not sent twice, and an ended task is not stopped.
   const stop = { kind: 'stop' as const, job: JOB, index: 0, attempt: 7, graceS: 0 };
   const ended = { ...tasks[1]!, state: 'ended' as const };
   const short = renewLease({ token: 9, tasks: [tasks[0]!, ended], isCancelled, due: [stop] });
   assert.equal((JSON.parse(String(short.body)) as { orders: unknown[] }).orders.length, 1);
 });
 
-test('cancelled tasks that outlast their time are told, across terms, and counted', async () => {
+test('cancelled tasks that still run after their time are logged, across terms, and counted', async () => {
   const { world, worker } = await startService();
-  // Nothing is heard of the machine, and no term is long enough to count its lease as expired.
+  // The machine sends no heartbeat, and no term is long enough for its lease to count as expired.
   worker.mute = true;
   world.holdsDirectCommands = true;
   world.cancel(JOB);
@@ -344,24 +347,24 @@
   makeOnlyCandidate(world, 'n-0');
   await world.runUntil(cancelledAt + cancelS * 0.52);
   const [warning, ...more] = warnings();
-  assert.deepEqual(more, [], 'one line a job and term');
+  assert.deepEqual(more, [], 'one line per job and term');
   const { job, machine, machineState, cancelledForS, heardAgoS, stopSentAgoS } = warning!;
   assert.deepEqual([job, machine, machineState], [JOB, MACHINE, 'unheard']);
   assert.ok(
     Number(cancelledForS) >= cancelS * 0.5,
-    'since this process has known, not since its term began',
+    'counted from when this process learned of the cancellation, not from the start of its term',
   );
   assert.deepEqual([heardAgoS, stopSentAgoS], [null, null]);
   const figures = world.controller('n-0').term!.leader.statistics();
   assert.equal(figures.cancelled_attempts, TASKS);
   assert.ok(Number(figures.cancelled_oldest_s) >= cancelS * 0.5);
   const began = world.logLines.filter(({ msg }) => msg === 'term began').at(-1)!;
-  assert.equal(began.cancelled_attempts, TASKS, 'what earlier terms have left');
+  assert.equal(began.cancelled_attempts, TASKS, 'attempts left by earlier terms');
 });
 
 /**
- * Found by walking through the paths by which a command is held back, on the versions before as well; not mended. What
- * keeps the start from being carried out is a higher token, and in an outage none can be stored.
+ * Found by a review of the paths on which a command is delayed. Only a higher token prevents the start from being
+ * carried out, and in an outage none can be stored: one is needed that requires no commit, see `fenceUnanswered`.
  */
 test('a direct start that is held back beyond cancel_s in an outage does not start a cancelled task', async () => {
   const { world, worker } = await startService();
@@ -371,12 +374,12 @@
   world.cancel(OTHER_JOB);
   await world.runUntil(25.25);
   assert.ok(world.toldAt.has(OTHER_JOB));
-  // No record can name a higher token from now on; the machine keeps the one that the start carries.
+  // From now on no record can name a higher token than the one that the start carries.
   world.storeOutage = true;
   const { cancelS, reportS } = world.times;
   const end = world.toldAt.get(OTHER_JOB)! + cancelS + reportS;
   while (world.now < end) await exchangeAt(world, worker, [world.now + reportS]);
-  assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), undefined, 'still on its way');
+  assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), undefined, 'still in flight');
   world.deliverHeldBack();
   assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), undefined, 'it must not start now');
 });
