--- a/src/leader/attempts/attempt-stopper.ts
+++ b/src/leader/attempts/attempt-stopper.ts
@@ -1,18 +1,18 @@
-/** Ending attempts: withdrawn while their start was never sent, told to stop otherwise. */
+/** Ends attempts: withdraws their claim if the start was never sent, sends a stop otherwise. */
 
 import type { LiveJob } from '../../jobs/live-job.js';
 import { occupiesCapacity, mayBeOnMachine, type Attempt } from '../../workers/attempt.js';
 import type { Machine } from '../../workers/machine.js';
 import type { TermState } from '../term/term-state.js';
 
-/** A task is given a little longer than its saving takes: the worker compares the two. */
-const GRACE_PER_SAVE = 1.1;
+/** Factor by which the grace period exceeds the time for saving, since the worker compares the two. */
+const SAVE_GRACE_FACTOR = 1.1;
 
-/** Wants attempts gone. What is told to machines goes out with their next commands. */
+/** Requests that attempts end. Stops go out with the next commands to their machines. */
 export class AttemptStopper {
   constructor(private readonly term: TermState) {}
 
-  /** Wants an attempt gone within so many seconds. One that was never sent is withdrawn at once. */
+  /** Requests that an attempt ends within `graceS`. One whose start was never sent is withdrawn at once. */
   stop(attempt: Attempt, graceS: number): void {
     if (!occupiesCapacity(attempt)) return;
     const machine = this.term.machines.get(attempt.machine);
@@ -28,7 +28,7 @@
     this.term.requestCycle();
   }
 
-  /** A claim whose start was never sent, or provably not carried out. */
+  /** Withdraws a claim whose start was never sent, or was provably not carried out. */
   withdrawClaim(machine: Machine, attempt: Attempt): void {
     machine.withdrawClaim(attempt, this.term.now);
     this.term.machinesToWrite.add(machine.id);
@@ -36,7 +36,7 @@
     this.term.requestCycle();
   }
 
-  /** An attempt that serves nothing: stopped at once if it shows up, forgotten when it has ended. */
+  /** Stops an attempt that no job needs without grace; one that has ended may be forgotten by its worker. */
   dismiss(attempt: Attempt): void {
     if (attempt.state === 'ended') attempt.settled = true;
     else attempt.stopRequest ??= { at: this.term.now, graceS: 0, sentAt: null };
@@ -44,26 +44,26 @@
     this.term.machinesToCommand.add(attempt.machine);
   }
 
-  /** Every task of a job is told within the same moment: a gang goes as a whole. */
+  /** Stops all tasks of a job at the same moment, since a gang ends as a unit. */
   stopAll(job: LiveJob, graceS: number): void {
     for (const list of [...job.attemptsByTask.values()])
       for (const attempt of [...list]) this.stop(attempt, graceS);
   }
 
-  /** With the time it takes to save. Of a gang all tasks go. */
+  /** Stops a task with the time that it needs to save, together with the rest of its gang. */
   stopGracefully(job: LiveJob, attempt: Attempt): void {
-    const graceS = job.spec.checkpointS > 0 ? job.spec.saveS * GRACE_PER_SAVE : 0;
+    const graceS = job.spec.checkpointS > 0 ? job.spec.saveS * SAVE_GRACE_FACTOR : 0;
     if (job.isGang) this.stopAll(job, graceS);
     else this.stop(attempt, graceS);
   }
 
-  /** Without saving: what it did since its last checkpoint is lost. */
+  /** Stops a task, or its gang, without saving: work since the last checkpoint is lost. */
   stopImmediately(job: LiveJob, attempt: Attempt): void {
     if (job.isGang) this.stopAll(job, 0);
     else this.stop(attempt, 0);
   }
 
-  /** Nothing of a job starts any more; what may be somewhere is told to go. */
+  /** Starts no further task of a job and stops all that may be on a machine. */
   closeJob(job: LiveJob): void {
     if (job.phase === 'active') job.changePhase('closing');
     this.stopAll(job, 0);
--- a/src/leader/attempts/cancelled-attempts.ts
+++ b/src/leader/attempts/cancelled-attempts.ts
@@ -1,14 +1,14 @@
-/** Attempts of cancelled jobs that may still be on machines: counted, and told when they outlast their time. */
+/** Attempts of cancelled jobs that may still be on machines: counted, and logged when they remain for too long. */
 
 import { mayBeOnMachine, type Attempt } from '../../workers/attempt.js';
 import type { Machine } from '../../workers/machine.js';
 import type { Term } from '../term/term.js';
 
-/** Of `cancel_s`, what may pass before an operator is told. */
-const WARN_SHARE = 0.5;
+/** Share of `cancel_s` after which a warning is logged. */
+const WARN_CANCEL_SHARE = 0.5;
 
-/** Such attempts at one moment. */
-interface CancelledAttemptFigures {
+/** Attempts of cancelled jobs at one moment. */
+interface CancelledAttemptStatistics {
   count: number;
   /** Seconds since this process has known of the oldest cancellation among them. */
   oldestS: number;
@@ -16,27 +16,27 @@
 
 /** Watches the attempts of cancelled jobs of one term. */
 export class CancelledAttempts {
-  private figures: CancelledAttemptFigures = { count: 0, oldestS: 0 };
-  /** Jobs that were warned of in this term. */
+  private latest: CancelledAttemptStatistics = { count: 0, oldestS: 0 };
+  /** Jobs for which a warning was logged in this term. */
   private readonly warned = new Set<string>();
 
   constructor(private readonly term: Term) {}
 
-  /** Counts them, and warns of each job once. */
+  /** Counts the attempts and logs one warning for each job. */
   tick(): void {
-    const figures: CancelledAttemptFigures = { count: 0, oldestS: 0 };
+    const statistics: CancelledAttemptStatistics = { count: 0, oldestS: 0 };
     for (const machine of this.term.machines.values()) {
       for (const attempt of machine.attempts.values()) {
         if (attempt.stopRequest === null || !mayBeOnMachine(attempt)) continue;
         if (!this.term.isCancelled(attempt.job)) continue;
         const ageS = this.ageS(attempt);
-        figures.count++;
-        figures.oldestS = Math.max(figures.oldestS, ageS);
-        if (ageS > this.term.context.settings.workers.cancel_s * WARN_SHARE)
+        statistics.count++;
+        statistics.oldestS = Math.max(statistics.oldestS, ageS);
+        if (ageS > this.term.context.settings.workers.cancel_s * WARN_CANCEL_SHARE)
           this.warn(machine, attempt, ageS);
       }
     }
-    this.figures = figures;
+    this.latest = statistics;
   }
 
   private ageS(attempt: Attempt): number {
@@ -64,11 +64,11 @@
     );
   }
 
-  /** Figures for `/metrics`. */
+  /** Values for `/metrics`. */
   statistics(): Record<string, number> {
     return {
-      cancelled_attempts: this.figures.count,
-      cancelled_oldest_s: Math.round(this.figures.oldestS),
+      cancelled_attempts: this.latest.count,
+      cancelled_oldest_s: Math.round(this.latest.oldestS),
     };
   }
 }
--- a/src/leader/attempts/command-dispatcher.ts
+++ b/src/leader/attempts/command-dispatcher.ts
@@ -2,7 +2,7 @@
 import type { Term } from '../term/term.js';
 import type { DirectTransport } from './direct-channels.js';
 
-/** Commands sent straight to workers, when they should not wait for the next heartbeat. */
+/** Sends commands directly to workers when they should not wait for the next heartbeat. */
 export class CommandDispatcher {
   private stopped = false;
 
@@ -12,7 +12,7 @@
     private readonly onMoreDue: () => void,
   ) {}
 
-  /** Sends what is due to all machines that should not wait for their next heartbeat. */
+  /** Sends the due commands to all machines that should not wait for their next heartbeat. */
   dispatch(): void {
     const { term } = this;
     for (const id of [...term.machinesToCommand]) {
@@ -43,12 +43,12 @@
     if (term.machinesToCommand.has(machine.id)) this.onMoreDue();
   }
 
-  /** The machine is gone. */
+  /** Closes the connection to a machine that no longer exists. */
   closeChannel(id: string): void {
     this.transport.closeChannel(id);
   }
 
-  /** Closes all connections; answers that still come are ignored. */
+  /** Closes all connections; later answers are ignored. */
   stop(): void {
     this.stopped = true;
     this.transport.stop();
--- a/src/leader/attempts/direct-channels.ts
+++ b/src/leader/attempts/direct-channels.ts
@@ -1,4 +1,4 @@
-/** Ways on which commands go straight to workers: connections that are kept, and what an answer on them proves. */
+/** Persistent connections for direct commands to workers, and what an answer on them proves. */
 
 import { parseEndpoint } from '../../config/endpoint.js';
 import { HttpClient, NoResponseError } from '../../http/client.js';
@@ -13,42 +13,42 @@
 import type { Machine } from '../../workers/machine.js';
 
 /**
- * Of the sockets, those for direct commands. A connection to every machine, beside one from each, is more
- * than a large fleet's leader has: the ones not used for longest go.
+ * Share of the sockets for direct commands. In a large fleet the leader has too few sockets for a connection
+ * to every machine in addition to one from each, so the least recently used connections are closed.
  */
-const SOCKETS_SHARE = 0.25;
-/** Direct messages wait for an answer for so many heartbeat intervals. */
+const MAX_DIRECT_SOCKETS_SHARE = 0.25;
+/** Time-out of a direct message, in heartbeat intervals. */
 const ANSWER_TIMEOUT_HEARTBEATS = 1.5;
 
-/** Commands with what makes a worker take them. */
+/** Commands with the token and agent epoch that the worker checks. */
 export interface DirectMessage {
   token: number;
   agentEpoch: number;
   commands: Command[];
 }
 
-/** What became of a direct message, and the worker's heartbeat if there was one in the answer. */
+/** Outcome of a direct message, and the heartbeat in the answer if there was one. */
 export interface DirectAnswer {
   outcome: DirectOutcome;
   heartbeat: Heartbeat | null;
 }
 
-/** A way to one worker, for one message at a time. */
+/** A connection to one worker, for one message at a time. */
 export interface DirectChannel {
   send(message: DirectMessage): Promise<DirectAnswer>;
 }
 
-/** The ways to all workers. */
+/** The connections to all workers. */
 export interface DirectTransport {
-  /** Null: none is free, and what there is to say waits for the machine's next heartbeat. */
+  /** Null: no connection is free, so the commands wait for the machine's next heartbeat. */
   channelTo(machine: Pick<Machine, 'id' | 'addr'>): DirectChannel | null;
-  /** The machine is gone. */
+  /** Closes the connection to a machine that no longer exists. */
   closeChannel(id: string): void;
-  /** Closes all of them. */
+  /** Closes all connections. */
   stop(): void;
 }
 
-/** A connection to a worker. */
+/** An HTTP connection to a worker. */
 class HttpChannel implements DirectChannel {
   busy = false;
   private readonly client: HttpClient;
@@ -73,33 +73,33 @@
         this.timeoutS,
       );
       const outcome = status === 200 ? 'done' : 'refused';
-      const showsTasks = status === 200 || status === 409;
-      const heartbeat = showsTasks ? parseHeartbeat(JSON.parse(answer.toString('utf8'))) : null;
+      const hasHeartbeat = status === 200 || status === 409;
+      const heartbeat = hasHeartbeat ? parseHeartbeat(JSON.parse(answer.toString('utf8'))) : null;
       return { outcome, heartbeat };
     } catch (error) {
       this.log.debug({ addr: this.addr, err: error }, 'direct commands unanswered');
-      const never = error instanceof NoResponseError && !error.mayHaveBeenSent;
-      return { outcome: never ? 'refused' : 'unknown', heartbeat: null };
+      const isProvablyUnsent = error instanceof NoResponseError && !error.mayHaveBeenSent;
+      return { outcome: isProvablyUnsent ? 'refused' : 'unknown', heartbeat: null };
     } finally {
       this.busy = false;
     }
   }
 
-  /** Closes the connection: a message that is on its way is not answered any more. */
+  /** Closes the connection: a message in flight gets no answer. */
   close(): void {
     this.client.close();
   }
 }
 
-/** What `HttpDirectTransport` works with. */
+/** Dependencies of `HttpDirectTransport`. */
 interface HttpDirectTransportOptions {
-  /** Sockets of the process. */
+  /** Socket limit of the process. */
   sockets: number;
   heartbeatS: number;
   log: Log;
 }
 
-/** Connections to workers, the one used longest ago first. */
+/** Connections to workers, least recently used first. */
 export class HttpDirectTransport implements DirectTransport {
   private readonly channels = new Map<string, HttpChannel>();
 
@@ -107,23 +107,23 @@
 
   /** See `DirectTransport.channelTo`. */
   channelTo({ id, addr }: Pick<Machine, 'id' | 'addr'>): DirectChannel | null {
-    const known = this.channels.get(id);
+    const existing = this.channels.get(id);
     this.channels.delete(id);
-    if (known?.addr === addr) {
-      this.channels.set(id, known);
-      return known.busy ? null : known;
+    if (existing?.addr === addr) {
+      this.channels.set(id, existing);
+      return existing.busy ? null : existing;
     }
-    known?.close();
-    if (!this.makeRoom()) return null;
+    existing?.close();
+    if (!this.reserveConnection()) return null;
     const { heartbeatS, log } = this.options;
-    const made = new HttpChannel(addr, heartbeatS * ANSWER_TIMEOUT_HEARTBEATS, log);
-    this.channels.set(id, made);
-    return made;
+    const channel = new HttpChannel(addr, heartbeatS * ANSWER_TIMEOUT_HEARTBEATS, log);
+    this.channels.set(id, channel);
+    return channel;
   }
 
-  /** Whether another connection may be opened; the one that has been idle for longest may go for it. */
-  private makeRoom(): boolean {
-    if (this.channels.size < this.options.sockets * SOCKETS_SHARE) return true;
+  /** Whether another connection may be opened; closes the least recently used idle one if the limit is reached. */
+  private reserveConnection(): boolean {
+    if (this.channels.size < this.options.sockets * MAX_DIRECT_SOCKETS_SHARE) return true;
     const idle = [...this.channels].find(([, channel]) => !channel.busy);
     if (idle === undefined) return false;
     this.closeChannel(idle[0]);
--- a/src/leader/attempts/fencing.ts
+++ b/src/leader/attempts/fencing.ts
@@ -1,17 +1,17 @@
 /**
- * Tokens of one term beside its own. A leader's token is the revision at which its key was put, and so is a later
- * leader's: each number above the one and not above a revision of this term is below the other. Workers that are given
- * such a token refuse what was sent with a lower one, and it needs no commit.
+ * Further tokens of a term. A leader's token is the revision at which its key was put. So every number above it, up to
+ * the latest revision of its term, is below the token of any later leader. Workers that have received such a token
+ * refuse messages with a lower one, and giving it needs no commit.
  */
 
 import type { TermState } from '../term/term-state.js';
 
 /**
- * Fences machines anew whose direct starts were never answered, once one of those keeps something from being done: of
- * a cancelled task, for example, which must not start now. Not a matter of the key-value store, which may be down: the
- * lease that each answer renews is also what keeps such a start valid. The next token is there, since a start goes out
- * directly only with a token below the revision of its claim. Whoever renews leases in this leader's place goes by the
- * token that the worker shows.
+ * Gives a higher token to machines with an unanswered direct start that keeps a task from ending or being forgotten: a
+ * cancelled task, for example, must not start now. This does not involve the key-value store, which may be down, since
+ * each answer that renews the machine's lease also keeps such a start valid. The next token is always one of this term,
+ * since a start is sent directly only with a token below the revision of its claim. A controller that renews leases in
+ * this leader's place uses the token that the worker shows.
  */
 export function fenceUnanswered(term: TermState): void {
   for (const machine of term.machines.values()) {
@@ -20,18 +20,19 @@
     term.machinesToWrite.add(machine.id);
     term.machinesFencedAnew++;
     const { id, token } = machine;
-    term.context.log.debug({ machine: id, token }, 'machine fenced anew: a start is unanswered');
+    term.context.log.debug({ machine: id, token }, 'machine fenced again: direct start unanswered');
   }
 }
 
-/** A later leader's token, as far as can be told: none of this term. */
+/** Whether a token is above all known revisions of this term, and so may be a later leader's. */
 export const isLaterToken = (term: TermState, token: number): boolean =>
   token > latestOwnRevision(term);
 
 /** The latest revision that is known to be of this term. */
 function latestOwnRevision({ context, latestRevision }: TermState): number {
   const { replica, token } = context;
-  // Others may have read more, and have given it in this leader's place.
+  // While this leader holds the key, every revision that was read is one of its term. A controller that renewed
+  // leases in its place may have given one of these as a token.
   return replica.leader?.revision === token
     ? Math.max(latestRevision, replica.applied)
     : latestRevision;
--- a/src/leader/attempts/heartbeat-reconciler.ts
+++ b/src/leader/attempts/heartbeat-reconciler.ts
@@ -1,4 +1,4 @@
-/** Reconciliation with what heartbeats showed: tasks found, running, ended or gone. */
+/** Reconciles jobs and attempts with heartbeats: tasks found, running, ended or gone. */
 
 import type { LiveJob } from '../../jobs/live-job.js';
 import { occupiesCapacity, type Attempt } from '../../workers/attempt.js';
@@ -8,12 +8,12 @@
 import type { MachineHealth } from './machine-health.js';
 import type { TermState } from '../term/term-state.js';
 
-/** Nothing new goes to a machine that is told in vain for so many heartbeat intervals, at first. */
+/** First cordon of a machine that did not carry out a start, in heartbeat intervals. */
 const REJECTED_START_CORDON_HEARTBEATS = 2;
-/** The same for a machine whose worker started anew. */
+/** First cordon of a machine whose agent restarted, in heartbeat intervals. */
 const RESTART_CORDON_HEARTBEATS = 1;
 
-/** Changes jobs by what is seen of their attempts. */
+/** Updates jobs from the observed state of their attempts. */
 export class HeartbeatReconciler {
   constructor(
     private readonly term: TermState,
@@ -21,7 +21,7 @@
     private readonly health: MachineHealth,
   ) {}
 
-  /** What a heartbeat, a lapsed lease or a returned machine has shown. */
+  /** Applies the changes that a heartbeat has shown. */
   reconcile(machine: Machine, changes: HeartbeatChanges): void {
     const { now } = this.term;
     for (const attempt of changes.unclaimed) this.adoptOrDismiss(machine, attempt);
@@ -30,7 +30,7 @@
     for (const attempt of changes.changed) this.attemptChanged(machine, attempt, now);
     for (const attempt of changes.exited) this.attemptExited(machine, attempt);
     const { report_s } = this.term.context.settings.workers;
-    // Its heartbeats come, but what it is told does not arrive.
+    // Its heartbeats arrive, but commands to it do not.
     if (changes.rejectedStarts > 0)
       this.health.cordon(machine, report_s * REJECTED_START_CORDON_HEARTBEATS);
     if (changes.agentRestarted) this.health.cordon(machine, report_s * RESTART_CORDON_HEARTBEATS);
@@ -38,7 +38,7 @@
     if (changes.exited.length > 0 || changes.changed.length > 0) this.term.requestCycle();
   }
 
-  /** An attempt that no claim names: adopted where its task is wanted and nowhere else. */
+  /** Adopts an attempt without a claim if its task is still to be done and has no other attempt; else dismisses it. */
   private adoptOrDismiss(machine: Machine, attempt: Attempt): void {
     const job = this.term.jobs.get(attempt.job);
     this.term.machinesToWrite.add(machine.id);
@@ -46,10 +46,10 @@
       this.dismiss(machine, attempt, 'unclaimed task dismissed: job over');
       return;
     }
-    const others = job.isGang
+    const hasOtherAttempts = job.isGang
       ? [...job.activeAttempts()].length > 0
       : job.attemptsByTask.has(attempt.index);
-    if (job.done.has(attempt.index) || others || attempt.index >= job.spec.tasks) {
+    if (job.done.has(attempt.index) || hasOtherAttempts || attempt.index >= job.spec.tasks) {
       this.dismiss(machine, attempt, 'unclaimed task dismissed: duplicate');
       return;
     }
@@ -73,8 +73,8 @@
   }
 
   private attemptChanged(machine: Machine, attempt: Attempt, now: number): void {
-    // Its start provably went nowhere, and it is not wanted any more. Left as it was, it held its capacity
-    // and its task for the rest of the term.
+    // Its start was provably not carried out, and it has been asked to stop. Unless its claim is withdrawn, it
+    // occupies its capacity and its task for the rest of the term.
     if (attempt.state === 'claimed' && attempt.stopRequest !== null)
       this.stopper.withdrawClaim(machine, attempt);
     if (
@@ -103,7 +103,7 @@
     );
   }
 
-  /** An attempt has exited or is provably gone. */
+  /** Handles an attempt that has exited or is provably gone. */
   attemptExited(machine: Machine, attempt: Attempt): void {
     const job = this.term.jobs.get(attempt.job);
     if (job === undefined) {
@@ -129,7 +129,7 @@
     job.recordRunTime(ranS, this.term.context.settings.workers.lease_s);
   }
 
-  /** Without one of its tasks a gang is over; those that are saving may finish that. */
+  /** Stops the remaining tasks of a gang that has lost one, except those that were asked to stop before. */
   private stopRestOfGang(job: LiveJob, attempt: Attempt): void {
     for (const other of [...job.activeAttempts()]) {
       if (other.number === attempt.number && other.stopRequest === null)
@@ -140,9 +140,9 @@
   private taskDone(machine: Machine, job: LiveJob, attempt: Attempt): void {
     machine.condition.taskSucceeded();
     const indexes = job.isGang ? [...Array(job.spec.tasks).keys()] : [attempt.index];
-    // A gang completes together: if one task is done, all are.
+    // A gang completes as a unit: if one task is done, all are.
     for (const index of indexes) job.markDone(index, this.term.now);
-    // Stored already, as for the other tasks of a gang: nothing is written again.
+    // Its end may be stored already, as with the other tasks of a gang: it is not written again.
     if (job.progress.isStored(attempt.index)) attempt.settled = true;
     else job.endsToStore.push(attempt);
     job.removeAttempt(attempt);
@@ -150,7 +150,7 @@
       this.stopper.stop(other, 0);
   }
 
-  /** The cloud is about to take the machine: what can be saved is saved now. */
+  /** The cloud is about to reclaim the machine: stops its tasks with time to save. */
   private evictGracefully(machine: Machine): void {
     for (const attempt of [...machine.attempts.values()]) {
       const job = this.term.jobs.get(attempt.job);
--- a/src/leader/attempts/lease-expiry.ts
+++ b/src/leader/attempts/lease-expiry.ts
@@ -1,43 +1,43 @@
-/** Leases of machines that have expired for certain. */
+/** Detects leases of machines that have provably expired. */
 
 import type { Machine } from '../../workers/machine.js';
 import type { HeartbeatReconciler } from './heartbeat-reconciler.js';
 import type { TermState } from '../term/term-state.js';
 
-/** Gives up what was on machines once nobody can have renewed their leases. */
+/** Ends the attempts on machines whose leases no controller can have renewed. */
 export class LeaseExpiry {
   constructor(
     private readonly term: TermState,
     private readonly reconciler: HeartbeatReconciler,
   ) {}
 
-  /** Leases that have expired for certain, with nobody else entitled to renew them. */
+  /** Handles all leases that have provably expired, with no other controller entitled to renew them. */
   expire(): void {
     const { context, machines, now } = this.term;
-    const others = context.othersRenewal();
-    let othersUnproven = false;
+    const substitutes = context.othersRenewal();
+    let substitutesUnproven = false;
     let zoneUnproven = false;
     for (const machine of machines.values()) {
-      // While the key-value store is down others may renew leases in this controller's place.
-      if (others.keptUntil > machine.knownAt) machine.leaseRenewed(others.keptUntil);
+      // While the key-value store is down, other controllers may renew leases in this controller's place.
+      if (substitutes.keptUntil > machine.knownAt) machine.leaseRenewed(substitutes.keptUntil);
       if (
         now <= machine.leaseExpiresAt ||
         machine.state === 'silent' ||
         machine.state === 'returned'
       )
         continue;
-      // Its zone may be cut off as a whole and go on working inside itself.
+      // If the whole zone is cut off, its zone lease holder may renew leases there.
       const zone = context.zoneRenewal(machine.zone);
       machine.leaseRenewed(zone.keptUntil);
       if (now <= machine.leaseExpiresAt) continue;
-      // What is proven up to a moment before its end may have been followed by another renewal.
-      const isOthersProven = others.provenAt >= machine.leaseExpiresAt;
+      // A proof from before the lease's end does not exclude a later renewal.
+      const isSubstitutesProven = substitutes.provenAt >= machine.leaseExpiresAt;
       const isZoneProven = zone.provenAt >= machine.leaseExpiresAt;
-      othersUnproven ||= !isOthersProven;
+      substitutesUnproven ||= !isSubstitutesProven;
       zoneUnproven ||= !isZoneProven;
-      if (isOthersProven && isZoneProven) this.leaseExpired(machine);
+      if (isSubstitutesProven && isZoneProven) this.leaseExpired(machine);
     }
-    if (othersUnproven) context.requestOthersProof();
+    if (substitutesUnproven) context.requestOthersProof();
     if (zoneUnproven) context.requestZoneProof();
   }
 
@@ -55,10 +55,10 @@
     machine.changeState('silent');
   }
 
-  /** All that was on a machine is provably gone. */
+  /** Ends all attempts on a machine: they are provably gone. */
   loseMachine(machine: Machine): void {
-    const over = machine.endAllAttempts(this.term.now);
-    for (const attempt of over) this.reconciler.attemptExited(machine, attempt);
+    const exited = machine.endAllAttempts(this.term.now);
+    for (const attempt of exited) this.reconciler.attemptExited(machine, attempt);
     this.term.machinesToWrite.add(machine.id);
     this.term.requestCycle();
   }
--- a/src/leader/attempts/machine-health.ts
+++ b/src/leader/attempts/machine-health.ts
@@ -6,20 +6,20 @@
 import type { Attempt } from '../../workers/attempt.js';
 import type { Machine } from '../../workers/machine.js';
 
-/** A job that fails on so many machines says nothing of them. */
-const SUSPECT_JOB_MACHINES = 3;
-/** Nothing new goes to a machine for longer than so many leases at a time. */
+/** A job that has succeeded nowhere and failed on this many machines is suspect: its failures do not count against machines. */
+const SUSPECT_JOB_MIN_MACHINES = 3;
+/** Longest cordon of a machine, in leases. */
 const MAX_CORDON_LEASES = 3;
-/** A pause of a machine or task doubles so often, at most. */
+/** How often the cordon of a machine doubles, at most. */
 const MAX_CORDON_DOUBLINGS = 10;
-/** Failures count against a machine for so many leases. */
-const FAILURE_MEMORY_LEASES = 12;
-/** A task is not tried again for so many leases, at most: of a job that fails wherever it goes. */
+/** How long a failure counts against a machine, in leases. */
+const FAILURE_WINDOW_LEASES = 12;
+/** Longest retry delay of a task whose job fails on every machine, in leases. */
 const MAX_RETRY_DELAY_LEASES = 6;
-/** So many jobs that do well elsewhere, or are doubted, make a machine faulty. */
-const QUARANTINE_JOBS = 2;
+/** A machine is faulty from this many failures: of tasks whose job succeeded elsewhere, and of jobs without a success. */
+const QUARANTINE_MIN_JOBS = 2;
 
-/** What a `MachineHealth` works with. */
+/** Dependencies of `MachineHealth`. */
 export interface MachineHealthOptions {
   workers: { report_s: number; lease_s: number };
   jobs: ReadonlyMap<string, LiveJob>;
@@ -29,18 +29,18 @@
 }
 
 /**
- * Judges machines and jobs by the tasks that fail on them: what is left alone for a while, and which
- * machines are faulty.
+ * Rates machines and jobs by their failed tasks: which machines to cordon, which tasks to retry later, and
+ * which machines to quarantine as faulty.
  */
 export class MachineHealth {
   constructor(private readonly options: MachineHealthOptions) {}
 
-  /** Places nothing new on a machine for a while: longer each time, until a task does well there. */
+  /** Places nothing new on a machine for a time that doubles with each call, until a task succeeds there. */
   cordon(machine: Machine, firstS: number): void {
-    const most = this.options.workers.lease_s * MAX_CORDON_LEASES;
+    const maxS = this.options.workers.lease_s * MAX_CORDON_LEASES;
     machine.condition.cordonedUntil = Math.max(
       machine.condition.cordonedUntil,
-      this.options.clock.now() + Math.min(most, firstS * 2 ** machine.condition.cordonCount),
+      this.options.clock.now() + Math.min(maxS, firstS * 2 ** machine.condition.cordonCount),
     );
     machine.condition.cordonCount = Math.min(
       machine.condition.cordonCount + 1,
@@ -48,15 +48,15 @@
     );
   }
 
-  /** A task ended without being done. */
+  /** Handles a task that ended without being done. */
   taskFailed(machine: Machine, job: LiveJob, attempt: Attempt): void {
     const now = this.options.clock.now();
     const { report_s, lease_s } = this.options.workers;
     switch (attempt.cause) {
       case 'error': {
         job.failedOn.add(machine.id);
-        // Machines are told from jobs: a job that fails wherever it goes says nothing of machines.
-        const jobSuspect = !job.hasSucceeded && job.failedOn.size >= SUSPECT_JOB_MACHINES;
+        // A job that fails on every machine is no evidence against the machines.
+        const jobSuspect = !job.hasSucceeded && job.failedOn.size >= SUSPECT_JOB_MIN_MACHINES;
         job.delayRetry(
           attempt.index,
           now,
@@ -79,7 +79,7 @@
         this.cordon(machine, report_s);
         break;
       case 'unknown':
-        // The worker did not find the job's description: perhaps it is not there yet.
+        // The worker did not find the job's description, which may not have reached it yet.
         job.delayRetry(attempt.index, now, report_s, lease_s * MAX_RETRY_DELAY_LEASES);
         break;
       default:
@@ -87,25 +87,29 @@
     }
   }
 
-  /** A machine is faulty when tasks of jobs that do well elsewhere fail on it, one after another. */
+  /** Quarantines a machine on which tasks of several jobs have failed that are not known to fail elsewhere. */
   private quarantineIfFaulty(machine: Machine): void {
-    const recent = this.options.clock.now() - this.options.workers.lease_s * FAILURE_MEMORY_LEASES;
-    const doubted = new Set<string>();
-    let against = 0;
+    const windowStart =
+      this.options.clock.now() - this.options.workers.lease_s * FAILURE_WINDOW_LEASES;
+    const unprovenJobs = new Set<string>();
+    let provenJobFailures = 0;
     for (const [task, at] of machine.condition.taskFailures) {
       const id = task.slice(0, task.lastIndexOf('/'));
-      if (at < recent) machine.condition.taskFailures.delete(task);
-      else if (this.hasSucceeded(id)) against++;
-      // Several tasks of a job with a mistake fail together where it is tried first: that counts once.
-      else if (this.options.jobs.get(id)?.failedOn.size === 1) doubted.add(id);
+      if (at < windowStart) machine.condition.taskFailures.delete(task);
+      else if (this.hasSucceeded(id)) provenJobFailures++;
+      // All tasks of a faulty job fail on the first machine that runs them: they count once.
+      else if (this.options.jobs.get(id)?.failedOn.size === 1) unprovenJobs.add(id);
     }
-    if (against + doubted.size >= QUARANTINE_JOBS && !machine.condition.quarantined) {
+    if (
+      provenJobFailures + unprovenJobs.size >= QUARANTINE_MIN_JOBS &&
+      !machine.condition.quarantined
+    ) {
       machine.condition.quarantined = true;
       this.options.log.info({ machine: machine.id }, 'machine quarantined');
     }
   }
 
-  /** Whether some task of a job has done well somewhere. */
+  /** Whether any task of a job has succeeded on any machine. */
   private hasSucceeded(id: string): boolean {
     const job = this.options.jobs.get(id);
     if (job !== undefined) return job.hasSucceeded;
--- a/src/leader/attempts/start-permission.ts
+++ b/src/leader/attempts/start-permission.ts
@@ -4,22 +4,22 @@
 import type { Attempt } from '../../workers/attempt.js';
 import type { TermState } from '../term/term-state.js';
 
-/** Its job is open and ready, its task not done, its machine ready; of a gang, every claim is stored. */
+/** Whether its job is open and ready, its task not done, its machine ready and, for a gang, every claim stored. */
 export function mayStart(term: TermState, attempt: Attempt): boolean {
   const job = term.jobs.get(attempt.job);
   const machine = term.machines.get(attempt.machine);
   if (job === undefined || machine === undefined || job.phase !== 'active') return false;
-  // By the store's changes in their order, whatever this leader believes of the jobs that it needs.
+  // Readiness follows from the order of the store's changes, not from this leader's view of the job's dependencies.
   if (job.storedJob.readyAt === null) return false;
   if (machine.state !== 'ready' || machine.reclaimedAt !== null) return false;
   if (job.done.has(attempt.index)) return false;
-  return !job.isGang || isGangStored(job, attempt.number);
+  return !job.isGang || areGangClaimsStored(job, attempt.number);
 }
 
 /**
- * The same for a start that is sent straight to the worker. It may arrive at any later time, so there must be a token of
- * this term that refuses it then, without a commit: see `fenceUnanswered`. Where there is none, the start goes with the
- * answer to the next heartbeat, which is never carried out late.
+ * The same for a start that is sent directly to the worker. It may arrive at any later time, so there must be a higher
+ * token of this term that makes the worker refuse it then, without a commit: see `fenceUnanswered`. If there is none,
+ * the start goes with the answer to the next heartbeat, which is never carried out late.
  */
 export function mayStartDirectly(term: TermState, attempt: Attempt): boolean {
   const machine = term.machines.get(attempt.machine);
@@ -27,8 +27,8 @@
   return attempt.claimRevision > machine.token && mayStart(term, attempt);
 }
 
-/** All of a gang's claims are stored before the first of them starts. */
-function isGangStored(job: LiveJob, number: number): boolean {
+/** Whether all claims of a gang are stored; none of its tasks starts before. */
+function areGangClaimsStored(job: LiveJob, number: number): boolean {
   let claims = 0;
   for (const other of job.activeAttempts()) {
     if (other.number !== number || other.state === 'claiming' || other.stopRequest !== null)
--- a/src/leader/capacity/capacity-manager.ts
+++ b/src/leader/capacity/capacity-manager.ts
@@ -1,4 +1,4 @@
-/** The fleet of a term: what its parts plan, and what the cloud says. */
+/** The fleet of a term: combines scale-out, scale-in and consolidation with the cloud's answers. */
 
 import type { DemandForecast } from '../../cloud/demand-forecast.js';
 import type { CloudClient } from '../../cloud/client.js';
@@ -18,25 +18,25 @@
 import type { Term } from '../term/term.js';
 import { WarmReserve } from './warm-reserve.js';
 
-/** What a `CapacityManager` works with. */
+/** Dependencies of `CapacityManager`. */
 export interface CapacityManagerOptions {
   term: Term;
   cloud: CloudClient;
-  /** Asked for only once all is put together: the scheduler asks this for what is kept warm. */
+  /** Called only after construction: scheduler and capacity manager depend on each other, the former for `warmTarget`. */
   scheduler: () => Scheduler;
   forecast: DemandForecast;
-  /** A machine is gone for good. */
+  /** Called for a machine that the cloud has confirmed as gone. */
   forgetMachine: (machine: Machine) => void;
   onMachineTypes: (types: MachineType[]) => void;
   subsystems?: ActiveSubsystems;
 }
 
-/** Keeps the fleet of a term as large as it should be: which machines to add, which to give back. */
+/** Keeps the fleet of a term at its target size: which machines to add, which to return. */
 export class CapacityManager implements ProvisionerHost, CycleRemainder {
   readonly provisioner: MachineProvisioner;
   demand: Demand[] = [];
   capacities: FreeCapacity[] = [];
-  /** What teams used after the latest scheduling cycle; null: there was none. */
+  /** Usage of each team after the latest scheduling cycle; null before the first one. */
   usages: TeamUsages | null = null;
   private readonly warmReserve: WarmReserve;
   private readonly scaleOut: ScaleOutPlanner;
@@ -96,7 +96,7 @@
     this.options.onMachineTypes(types);
   }
 
-  /** Whether no spot machine of a type is to be had anywhere at present. */
+  /** Whether spot machines of a type are short in all zones. */
   isSpotShort(type: string): boolean {
     const machineType = this.options.term.machineTypes.get(type);
     return (
@@ -105,18 +105,18 @@
     );
   }
 
-  /** Free capacity that is kept on spot or ordinary machines, in machines. */
+  /** The warm reserve on spot or ordinary machines, in machines. */
   warmTarget(spot: boolean): number {
     return this.warmReserve.target(spot);
   }
 
-  /** Whether the cloud's latest list names a machine; null: there has been none yet. */
+  /** Whether the cloud's latest list names a machine; null before the first list. */
   isListed(id: string): boolean | null {
     return this.provisioner.listedOnce ? this.scaleIn.isListed(id) : null;
   }
 
-  /** Not even in the cloud's list any more. */
-  unlisted(id: string): boolean {
+  /** Whether the cloud's latest list no longer names a machine. */
+  isUnlisted(id: string): boolean {
     return this.isListed(id) === false;
   }
 
@@ -135,7 +135,7 @@
     return this.scaleIn.plan(this.capacities);
   }
 
-  /** The cloud's 200 is proof: the machines and all that was on them are gone. */
+  /** Handles the cloud's 200 to a return, which proves that the machines and everything on them are gone. */
   machinesReturned(ids: string[]): void {
     const { term, forgetMachine } = this.options;
     for (const id of ids) {
@@ -154,7 +154,7 @@
     this.options.term.requestCycle();
   }
 
-  /** When there is a machine's worth of capacity too much, a machine is drained to be given back. */
+  /** Drains a machine if there is enough surplus capacity, so that it can be returned. */
   consolidate(): void {
     this.consolidation.consolidate(this);
   }
--- a/src/leader/capacity/consolidation.ts
+++ b/src/leader/capacity/consolidation.ts
@@ -1,36 +1,36 @@
-/** Draining machines while more is free than is needed. */
+/** Drains machines while there is surplus capacity. */
 
 import type { FreeCapacity } from '../../scheduler/bin-packing.js';
 import { freeMachines } from './free-capacity.js';
 import type { CycleRemainder } from './scale-out-planner.js';
-import { MUCH_SURPLUS } from './scale-in-planner.js';
+import { LARGE_SURPLUS_MACHINES } from './scale-in-planner.js';
 import type { Term } from '../term/term.js';
 import type { WarmReserve } from './warm-reserve.js';
 
-/** Right after a change of leader the picture is not whole: for so many leases. */
+/** Leases from the start of a term in which no machine is drained, since the fleet's state is still incomplete. */
 const SETTLE_LEASES = 2;
-/** Leases between two machines that are drained: as a rule, and while there is much capacity too much. */
-const EMPTY_SELDOM = 0.5;
-const EMPTY_OFTEN = 0.2;
-/** A machine that was drained is used again when it was not given back within so many leases. */
-const EMPTIED_LEASES = 3;
-/** Free machines above the reserve from which one is drained. */
-const SURPLUS = 1.5;
+/** Leases between the draining of two machines: as a rule, and with a large surplus. */
+const DRAIN_GAP_LEASES = 0.5;
+const FAST_DRAIN_GAP_LEASES = 0.2;
+/** Leases after which a drained machine that was not returned is used again. */
+const MAX_DRAIN_LEASES = 3;
+/** Free machines above the warm reserve from which one is drained. */
+const DRAIN_SURPLUS_MACHINES = 1.5;
 
-/** Has one machine at a time drained, to be given back. */
+/** Drains one machine at a time, so that it can be returned. */
 export class Consolidation {
-  private latestAt = -Infinity;
+  private latestCheckAt = -Infinity;
 
   constructor(
     private readonly term: Term,
     private readonly warmReserve: WarmReserve,
-    /** Empties a machine whose replicas fit elsewhere, if there is one. */
+    /** Drains a machine whose replicas fit elsewhere, if there is one. */
     private readonly drainMachine: (capacities: FreeCapacity[]) => void,
-    /** Whether a machine stays although nothing runs on it. */
+    /** Whether a subsystem reserves a machine although nothing runs on it. */
     private readonly keeps: (machine: string) => boolean,
   ) {}
 
-  /** When there is a machine's worth of capacity too much, a machine is drained to be given back. */
+  /** Drains a machine if there is enough surplus capacity, so that it can be returned. */
   consolidate({ demand, capacities }: CycleRemainder): void {
     const { term } = this;
     const { now } = term;
@@ -38,22 +38,24 @@
     this.cancelDrains(now, demand.length > 0);
     if (!term.context.canWrite() || now - term.startedAt < lease_s * SETTLE_LEASES) return;
     const surplus = freeMachines(capacities, false) - this.warmReserve.target(false);
-    const gap = lease_s * (surplus >= MUCH_SURPLUS ? EMPTY_OFTEN : EMPTY_SELDOM);
-    if (now - this.latestAt < gap || demand.length > 0) return;
-    this.latestAt = now;
-    if (surplus < SURPLUS || (surplus < MUCH_SURPLUS && this.hasEmpty())) return;
+    const gapS =
+      lease_s * (surplus >= LARGE_SURPLUS_MACHINES ? FAST_DRAIN_GAP_LEASES : DRAIN_GAP_LEASES);
+    if (now - this.latestCheckAt < gapS || demand.length > 0) return;
+    this.latestCheckAt = now;
+    if (surplus < DRAIN_SURPLUS_MACHINES || (surplus < LARGE_SURPLUS_MACHINES && this.hasEmpty()))
+      return;
     this.drainMachine(capacities);
   }
 
-  private cancelDrains(now: number, wanted: boolean): void {
-    const patience = this.term.context.settings.workers.lease_s * EMPTIED_LEASES;
+  private cancelDrains(now: number, hasDemand: boolean): void {
+    const maxDrainS = this.term.context.settings.workers.lease_s * MAX_DRAIN_LEASES;
     for (const machine of this.term.machines.values()) {
       if (machine.drainingSince === null || machine.state !== 'ready') continue;
-      if (wanted || now - machine.drainingSince > patience) machine.drainingSince = null;
+      if (hasDemand || now - machine.drainingSince > maxDrainS) machine.drainingSince = null;
     }
   }
 
-  /** An empty ordinary machine goes back first. */
+  /** Whether there is an empty ordinary machine, which can be returned without draining one. */
   private hasEmpty(): boolean {
     for (const machine of this.term.machines.values()) {
       if (machine.spot || machine.state !== 'ready' || machine.attempts.size > 0) continue;
--- a/src/leader/capacity/free-capacity.ts
+++ b/src/leader/capacity/free-capacity.ts
@@ -1,4 +1,4 @@
-/** What is free on each machine of a term, kept up to date at little cost. */
+/** Index of the free capacity of each machine of a term, updated incrementally. */
 
 import type { JobSpec, MachineType, Resources } from '../../jobs/types.js';
 import {
@@ -12,28 +12,28 @@
 import type { Machine } from '../../workers/machine.js';
 import type { Term } from '../term/term.js';
 
-/** What does not change within a scheduling cycle about a machine; shared by all copies of its free capacity. */
+/** Properties of a machine that are constant within a scheduling cycle; shared by all copies of its free capacity. */
 interface MachineDetails {
   readonly id: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly total: Resources;
-  /** Images that are cached there or were used there. */
+  /** Images that are believed to be cached, including those of tasks that have started. */
   readonly cached: Set<string>;
-  /** Images that are being fetched there, and their sizes in GB. */
+  /** Images that are being fetched there, with their sizes in GB. */
   readonly fetching: Map<string, number>;
-  /** Images of tasks that run there. */
+  /** Images of running tasks. */
   readonly running: Set<string>;
-  /** So little was fetched that no image can have been dropped. */
-  readonly nothingDropped: boolean;
+  /** Whether so little was fetched that no image can have been evicted from the cache. */
+  readonly nothingEvicted: boolean;
   readonly fetchGbPerS: number;
-  /** The hot images that were asked for last, and those of them that are cached there. */
+  /** Argument of the last call of `cachedHotImages`, and its result. */
   hotImages: HotImage[] | null;
   cachedHotImages: HotImage[];
 }
 
-/** What is free on a machine that heartbeats. Copies are cheap: a scheduling cycle takes from copies. */
+/** Free capacity of a machine. Copies are cheap: a scheduling cycle allocates from copies. */
 class MachineFreeCapacity implements FreeCapacity {
   readonly id: string;
   readonly type: string;
@@ -41,25 +41,25 @@
   readonly spot: boolean;
   readonly total: Resources;
   penaltyS = 0;
-  /** Share of the machine taken by work that leaves as soon as it is told to. */
+  /** Share of the machine that is occupied by work which ends quickly when it is stopped. */
   quicklyFreedShare = 0;
 
   constructor(
-    private readonly facts: MachineDetails,
+    private readonly details: MachineDetails,
     public cores: number,
     public gpus: number,
     public memGb: number,
   ) {
-    this.id = facts.id;
-    this.type = facts.type;
-    this.zone = facts.zone;
-    this.spot = facts.spot;
-    this.total = facts.total;
+    this.id = details.id;
+    this.type = details.type;
+    this.zone = details.zone;
+    this.spot = details.spot;
+    this.total = details.total;
   }
 
   /** A copy that a scheduling cycle may allocate from. */
   copy(penaltyS: number): MachineFreeCapacity {
-    const copy = new MachineFreeCapacity(this.facts, this.cores, this.gpus, this.memGb);
+    const copy = new MachineFreeCapacity(this.details, this.cores, this.gpus, this.memGb);
     copy.penaltyS = penaltyS;
     copy.quicklyFreedShare = this.quicklyFreedShare;
     return copy;
@@ -67,18 +67,18 @@
 
   /** See `FreeCapacity.fetchS`. */
   fetchS(gb: number): number {
-    return gb / this.facts.fetchGbPerS;
+    return gb / this.details.fetchGbPerS;
   }
 
   /** See `FreeCapacity.hasImage`. */
   hasImage(image: string): boolean {
-    const { running, cached, nothingDropped } = this.facts;
+    const { running, cached, nothingEvicted: nothingDropped } = this.details;
     return running.has(image) || (nothingDropped && cached.has(image));
   }
 
   /** See `FreeCapacity.imageDelayS`. */
   imageDelayS(image: string, gb: number): number {
-    const { cached, fetching, fetchGbPerS } = this.facts;
+    const { cached, fetching, fetchGbPerS } = this.details;
     if (cached.has(image)) return 0;
     if (fetching.has(image)) return (gb / fetchGbPerS) * 0.5 * fetching.size;
     return (gb / fetchGbPerS) * (1 + fetching.size);
@@ -86,7 +86,7 @@
 
   /** See `FreeCapacity.cachedHotImages`. */
   cachedHotImages(hot: HotImage[]): HotImage[] {
-    const { facts } = this;
+    const { details: facts } = this;
     if (facts.hotImages !== hot) {
       facts.hotImages = hot;
       facts.cachedHotImages = hot.filter((hotImage) => facts.cached.has(hotImage.image));
@@ -95,23 +95,23 @@
   }
 }
 
-/** Of the cache, the share up to which nothing is dropped for certain. */
-const CERTAIN_SHARE = 0.8;
+/** Share of the image cache up to which certainly nothing is evicted. */
+const NO_EVICTION_CACHE_SHARE = 0.8;
 
 interface MachineEntry {
   changeCount: number;
   type: MachineType;
   capacity: MachineFreeCapacity;
-  /** One spec for each attempt that holds capacity. */
+  /** One spec for each attempt that occupies capacity. */
   specs: JobSpec[];
-  /** Work that is not best effort is on it. */
+  /** Whether work above best effort is on it. */
   hasImportantWork: boolean;
 }
 
 /**
- * What is free on all machines, and what their teams use. A machine is looked at again only after
- * something on it has changed: with some hundred machines and a scheduling cycle many times a second, reckoning
- * all of them anew in each took most of a controller's share of a core.
+ * Free capacity of all machines, and the usage of all teams. The entry of a machine is recomputed only after
+ * something on the machine has changed: with some hundred machines and many scheduling cycles a second, computing
+ * all entries in each cycle took most of a controller's share of a core.
  */
 export class FreeCapacityIndex {
   private readonly entries = new Map<string, MachineEntry>();
@@ -122,22 +122,22 @@
     private readonly stopsQuickly: (spec: JobSpec) => boolean,
   ) {}
 
-  /** Null while a job on the machine is unknown here: what it takes cannot be told. */
+  /** Null while a job on the machine is unknown to this controller, since its resources are unknown too. */
   private entry(machine: Machine): MachineEntry | null {
     const type = this.term.machineTypes.get(machine.type);
     if (type === undefined) return null;
-    const known = this.entries.get(machine.id);
-    if (known !== undefined && known.changeCount === machine.changeCount && known.type === type)
-      return known;
-    const made = this.make(machine, type);
-    if (made === null) this.entries.delete(machine.id);
-    else this.entries.set(machine.id, made);
-    return made;
+    const cached = this.entries.get(machine.id);
+    if (cached !== undefined && cached.changeCount === machine.changeCount && cached.type === type)
+      return cached;
+    const entry = this.make(machine, type);
+    if (entry === null) this.entries.delete(machine.id);
+    else this.entries.set(machine.id, entry);
+    return entry;
   }
 
   private make(machine: Machine, type: MachineType): MachineEntry | null {
     let { cores, gpus, memGb } = type;
-    const facts: MachineDetails = {
+    const details: MachineDetails = {
       id: machine.id,
       type: machine.type,
       zone: machine.zone,
@@ -146,14 +146,14 @@
       cached: new Set(machine.images.names()),
       fetching: new Map(),
       running: new Set(),
-      nothingDropped: machine.images.fetchedGb <= type.cacheGb * CERTAIN_SHARE,
+      nothingEvicted: machine.images.fetchedGb <= type.cacheGb * NO_EVICTION_CACHE_SHARE,
       fetchGbPerS: Math.max(type.fetchGbPerS, 1e-9),
       hotImages: null,
       cachedHotImages: [],
     };
     const specs: JobSpec[] = [];
     let hasImportantWork = false;
-    const soft: Resources = { cores: 0, gpus: 0, memGb: 0 };
+    const quicklyFreed: Resources = { cores: 0, gpus: 0, memGb: 0 };
     for (const attempt of machine.attempts.values()) {
       if (!occupiesCapacity(attempt)) continue;
       const spec = this.specOf(attempt.job);
@@ -163,20 +163,20 @@
       gpus -= spec.gpus;
       memGb -= spec.memGb;
       hasImportantWork ||= spec.priority < 3;
-      if (attempt.stopRequest === null && this.stopsQuickly(spec)) release(spec, soft);
+      if (attempt.stopRequest === null && this.stopsQuickly(spec)) release(spec, quicklyFreed);
       if (attempt.state === 'running' && attempt.stopRequest === null)
-        facts.running.add(spec.image);
-      if (attempt.startedAt !== null) facts.cached.add(spec.image);
-      else if (!facts.cached.has(spec.image)) facts.fetching.set(spec.image, spec.imageGb);
+        details.running.add(spec.image);
+      if (attempt.startedAt !== null) details.cached.add(spec.image);
+      else if (!details.cached.has(spec.image)) details.fetching.set(spec.image, spec.imageGb);
     }
-    const capacity = new MachineFreeCapacity(facts, cores, gpus, memGb);
+    const capacity = new MachineFreeCapacity(details, cores, gpus, memGb);
     const free = freeShare(capacity);
-    release(capacity, soft);
-    capacity.quicklyFreedShare = freeShare({ ...soft, total: type }) - free;
+    release(capacity, quicklyFreed);
+    capacity.quicklyFreedShare = freeShare({ ...quicklyFreed, total: type }) - free;
     return { changeCount: machine.changeCount, type, capacity, specs, hasImportantWork };
   }
 
-  /** Copies for those machines that may be used now: a scheduling cycle takes from them. */
+  /** Copies of the capacities of all usable machines, for a scheduling cycle to allocate from. */
   capacities(usable: (machine: Machine) => boolean): FreeCapacity[] {
     const out: FreeCapacity[] = [];
     for (const machine of this.term.machines.values()) {
@@ -192,7 +192,7 @@
     return out;
   }
 
-  /** What teams' tasks use, wherever they may be. */
+  /** Resources used by each team's tasks on all machines. */
   usages(): TeamUsages {
     const usages = new TeamUsages(this.term.context.settings.teams);
     for (const machine of this.term.machines.values()) {
@@ -209,7 +209,7 @@
     return usages;
   }
 
-  /** What is free on a machine once all but its services has ended. */
+  /** Free resources of a machine once all its work except services has ended. */
   capacityWithoutFiniteWork(id: string): Resources | null {
     const entry = this.entries.get(id);
     if (entry === undefined) return null;
@@ -224,13 +224,13 @@
     return left;
   }
 
-  /** Whether work that is not best effort is on the machine. */
+  /** Whether work above best effort is on the machine. */
   hasImportantWork(id: string): boolean {
     return this.entries.get(id)?.hasImportantWork ?? false;
   }
 }
 
-/** Free capacity in machines. What is taken by work that leaves at once counts as free. */
+/** Free capacity, in machines. Capacity of work that ends quickly when stopped counts as free. */
 export function freeMachines(capacities: FreeCapacity[], spot: boolean): number {
   let free = 0;
   for (const capacity of capacities)
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -1,4 +1,4 @@
-/** What to give back: empty machines that are not needed, and machines that failed or never came. */
+/** Scale-in: which machines to return, namely empty ones that are not needed and ones that failed or never sent a heartbeat. */
 
 import type { MachineType } from '../../jobs/types.js';
 import type { FreeCapacity } from '../../scheduler/bin-packing.js';
@@ -9,27 +9,27 @@
 import type { Term } from '../term/term.js';
 import type { WarmReserve } from './warm-reserve.js';
 
-/** Given back after so many boots: a machine still booting, and one that runs but sends no heartbeat. */
-const NEVER_BOOTS = { booting: 6, running: 4, failed: 0 } as const;
-/** Leases beyond that, for the heartbeats of a machine that has come. */
-const NEVER_LEASES = 2;
-/** A term judges so only after so many leases: its machines have sent heartbeats by then. */
-const JUDGE_LEASES = 3;
-/** A silent machine may come back for so many leases; then it is given back. */
-const SILENT_LEASES = 4;
-/** Free machines above the reserve from which one goes back, and from which it goes early. */
-const SURPLUS = 1.2;
-/** Free machines above the reserve from which one goes back early. */
-export const MUCH_SURPLUS = 2.5;
-/** The same where nothing is kept: the last one goes too. */
-const LAST_SURPLUS = 0.9;
-/** How long it must have been idle, in boots: as a rule, and when it goes early. */
+/** Boot times after which a machine is returned that has sent no heartbeat, by its state in the cloud's list. */
+const NO_HEARTBEAT_BOOTS = { booting: 6, running: 4, failed: 0 } as const;
+/** Leases added to that, as time for its first heartbeat. */
+const NO_HEARTBEAT_LEASES = 2;
+/** Leases from the start of a term until machines without a heartbeat are returned: the others have sent one by then. */
+const SETTLE_LEASES = 3;
+/** Leases after which a silent machine is returned; until then it may send heartbeats again. */
+const SILENT_RETURN_LEASES = 4;
+/** Free machines above the warm reserve from which one is returned. */
+const RETURN_SURPLUS_MACHINES = 1.2;
+/** Free machines above the warm reserve from which one is returned after a shorter idle time. */
+export const LARGE_SURPLUS_MACHINES = 2.5;
+/** Free machines from which one is returned where there is no reserve: below 1, so that the last one is returned too. */
+const NO_RESERVE_SURPLUS_MACHINES = 0.9;
+/** How long a machine must have been idle, in boot times: as a rule, and with a large surplus or on spot. */
 const IDLE_BOOTS = 1;
-const IDLE_EARLY_BOOTS = 0.4;
-/** Of the time that is charged at least, the share a machine is kept for. */
-const CHARGED_SHARE = 0.92;
+const EARLY_IDLE_BOOTS = 0.4;
+/** Share of the minimum charge for which a machine is not returned. */
+const MIN_CHARGE_SHARE = 0.92;
 
-/** Plans what a term gives back. */
+/** Plans which machines a term returns. */
 export class ScaleInPlanner {
   private readonly failed = new Set<string>();
   private readonly neverReported = new Set<string>();
@@ -46,15 +46,15 @@
     return this.lastListed.has(id);
   }
 
-  /** Takes in the cloud's list of all machines that it has not confirmed as gone. */
+  /** Applies the cloud's list of all machines that it has not confirmed as gone. */
   applyList(all: ListedMachine[]): void {
     const { now } = this.term;
     this.lastListed = new Set(all.map((listed) => listed.id));
-    for (const listed of all) this.judgeListed(listed, now);
+    for (const listed of all) this.classifyListed(listed, now);
     this.dropReported();
   }
 
-  private judgeListed(listed: ListedMachine, now: number): void {
+  private classifyListed(listed: ListedMachine, now: number): void {
     const { term } = this;
     const { lease_s } = term.context.settings.workers;
     const type = term.machineTypes.get(listed.type);
@@ -65,31 +65,31 @@
       return;
     }
     if (type === undefined || known !== undefined) return;
-    // Boots that never end, and machines that run but never send a heartbeat.
-    const limit = type.bootS * NEVER_BOOTS[listed.state] + lease_s * NEVER_LEASES;
-    const settled = now - term.startedAt > lease_s * JUDGE_LEASES;
-    if (listed.ageS > limit && settled) this.neverReported.add(listed.id);
+    // Machines that never finish booting, or that run but never send a heartbeat.
+    const limit = type.bootS * NO_HEARTBEAT_BOOTS[listed.state] + lease_s * NO_HEARTBEAT_LEASES;
+    const hasTermSettled = now - term.startedAt > lease_s * SETTLE_LEASES;
+    if (listed.ageS > limit && hasTermSettled) this.neverReported.add(listed.id);
   }
 
-  /** They came after all, while the cloud did not answer: there may be work on them by now. */
+  /** Drops machines that have since sent a heartbeat, while the cloud did not answer: they may have work by now. */
   private dropReported(): void {
     for (const id of this.neverReported)
       if (this.term.machines.has(id)) this.neverReported.delete(id);
   }
 
-  /** The cloud has confirmed that a machine is gone. */
+  /** Handles the cloud's confirmation that a machine is gone. */
   returnConfirmed(id: string): void {
     this.failed.delete(id);
     this.neverReported.delete(id);
   }
 
-  /** Machines to give back now. Records are marked before their machines are named. */
+  /** Machines to return now. A machine with a record is returned only once its record is marked as returning. */
   plan(capacities: FreeCapacity[]): string[] {
     const { term } = this;
     const { now } = term;
     this.dropReported();
     const ids: string[] = [...this.failed, ...this.neverReported];
-    const spare = [false, true].map(
+    const surplus = [false, true].map(
       (spot) => freeMachines(capacities, spot) - this.warmReserve.target(spot),
     );
     for (const machine of term.machines.values()) {
@@ -98,7 +98,7 @@
     }
     for (const machine of this.emptyMachines()) {
       const type = term.machineTypes.get(machine.type);
-      if (type === undefined || !this.isDueForReturn(machine, type, now, spare)) continue;
+      if (type === undefined || !this.isDueForReturn(machine, type, now, surplus)) continue;
       if (!term.context.canWrite()) continue;
       this.markReturning(machine, now);
       if (machine.recordRevision === 0) ids.push(machine.id);
@@ -106,16 +106,16 @@
     return [...new Set(ids)];
   }
 
-  /** Machines with few images come first: what others have cached spares the next task its fetch. */
+  /** Empty machines, those with few images first: images cached on the others save the next tasks a fetch. */
   private emptyMachines(): Machine[] {
-    const empty: { m: Machine; gb: number }[] = [];
+    const empty: { machine: Machine; gb: number }[] = [];
     for (const machine of this.term.machines.values()) {
       if ((machine.state !== 'ready' && machine.state !== 'silent') || machine.attempts.size > 0)
         continue;
-      empty.push({ m: machine, gb: machine.images.totalGb });
+      empty.push({ machine: machine, gb: machine.images.totalGb });
     }
     empty.sort((a, b) => a.gb - b.gb);
-    return empty.map((entry) => entry.m);
+    return empty.map((entry) => entry.machine);
   }
 
   private markReturning(machine: Machine, now: number): void {
@@ -133,36 +133,39 @@
   }
 
   /**
-   * Whether an empty machine goes back now. `spare`: free machines above the reserve, ordinary and spot;
-   * one that goes for being too many is taken off.
+   * Whether an empty machine is returned now. `surplus`: free machines above the reserve, ordinary and spot;
+   * decremented for each one that is returned as surplus.
    */
   private isDueForReturn(
     machine: Machine,
     type: MachineType,
     now: number,
-    spare: number[],
+    surplus: number[],
   ): boolean {
     const { lease_s, report_s } = this.term.context.settings.workers;
     if (machine.condition.quarantined) return true;
-    if (machine.state === 'silent') return now - machine.lastSeenAt > lease_s * SILENT_LEASES;
+    if (machine.state === 'silent')
+      return now - machine.lastSeenAt > lease_s * SILENT_RETURN_LEASES;
     if (this.subsystems.keeps(machine.id)) return false;
-    // What is given back early is paid for all the same.
+    // The minimum charge is due even if the machine is returned earlier.
     const age = Math.max(now - (machine.firstSeenAt ?? now) + type.bootS, machine.listedAgeS ?? 0);
-    if (age <= MIN_CHARGE_S * CHARGED_SHARE) return false;
+    if (age <= MIN_CHARGE_S * MIN_CHARGE_SHARE) return false;
     const idle = now - machine.idleSince;
     if (machine.drainingSince !== null) return idle > report_s;
     const kind = machine.spot ? 1 : 0;
-    if (!this.isSurplus(machine, type, idle, spare[kind]!)) return false;
-    spare[kind]! -= 1;
+    if (!this.isSurplus(machine, type, idle, surplus[kind]!)) return false;
+    surplus[kind]! -= 1;
     return true;
   }
 
-  /** What is held above the reserve goes back, with a margin against going back and forth. */
+  /** Whether a machine is surplus: above the reserve by a margin that prevents repeated scaling in and out. */
   private isSurplus(machine: Machine, type: MachineType, idle: number, surplus: number): boolean {
-    // Where nothing is kept even the last one goes: it once stayed for the rest of the day.
-    const none = this.term.jobs.size === 0 || (machine.spot && this.warmReserve.target(true) === 0);
-    if (surplus < (none ? LAST_SURPLUS : SURPLUS)) return false;
-    const early = machine.spot || surplus >= MUCH_SURPLUS;
-    return idle > type.bootS * (early ? IDLE_EARLY_BOOTS : IDLE_BOOTS);
+    // Without a reserve even the last machine is returned; otherwise it stays for the rest of the day.
+    const hasNoReserve =
+      this.term.jobs.size === 0 || (machine.spot && this.warmReserve.target(true) === 0);
+    if (surplus < (hasNoReserve ? NO_RESERVE_SURPLUS_MACHINES : RETURN_SURPLUS_MACHINES))
+      return false;
+    const early = machine.spot || surplus >= LARGE_SURPLUS_MACHINES;
+    return idle > type.bootS * (early ? EARLY_IDLE_BOOTS : IDLE_BOOTS);
   }
 }
--- a/src/leader/capacity/scale-out-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -1,4 +1,4 @@
-/** Which machines to add: for work that found none, for replicas that are missed, and the warm reserve. */
+/** Scale-out: which machines to add for unplaced tasks, for tasks on silent machines and for the warm reserve. */
 
 import { unitsOf } from '../../cloud/demand-forecast.js';
 import type { MachineProvisioner } from '../../cloud/provisioner.js';
@@ -18,30 +18,30 @@
 import type { Term } from '../term/term.js';
 import type { WarmReserve } from './warm-reserve.js';
 
-/** A machine that takes so many boots may never come: not counted on. */
-const LATE_BOOTS = 2.5;
+/** Boot times after which a pending machine is no longer counted on. */
+const MAX_PENDING_BOOTS = 2.5;
 /**
- * A machine that has been silent for this share of a lease will hardly be back in time. What must be
- * started elsewhere once its lease has expired needs a boot: that begins now.
+ * A machine that has been silent for this share of a lease is unlikely to send a heartbeat before its lease
+ * expires. Its tasks then have to start elsewhere, so a machine for them is requested and boots meanwhile.
  */
 const SILENT_LEASE_SHARE = 0.4;
-/** When more of the fleet than this is silent, it is this controller that hears nothing. */
+/** If a larger share of the fleet is silent, the fault is assumed to be on this controller's side. */
 const MAX_SILENT_SHARE = 0.5;
-/** Warm machines requested at once, at most: so many, or this share of what is kept. */
-const WARM_AT_ONCE = 4;
-const WARM_SHARE = 0.25;
-/** What a machine in a zone makes the next one there dearer by, as a share: new ones are spread. */
-const SPREAD_SHARE = 0.001;
+/** Most machines that one order for the warm reserve adds: this number or this share of the reserve, whichever is larger. */
+const MAX_WARM_ORDER_MACHINES = 4;
+const MAX_WARM_ORDER_SHARE = 0.25;
+/** Share by which each machine in a zone raises the notional price of the next one there, to spread machines over zones. */
+const ZONE_SPREAD_SHARE = 0.001;
 
-/** What the latest scheduling cycle left. */
+/** Unplaced demand and free capacity after the latest scheduling cycle. */
 export interface CycleRemainder {
-  /** What found no place. */
+  /** Tasks that were not placed. */
   demand: Demand[];
-  /** What is free. */
+  /** Free capacity. */
   capacities: FreeCapacity[];
 }
 
-/** What a `ScaleOutPlanner` works with. */
+/** Dependencies of `ScaleOutPlanner`. */
 export interface ScaleOutPlannerOptions {
   term: Term;
   provisioner: MachineProvisioner;
@@ -50,41 +50,41 @@
   subsystems: ActiveSubsystems;
 }
 
-/** Machines in each zone, with those on their way. */
+/** Machines in each zone, including pending ones. */
 type ZoneCounts = Map<string, number>;
 
 /** Plans how a term scales out. */
 export class ScaleOutPlanner {
   constructor(private readonly options: ScaleOutPlannerOptions) {}
 
-  /** Machines to add now; none while the term may not write or does not know its fleet. */
-  plan(remains: CycleRemainder): MachineOrder[] {
+  /** Machines to add now; none while the term may not write, or before the first list of machines or types. */
+  plan(remainder: CycleRemainder): MachineOrder[] {
     const { term, provisioner, weights, subsystems } = this.options;
     const { context } = term;
     if (!context.canWrite() || !provisioner.listedOnce || term.machineTypes.size === 0) return [];
     const machinesByZone = this.countMachinesByZone();
-    const capacities = [...this.pendingCapacities(), ...remains.capacities];
+    const capacities = [...this.pendingCapacities(), ...remainder.capacities];
     const missed = this.silentDemand();
-    this.logCapacity(remains, missed);
-    const wanted = planScaleOut({
-      demand: [...remains.demand, ...missed],
+    this.logCapacity(remainder, missed);
+    const orders = planScaleOut({
+      demand: [...remainder.demand, ...missed],
       capacities,
       types: [...term.machineTypes.values()],
       zones: context.settings.zones,
       isShort: (type: string, zone: string, spot: boolean) => provisioner.isShort(type, zone, spot),
       machinesByZone,
       weights: weights(),
-      // As many as the cloud's calls of a second can add.
+      // As many as the calls that the cloud accepts in a second can add.
       maxMachines: Math.ceil(context.settings.cloud.rps) * SCALE_OUT_MAX,
       ...(subsystems.hasAny
         ? { mayUse: (spec, capacity) => subsystems.mayUse(spec, capacity) }
         : {}),
     });
     for (const spot of [false, true]) {
-      const spare = this.warmOrder(capacities, machinesByZone, spot);
-      if (spare !== null) addOrder(wanted, spare);
+      const warmOrder = this.warmOrder(capacities, machinesByZone, spot);
+      if (warmOrder !== null) addOrder(orders, warmOrder);
     }
-    return wanted;
+    return orders;
   }
 
   private countMachinesByZone(): ZoneCounts {
@@ -95,14 +95,14 @@
     return perZone;
   }
 
-  /** Machines on their way, as if they were there and empty. */
+  /** Capacity of pending machines, as if they were ready and empty. */
   private pendingCapacities(): FreeCapacity[] {
     const { term, provisioner } = this.options;
     const { now } = term;
     const capacities: FreeCapacity[] = [];
     for (const pending of provisioner.pending.values()) {
       const type = term.machineTypes.get(pending.type);
-      if (type === undefined || now - pending.since > type.bootS * LATE_BOOTS) continue;
+      if (type === undefined || now - pending.since > type.bootS * MAX_PENDING_BOOTS) continue;
       capacities.push(emptyMachineCapacity(pending.id, type, pending.zone, pending.spot));
     }
     return capacities;
@@ -131,43 +131,43 @@
   }
 
   /**
-   * Replicas and gangs on machines that have fallen silent, as if their leases had expired already. Of a
-   * fleet of hundreds a fifth was cut off at once and more: their replicas were away for a lease, as they
-   * must be, and then for a boot, which could have passed meanwhile. Not where a cut zone's own
-   * controller may be keeping them, and not while it is rather this controller that hears nothing.
+   * Demand for replicas and gangs on silent machines, as if their leases had expired already. When a fifth or more of
+   * a fleet of hundreds was cut off at once, its replicas were missing for a lease, which is unavoidable, and then for
+   * a boot, which can take place during the lease. Excludes zones whose lease holder may be renewing leases, and is
+   * empty while the fault is probably on this controller's side.
    */
   private silentDemand(): Demand[] {
     const silent = this.silentMachines();
-    return [...this.tasksOn(silent)].map(([job, tasks]) => ({
+    return [...this.tasksToReplace(silent)].map(([job, tasks]) => ({
       spec: job.spec,
-      // A gang goes as a whole.
+      // A gang is restarted as a unit.
       tasks: job.isGang ? job.spec.tasks : tasks,
-      zones: job.isGang ? new Map<string, number>() : this.zonesWithout(job, silent),
+      zones: job.isGang ? new Map<string, number>() : this.zonesExcluding(job, silent),
     }));
   }
 
-  /** Machines that will hardly be back; none when it may be this controller that hears nothing. */
+  /** Machines that are silent for too long; none if so many are silent that the fault may be this controller's. */
   private silentMachines(): Set<Machine> {
     const { term } = this.options;
     const { now } = term;
-    const patience = term.context.settings.workers.lease_s * SILENT_LEASE_SHARE;
+    const silentAfterS = term.context.settings.workers.lease_s * SILENT_LEASE_SHARE;
     const silent = new Set<Machine>();
-    let known = 0;
+    let total = 0;
     for (const machine of term.machines.values()) {
       if (machine.state !== 'ready' && machine.state !== 'fencing' && machine.state !== 'unheard')
         continue;
-      known++;
-      if (now - machine.lastSeenAt > patience) silent.add(machine);
+      total++;
+      if (now - machine.lastSeenAt > silentAfterS) silent.add(machine);
     }
-    if (silent.size > known * MAX_SILENT_SHARE) silent.clear();
+    if (silent.size > total * MAX_SILENT_SHARE) silent.clear();
     return silent;
   }
 
-  /** Tasks on machines that are to be started elsewhere, best-effort work aside. */
-  private tasksOn(silent: Set<Machine>): Map<LiveJob, number> {
+  /** Number of tasks on these machines to be started elsewhere, by job; without best-effort work. */
+  private tasksToReplace(silent: Set<Machine>): Map<LiveJob, number> {
     const { term } = this.options;
     const { now } = term;
-    const lost = new Map<LiveJob, number>();
+    const tasks = new Map<LiveJob, number>();
     for (const machine of silent) {
       if (term.context.zoneRenewal(machine.zone).keptUntil > now) continue;
       for (const attempt of machine.attempts.values()) {
@@ -179,13 +179,13 @@
           attempt.stopRequest !== null
         )
           continue;
-        if (job.spec.priority < 3) lost.set(job, (lost.get(job) ?? 0) + 1);
+        if (job.spec.priority < 3) tasks.set(job, (tasks.get(job) ?? 0) + 1);
       }
     }
-    return lost;
+    return tasks;
   }
 
-  private zonesWithout(job: LiveJob, silent: Set<Machine>): ZoneCounts {
+  private zonesExcluding(job: LiveJob, silent: Set<Machine>): ZoneCounts {
     const zones: ZoneCounts = new Map();
     for (const attempt of job.activeAttempts()) {
       const machine = this.options.term.machines.get(attempt.machine);
@@ -195,7 +195,7 @@
     return zones;
   }
 
-  /** Machines more when what is free after all demand is less than the warm reserve. */
+  /** Machines to add if the capacity left after all demand is less than the warm reserve; null: none. */
   private warmOrder(
     capacities: FreeCapacity[],
     perZone: ZoneCounts,
@@ -204,14 +204,14 @@
     const target = this.options.warmReserve.target(spot);
     const missing = target - freeMachines(capacities, spot);
     if (missing <= 0 || this.options.term.jobs.size === 0) return null;
-    const cheapest = this.cheapestKind(perZone, spot);
+    const cheapest = this.cheapestTypeAndZone(perZone, spot);
     if (cheapest === null) return null;
-    const most = Math.max(WARM_AT_ONCE, Math.ceil(target * WARM_SHARE));
-    return { ...cheapest, spot, count: Math.min(most, Math.ceil(missing)) };
+    const maxCount = Math.max(MAX_WARM_ORDER_MACHINES, Math.ceil(target * MAX_WARM_ORDER_SHARE));
+    return { ...cheapest, spot, count: Math.min(maxCount, Math.ceil(missing)) };
   }
 
-  /** The type and zone with the lowest price for what a machine holds. */
-  private cheapestKind(
+  /** The type and zone with the lowest price per unit of capacity. */
+  private cheapestTypeAndZone(
     perZone: ZoneCounts,
     spot: boolean,
   ): Pick<MachineOrder, 'type' | 'zone'> | null {
@@ -222,7 +222,7 @@
       for (const zone of type.zones) {
         if (this.options.provisioner.isShort(type.name, zone, spot)) continue;
         const price = spot ? type.spotPrice : type.price;
-        const cost = (price / unitsOf(type)) * (1 + SPREAD_SHARE * (perZone.get(zone) ?? 0));
+        const cost = (price / unitsOf(type)) * (1 + ZONE_SPREAD_SHARE * (perZone.get(zone) ?? 0));
         if (cost < bestCost) {
           bestCost = cost;
           best = { type: type.name, zone };
@@ -233,11 +233,11 @@
   }
 }
 
-function addOrder(wanted: MachineOrder[], order: MachineOrder): void {
-  const same = wanted.find(
+function addOrder(orders: MachineOrder[], order: MachineOrder): void {
+  const same = orders.find(
     (wanted) =>
       wanted.type === order.type && wanted.zone === order.zone && wanted.spot === order.spot,
   );
-  if (same === undefined) wanted.push(order);
+  if (same === undefined) orders.push(order);
   else same.count += order.count;
 }
--- a/src/leader/capacity/warm-reserve.ts
+++ b/src/leader/capacity/warm-reserve.ts
@@ -1,10 +1,10 @@
-/** Free capacity that is kept for work to come. */
+/** The warm reserve: free capacity for work that has not arrived yet. */
 
 import type { DemandForecast } from '../../cloud/demand-forecast.js';
 import { NO_SUBSYSTEMS, type ActiveSubsystems } from '../../subsystems/active-subsystems.js';
 import type { Term } from '../term/term.js';
 
-/** How much is kept free, by what arrives. */
+/** Computes the size of the warm reserve from the demand forecast. */
 export class WarmReserve {
   constructor(
     private readonly term: Term,
@@ -13,8 +13,8 @@
   ) {}
 
   /**
-   * On spot or ordinary machines, in machines. With nothing to do there is nothing to be warm for, but
-   * what subsystems keep: that is free, and not there for others.
+   * The reserve on spot or ordinary machines, in machines. Without open jobs it consists only of the machines
+   * that subsystems reserve, which are free but not available to other work.
    */
   target(spot: boolean): number {
     const kept = spot ? 0 : this.subsystems.keptMachines();
--- a/src/leader/heartbeat-answerer.ts
+++ b/src/leader/heartbeat-answerer.ts
@@ -1,4 +1,4 @@
-/** The leader's answers to heartbeats: leases renewed, and commands. */
+/** The leader's answers to heartbeats, which renew leases and carry commands. */
 
 import type { Reply } from '../http/server.js';
 import { scanMachineId } from '../wire/heartbeat-scan.js';
@@ -7,15 +7,15 @@
 import type { Machine } from '../workers/machine.js';
 import type { Term } from './term/term.js';
 
-/** Takes heartbeats into a term and answers them. */
+/** Applies heartbeats to a term and answers them. */
 export class HeartbeatAnswerer {
   constructor(
     private readonly term: Term,
-    /** Called with a machine that was not known in this term. */
+    /** Called for each machine that was not known in this term. */
     private readonly onJoined: (machine: Machine) => void,
   ) {}
 
-  /** The heartbeat in a body, parsed unless it repeats the machine's last one. Throws BadMessage. */
+  /** Decodes the heartbeat in a body without parsing it if it only repeats the machine's last one. Throws BadMessage. */
   decode(body: Buffer): Heartbeat {
     const machine = scanMachineId(body);
     const known = machine === null ? undefined : this.term.machines.get(machine);
@@ -23,7 +23,7 @@
   }
 
   /**
-   * Answers a worker's heartbeat, straight from it or forwarded by another controller. `body`: what it was
+   * Answers a worker's heartbeat, received directly or forwarded by another controller. `body`: what it was
    * decoded from, if the machine's next heartbeat is to be compared with it.
    */
   answer(heartbeat: Heartbeat, body?: Buffer): Reply {
@@ -34,11 +34,11 @@
     if (body !== undefined && !repeated && !machine.lastHeartbeat.wasDecodedFrom(heartbeat)) {
       machine.lastHeartbeat.keep(heartbeat, body);
     }
-    const isFenced = this.takeIn(machine, heartbeat);
+    const isFenced = this.applyHeartbeat(machine, heartbeat);
     const due = isFenced ? this.takeDueCommands(machine) : [];
     if (!repeated) machine.leaseRenewed(term.now);
-    // Also where nothing else may be told yet. Terms that are shorter than two heartbeats once renewed the
-    // lease one after another, and none of them stopped what was cancelled.
+    // The answer stops cancelled tasks even if the machine has not shown this term's token. Otherwise successive
+    // terms shorter than two heartbeats all renew the lease, and none of them stops the cancelled tasks.
     return renewLease({
       token: machine.token,
       tasks: heartbeat.tasks,
@@ -51,16 +51,16 @@
   private mayAnswer({ token, machine }: Heartbeat): boolean {
     const { term } = this;
     if (!term.context.isEntitled()) return false;
-    // Of a later leader: it would drop an answer from here, and its lease would run out meanwhile.
+    // The worker knows a later leader: it would ignore this answer, and its lease would expire meanwhile.
     if (term.isLaterToken(token)) return false;
-    // A copy that was held back. Taken for a machine, work would be placed on it.
+    // A late copy of a heartbeat from a returned machine; if it were answered, work would be placed there.
     return !term.returnedMachines.has(machine);
   }
 
-  /** What the heartbeat shows. Returns whether it is new, and shows this term's token. */
-  private takeIn(machine: Machine, heartbeat: Heartbeat): boolean {
+  /** Applies a heartbeat. Returns whether it is new and shows the machine's token of this term. */
+  private applyHeartbeat(machine: Machine, heartbeat: Heartbeat): boolean {
     const { term } = this;
-    // Fenced by this term, forgotten, and back; or fenced in this leader's place.
+    // The token may be higher if this term has fenced and forgotten the machine, or if a substitute has fenced it.
     machine.raiseToken(heartbeat.token);
     const changes = machine.applyHeartbeat(heartbeat, 'heartbeat', term.now);
     if (changes.stale) return false;
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -25,22 +25,22 @@
 import { TermLog } from './term/term-log.js';
 import { CapacityManager } from './capacity/capacity-manager.js';
 
-/** What a leader works with, beside what its term rests on. */
+/** What a leader uses in addition to its term's context. */
 export interface LeaderServices {
   store: KeyValueStoreClient;
   cloud: CloudClient;
-  /** The leader's key has changed: this term is over. */
+  /** Called when the leader's key has changed, which ends this term. */
   onLeadershipLost: () => void;
   latencies: LatencyHistograms;
-  /** What a scheduling cycle may take of the processor; shared by the leaders of a controller. */
+  /** Limits the processor time of scheduling cycles; shared by the successive leaders of a controller. */
   overload?: Overload;
-  /** How commands get straight to workers; missing: by connections to them. */
+  /** How commands are sent directly to workers; missing: over HTTP connections. */
   directTransport?: DirectTransport;
-  /** Those that this controller's features file switches on. */
+  /** Subsystems that this controller's features file enables. */
   subsystems?: readonly Subsystem[];
 }
 
-/** Acts for one term: answers heartbeats, places tasks, writes to the store, commands workers and scales the fleet. */
+/** The leader of one term: answers heartbeats, places tasks, writes to the store, commands workers and scales the fleet. */
 export class Leader {
   readonly term: Term;
   private readonly scheduler: Scheduler;
@@ -51,7 +51,7 @@
   private readonly forecast: DemandForecast;
   private readonly subsystems: ActiveSubsystems;
   private readonly cancelledAttempts: CancelledAttempts;
-  private readonly log: TermLog;
+  private readonly termLog: TermLog;
   private readonly latencies: LatencyHistograms;
   private timer: NodeJS.Timeout | null = null;
   private readonly cyclePacing: CyclePacing;
@@ -72,7 +72,7 @@
     this.latencies = latencies;
     this.term = new Term(context);
     this.cancelledAttempts = new CancelledAttempts(this.term);
-    this.log = new TermLog(this.term, this.cancelledAttempts);
+    this.termLog = new TermLog(this.term, this.cancelledAttempts);
     this.cyclePacing = new CyclePacing({ leaseS: context.settings.workers.lease_s, overload });
     this.term.onCycleRequested = () => this.scheduleCycle();
     this.forecast = makeForecast(this.term);
@@ -130,17 +130,17 @@
     });
   }
 
-  /** Begins to write, to scale out and to schedule. */
+  /** Starts the record writer, the machine provisioner and the scheduling cycles. */
   start(): void {
-    this.log.began();
+    this.termLog.logStart();
     void this.writer.run();
     void this.capacity.provisioner.run();
     this.scheduleCycle();
   }
 
-  /** The term is over: nothing more is written or commanded, and no machine is requested. */
+  /** Ends the term: nothing more is written or commanded, and no machine is requested. */
   stop(): void {
-    this.log.ended();
+    this.termLog.logEnd();
     this.stopped = true;
     this.writer.stop();
     this.capacity.provisioner.stop();
@@ -149,35 +149,35 @@
     this.subsystems.stop();
   }
 
-  /** The cloud's machine types, with their present prices. */
+  /** Applies the cloud's machine types with their present prices. */
   onMachineTypes(types: MachineType[]): void {
-    const before = JSON.stringify(
+    const previous = JSON.stringify(
       [...this.term.machineTypes.values()].map((type) => ({ ...type, spotPrice: 0 })),
     );
     this.term.setMachineTypes(types);
-    // Prices move all the time; only what validation and placing rest on is worth a write.
-    if (JSON.stringify(types.map((type) => ({ ...type, spotPrice: 0 }))) !== before) {
+    // Spot prices change all the time; only properties that validation and placement depend on are worth a write.
+    if (JSON.stringify(types.map((type) => ({ ...type, spotPrice: 0 }))) !== previous) {
       this.writer.markMachineTypes();
       this.writer.wake();
     }
     this.term.requestCycle();
   }
 
-  /** A job was accepted that needs no other one, or the last one that it needs is done. */
+  /** Handles a job that has become ready: accepted without dependencies, or its last dependency is done. */
   onReady(storedJob: StoredJob): void {
     this.forecast.jobArrived(storedJob.spec, storedJob.readyMs);
     this.term.addJob(storedJob);
   }
 
-  /** The store shows a cancellation. */
+  /** Handles a cancellation that was read from the store. */
   onCancelled(storedJob: StoredJob): void {
     if (this.term.jobs.has(storedJob.spec.id)) this.forecast.jobLeft(storedJob.spec);
     this.term.jobCancelled(storedJob);
   }
 
-  /** Stored, as another controller knows, but kept from this one by an outage. */
+  /** Handles a stored cancellation that another controller has reported, since an outage keeps this one from reading it. */
   onCancellationHeard(id: string): void {
-    this.term.cancellationHeard(id);
+    this.term.cancellationReported(id);
   }
 
   // Heartbeats
@@ -207,14 +207,14 @@
     }, wait * 1000);
   }
 
-  /** Called about twice a heartbeat interval, for what comes with time alone. */
+  /** Called about twice in a heartbeat interval, for work that depends only on time. */
   tick(): void {
     if (this.stopped) return;
-    this.log.tick();
+    this.termLog.tick();
     this.capacity.consolidate();
     this.term.fenceUnanswered();
     splitOversizedProgress(this.term);
-    // Before the sweep: what has just ended can still be looked at.
+    // Before garbage collection, so that subsystems still see what has just ended.
     this.subsystems.tick();
     this.cancelledAttempts.tick();
     this.collectGarbage();
@@ -223,7 +223,7 @@
 
   private runCycle(): void {
     if (this.stopped) return;
-    const began = this.context.clock.now();
+    const startedAt = this.context.clock.now();
     const { term, context, capacity } = this;
     if (!context.isEntitled()) return;
     term.expireLeases();
@@ -234,25 +234,25 @@
       capacity.usages = result.usages;
     }
     for (const machine of term.machines.values())
-      if (machine.hasActiveAttempts()) machine.idleSince = began;
-    if (term.machinesToWrite.size > 0 || this.anyDirty()) this.writer.wake();
+      if (machine.hasActiveAttempts()) machine.idleSince = startedAt;
+    if (term.machinesToWrite.size > 0 || this.hasUnstoredProgress()) this.writer.wake();
     this.dispatcher.dispatch();
     if (capacity.demand.length > 0) capacity.provisioner.wake();
     const end = context.clock.now();
-    this.cyclePacing.cycleEnded(began, end);
+    this.cyclePacing.cycleEnded(startedAt, end);
   }
 
-  private anyDirty(): boolean {
+  private hasUnstoredProgress(): boolean {
     for (const job of this.term.jobs.values()) if (job.progress.dirty.size > 0) return true;
     return false;
   }
 
-  /** Forgets jobs and machines that are over. */
+  /** Forgets finished jobs and lost machines. */
   private collectGarbage(): void {
     closeFinishedJobs(this.term);
     for (const machine of machinesToForget(this.term)) {
-      // Not in the cloud's list either: nothing is left to give back.
-      if (this.capacity.unlisted(machine.id)) this.forgetMachine(machine);
+      // Only if the cloud's list does not name it either, so that there is nothing left to return.
+      if (this.capacity.isUnlisted(machine.id)) this.forgetMachine(machine);
     }
   }
 
@@ -261,9 +261,9 @@
     this.dispatcher.closeChannel(machine.id);
   }
 
-  // Figures
+  // Statistics
 
-  /** Figures for `/metrics`. */
+  /** Values for `/metrics`. */
   statistics(): Record<string, number | string> {
     return {
       ...termStatistics(this.term, this.capacity),
@@ -278,7 +278,7 @@
   return new HttpDirectTransport({ sockets: limits.sockets, heartbeatS: workers.report_s, log });
 }
 
-/** A forecast that knows of all jobs that have become ready so far. */
+/** A demand forecast that has seen all jobs that have become ready so far. */
 function makeForecast(term: Term): DemandForecast {
   const { settings, replica } = term.context;
   const wallMs = (): number => term.timeOfDay.nowMs();
--- a/src/leader/term/failover.ts
+++ b/src/leader/term/failover.ts
@@ -1,4 +1,4 @@
-/** What a new term takes over from the store. */
+/** Restores the state of a new term from the store. */
 
 import { isReady, type StoredJob } from '../../store/stored-job.js';
 import type { Replica, StoredMachine } from '../../store/replica.js';
@@ -8,8 +8,8 @@
 import type { TermState } from './term-state.js';
 
 /**
- * Jobs that may start, in the order in which they became ready, as those that come later are: guarantees
- * go by it.
+ * Jobs that may start, in the order in which they became ready. Later jobs are added in this order too, and
+ * guarantees depend on it.
  */
 export function readyJobs(replica: Replica): StoredJob[] {
   const open = [...replica.jobs.values()].filter((storedJob) => isReady(storedJob));
@@ -17,8 +17,8 @@
 }
 
 /**
- * A machine as the store shows it: whatever its record claims may be there. Its jobs must have been
- * added before.
+ * Restores a machine from its record: each attempt that the record claims may be on it. The jobs of these
+ * attempts must have been added before.
  */
 export function restoreMachine(
   term: TermState,
@@ -54,7 +54,7 @@
   for (const [image, gb] of record.images) {
     machine.images.restore(image, gb, now);
   }
-  // The record says so already: without this no round would ever name it to the cloud again.
+  // The record already says that it is being returned. Unless this is noted, no scale-in returns it to the cloud.
   if (record.returning && machine.changeState('returning')) machine.returnRecorded = true;
   return machine;
 }
--- a/src/leader/term/statistics.ts
+++ b/src/leader/term/statistics.ts
@@ -1,10 +1,10 @@
-/** Figures of a term, for the status and the log. */
+/** Statistics of a term, for the status and the log. */
 
 import { occupiesCapacity } from '../../workers/attempt.js';
 import type { CapacityManager } from '../capacity/capacity-manager.js';
 import type { Term } from './term.js';
 
-/** Counts of machines and attempts by state, of open jobs and of tasks that found no place. */
+/** Counts of machines and attempts by state, of open jobs and of tasks that were not placed. */
 export function termStatistics(term: Term, capacity: CapacityManager): Record<string, number> {
   const counts: Record<string, number> = {};
   const add = (name: string): void => void (counts[name] = (counts[name] ?? 0) + 1);
--- a/src/leader/term/subsystem-view.ts
+++ b/src/leader/term/subsystem-view.ts
@@ -20,7 +20,7 @@
 import type { CapacityManager } from '../capacity/capacity-manager.js';
 import type { Term } from './term.js';
 
-/** What a `SubsystemView` works with. */
+/** Dependencies of `SubsystemView`. */
 export interface SubsystemViewOptions {
   term: Term;
   capacity: CapacityManager;
--- a/src/leader/term/term-log.ts
+++ b/src/leader/term/term-log.ts
@@ -1,9 +1,9 @@
-/** What a term of leadership logs of itself: its beginning, its end, and when all machines have shown its token. */
+/** Log lines of a term: its start, its end, and when all machines have shown its token. */
 
 import type { CancelledAttempts } from '../attempts/cancelled-attempts.js';
 import type { Term } from './term.js';
 
-/** The lines about one term. None of them is repeated in it. */
+/** Writes the log lines of one term, each at most once. */
 export class TermLog {
   private fencingDone = false;
 
@@ -12,8 +12,8 @@
     private readonly cancelledAttempts: CancelledAttempts,
   ) {}
 
-  /** What the term begins with: what was read, and which cancelled tasks earlier terms have left on machines. */
-  began(): void {
+  /** Logs the start: what was read, and the cancelled tasks that earlier terms have left on machines. */
+  logStart(): void {
     const { context, machines, jobs } = this.term;
     this.cancelledAttempts.tick();
     context.log.info(
@@ -28,33 +28,33 @@
     );
   }
 
-  /** A term that ends before its machines have shown its token has started nothing on them. */
-  ended(): void {
+  /** Logs the end. A term has started nothing on machines that have not shown its token. */
+  logEnd(): void {
     const { context, machines, now, startedAt } = this.term;
     context.log.info(
       {
         token: context.token,
         lastedS: now - startedAt,
         machines: machines.size,
-        notFenced: this.notFenced(),
+        notFenced: this.countNotFenced(),
         ...this.cancelledAttempts.statistics(),
       },
       'term ended',
     );
   }
 
-  /** Looks whether all machines have shown the token, for the first lease of the term. */
+  /** During the first lease of the term, checks whether all machines have shown its token. */
   tick(): void {
     if (this.fencingDone) return;
     const { context, machines, now, startedAt } = this.term;
     if (now - startedAt > context.settings.workers.lease_s) this.fencingDone = true;
-    if (this.notFenced() > 0) return;
+    if (this.countNotFenced() > 0) return;
     this.fencingDone = true;
     context.log.info({ machines: machines.size, tookS: now - startedAt }, 'all machines fenced');
   }
 
-  /** Machines that have not shown the term's token. */
-  private notFenced(): number {
+  /** Number of machines that have not shown their token of this term. */
+  private countNotFenced(): number {
     let count = 0;
     for (const { state } of this.term.machines.values())
       if (state === 'unheard' || state === 'fencing') count++;
--- a/src/leader/term/term-state.ts
+++ b/src/leader/term/term-state.ts
@@ -1,4 +1,4 @@
-/** What a term of leadership knows: machines, jobs, and what of it is still to be stored. */
+/** The state of a term: machines, jobs, and which records are still to be written. */
 
 import type { Clock } from '../../clock.js';
 import type { Settings } from '../../config/settings.js';
@@ -12,46 +12,46 @@
 import { TermTimeOfDay, type TimeOfDay } from '../../time-of-day.js';
 import { Machine } from '../../workers/machine.js';
 
-/** What a term rests on: this controller's settings, clocks, replica and entitlement. */
+/** What a term uses of its controller: settings, clocks, replica and entitlement. */
 export interface TermContext {
   settings: Settings;
   clock: Clock;
-  /** Of this process. */
+  /** Time of day of this process. */
   timeOfDay: TimeOfDay;
   log: Log;
   replica: Replica;
   policy: Policy;
   token: number;
   incarnation: string;
-  /** Whether every controller reads dense records: see `encodeMachine`. */
+  /** Whether every controller can read dense records; see `encodeMachine`. */
   allReadDenseRecords: () => boolean;
   isEntitled: () => boolean;
   canWrite: () => boolean;
-  /** What is known of leases that other controllers renew in this leader's place. */
+  /** What is known of renewals that other controllers give in this leader's place. */
   othersRenewal: () => RenewalKnowledge;
-  /** Asks a majority for a fresh proof of that. */
+  /** Asks a majority for a new proof of `othersRenewal`. */
   requestOthersProof: () => void;
-  /** What is known of leases that a zone's lease holder renews there. */
+  /** What is known of renewals that a zone's lease holder gives in its zone. */
   zoneRenewal: (zone: string) => RenewalKnowledge;
-  /** Asks for a fresh proof of that. */
+  /** Asks for a new proof of `zoneRenewal`. */
   requestZoneProof: () => void;
-  /** Since when this process has known of a job's cancellation, in seconds of the clock. */
+  /** When this process learnt of a job's cancellation, in seconds of the clock. */
   cancellationKnownAt: (job: string) => number | undefined;
 }
 
-/** The state of a term, which its parts share. */
+/** The state that all components of a term share. */
 export class TermState {
   readonly machines = new Map<string, Machine>();
   readonly jobs = new Map<string, LiveJob>();
-  /** Machines whose records are to be written. */
+  /** Machines whose records have to be written. */
   readonly machinesToWrite = new Set<string>();
-  /** Records of machines that are gone for good, and their revisions. */
+  /** Records to be removed, of machines that are gone, with their revisions. */
   readonly recordRemovals = new Map<string, number>();
-  /** Machines that the cloud has taken back. Names never recur: what still sends heartbeats is a late copy. */
+  /** Machines that were returned to the cloud. Names are never reused, so a heartbeat from one is a late copy. */
   readonly returnedMachines = new Set<string>();
-  /** Machines whose leases were counted as lost. */
+  /** Number of machines that were lost because their lease expired. */
   machinesLost = 0;
-  /** Times that a machine was given a higher token, since a direct start was never answered. */
+  /** How often a machine was given a higher token because of an unanswered direct start. */
   machinesFencedAnew = 0;
   /** Machines with commands that should not wait for the next heartbeat. */
   readonly machinesToCommand = new Set<string>();
@@ -59,14 +59,14 @@
   readonly fetchTimes = new FetchTimes();
   readonly startedAt: number;
   /**
-   * Revision of the latest commit of this term. Commits are guarded by the leader's key, so it is above
-   * the term's token and below that of every later leader: machines may be fenced with it.
+   * Revision of the latest commit of this term. Commits are guarded by the leader's key, so it is not below
+   * the term's token and is below that of every later leader: machines may be fenced with it.
    */
   latestRevision: number;
   machineTypes = new Map<string, MachineType>();
-  /** The longest nominal boot of all types, in seconds. */
+  /** The longest nominal boot time of all machine types, in seconds. */
   slowestBootS = 0;
-  /** Set when something happened that placing should look at. */
+  /** Set when something has changed that scheduling depends on. */
   cycleRequested = true;
   onCycleRequested: () => void = () => undefined;
 
@@ -82,19 +82,19 @@
     return this.context.clock.now();
   }
 
-  /** Something happened that scheduling should look at. */
+  /** Requests a scheduling cycle after a change that scheduling depends on. */
   requestCycle(): void {
     this.cycleRequested = true;
     this.onCycleRequested();
   }
 
-  /** The machine types that tasks may be placed on from now on. */
+  /** Replaces the machine types on which tasks may be placed. */
   setMachineTypes(types: MachineType[]): void {
     this.machineTypes = new Map(types.map((type) => [type.name, type]));
     this.slowestBootS = Math.max(0, ...types.map((type) => type.bootS));
   }
 
-  /** The machine of this name; one that nothing is known of is added. */
+  /** The machine of this name; added if it is unknown. */
   machine(id: string): Machine {
     let machine = this.machines.get(id);
     if (machine === undefined) {
@@ -104,8 +104,8 @@
         this.context.settings.workers.lease_s,
         this.now,
       );
-      // Forgotten, and back before its record was removed: a removal that is tried once more would
-      // take away the claims of what is started there from now on.
+      // It was forgotten and sends heartbeats again before its record was removed. A retried removal would
+      // delete the claims of attempts that are started there from now on.
       machine.recordRevision = this.recordRemovals.get(id) ?? 0;
       this.recordRemovals.delete(id);
       this.machines.set(id, machine);
@@ -113,7 +113,7 @@
     return machine;
   }
 
-  /** Nothing is known of a machine any more; its record goes too. */
+  /** Forgets a machine and schedules the removal of its record. */
   forgetMachine(machine: Machine): void {
     this.machines.delete(machine.id);
     this.machinesToWrite.delete(machine.id);
@@ -121,7 +121,7 @@
     if (machine.recordRevision > 0) this.recordRemovals.set(machine.id, machine.recordRevision);
   }
 
-  /** The record of a forgotten machine was removed (null), or has now this revision. */
+  /** Notes that the record of a forgotten machine was removed (null) or has a new revision. */
   recordRemoved(id: string, revision: number | null): void {
     if (this.machines.has(id)) return;
     if (revision === null) this.recordRemovals.delete(id);
--- a/src/leader/term/term.ts
+++ b/src/leader/term/term.ts
@@ -1,4 +1,4 @@
-/** A term of leadership, put together of its parts. */
+/** A term of leadership, composed of its components. */
 
 import { LiveJob } from '../../jobs/live-job.js';
 import { isStoredCancelled, type StoredJob } from '../../store/stored-job.js';
@@ -18,8 +18,8 @@
 export type { TermContext } from './term-state.js';
 
 /**
- * One term of leadership: machines, jobs and what is known of where tasks may be. All changes of
- * jobs and attempts on events go through here; it does no input or output.
+ * One term of leadership: machines, jobs, and on which machines tasks may be. All changes of jobs and
+ * attempts by events go through this class; it does no input or output.
  */
 export class Term extends TermState {
   private readonly stopper: AttemptStopper;
@@ -40,7 +40,7 @@
 
   // Jobs
 
-  /** A job that may start; the one that is known already, if there is one. */
+  /** Adds a job that may start, unless it is known already. */
   addJob(storedJob: StoredJob): LiveJob {
     let job = this.jobs.get(storedJob.spec.id);
     if (job === undefined) {
@@ -52,19 +52,19 @@
     return job;
   }
 
-  /** A cancellation is stored. */
+  /** Handles a cancellation that was read from the store. */
   jobCancelled(storedJob: StoredJob): void {
     const job = this.jobs.get(storedJob.spec.id);
     if (job !== undefined) this.cancelJob(job);
   }
 
-  /** A cancellation is stored, as another controller knows. */
-  cancellationHeard(id: string): void {
+  /** Handles a stored cancellation that another controller has reported. */
+  cancellationReported(id: string): void {
     const job = this.jobs.get(id);
     if (job !== undefined && !job.cancelled) this.cancelJob(job);
   }
 
-  /** Whether a job is cancelled, by the store's changes as far as they were read, or as others know. */
+  /** Whether a job is cancelled, by the store's changes that were read or by the report of another controller. */
   isCancelled(id: string): boolean {
     const job = this.jobs.get(id);
     if (job?.cancelled === true) return true;
@@ -76,14 +76,14 @@
     this.stopper.closeJob(job);
   }
 
-  /** All tasks are done and stored. */
+  /** Handles a job whose tasks are all done and stored. */
   jobCompleted(job: LiveJob): void {
     if (job.phase === 'active') job.changePhase('closing');
   }
 
   // Attempts
 
-  /** The claim is stored, at this revision. */
+  /** Handles a claim that was stored at this revision. */
   claimStored(attempt: Attempt, revision: number): void {
     if (attempt.state !== 'claiming') return;
     attempt.claimRevision = revision;
@@ -110,44 +110,44 @@
     return mayStartDirectly(this, attempt);
   }
 
-  /** Wants an attempt gone within so many seconds. One that was never sent is withdrawn at once. */
+  /** See `AttemptStopper.stop`. */
   stopAttempt(attempt: Attempt, graceS: number): void {
     this.stopper.stop(attempt, graceS);
   }
 
-  /** Stops a task, or the gang it is of, with the time it takes to save. */
+  /** Stops a task, or its gang, with the time that it needs to save. */
   stopGracefully(job: LiveJob, attempt: Attempt): void {
     this.stopper.stopGracefully(job, attempt);
   }
 
-  /** Without saving: what it did since its last checkpoint is lost. */
+  /** Stops a task, or its gang, without saving: work since the last checkpoint is lost. */
   stopImmediately(job: LiveJob, attempt: Attempt): void {
     this.stopper.stopImmediately(job, attempt);
   }
 
   // Machines
 
-  /** What a heartbeat, a lapsed lease or a returned machine has shown. */
+  /** Applies the changes that a heartbeat has shown. */
   reconcile(machine: Machine, changes: HeartbeatChanges): void {
     this.reconciler.reconcile(machine, changes);
   }
 
-  /** Leases that have expired for certain, with nobody else entitled to renew them. */
+  /** Handles all leases that have provably expired, with no other controller entitled to renew them. */
   expireLeases(): void {
     this.leaseExpiry.expire();
   }
 
-  /** All that was on a machine is provably gone. */
+  /** Ends all attempts on a machine: they are provably gone. */
   loseMachine(machine: Machine): void {
     this.leaseExpiry.loseMachine(machine);
   }
 
-  /** Fences machines anew whose direct starts were never answered and keep something from being done. */
+  /** See `fenceUnanswered` in attempts/fencing. */
   fenceUnanswered(): void {
     fenceUnanswered(this);
   }
 
-  /** A later leader's token, as far as can be told: none that this term has given. */
+  /** Whether a token is above all known revisions of this term, and so may be a later leader's. */
   isLaterToken(token: number): boolean {
     return isLaterToken(this, token);
   }
--- a/src/leader/writes/due-writes.ts
+++ b/src/leader/writes/due-writes.ts
@@ -1,4 +1,4 @@
-/** What of a term is to be written now, and in which order. */
+/** Determines which records of a term are due to be written, and in which order. */
 
 import type { Clock } from '../../clock.js';
 import type { LiveJob } from '../../jobs/live-job.js';
@@ -7,27 +7,27 @@
 import type { RecordWrites, RecordWrite } from './record-writes.js';
 import type { Term } from '../term/term.js';
 
-/** 0 to 3: claims of that priority; the ends of jobs go with the highest. */
+/** Urgencies 0 to 3 are for claims of that priority; the last progress of a finished job has urgency 0 too. */
 const URGENT = 0;
 const SOON = 4;
-/** Urgency from which on a write can wait. */
+/** Urgency from which a write can be deferred. */
 export const LATER = 5;
-/** Records of subsystems go after all others, but for those that somebody waits for. */
-const SUBSYSTEMS = 6;
-/** A record of done tasks is written at most once in so many seconds while it grows. */
-const PROGRESS_GAP_S = 1;
+/** Records of subsystems are written after all others, except urgent ones. */
+const SUBSYSTEM_RECORDS = 6;
+/** Minimum seconds between two writes of a growing record of done tasks. */
+const PROGRESS_WRITE_GAP_S = 1;
 
-/** A record that is to be written. */
+/** A record that has to be written. */
 export interface DueWrite {
-  /** The lowest goes first; what has `LATER` or more can wait. */
+  /** The lowest is written first; from `LATER` on, a write can be deferred. */
   urgency: number;
-  /** Puts and deletes that it takes; missing: one. */
+  /** Number of puts and deletes; missing: one. */
   operations?: number;
-  /** Encodes the record as it is at this moment. */
+  /** Encodes the present state of the record. */
   encode(): RecordWrite;
 }
 
-/** Looks through a term for what is to be written. */
+/** Collects the due writes of a term. */
 export class DueWrites {
   constructor(
     private readonly term: Term,
@@ -36,7 +36,7 @@
     private readonly subsystems: ActiveSubsystems,
   ) {}
 
-  /** What there is to write, in the order of urgency. */
+  /** All due writes, most urgent first. */
   collect(): DueWrite[] {
     const { term, writes } = this;
     const now = this.clock.now();
@@ -53,7 +53,7 @@
     if (writes.machineTypesDirty) due.push({ urgency: SOON, encode: () => writes.machineTypes() });
     for (const write of this.subsystems.dueWrites()) {
       const operations = 1 + write.write.alsoChanges.length;
-      const urgency = write.write.urgent === true ? URGENT : SUBSYSTEMS;
+      const urgency = write.write.urgent === true ? URGENT : SUBSYSTEM_RECORDS;
       due.push({ urgency, operations, encode: () => writes.subsystemRecord(write) });
     }
     return due.sort((due, entry) => due.urgency - entry.urgency);
@@ -63,7 +63,7 @@
     const { dirty, dirtySince } = job.progress;
     if (dirty.size === 0 || job.cancelled) return;
     const urgent = job.isFinished;
-    if (!urgent && now - (dirtySince ?? now) < PROGRESS_GAP_S) return;
+    if (!urgent && now - (dirtySince ?? now) < PROGRESS_WRITE_GAP_S) return;
     for (const unit of dirty) {
       const encode = (): RecordWrite => this.writes.progressWrite(job, unit);
       due.push({ urgency: urgent ? URGENT : SOON, encode });
@@ -71,24 +71,24 @@
   }
 
   private addMachine(machine: Machine, due: DueWrite[]): void {
-    const claiming = this.highestClaimPriority(machine);
+    const claimPriority = this.highestClaimPriority(machine);
     const encode = (): RecordWrite => this.writes.machineWrite(machine);
-    if (claiming !== null) due.push({ urgency: claiming, encode });
+    if (claimPriority !== null) due.push({ urgency: claimPriority, encode });
     else if (machine.state === 'returning') due.push({ urgency: SOON, encode });
     else if (machine.recordRevision === 0 && machine.attempts.size === 0)
       this.term.machinesToWrite.delete(machine.id);
-    // Claims too many are safe; they are dropped with the next write, or when there is time.
+    // Obsolete claims in a record are safe; they are removed with the next write, which can be deferred.
     else due.push({ urgency: LATER, encode });
   }
 
-  /** The highest priority among the claims on a machine that wait for being stored. */
+  /** The highest priority among the claims on a machine that are not stored yet; null: there are none. */
   private highestClaimPriority(machine: Machine): number | null {
-    let best: number | null = null;
+    let highest: number | null = null;
     for (const attempt of machine.attempts.values()) {
       if (attempt.state !== 'claiming') continue;
       const priority = this.term.jobs.get(attempt.job)?.spec.priority ?? SOON - 1;
-      if (best === null || priority < best) best = priority;
+      if (highest === null || priority < highest) highest = priority;
     }
-    return best;
+    return highest;
   }
 }
--- a/src/leader/writes/progress-layout.ts
+++ b/src/leader/writes/progress-layout.ts
@@ -1,24 +1,24 @@
-/** How the progress of a term's jobs is divided into records. */
+/** Divides the progress of a term's jobs into records. */
 
 import type { ProgressLayout } from '../../jobs/progress.js';
 import { chunkBytes, chunkTasks } from '../../jobs/chunks.js';
 import type { TermState } from '../term/term-state.js';
 
-/** The layout for a job with so many tasks. */
+/** The progress layout of a job with this number of tasks. */
 export function progressLayout(
   { context }: Pick<TermState, 'context'>,
   tasks: number,
 ): ProgressLayout {
   const { replica, settings, allReadDenseRecords } = context;
-  const mostBytes = settings.state.value_kb * 1024;
+  const maxBytes = settings.state.value_kb * 1024;
   const chunk = Math.min(tasks, replica.chunkTasks);
-  if (chunkBytes(chunk) <= mostBytes || !allReadDenseRecords()) {
+  if (chunkBytes(chunk) <= maxBytes || !allReadDenseRecords()) {
     return { kind: 'chunks', tasksEach: replica.chunkTasks };
   }
-  return { kind: 'parts', tasksEach: chunkTasks(mostBytes) };
+  return { kind: 'parts', tasksEach: chunkTasks(maxBytes) };
 }
 
-/** Jobs whose chunks are too large are written in parts as soon as every controller reads them. */
+/** Switches jobs whose chunks are too large to parts once every controller can read these. */
 export function splitOversizedProgress(term: TermState): void {
   for (const job of term.jobs.values()) {
     const { layout } = job.progress;
--- a/src/leader/writes/record-writer.ts
+++ b/src/leader/writes/record-writer.ts
@@ -1,4 +1,4 @@
-/** The writer of a term: batches, commits, and what to do when one is refused or not answered. */
+/** Writes the records of a term in batches, and handles commits that are refused or not answered. */
 
 import { random } from '../../random.js';
 import { WakeableSleep, sleep, type Clock } from '../../clock.js';
@@ -11,34 +11,34 @@
 import { RecordWrites, type RecordWrite } from './record-writes.js';
 import type { Term } from '../term/term.js';
 
-/** Of a request's body, what a batch may take. */
-const TRANSACTION_BYTES = 60 * 1024;
-/** What a request takes beside its writes. */
+/** Largest request body of a batch, in bytes. */
+const MAX_TRANSACTION_BYTES = 60 * 1024;
+/** Bytes of a request body in addition to its writes. */
 const ENVELOPE_BYTES = 512;
-/** Of what may be written at once, what counts as all of it. */
-const NEARLY_ALL = 0.9;
-/** How long the writer waits when nothing is due, unless it is nudged. */
+/** Share of the write budget's capacity that counts as a full budget. */
+const NEARLY_FULL_BUDGET_SHARE = 0.9;
+/** How long the writer waits when nothing is due, unless it is woken. */
 const IDLE_S = 0.25;
 const COMMIT_TIMEOUT_S = 1.5;
-/** Before the next try after an error; with as much again at random after a refusal. */
+/** Waits before the next try: after an error, and after a rejected request (up to as much again is added at random). */
 const RETRY_S = 0.2;
-const REFUSED_S = 0.1;
+const REJECTED_RETRY_S = 0.1;
 
-/** What a `RecordWriter` works with. */
+/** Dependencies of `RecordWriter`. */
 export interface RecordWriterOptions {
   term: Term;
   store: KeyValueStoreClient;
   clock: Clock;
   log: Log;
-  /** The leader's key has changed: this term is over. */
+  /** Called when the leader's key has changed, which ends this term. */
   onLeadershipLost: () => void;
   subsystems: ActiveSubsystems;
 }
 
 /**
- * Writes a term's records, a batch at a time, most urgent first. Every put is guarded by the
- * leader's key and by its own key's revision, so that a transaction carried out late changes
- * nothing.
+ * Writes a term's records, one batch at a time, most urgent first. Every change is guarded by the
+ * leader's key and by its own key's revision, so that a transaction that is carried out late has no
+ * effect.
  */
 export class RecordWriter {
   private stopped = false;
@@ -53,8 +53,8 @@
   }
 
   /**
-   * The machine types differ from those stored. Where they do not fit into one value they are not stored: a
-   * refused write would be tried for ever, and every controller asks the cloud when the store has none.
+   * Marks the machine types for writing. Types that do not fit into one value are not stored: the refused write
+   * would be retried forever, and every controller asks the cloud when the store has none.
    */
   markMachineTypes(): void {
     const { term, log } = this.options;
@@ -67,7 +67,7 @@
       log.info({ bytes, mostBytes }, 'machine types not stored: too large');
   }
 
-  /** There is something to write. */
+  /** Wakes the writer, since a write is due. */
   wake(): void {
     this.pause.wakeUp();
   }
@@ -93,24 +93,33 @@
       await sleep(writeBudget.secondsUntil(1));
       return true;
     }
-    const most = Math.min(
+    const maxOperations = Math.min(
       this.options.store.operationsPerTransaction,
       Math.floor(writeBudget.available),
     );
-    // What can wait leaves half of what may be written at once to what comes next.
-    const mostLater = Math.min(most, Math.floor(writeBudget.available - writeBudget.capacity / 2));
+    // Deferrable writes leave half of the write budget's capacity to writes that become due next.
+    const maxDeferrableOperations = Math.min(
+      maxOperations,
+      Math.floor(writeBudget.available - writeBudget.capacity / 2),
+    );
     const batch: RecordWrite[] = [];
     let bytes = ENVELOPE_BYTES;
-    let ops = 0;
+    let operations = 0;
     for (const entry of due) {
-      ops += entry.operations ?? 1;
-      // A group that is larger than its share waits until all is there, rather than for ever.
-      const alone =
-        batch.length === 0 && writeBudget.available >= writeBudget.capacity * NEARLY_ALL;
-      if (ops > (entry.urgency >= LATER && !alone ? mostLater : most)) break;
-      // Encoded only now: of what waits for its turn only the order is looked at.
+      operations += entry.operations ?? 1;
+      // A group of deferrable operations that exceeds their share is written once the budget is full; otherwise it
+      // would wait forever.
+      const mayUseFullBudget =
+        batch.length === 0 &&
+        writeBudget.available >= writeBudget.capacity * NEARLY_FULL_BUDGET_SHARE;
+      if (
+        operations >
+        (entry.urgency >= LATER && !mayUseFullBudget ? maxDeferrableOperations : maxOperations)
+      )
+        break;
+      // Encoded only now, since for writes that are not in this batch only the order matters.
       const write = entry.encode();
-      if (bytes + write.bytes > TRANSACTION_BYTES) break;
+      if (bytes + write.bytes > MAX_TRANSACTION_BYTES) break;
       bytes += write.bytes;
       write.started();
       batch.push(write);
@@ -138,24 +147,24 @@
         return;
       }
       log.info({ failed: result.failed }, 'compare-and-swap failed');
-      const differs = ({ key }: { key: string }): boolean => result.failed.includes(key);
+      const hasFailed = ({ key }: { key: string }): boolean => result.failed.includes(key);
       await this.readBack(
-        batch.filter((write) => differs(write) || write.alsoOperations.some(differs)),
+        batch.filter((write) => hasFailed(write) || write.alsoOperations.some(hasFailed)),
       );
     } catch (error) {
       if (this.stopped) return;
       for (const write of batch) write.failed();
       if (error instanceof RequestRejectedError) {
         if (error.status === 400) await this.retryOneByOne(batch);
-        await sleep(REFUSED_S + random() * REFUSED_S);
+        await sleep(REJECTED_RETRY_S + random() * REJECTED_RETRY_S);
         return;
       }
-      // Not answered: it may have been carried out, or still be. Read back, then write again.
+      // Without an answer, the commit may have been carried out or may still be: read back, then write again.
       await this.readBack(batch);
     }
   }
 
-  /** One malformed write must not keep the others of its batch from being stored. */
+  /** Commits each write on its own, so that one malformed write does not block the others of its batch. */
   private async retryOneByOne(batch: RecordWrite[]): Promise<void> {
     this.options.log.error({ keys: batch.map((write) => write.key) }, 'transaction malformed');
     if (batch.length === 1) return;
@@ -181,14 +190,14 @@
     }
   }
 
-  /** Nothing more is written; outcomes that still come are ignored. */
+  /** Stops writing; later outcomes are ignored. */
   stop(): void {
     this.stopped = true;
     this.pause.wakeUp();
   }
 }
 
-/** All changes of a batch, each guarded by its own key's revision and all by the leader's key. */
+/** The transaction of a batch: each change is guarded by its own key's revision, and all by the leader's key. */
 function transactionOf(
   batch: RecordWrite[],
   token: number,
--- a/src/leader/writes/record-writes.ts
+++ b/src/leader/writes/record-writes.ts
@@ -1,4 +1,4 @@
-/** Writes of single records of a term: what goes into a commit, and what its outcome means. */
+/** Writes of single records of a term: their operations, and how the outcome of a commit is handled. */
 
 import type { Clock } from '../../clock.js';
 import type { LiveJob } from '../../jobs/live-job.js';
@@ -10,32 +10,32 @@
 import { machineRecord, machineRecordBytes } from './stored-machine.js';
 import type { Term } from '../term/term.js';
 
-/** What a write takes in a request beside its value and its key, which is there twice; in bytes. */
-const FRAME_BYTES = 100;
-/** What follows from the outcome of a write. */
+/** Bytes of a write in a request in addition to its value and its key, which occurs twice. */
+const OPERATION_OVERHEAD_BYTES = 100;
+/** Handlers of the outcome of a write. */
 interface WriteOutcomes {
-  /** It goes into a batch now. */
+  /** Called when it is added to a batch. */
   started(): void;
-  /** It was carried out, with this revision. */
+  /** It was committed at this revision. */
   stored(revision: number): void;
-  /** It was not carried out, or that is not known. */
+  /** It was not committed, or the outcome is unknown. */
   failed(): void;
-  /** What was read back after a commit whose outcome was open, or whose guard failed. */
+  /** Takes the item that was read back after a commit with an unknown outcome or a failed guard. */
   readBack(item: KeyValue | null): void;
 }
 
-/** One record to be written, guarded by the revision that was known of it. */
+/** A write of one record, guarded by its last known revision. */
 export interface RecordWrite extends WriteOutcomes {
   key: string;
   expectedRevision: number;
   operation: Operation;
-  /** Further changes of the same transaction, with their guards. */
+  /** Further changes in the same transaction, with their guards. */
   alsoOperations: readonly GuardedOperation[];
-  /** What it takes in a request, about. */
+  /** Approximate size in a request. */
   bytes: number;
 }
 
-/** A change of one record, and the revision that was known of it. */
+/** A change of one record, and its last known revision. */
 export interface GuardedOperation {
   key: string;
   expectedRevision: number;
@@ -48,7 +48,7 @@
 
 function bytesOf({ key, operation }: GuardedOperation): number {
   const valueBytes = 'put' in operation ? JSON.stringify(operation.value).length : 0;
-  return key.length * 2 + FRAME_BYTES + valueBytes;
+  return key.length * 2 + OPERATION_OVERHEAD_BYTES + valueBytes;
 }
 
 function recordWrite(
@@ -65,7 +65,7 @@
 
 /** Makes the writes of a term's records. */
 export class RecordWrites {
-  /** The machine types are to be written. */
+  /** Whether the machine types have to be written. */
   machineTypesDirty = false;
   private machineTypesRevision: number | undefined;
 
@@ -74,7 +74,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** A machine's record: what may be on it. */
+  /** Writes a machine's record, with the claims of all attempts that may be on it. */
   machineWrite(machine: Machine): RecordWrite {
     const { term } = this;
     const claims = machine.claims();
@@ -101,17 +101,17 @@
     );
   }
 
-  /** The done tasks of a chunk or part of a job. */
+  /** Writes the done tasks of one chunk or part of a job. */
   progressWrite(job: LiveJob, unit: number): RecordWrite {
     const key = job.progressKey(unit);
     const { progress } = job;
     const record = job.progressRecord(unit);
     const doneMs = record.bits === null ? { doneMs: this.term.timeOfDay.nowMs() } : {};
     const value = records.encodeProgress({ ...record, ...doneMs });
-    const fresh = progress.unstoredTasks(unit);
+    const newlyDone = progress.unstoredTasks(unit);
     const stored = (revision: number): void => {
       progress.revisions.set(key, revision);
-      for (const attempt of job.tasksStored(unit, fresh, this.clock.now())) {
+      for (const attempt of job.tasksStored(unit, newlyDone, this.clock.now())) {
         attempt.settled = true;
         this.term.machinesToCommand.add(attempt.machine);
       }
@@ -126,9 +126,8 @@
         stored,
         failed: NO_OP,
         readBack: (item) => {
-          // Stored after all: writing it again would make "done" younger than it is, and a
-          // cancellation in between would seem to have come first.
-          // The time attained may differ by now: what is done decides.
+          // It was stored: writing it again would give "done" a later revision, so that a cancellation in between
+          // would count as the earlier one. The attained time may differ by now, so only the done tasks are compared.
           const bits = item === null ? undefined : records.decodeProgress(item.value).bits;
           if (item !== null && (bits === null || bits === records.decodeProgress(value).bits)) {
             stored(item.revision);
@@ -154,13 +153,13 @@
     );
   }
 
-  /** Records of a subsystem. */
+  /** Writes records of a subsystem. */
   subsystemRecord({ subsystem, write }: NamedWrite): RecordWrite {
     const prefix = records.subsystemPrefix(subsystem);
     const guarded = ({ key, revision, value }: OwnedChange): GuardedOperation => {
-      const whole = prefix + key;
-      const operation: Operation = value === null ? { remove: whole } : { put: whole, value };
-      return { key: whole, expectedRevision: revision, operation };
+      const fullKey = prefix + key;
+      const operation: Operation = value === null ? { remove: fullKey } : { put: fullKey, value };
+      return { key: fullKey, expectedRevision: revision, operation };
     };
     const { key, expectedRevision, operation: op } = guarded(write);
     const outcomes: WriteOutcomes = {
@@ -173,7 +172,7 @@
     return recordWrite(key, expectedRevision, op, outcomes, write.alsoChanges.map(guarded));
   }
 
-  /** The machine types, for controllers that do not lead. */
+  /** Writes the machine types, which the other controllers read. */
   machineTypes(): RecordWrite {
     const value = records.encodeMachineTypes([...this.term.machineTypes.values()]);
     this.machineTypesRevision ??= this.term.context.replica.machineTypesRevision;
--- a/src/leader/writes/stored-machine.ts
+++ b/src/leader/writes/stored-machine.ts
@@ -1,20 +1,20 @@
-/** What is stored of a machine of a term. */
+/** The stored record of a machine. */
 
 import type { Settings } from '../../config/settings.js';
 import type { MachineRecord } from '../../store/machine-record.js';
 import type { Machine } from '../../workers/machine.js';
 import type { TermState } from '../term/term-state.js';
 
-/** Images that a machine's record names, at most: those used last. */
+/** Most images in a machine's record: the most recently used ones. */
 const MAX_IMAGES = 32;
-/** Of the largest value that the key-value store takes, what a machine's record may fill. */
-const RECORD_SHARE = 0.95;
+/** Share of the key-value store's largest value that a machine's record may fill. */
+const MAX_RECORD_SHARE = 0.95;
 
-/** The most that a machine's record may take, in bytes. */
+/** Largest size of a machine's record, in bytes. */
 export const machineRecordBytes = ({ state }: Pick<Settings, 'state'>): number =>
-  Math.floor(state.value_kb * 1024 * RECORD_SHARE);
+  Math.floor(state.value_kb * 1024 * MAX_RECORD_SHARE);
 
-/** The record as it would be stored now. */
+/** The record of a machine in its present state. */
 export function machineRecord({ context }: TermState, machine: Machine): MachineRecord {
   const { token } = machine;
   return {
--- a/test/cluster-limits.test.ts
+++ b/test/cluster-limits.test.ts
@@ -4,13 +4,13 @@
 import { playAll, type Cluster, type Row } from './standins/cluster.js';
 import { deaf, hang, mute, type MachineTrouble } from './standins/worker.js';
 
-const LEASE = 2;
+const LEASE_S = 2;
 
-const CANCELLED = 'wk-000001';
-const KEPT = 'wk-000002';
-const WAITING = 'wk-000003';
+const CANCELLED_JOB = 'wk-000001';
+const RUNNING_JOB = 'wk-000002';
+const WAITING_JOB = 'wk-000003';
 
-interface Spell extends Row, MachineTrouble {
+interface FaultCase extends Row, MachineTrouble {
   /** In leases, from the leader's end. */
   forLeases: number;
   /** The job is cancelled before the leader ends, or while there is none. */
@@ -19,7 +19,7 @@
 
 // Cancelled tasks on a machine that is not heard take their team's capacity until they are provably gone.
 test('a team at its limit, a machine cut off or hanging, a job cancelled, the leader ends: the limit holds', async () => {
-  const rows: Spell[] = [
+  const rows: FaultCase[] = [
     { name: 'mute, cancelled before', ...mute, forLeases: 2, cancelled: 'before' },
     { name: 'deaf, cancelled before', ...deaf, forLeases: 2, cancelled: 'before' },
     { name: 'hanging, cancelled before', ...hang, forLeases: 2, cancelled: 'before' },
@@ -27,29 +27,29 @@
     { name: 'deaf, cancelled after', ...deaf, forLeases: 2, cancelled: 'after' },
     { name: 'hanging for a moment', ...hang, forLeases: 0.4, cancelled: 'after' },
   ];
-  await playAll(rows, { leaseS: LEASE }, playSpell);
+  await playAll(rows, { leaseS: LEASE_S }, runFaultCase);
 });
 
-async function playSpell(cluster: Cluster, row: Spell): Promise<void> {
+async function runFaultCase(cluster: Cluster, row: FaultCase): Promise<void> {
   const { users } = cluster;
   const half = TEAMS_GPUS_MAX / 2;
-  for (const ref of [CANCELLED, KEPT]) {
+  for (const ref of [CANCELLED_JOB, RUNNING_JOB]) {
     await users.submit(0, ref, { form: 'daemon', pieces: half });
     await cluster.runs(ref, half);
   }
   const old = await cluster.newLeader();
   const other = (old + 1) % 3;
-  await users.submit(other, WAITING, { pieces: TEAMS_GPUS_MAX });
-  const host = cluster.hosts(CANCELLED)[0]!;
+  await users.submit(other, WAITING_JOB, { pieces: TEAMS_GPUS_MAX });
+  const host = cluster.hosts(CANCELLED_JOB)[0]!;
 
   row.begin(host);
-  if (row.cancelled === 'before') await users.cancel(other, CANCELLED);
+  if (row.cancelled === 'before') await users.cancel(other, CANCELLED_JOB);
   cluster.stopController(old);
-  if (row.cancelled === 'after') await users.cancel(other, CANCELLED);
-  await wait(row.forLeases * LEASE * 1000);
+  if (row.cancelled === 'after') await users.cancel(other, CANCELLED_JOB);
+  await wait(row.forLeases * LEASE_S * 1000);
   row.end(host);
 
-  await users.sees(other, WAITING, 'done');
-  assert.equal(cluster.tasks(CANCELLED).length, 0, 'cancelled tasks');
-  await cluster.runs(KEPT, half);
+  await users.sees(other, WAITING_JOB, 'done');
+  assert.equal(cluster.tasks(CANCELLED_JOB).length, 0, 'cancelled tasks');
+  await cluster.runs(RUNNING_JOB, half);
 }
--- a/test/late-starts-random.test.ts
+++ b/test/late-starts-random.test.ts
@@ -36,12 +36,12 @@
   },
 };
 
-const ALL: Record<string, Trouble> = { ...TROUBLES, ...START_TROUBLES };
+const ALL_TROUBLES: Record<string, Trouble> = { ...TROUBLES, ...START_TROUBLES };
 
 /** One of these, and some time after it. */
 const event = (...names: string[]): fc.Arbitrary<DayEvent> => anyOf(names);
 
-const anyEvent = event(...Object.keys(ALL));
+const anyEvent = event(...Object.keys(ALL_TROUBLES));
 
 /** Most starts are answered long before anything happens to them: each day has one that is not. */
 const events = fc
@@ -59,5 +59,5 @@
 const day = fc.record({ times: fc.constantFrom(...TIMES), reportsNewToken: fc.boolean(), events });
 
 test('troubles in any order beside starts on their way: none is carried out once its time is over', async () => {
-  await assertDays(day, ALL, { seed: SEED, runs: RUNS });
+  await assertDays(day, ALL_TROUBLES, { seed: SEED, runs: RUNS });
 });
--- a/test/late-starts.test.ts
+++ b/test/late-starts.test.ts
@@ -30,7 +30,7 @@
 }
 
 /** n-2 leads. A task runs, and the start of another job's task is held back on its way to the same machine. */
-async function startOnItsWay(): Promise<HeldBackStart> {
+async function holdBackStart(): Promise<HeldBackStart> {
   const world = new ControlPlaneWorld(INCIDENT_TIMES);
   for (const controller of world.controllers) controller.stands = controller.node === 'n-2';
   await world.runUntil(1);
@@ -63,7 +63,7 @@
 }
 
 /** How it goes on from the cancellation to the arrival; the machine's lease is renewed all the time. */
-const WAYS: Record<string, (held: HeldBackStart) => Promise<void>> = {
+const SCENARIOS: Record<string, (held: HeldBackStart) => Promise<void>> = {
   'the leader goes on in an outage': async (held) => {
     await cancel(held);
     held.world.storeOutage = true;
@@ -119,10 +119,10 @@
 };
 
 test('a start that is held back is refused once its time is over, whoever renews the lease', async () => {
-  for (const [name, goOn] of Object.entries(WAYS)) {
-    const held = await startOnItsWay();
+  for (const [name, applyScenario] of Object.entries(SCENARIOS)) {
+    const held = await holdBackStart();
     const { world, worker } = held;
-    await goOn(held);
+    await applyScenario(held);
     const before = worker.agentEpoch;
     await heartbeats(held, world.times.cancelS + world.times.reportS);
     assert.ok(worker.agentEpoch > before || worker.answeredAt === world.now, `${name}: renewed`);
@@ -134,7 +134,7 @@
 });
 
 test('a start that is called back is told: the machine fenced anew is counted, in an outage too', async () => {
-  const held = await startOnItsWay();
+  const held = await holdBackStart();
   const { world } = held;
   await cancel(held);
   world.storeOutage = true;
@@ -152,9 +152,9 @@
     'others renew in turn, and one of them knows less',
     'the only controller of a zone that is cut off renews',
   ]) {
-    const held = await startOnItsWay();
+    const held = await holdBackStart();
     const { world, worker } = held;
-    await WAYS[name]!(held);
+    await SCENARIOS[name]!(held);
     await heartbeats(held, world.times.cancelS);
     assert.equal(worker.agentEpoch, 1, `${name}: its lease is renewed all the time`);
     assert.equal(worker.running(JOB).length, 1, name);
@@ -163,7 +163,7 @@
 
 test('a raised token outlives the outage: the leader goes on with it, and starts with it', async () => {
   for (const leaderEnds of [false, true]) {
-    const held = await startOnItsWay();
+    const held = await holdBackStart();
     const { world, worker } = held;
     await cancel(held);
     world.storeOutage = true;
@@ -195,7 +195,7 @@
 
 /** An outage begins as the leader has stored a claim that nobody else has read, of a job whose cancellation it has not read. */
 async function claimBeforeOutage(): Promise<LateClaim> {
-  const held = await startOnItsWay();
+  const held = await holdBackStart();
   const { world } = held;
   world.deliverHeldBack();
   await heartbeats(held, world.times.leaseS);
--- a/test/meeting-ends.test.ts
+++ b/test/meeting-ends.test.ts
@@ -45,7 +45,7 @@
     [
       'its answer is lost',
       async (world) => {
-        await world.writeOnceAs('lose answers');
+        await world.writeOnceInMode('lose answers');
         world.cancel(JOB);
       },
       'done',
@@ -53,7 +53,7 @@
     [
       'it comes late',
       async (world) => {
-        await world.writeOnceAs('hold back');
+        await world.writeOnceInMode('hold back');
         world.cancel(JOB);
         world.store.deliverHeldBack();
       },
@@ -62,27 +62,27 @@
     [
       'it comes late, just before',
       async (world) => {
-        await world.writeOnceAs('hold back');
+        await world.writeOnceInMode('hold back');
         world.store.deliverHeldBack();
         world.cancel(JOB);
       },
       'done',
     ],
   ];
-  for (const [name, meet, want] of cases) {
-    for (const change of [false, true]) {
+  for (const [name, interfere, want] of cases) {
+    for (const failsOver of [false, true]) {
       const world = await worldWith(['a']);
       world.submitJob({ id: JOB });
       await world.run(1);
       const worker = world.fleet.workers.get('a')!;
       worker.end(task(worker), 'done');
       world.exchangeHeartbeat(worker);
-      await meet(world);
+      await interfere(world);
       // The leader's own record may be the one that is refused, never a second one that counts.
       const told = outcome(world.store.feed(world.replica).jobs.get(JOB)!);
       assert.equal(told, want, name);
       const at = world.store.revision(records.progressKey(JOB, 0));
-      if (change && want !== 'done') world.failOver();
+      if (failsOver && want !== 'done') world.failOver();
       await world.run(4);
       assert.equal(outcome(world.store.feed(world.replica).jobs.get(JOB)!), want, name);
       assert.equal(world.term.jobs.size, 0, name);
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -154,7 +154,7 @@
     const world = await worldWith(['a']);
     world.submitJob({ id: JOB });
     world.runCycle();
-    await world.writeOnceAs('hold back');
+    await world.writeOnceInMode('hold back');
     if (next) world.failOver();
     await world.run(2);
     world.submitJob({ id: OTHER });
@@ -166,7 +166,7 @@
     // Nor does one that reaches the store before the new leader's first.
     world.submitJob({ id: 'wk-000003' });
     world.runCycle();
-    await world.writeOnceAs('hold back');
+    await world.writeOnceInMode('hold back');
     if (next) world.failOver();
     world.store.deliverHeldBack();
     if (next) assert.equal(world.store.revision(key), revision);
--- a/test/meeting-records.test.ts
+++ b/test/meeting-records.test.ts
@@ -70,7 +70,7 @@
   await world.run(10);
   worker!.end(worker!.running(JOB)[0]!, 'done');
   world.exchangeHeartbeat(worker!);
-  await world.writeOnceAs('hold back');
+  await world.writeOnceInMode('hold back');
   other!.end(other!.running(JOB)[0]!, 'done');
   world.exchangeHeartbeat(other!);
   world.store.deliverHeldBack();
--- a/test/progress-parts.test.ts
+++ b/test/progress-parts.test.ts
@@ -8,12 +8,12 @@
 
 const JOB = 'wk-000001';
 const TASKS = 20_000;
-const NEXT_KB = 2;
+const REDUCED_VALUE_KB = 2;
 
 /** The store has an array whose first tasks an old version has stored as done. */
 function worldWith(doneBefore: number): LeaderWorld {
   const world = new LeaderWorld();
-  world.settings.state.value_kb = NEXT_KB;
+  world.settings.state.value_kb = REDUCED_VALUE_KB;
   world.submitJob({ id: JOB, tasks: TASKS, cores: 0, gpus: 0, memGb: 0 });
   const bits = new BitSet(TASKS);
   for (let i = 0; i < doneBefore; i++) bits.add(i);
@@ -23,13 +23,13 @@
   return world;
 }
 
-function finish(world: LeaderWorld, from: number, to: number): void {
+function finishTasks(world: LeaderWorld, from: number, to: number): void {
   const job = world.term.jobs.get(JOB)!;
   for (let i = from; i < to; i++) job.markDone(i, world.now);
   world.fleet.now += 2;
 }
 
-async function flushAll(world: LeaderWorld): Promise<void> {
+async function writeAllProgress(world: LeaderWorld): Promise<void> {
   for (let i = 0; i < 10; i++) {
     world.fleet.now += 2;
     await world.writeAll();
@@ -39,21 +39,21 @@
 test('an array that an old version began is finished in parts that fit, across a change of leader', async () => {
   const world = worldWith(9000);
   assert.equal(world.term.jobs.get(JOB)!.done.count, 9000);
-  finish(world, 8000, 15_000);
-  await flushAll(world);
+  finishTasks(world, 8000, 15_000);
+  await writeAllProgress(world);
   assert.equal(world.replica.jobs.get(JOB)!.doneTasks, 15_000);
   world.failOver();
   assert.equal(world.term.jobs.get(JOB)!.done.count, 15_000, 'the next leader has all of it');
   assert.equal(outcome(world.replica.jobs.get(JOB)!), 'open');
-  finish(world, 15_000, TASKS);
-  await flushAll(world);
+  finishTasks(world, 15_000, TASKS);
+  await writeAllProgress(world);
   assert.equal(outcome(world.replica.jobs.get(JOB)!), 'done');
   const listed = world.store.listed().jobs.get(JOB)!;
   assert.deepEqual([outcome(listed), listed.doneAt], ['done', world.replica.jobs.get(JOB)!.doneAt]);
   const before = records.progressKey(JOB, 0);
   for (const key of world.store.keys()) {
     const bytes = JSON.stringify(world.store.value(key)).length;
-    if (key !== before) assert.ok(bytes <= NEXT_KB * 1024, `${key}: ${bytes} bytes`);
+    if (key !== before) assert.ok(bytes <= REDUCED_VALUE_KB * 1024, `${key}: ${bytes} bytes`);
   }
 });
 
@@ -63,16 +63,16 @@
   world.term.context.allReadDenseRecords = () => everyoneNew;
   world.term.jobs.clear();
   world.term.addJob(world.replica.jobs.get(JOB)!);
-  finish(world, 100, 7000);
-  await flushAll(world);
+  finishTasks(world, 100, 7000);
+  await writeAllProgress(world);
   const parts = (): string[] =>
     world.store.keys().filter((k) => k.startsWith(records.PROGRESS_PARTS));
   assert.deepEqual(parts(), []);
   // The last one is replaced within the term; what is not stored yet goes into parts.
-  finish(world, 7000, TASKS);
+  finishTasks(world, 7000, TASKS);
   everyoneNew = true;
   world.leader.tick();
-  await flushAll(world);
+  await writeAllProgress(world);
   assert.ok(parts().length > 1);
   assert.equal(outcome(world.replica.jobs.get(JOB)!), 'done');
 });
--- a/test/renewals-at-size.test.ts
+++ b/test/renewals-at-size.test.ts
@@ -42,13 +42,13 @@
   for (let i = 0; i < JOBS; i += 2) world.cancel(idOf(i));
   const cancelledAt = world.now;
   let lastGoneAt = cancelledAt;
-  const cancelled = (): boolean =>
+  const isCancelledTaskRunning = (): boolean =>
     [...world.toldAt.keys()].some((id) => world.fleet.running(id) > 0);
   for (let term = 0; term < TERMS; term++) {
     const endsAt = world.now + world.times.leaseS * TERM_LEASES;
     while (world.now < endsAt) {
       await world.runUntil(world.now + world.times.reportS);
-      if (cancelled()) lastGoneAt = world.now;
+      if (isCancelledTaskRunning()) lastGoneAt = world.now;
       assert.deepEqual(world.overdueTasks(), []);
     }
     world.leader?.kill();
--- a/test/support/leader-stages.ts
+++ b/test/support/leader-stages.ts
@@ -35,7 +35,7 @@
     'its claim is under way',
     async (world) => {
       world.runCycle();
-      await world.writeOnceAs('hold back');
+      await world.writeOnceInMode('hold back');
     },
   ],
   [
--- a/test/support/leader-world.ts
+++ b/test/support/leader-world.ts
@@ -205,7 +205,7 @@
   }
 
   /** One transaction that the key-value store meets in this mode; from then on it serves. */
-  async writeOnceAs(mode: StoreMode): Promise<void> {
+  async writeOnceInMode(mode: StoreMode): Promise<void> {
     this.store.mode = mode;
     await this.parts.writer.writeBatch();
     this.store.mode = 'serve';
--- a/test/term-tokens.test.ts
+++ b/test/term-tokens.test.ts
@@ -8,9 +8,9 @@
 import { LeaderWorld } from './support/leader-world.js';
 
 const JOB = 'wk-000001';
-const LEADER = 20;
-const RECORD = 25;
-const READ = 30;
+const LEADER_TOKEN = 20;
+const RECORD_REVISION = 25;
+const READ_REVISION = 30;
 
 const TASK: TaskStatus = {
   ...{ job: JOB, index: 0, attempt: 21 },
@@ -18,15 +18,15 @@
 };
 
 interface Situation {
-  shown: number;
+  shownToken: number;
   tasks?: TaskStatus[];
   record?: Partial<MachineRecord>;
   cancelled?: boolean;
   mayLackClaims?: boolean;
 }
 
-function tokenGiven({
-  shown,
+function tokenFor({
+  shownToken: shown,
   tasks = [],
   record,
   cancelled,
@@ -34,13 +34,16 @@
 }: Situation): number | null {
   const claims = [{ job: JOB, index: 0, attempt: 21 }];
   const stored = {
-    record: fake<MachineRecord>({ term: LEADER, claims, ...record }),
-    revision: RECORD,
+    record: fake<MachineRecord>({ term: LEADER_TOKEN, claims, ...record }),
+    revision: RECORD_REVISION,
   };
   const options: SubstituteTokenOptions = {
     heartbeat: fake<Heartbeat>({ machine: 'a', token: shown, tasks }),
-    leaderToken: LEADER,
-    replica: { machines: new Map(record === undefined ? [] : [['a', stored]]), applied: READ },
+    leaderToken: LEADER_TOKEN,
+    replica: {
+      machines: new Map(record === undefined ? [] : [['a', stored]]),
+      applied: READ_REVISION,
+    },
     isCancelled: () => cancelled === true,
     mayLackClaims: mayLackClaims === true,
   };
@@ -49,25 +52,25 @@
 
 test("the token of a renewal in a leader's place: the term's, and one that refuses what must not start", () => {
   const cases: [string, Situation, number | null][] = [
-    ['nothing is known of the machine', { shown: LEADER }, LEADER],
-    ['it has not seen the leader', { shown: 7 }, LEADER],
-    ['its record names a token', { shown: LEADER, record: { token: 23 } }, 23],
-    ['it shows one that no record names', { shown: 24, record: {} }, 24],
-    ['the highest that is certain to be the leader\'s', { shown: READ, record: {} }, READ],
-    ['it may be a later leader\'s', { shown: READ + 1, record: {} }, null],
-    ['a later leader\'s, beside a claim', { shown: READ + 1, record: {}, cancelled: true }, null],
-    ['a later leader\'s, beside unread cancellations', { shown: READ + 1, mayLackClaims: true }, null],
-    ['the start of a cancelled task may be on its way', { shown: LEADER, record: {}, cancelled: true }, RECORD],
-    ['the same, after the answer', { shown: RECORD, record: {}, cancelled: true }, RECORD],
-    ['the same, the worker knows the task', { shown: LEADER, record: {}, tasks: [TASK], cancelled: true }, LEADER],
-    ['it knows another attempt', { shown: LEADER, record: {}, tasks: [{ ...TASK, attempt: 3 }], cancelled: true }, RECORD],
-    ['it knows another task', { shown: LEADER, record: {}, tasks: [{ ...TASK, index: 3 }], cancelled: true }, RECORD],
-    ['a start of an earlier leader', { shown: 7, record: { term: 7 }, cancelled: true }, LEADER],
-    ['a token of an earlier leader', { shown: 7, record: { term: 7, token: 9 } }, LEADER],
-    ['claims may be unread', { shown: LEADER, record: {}, mayLackClaims: true }, READ],
-    ['claims may be unread, no record', { shown: LEADER, mayLackClaims: true }, READ],
+    ['nothing is known of the machine', { shownToken: LEADER_TOKEN }, LEADER_TOKEN],
+    ['it has not seen the leader', { shownToken: 7 }, LEADER_TOKEN],
+    ['its record names a token', { shownToken: LEADER_TOKEN, record: { token: 23 } }, 23],
+    ['it shows one that no record names', { shownToken: 24, record: {} }, 24],
+    ['the highest that is certain to be the leader\'s', { shownToken: READ_REVISION, record: {} }, READ_REVISION],
+    ['it may be a later leader\'s', { shownToken: READ_REVISION + 1, record: {} }, null],
+    ['a later leader\'s, beside a claim', { shownToken: READ_REVISION + 1, record: {}, cancelled: true }, null],
+    ['a later leader\'s, beside unread cancellations', { shownToken: READ_REVISION + 1, mayLackClaims: true }, null],
+    ['the start of a cancelled task may be on its way', { shownToken: LEADER_TOKEN, record: {}, cancelled: true }, RECORD_REVISION],
+    ['the same, after the answer', { shownToken: RECORD_REVISION, record: {}, cancelled: true }, RECORD_REVISION],
+    ['the same, the worker knows the task', { shownToken: LEADER_TOKEN, record: {}, tasks: [TASK], cancelled: true }, LEADER_TOKEN],
+    ['it knows another attempt', { shownToken: LEADER_TOKEN, record: {}, tasks: [{ ...TASK, attempt: 3 }], cancelled: true }, RECORD_REVISION],
+    ['it knows another task', { shownToken: LEADER_TOKEN, record: {}, tasks: [{ ...TASK, index: 3 }], cancelled: true }, RECORD_REVISION],
+    ['a start of an earlier leader', { shownToken: 7, record: { term: 7 }, cancelled: true }, LEADER_TOKEN],
+    ['a token of an earlier leader', { shownToken: 7, record: { term: 7, token: 9 } }, LEADER_TOKEN],
+    ['claims may be unread', { shownToken: LEADER_TOKEN, record: {}, mayLackClaims: true }, READ_REVISION],
+    ['claims may be unread, no record', { shownToken: LEADER_TOKEN, mayLackClaims: true }, READ_REVISION],
   ]; // prettier-ignore
-  for (const [name, situation, token] of cases) assert.equal(tokenGiven(situation), token, name);
+  for (const [name, situation, token] of cases) assert.equal(tokenFor(situation), token, name);
 });
 
 /** A leader, and a machine that has shown its token. */
