--- a/src/leader/attempts/machine-health.ts
+++ b/src/leader/attempts/machine-health.ts
@@ -6,7 +6,7 @@
 import type { Attempt } from '../../workers/attempt.js';
 import type { Machine } from '../../workers/machine.js';
 
-/** A job that has succeeded nowhere and failed on this many machines is suspect: its failures do not count against machines. */
+/** Failures of a job that has succeeded nowhere do not count against machines once it has failed on this many. */
 const SUSPECT_JOB_MIN_MACHINES = 3;
 /** Longest cordon of a machine, in leases. */
 const MAX_CORDON_LEASES = 3;
@@ -16,7 +16,7 @@
 const FAILURE_WINDOW_LEASES = 12;
 /** Longest retry delay of a task whose job fails on every machine, in leases. */
 const MAX_RETRY_DELAY_LEASES = 6;
-/** A machine is faulty from this many failures: of tasks whose job succeeded elsewhere, and of jobs without a success. */
+/** A machine is faulty from this many failures: of tasks of jobs with a success elsewhere, and of other jobs. */
 const QUARANTINE_MIN_JOBS = 2;
 
 /** Dependencies of `MachineHealth`. */
--- a/src/leader/capacity/capacity-manager.ts
+++ b/src/leader/capacity/capacity-manager.ts
@@ -22,7 +22,7 @@
 export interface CapacityManagerOptions {
   term: Term;
   cloud: CloudClient;
-  /** Called only after construction: scheduler and capacity manager depend on each other, the former for `warmTarget`. */
+  /** Called only after construction, since the scheduler in turn depends on `warmTarget`. */
   scheduler: () => Scheduler;
   forecast: DemandForecast;
   /** Called for a machine that the cloud has confirmed as gone. */
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -1,4 +1,4 @@
-/** Scale-in: which machines to return, namely empty ones that are not needed and ones that failed or never sent a heartbeat. */
+/** Scale-in: returns empty machines that are not needed, and machines that failed or never sent a heartbeat. */
 
 import type { MachineType } from '../../jobs/types.js';
 import type { FreeCapacity } from '../../scheduler/bin-packing.js';
@@ -13,7 +13,7 @@
 const NO_HEARTBEAT_BOOTS = { booting: 6, running: 4, failed: 0 } as const;
 /** Leases added to that, as time for its first heartbeat. */
 const NO_HEARTBEAT_LEASES = 2;
-/** Leases from the start of a term until machines without a heartbeat are returned: the others have sent one by then. */
+/** Leases from the start of a term until machines without a heartbeat are returned: all others have sent one by then. */
 const SETTLE_LEASES = 3;
 /** Leases after which a silent machine is returned; until then it may send heartbeats again. */
 const SILENT_RETURN_LEASES = 4;
@@ -21,7 +21,7 @@
 const RETURN_SURPLUS_MACHINES = 1.2;
 /** Free machines above the warm reserve from which one is returned after a shorter idle time. */
 export const LARGE_SURPLUS_MACHINES = 2.5;
-/** Free machines from which one is returned where there is no reserve: below 1, so that the last one is returned too. */
+/** Free machines from which one is returned if there is no reserve; below 1, so that the last one is returned too. */
 const NO_RESERVE_SURPLUS_MACHINES = 0.9;
 /** How long a machine must have been idle, in boot times: as a rule, and with a large surplus or on spot. */
 const IDLE_BOOTS = 1;
--- a/src/leader/capacity/scale-out-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -27,10 +27,10 @@
 const SILENT_LEASE_SHARE = 0.4;
 /** If a larger share of the fleet is silent, the fault is assumed to be on this controller's side. */
 const MAX_SILENT_SHARE = 0.5;
-/** Most machines that one order for the warm reserve adds: this number or this share of the reserve, whichever is larger. */
+/** Most machines in one order for the warm reserve: the larger of this number and this share of the reserve. */
 const MAX_WARM_ORDER_MACHINES = 4;
 const MAX_WARM_ORDER_SHARE = 0.25;
-/** Share by which each machine in a zone raises the notional price of the next one there, to spread machines over zones. */
+/** Share by which each machine in a zone raises the assumed price of the next one, to spread machines over zones. */
 const ZONE_SPREAD_SHARE = 0.001;
 
 /** Unplaced demand and free capacity after the latest scheduling cycle. */
--- a/src/leader/heartbeat-answerer.ts
+++ b/src/leader/heartbeat-answerer.ts
@@ -15,7 +15,7 @@
     private readonly onJoined: (machine: Machine) => void,
   ) {}
 
-  /** Decodes the heartbeat in a body without parsing it if it only repeats the machine's last one. Throws BadMessage. */
+  /** Decodes the heartbeat in a body; parses it only if it differs from the machine's last one. Throws BadMessage. */
   decode(body: Buffer): Heartbeat {
     const machine = scanMachineId(body);
     const known = machine === null ? undefined : this.term.machines.get(machine);
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -40,7 +40,7 @@
   subsystems?: readonly Subsystem[];
 }
 
-/** The leader of one term: answers heartbeats, places tasks, writes to the store, commands workers and scales the fleet. */
+/** Leads for one term: answers heartbeats, places tasks, writes to the store, commands workers and scales the fleet. */
 export class Leader {
   readonly term: Term;
   private readonly scheduler: Scheduler;
@@ -175,7 +175,7 @@
     this.term.jobCancelled(storedJob);
   }
 
-  /** Handles a stored cancellation that another controller has reported, since an outage keeps this one from reading it. */
+  /** Handles a stored cancellation reported by another controller, which an outage keeps this one from reading. */
   onCancellationHeard(id: string): void {
     this.term.cancellationReported(id);
   }
--- a/src/leader/term/term-state.ts
+++ b/src/leader/term/term-state.ts
@@ -29,11 +29,11 @@
   canWrite: () => boolean;
   /** What is known of renewals that other controllers give in this leader's place. */
   othersRenewal: () => RenewalKnowledge;
-  /** Asks a majority for a new proof of `othersRenewal`. */
+  /** Asks a majority of the controllers for a new proof of these renewals. */
   requestOthersProof: () => void;
   /** What is known of renewals that a zone's lease holder gives in its zone. */
   zoneRenewal: (zone: string) => RenewalKnowledge;
-  /** Asks for a new proof of `zoneRenewal`. */
+  /** Asks for a new proof of the renewals in zones. */
   requestZoneProof: () => void;
   /** When this process learnt of a job's cancellation, in seconds of the clock. */
   cancellationKnownAt: (job: string) => number | undefined;
--- a/test/cluster-limits.test.ts
+++ b/test/cluster-limits.test.ts
@@ -11,14 +11,14 @@
 const WAITING_JOB = 'wk-000003';
 
 interface FaultCase extends Row, MachineTrouble {
-  /** In leases, from the leader's end. */
+  /** Duration from the leader's end, in leases. */
   forLeases: number;
   /** The job is cancelled before the leader ends, or while there is none. */
   cancelled: 'before' | 'after';
 }
 
-// Cancelled tasks on a machine that is not heard take their team's capacity until they are provably gone.
-test('a team at its limit, a machine cut off or hanging, a job cancelled, the leader ends: the limit holds', async () => {
+// Cancelled tasks on a machine without contact count against their team's limit until they are provably gone.
+test('a team stays within its limit when a machine is cut off or hangs, a job is cancelled and the leader ends', async () => {
   const rows: FaultCase[] = [
     { name: 'mute, cancelled before', ...mute, forLeases: 2, cancelled: 'before' },
     { name: 'deaf, cancelled before', ...deaf, forLeases: 2, cancelled: 'before' },
--- a/test/cluster-records.test.ts
+++ b/test/cluster-records.test.ts
@@ -8,8 +8,8 @@
 import type { Worker } from './standins/worker.js';
 
 /**
- * Of each lease, the next leader takes about a half until it acts: machines that nobody hears meanwhile
- * must not lose theirs.
+ * The next leader needs about half a lease until it acts. Machines whose heartbeats are not answered meanwhile must not
+ * lose their leases.
  */
 const LEASE_S = 3;
 
@@ -18,7 +18,7 @@
 const LATER_JOB = 'wk-000013';
 const TASKS = 3;
 
-/** One machine is full. The next job gets one of its own. */
+/** Fills one machine, so that the next job needs another one. */
 async function fillFirstMachine(cluster: Cluster): Promise<Worker> {
   cluster.cloud.bootMs = 20;
   await cluster.users.submit(0, FILLER_JOB, { form: 'daemon', gpus: MACHINE_GPUS });
@@ -26,7 +26,7 @@
   return cluster.hosts(FILLER_JOB)[0]!;
 }
 
-/** The leader ends while only the first machine is heard. There is capacity on that one by now. */
+/** Ends the leader while only the first machine's heartbeats arrive, and frees the capacity of that machine. */
 async function changeLeader(cluster: Cluster, first: Worker): Promise<void> {
   for (const worker of cluster.workers) worker.mute = worker !== first;
   const old = await cluster.endLeader();
@@ -37,8 +37,8 @@
   for (const worker of cluster.workers) worker.mute = false;
 }
 
-// A task that starts before its claim is stored is unknown to the next leader, who starts it elsewhere.
-test('new machines get work at once while their records lag, and the leader ends: nothing runs twice', async () => {
+// The next leader does not know of a task that started before its claim was stored, and starts it elsewhere.
+test('new machines get tasks while their records are stored late, and the leader ends: no task runs twice', async () => {
   const rows: (Row & { fate: Fate })[] = [
     { name: 'stored soon', fate: { how: 'late', afterS: 0.3 } },
     { name: 'stored after the leader has ended', fate: { how: 'late', afterS: 1.2 } },
@@ -49,37 +49,37 @@
     cluster.state.disturb(MACHINES, fate);
     await cluster.users.submit(0, JOB, { form: 'daemon', pieces: TASKS });
     await until('claims on their way', () => cluster.state.disturbed > 0);
-    // What is started too early has been started by now.
+    // By now any premature start would have been carried out.
     await wait(200);
     await changeLeader(cluster, first);
     await cluster.runs(JOB, TASKS);
   });
 });
 
-// Without its guard the late record hides the claims of the newer one from the next leader.
-test('a record is stored late, after a newer one of the same leader: the newer one stays', async () => {
+// Without its guard, the late record would overwrite the claims of the newer one, and the next leader would not see them.
+test('a record that is stored late does not overwrite a newer one of the same leader', async () => {
   const rows = [{ name: 'late' }];
   await playAll(rows, { leaseS: LEASE_S }, async (cluster) => {
     const { users, state } = cluster;
     const first = await fillFirstMachine(cluster);
-    // Longer than a leader waits for an answer: it reads back, writes again and goes on.
+    // Longer than the leader's commit time-out: it reads the record back, writes it again and continues.
     state.disturb(MACHINES, { how: 'late', afterS: 4 }, 1);
     await users.submit(0, JOB, { form: 'daemon', pieces: TASKS });
     await cluster.runs(JOB, TASKS);
     await users.submit(0, LATER_JOB, { form: 'daemon' });
     await cluster.runs(LATER_JOB, 1);
-    assert.equal(state.carriedOutLate, 0, 'newer ones come first');
-    await until('the late one came', () => state.carriedOutLate === 1);
+    assert.equal(state.carriedOutLate, 0, 'newer records are stored first');
+    await until('the late record arrived', () => state.carriedOutLate === 1);
     await changeLeader(cluster, first);
     await cluster.runs(JOB, TASKS);
     await cluster.runs(LATER_JOB, 1);
   });
 });
 
-// What a record names may run on its machine, also when that is not heard yet: a leader that takes over
-// with less than the record starts it elsewhere. Once all machines were mute here, and there was no
-// capacity elsewhere: the test held whatever the next leader read.
-test('records of machines are stored late, twice or unanswered, and the leader ends while they are mute', async () => {
+// Tasks that a record claims may run on its machine even if the new leader has no heartbeat from it yet: a leader that
+// misses some of the claims starts these tasks elsewhere. The first machine's heartbeats must arrive: if all machines
+// are mute, there is no capacity elsewhere, and the test passes whatever the next leader has read.
+test('machine records are stored late, twice or without an answer, and the leader ends while heartbeats are lost', async () => {
   const rows: (Row & { fate: Fate })[] = [
     { name: 'answers lost', fate: { how: 'answer_lost' } },
     { name: 'late', fate: { how: 'late', afterS: 0.4 } },
--- a/test/late-starts-random.test.ts
+++ b/test/late-starts-random.test.ts
@@ -1,8 +1,8 @@
 /**
- * Starts that are held back on their way, beside outages, late commits, leaders that end or freeze, cut links and
- * cancellations, in any order and in injected time: once a cancelled task must be gone, each start of it that may still
- * arrive is refused by its worker. Looked at after every step, whether or not the start arrives then. A fixed seed;
- * more with LATE_STARTS_RUNS and LATE_STARTS_SEED:
+ * Delayed starts together with outages, late commits, leaders that end or freeze, cut links and cancellations, in any
+ * order and with an injected clock: once a cancelled task must be gone, its worker refuses each start of it that may
+ * still arrive. Checked after every step, whether or not the start arrives then. The seed is fixed by default; to vary
+ * it, set LATE_STARTS_RUNS and LATE_STARTS_SEED:
  * `LATE_STARTS_RUNS=5000 LATE_STARTS_SEED=7 node --test target/check/test/late-starts-random.test.js`.
  */
 import { test } from 'node:test';
@@ -13,14 +13,14 @@
 
 const RUNS = Number(process.env.LATE_STARTS_RUNS ?? 600);
 const SEED = Number(process.env.LATE_STARTS_SEED ?? 51);
-/** A job arrives; the store must serve for that. */
+/** Submits a job, unless there is a store outage. */
 function acceptJob(world: ControlPlaneWorld): void {
   if (world.storeOutage) return;
   const id = `wk-${String(world.accepted.length).padStart(6, '0')}`;
   world.submitJob({ id, kind: 'array', tasks: 2, gpus: 1, cores: 1 });
 }
 
-/** Troubles that bring about starts on their way, beside those of renewals. */
+/** Faults that lead to delayed starts, in addition to those for renewals. */
 const START_TROUBLES: Record<string, Trouble> = {
   'a job arrives': acceptJob,
   'a job arrives, and its starts are held back': (world) => {
@@ -38,12 +38,12 @@
 
 const ALL_TROUBLES: Record<string, Trouble> = { ...TROUBLES, ...START_TROUBLES };
 
-/** One of these, and some time after it. */
+/** One of these events, and some time after it. */
 const event = (...names: string[]): fc.Arbitrary<DayEvent> => anyOf(names);
 
 const anyEvent = event(...Object.keys(ALL_TROUBLES));
 
-/** Most starts are answered long before anything happens to them: each day has one that is not. */
+/** Most starts are answered before any fault affects them, so each sequence of events contains one that is held back. */
 const events = fc
   .tuple(
     fc.array(anyEvent, { maxLength: 6 }),
@@ -58,6 +58,6 @@
 
 const day = fc.record({ times: fc.constantFrom(...TIMES), reportsNewToken: fc.boolean(), events });
 
-test('troubles in any order beside starts on their way: none is carried out once its time is over', async () => {
+test('random faults with delayed starts: no start is carried out once its cancelled task must be gone', async () => {
   await assertDays(day, ALL_TROUBLES, { seed: SEED, runs: RUNS });
 });
--- a/test/late-starts.test.ts
+++ b/test/late-starts.test.ts
@@ -1,15 +1,13 @@
 /**
- * Starts of cancelled tasks that arrive late.
+ * Guards against starts of cancelled tasks that are carried out late.
  *
- * What happens: a start goes straight to a machine and is held back on its way. Its job is cancelled, and the store
- * refuses everybody. Long after the time at which the task must be gone the start arrives, and the machine carries it
- * out, since token and agent epoch still match.
- * Why: the one thing that made such a start harmless was a higher token, and a leader gave one only after a commit had
- * named it. In an outage there is no commit, while every answer to a heartbeat renews the lease, which keeps the epoch,
- * and repeats the token that the start needs. Controllers that renew in a leader's place did the same.
- * Evidence: in the first case the start carries token 2, and in the 37.5 s from the cancellation to the arrival fifteen
- * renewals repeat token 2 in agent epoch 1. The record that claims the task stands at revision 6 all along: a token of
- * the same term that the machine would have taken. No fence was stored; a leader that may not write did not try.
+ * A direct start is delayed in the network. Its job is cancelled, then the store refuses all requests. The start arrives
+ * long after the task must be gone, and the worker carries it out, since token and agent epoch still match: only a higher
+ * token makes it refuse. If a higher token needs a commit, there is none in an outage, while each answer to a heartbeat,
+ * also of a controller in the leader's place, renews the lease, which preserves the epoch, and repeats the old token.
+ * In the first case the start carries token 2, and the fifteen renewals in the 37.5 s from the cancellation to the arrival
+ * repeated token 2 in agent epoch 1. The record that claims the task had revision 6 all the time, which is a token of the
+ * same term that the worker accepts without a commit.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -29,7 +27,7 @@
   node: string;
 }
 
-/** n-2 leads. A task runs, and the start of another job's task is held back on its way to the same machine. */
+/** n-2 leads. A task runs, and the direct start of another job's task to the same machine is held back. */
 async function holdBackStart(): Promise<HeldBackStart> {
   const world = new ControlPlaneWorld(INCIDENT_TIMES);
   for (const controller of world.controllers) controller.stands = controller.node === 'n-2';
@@ -42,11 +40,11 @@
   world.holdsDirectCommands = true;
   world.submitJob({ id: OTHER_JOB });
   await world.runUntil(world.now + 0.5);
-  assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), undefined, 'still on its way');
+  assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), undefined, 'not delivered yet');
   return held;
 }
 
-/** Time passes, with a heartbeat every interval. */
+/** Advances the time, with a heartbeat in every interval. */
 async function heartbeats({ world, worker, node }: HeldBackStart, seconds: number): Promise<void> {
   const until = world.now + seconds;
   while (world.now < until) {
@@ -55,14 +53,14 @@
   }
 }
 
-/** The job whose start is on its way is cancelled, and its user is told. */
+/** Cancels the job whose start is held back; its user gets the answer. */
 async function cancel({ world }: HeldBackStart): Promise<void> {
   world.cancel(OTHER_JOB);
   await world.runUntil(world.now + 0.25);
   assert.ok(world.toldAt.has(OTHER_JOB));
 }
 
-/** How it goes on from the cancellation to the arrival; the machine's lease is renewed all the time. */
+/** What happens between the cancellation and the arrival of the start; the machine's lease is renewed throughout. */
 const SCENARIOS: Record<string, (held: HeldBackStart) => Promise<void>> = {
   'the leader goes on in an outage': async (held) => {
     await cancel(held);
@@ -118,7 +116,7 @@
   },
 };
 
-test('a start that is held back is refused once its time is over, whoever renews the lease', async () => {
+test('a delayed start of a cancelled task is refused after cancel_s, whichever controller renews the lease', async () => {
   for (const [name, applyScenario] of Object.entries(SCENARIOS)) {
     const held = await holdBackStart();
     const { world, worker } = held;
@@ -133,19 +131,23 @@
   }
 });
 
-test('a start that is called back is told: the machine fenced anew is counted, in an outage too', async () => {
+test('a machine that gets a higher token because of an unanswered start is counted, also in an outage', async () => {
   const held = await holdBackStart();
   const { world } = held;
   await cancel(held);
   world.storeOutage = true;
   await heartbeats(held, world.times.leaseS);
   const { leader } = world.controller('n-2').term!;
-  assert.equal(leader.statistics().machines_fenced_anew, 1, 'once, however often it is looked at');
-  // Seen to be refused by then: it counts for no quota, and is not taken for on its way.
+  assert.equal(
+    leader.statistics().machines_fenced_anew,
+    1,
+    'counted once, however often it is checked',
+  );
+  // The worker provably refuses the start by now, so it occupies no quota and does not count as still to come.
   assert.equal(leader.statistics().cancelled_attempts, 0);
 });
 
-test('the token that refuses a start costs the other work of its machine nothing', async () => {
+test('a higher token that makes a machine refuse a start does not affect its other tasks', async () => {
   for (const name of [
     'the leader goes on in an outage',
     'the leader ends in the outage, and others renew leases in its place',
@@ -156,12 +158,12 @@
     const { world, worker } = held;
     await SCENARIOS[name]!(held);
     await heartbeats(held, world.times.cancelS);
-    assert.equal(worker.agentEpoch, 1, `${name}: its lease is renewed all the time`);
+    assert.equal(worker.agentEpoch, 1, `${name}: its lease is renewed throughout`);
     assert.equal(worker.running(JOB).length, 1, name);
   }
 });
 
-test('a raised token outlives the outage: the leader goes on with it, and starts with it', async () => {
+test('after the outage a leader continues with the raised token and starts tasks with it', async () => {
   for (const leaderEnds of [false, true]) {
     const held = await holdBackStart();
     const { world, worker } = held;
@@ -188,12 +190,15 @@
 });
 
 interface LateClaim extends HeldBackStart {
-  /** The job whose task is claimed; its user has been told that it is cancelled. */
+  /** The job whose task is claimed; its cancellation is confirmed to its user. */
   late: string;
   leader: SimulatedController;
 }
 
-/** An outage begins as the leader has stored a claim that nobody else has read, of a job whose cancellation it has not read. */
+/**
+ * An outage begins just after the leader has stored a claim that no other controller has read, of a job whose
+ * cancellation the leader has not read.
+ */
 async function claimBeforeOutage(): Promise<LateClaim> {
   const held = await holdBackStart();
   const { world } = held;
@@ -201,12 +206,12 @@
   await heartbeats(held, world.times.leaseS);
   const late = 'wk-000004';
   const leader = world.controller('n-2');
-  // The leader reads the job, and not that it is cancelled.
+  // The leader reads the job but not its cancellation.
   world.submitJob({ id: late });
   (leader as unknown as { read(): void }).read();
   Object.assign(leader, { readsLost: true, peersReachable: false });
   world.cancel(late);
-  // The others take their turns before it, read the cancellation, and do not read the claim any more.
+  // The others run before the leader: they read the cancellation, but no longer the claim.
   await world.runUntil(world.now + world.times.reportS / 10);
   assert.ok(world.toldAt.has(late));
   world.storeOutage = true;
@@ -218,8 +223,8 @@
   return { ...held, late, leader };
 }
 
-// Nobody else knew of the claim, so whoever renewed the lease in the outage gave no token that refuses its start.
-test('a start whose claim was stored just before an outage is refused, although its leader ended', async () => {
+// If no other controller knows of the claim, substitutes may renew the lease with a token that does not refuse its start.
+test('a start whose claim was stored just before an outage is refused after its leader has ended', async () => {
   const held = await claimBeforeOutage();
   const { world, worker, leader } = held;
   world.holdsDirectCommands = true;
@@ -230,8 +235,8 @@
   assert.deepEqual(world.lateStarts(), []);
 });
 
-// Whoever confirmed the leader in the outage did not name a cancelled job that had no task by what it had read itself.
-test('a leader that claims a cancelled task just before an outage hears that it is cancelled', async () => {
+// A controller that acknowledges the leader in the outage must also name cancelled jobs that have no task in its replica.
+test('a leader that claims a cancelled task just before an outage is informed of the cancellation', async () => {
   const { world, worker, late, leader } = await claimBeforeOutage();
   world.holdsDirectCommands = false;
   leader.peersReachable = true;
--- a/test/meeting-ends.test.ts
+++ b/test/meeting-ends.test.ts
@@ -1,4 +1,4 @@
-/** Meetings of troubles with ends, cancellations and commands that come late. */
+/** Combinations of faults with ends of tasks, cancellations and delayed commands. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as records from '../src/store/records.js';
@@ -6,7 +6,7 @@
 import type { LeaderWorld } from './support/leader-world.js';
 import { JOB, OTHER, task, worldWith } from './support/leader-stages.js';
 
-test('one-task jobs four a second, a quarter cancelled: each runs once, or never after its end', async () => {
+test('five one-task jobs a second, a quarter cancelled: each is done or cancelled and starts at most once', async () => {
   const world = await worldWith(['a', 'b']);
   const jobs: string[] = [];
   for (let i = 0; i < 120; i++) {
@@ -34,7 +34,7 @@
   }
 });
 
-test('a cancellation that meets the end of the last task: the older of the two in the store', async () => {
+test('a cancellation concurrent with the end of the last task: the older one in the store counts', async () => {
   const cases: [string, (world: LeaderWorld) => Promise<void>, string][] = [
     ['cancelled, then ended', async (world) => world.cancel(JOB), 'cancelled'],
     [
@@ -51,7 +51,7 @@
       'done',
     ],
     [
-      'it comes late',
+      'it is carried out late',
       async (world) => {
         await world.writeOnceInMode('hold back');
         world.cancel(JOB);
@@ -60,7 +60,7 @@
       'cancelled',
     ],
     [
-      'it comes late, just before',
+      'it is carried out late, just before the cancellation',
       async (world) => {
         await world.writeOnceInMode('hold back');
         world.store.deliverHeldBack();
@@ -78,7 +78,7 @@
       worker.end(task(worker), 'done');
       world.exchangeHeartbeat(worker);
       await interfere(world);
-      // The leader's own record may be the one that is refused, never a second one that counts.
+      // The leader's record of the end may be refused, but no second record may change the outcome.
       const told = outcome(world.store.feed(world.replica).jobs.get(JOB)!);
       assert.equal(told, want, name);
       const at = world.store.revision(records.progressKey(JOB, 0));
@@ -94,7 +94,7 @@
   }
 });
 
-/** A job whose start went to machine `a` straight, and was not answered: `start.arrive` has it arrive late. */
+/** A job whose direct start to machine `a` was not answered; `start.arrive` delivers it late. */
 async function unansweredStart(): Promise<{
   world: LeaderWorld;
   start: ReturnType<LeaderWorld['sendDirect']>;
@@ -108,7 +108,7 @@
   return { world, start };
 }
 
-test('a direct start or stop that arrives late is carried out once, and starts nothing anew', async () => {
+test('a direct start or stop that arrives late is carried out at most once and starts nothing again', async () => {
   const { world, start } = await unansweredStart();
   await world.run(1);
   const worker = world.fleet.workers.get('a')!;
@@ -133,7 +133,7 @@
   assert.deepEqual(world.fleet.violations, []);
 });
 
-test('nothing starts before the store names it', async () => {
+test('no task starts before its claim is stored', async () => {
   const world = await worldWith(['a']);
   world.submitJob({ id: JOB });
   world.runCycle();
@@ -145,12 +145,12 @@
   assert.equal(world.fleet.running(JOB), 1);
 });
 
-test('a start that was not answered may come at any time until the agent epoch ends', async () => {
+test('an unanswered start may arrive at any time until the agent epoch ends', async () => {
   for (const ends of [false, true]) {
     const { world, start } = await unansweredStart();
     const worker = world.fleet.workers.get('a')!;
     world.fleet.add('b');
-    // The machine is to be taken: its task is wanted elsewhere.
+    // The cloud reclaims the machine, so its task has to move to another one.
     worker.reclaimNoticeS = 60;
     if (ends) worker.agentEpoch++;
     await world.run(2);
@@ -162,14 +162,14 @@
   }
 });
 
-test('a machine with a start under way is not returned; one that is being returned gets none', async () => {
+test('a machine with a start in flight is not returned, and one that is being returned gets no start', async () => {
   const world = await worldWith(['a', 'b']);
   const idle = world.settings.workers.lease_s * 40;
   await world.run(idle);
   world.submitJob({ id: JOB, gpus: 8, cores: 8 });
   world.runCycle();
   const placed = world.term.jobs.get(JOB)!.attemptsByTask.get(0)![0]!.machine;
-  // It would go back at once if it were empty.
+  // A quarantined machine is returned at once if it is empty.
   world.machine(placed).condition.quarantined = true;
   assert.ok(!world.parts.capacity.machinesToRemove().includes(placed));
   assert.equal(world.machine(placed).state, 'ready');
@@ -178,7 +178,7 @@
   world.machine(other).changeState('returning');
   world.term.machinesToWrite.add(other);
   await world.writeAll();
-  // The request stays unanswered; the leader changes; it is carried out late.
+  // The return request stays unanswered; the leader changes; the request is carried out late.
   world.submitJob({ id: OTHER, gpus: 8, cores: 8 });
   await world.run(2);
   world.failOver();
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -1,4 +1,4 @@
-/** Meetings of troubles with the end of a leader: what the next one starts, stops and waits for. */
+/** Combinations of faults with a change of leader: what the next leader starts, stops and waits for. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '../src/wire/workers.js';
@@ -7,7 +7,7 @@
 import type { Worker } from './support/simulated-fleet.js';
 import { JOB, OTHER, task, worldWith, STAGES } from './support/leader-stages.js';
 
-test('a job whose leader ends runs once, however far it has come', async () => {
+test('a job runs once when its leader ends at any stage of the job', async () => {
   for (const [name, until] of STAGES) {
     const world = await worldWith(['a']);
     world.submitJob({ id: JOB });
@@ -25,8 +25,8 @@
   }
 });
 
-test('a job that is cancelled as its leader ends starts no more and is gone', async () => {
-  // The old leader learns of the cancellation, or it does not, or the next has to stop everything.
+test('a job that is cancelled while its leader ends does not start again and is removed', async () => {
+  // How the cancellation becomes known: by a report or the old leader's own read, or only to the next leader.
   const ways = ['no change', 'by the old leader', 'by the next', 'by word of another'] as const;
   for (const seen of ways) {
     for (const [name, until] of STAGES) {
@@ -42,11 +42,11 @@
       else late?.unanswered();
       world.store.deliverHeldBack();
       world.exchangeHeartbeat(world.fleet.workers.get('a')!);
-      // What the old leader had sent arrives after the new one's first answer.
+      // The old leader's direct message arrives after the new leader's first answer.
       late?.arrive();
       await world.run(4);
       assert.equal(world.fleet.running(JOB), 0, `${name}, ${seen}`);
-      // Without a change what was on its way already starts, and is stopped.
+      // Without a change of leader a start that was in flight is carried out, and its task is stopped.
       if (seen !== 'no change') assert.deepEqual(world.fleet.violations, [], `${name}, ${seen}`);
       assert.deepEqual(world.machine('a').activeAttempts(), [], `${name}, ${seen}`);
       if (seen !== 'no change') assert.equal(world.term.jobs.size, 0, `${name}, ${seen}`);
@@ -55,7 +55,7 @@
   }
 });
 
-test('leaders change ten times in two minutes, also inside an outage: all that runs goes on', async () => {
+test('ten changes of leader in two minutes, some in an outage: all running tasks continue', async () => {
   const world = await worldWith(['a', 'b']);
   world.submitJob({ id: JOB, kind: 'service', tasks: 4 });
   world.submitJob({ id: OTHER, kind: 'gang', tasks: 2 });
@@ -72,7 +72,7 @@
     assert.deepEqual(numbers(), before, `change ${i}`);
   }
   assert.ok([...world.fleet.starts.values()].every((n) => n === 1));
-  // What starts now has a number of its own.
+  // Tasks that start now get a new attempt number.
   const tasks = (): TaskStatus[] =>
     [...world.fleet.workers.values()].flatMap((worker) => [...worker.tasks.values()]);
   for (let failures = 0; failures < 2; failures++) {
@@ -81,11 +81,11 @@
     await world.run(5);
     const again = tasks().find((task) => task.job === JOB && task.index === 0)!;
     assert.equal(again.state, 'running');
-    assert.ok(again.attempt > old.attempt, 'with a number of its own');
+    assert.ok(again.attempt > old.attempt, 'with a new attempt number');
   }
 });
 
-test('a leader that the store refuses alone stops what another has told it is cancelled', async () => {
+test('a leader that alone is refused by the store stops a job whose cancellation another controller reports', async () => {
   const world = await worldWith(['a']);
   world.submitJob({ id: JOB });
   world.submitJob({ id: OTHER });
@@ -100,17 +100,17 @@
   assert.deepEqual([world.term.jobs.has(JOB), world.fleet.running(OTHER)], [false, 1]);
 });
 
-test('what is on machines that the new leader does not hear stays theirs for a lease', async () => {
+test('tasks on machines without contact to the new leader are not started elsewhere for a lease', async () => {
   type Trouble = (worker: Worker) => void;
   const cases: [string, Trouble, Trouble][] = [
     ['reports lost', (worker) => (worker.mute = true), () => undefined],
     [
-      'reports lost, then heard',
+      'reports lost, then delivered',
       (worker) => (worker.mute = true),
       (worker) => (worker.mute = false),
     ],
     [
-      'answers lost, then heard',
+      'answers lost, then delivered',
       (worker) => (worker.deaf = true),
       (worker) => (worker.deaf = false),
     ],
@@ -125,7 +125,11 @@
     begin(worker);
     world.failOver();
     await world.run(lease_s * 0.9);
-    assert.equal(world.fleet.starts.get(`${JOB}/0`), 1, `${name}: not given up before its time`);
+    assert.equal(
+      world.fleet.starts.get(`${JOB}/0`),
+      1,
+      `${name}: not started elsewhere before the lease expires`,
+    );
     await world.run(lease_s);
     end(worker);
     await world.run(lease_s);
@@ -135,7 +139,7 @@
   }
 });
 
-test('all controllers are away for longer than a lease: everything begins anew, once', async () => {
+test('no controller runs for longer than a lease: every task starts again exactly once', async () => {
   const world = await worldWith(['a', 'b']);
   world.submitJob({ id: JOB, tasks: 4 });
   await world.run(1);
@@ -149,7 +153,7 @@
   assert.deepEqual(world.fleet.violations, []);
 });
 
-test('a transaction that comes late, of this leader or one before, undoes nothing newer', async () => {
+test('a transaction that is carried out late, of this or an earlier leader, overwrites nothing newer', async () => {
   for (const next of [false, true]) {
     const world = await worldWith(['a']);
     world.submitJob({ id: JOB });
@@ -163,7 +167,7 @@
     const revision = world.store.revision(key);
     world.store.deliverHeldBack();
     assert.equal(world.store.revision(key), revision);
-    // Nor does one that reaches the store before the new leader's first.
+    // The same holds for one that reaches the store before the new leader's first transaction.
     world.submitJob({ id: 'wk-000003' });
     world.runCycle();
     await world.writeOnceInMode('hold back');
@@ -176,12 +180,12 @@
   }
 });
 
-test('a machine in a zone that may be kept is lost only on proof', async () => {
+test('a machine whose zone lease holder may renew its lease is lost only on proof', async () => {
   const cases: [string, number, number, boolean][] = [
     ['no controller is there', -Infinity, Infinity, true],
-    ['its zone keeper may be keeping it', 60, Infinity, false],
-    ['its zone keeper is there, by an old read', -Infinity, 0, false],
-    ['its zone keeper is there, by a fresh read', -Infinity, 60, true],
+    ['its zone lease holder may renew its lease', 60, Infinity, false],
+    ['its zone lease holder does not renew, by an old proof', -Infinity, 0, false],
+    ['its zone lease holder does not renew, by a fresh proof', -Infinity, 60, true],
   ];
   for (const [name, keptUntil, provenAt, lost] of cases) {
     const world = await worldWith(['a', 'b']);
@@ -192,7 +196,7 @@
     );
     on!.mute = true;
     world.zoneRenewal = { keptUntil, provenAt };
-    // Kept by its zone lease holder.
+    // The zone lease holder renews its lease.
     if (!lost) on!.answeredAt = Infinity;
     await world.run(world.settings.workers.lease_s * 2);
     assert.equal(world.fleet.starts.get(`${JOB}/0`), lost ? 2 : 1, name);
@@ -200,7 +204,7 @@
   }
 });
 
-test('old heartbeats that come as a new leader begins, or later, prove nothing', async () => {
+test('old heartbeats that arrive when a new leader starts, or later, prove nothing', async () => {
   const world = await worldWith(['a', 'b']);
   world.submitJob({ id: JOB, kind: 'service', tasks: 2, gpus: 8, cores: 8 });
   const worker = world.fleet.workers.get('a')!;
@@ -235,9 +239,9 @@
     await world.run(2);
     check(when);
   }
-  // A leader whose time is over answers nobody who knows of a later one.
+  // A leader does not answer a worker that knows of a later one.
   assert.equal(world.leader.answerHeartbeat({ ...old, token: world.token + 1 }).status, 503);
-  // Of an earlier attempt of a task that runs there again.
+  // An old heartbeat that shows an earlier attempt of a task that runs there again.
   worker.end(task(worker, JOB, world.machine('a').activeAttempts()[0]!.index), 'error');
   await world.run(3);
   world.leader.answerHeartbeat({ ...old, token: world.token });
@@ -246,7 +250,7 @@
   assert.deepEqual(world.fleet.violations, []);
 });
 
-test('a team at its limit stays there while cancelled tasks may still run', async () => {
+test('a team does not exceed its limit while its cancelled tasks may still run', async () => {
   for (const change of [false, true]) {
     const world = await worldWith(['a', 'b'], 2);
     world.submitJob({ id: JOB, kind: 'service', tasks: 2, cores: 8 });
@@ -262,12 +266,12 @@
       await world.run(0.2);
       assert.ok(world.fleet.running(JOB) + world.fleet.running(OTHER) <= 2, `change: ${change}`);
     }
-    assert.equal(world.fleet.running(OTHER), 2, 'once the lease has run out');
+    assert.equal(world.fleet.running(OTHER), 2, 'once the lease has expired');
     assert.deepEqual(world.fleet.violations, []);
   }
 });
 
-test('work bound to one zone stays in it while some of it may be there', async () => {
+test('a one-zone job stays in its zone while any of its tasks may be there', async () => {
   for (const kind of ['array', 'gang'] as const) {
     const world = await worldWith(['a', 'z2b']);
     const tasks = kind === 'gang' ? 2 : 3;
@@ -278,7 +282,7 @@
     )!;
     assert.ok(home !== undefined, kind);
     const away = [...world.fleet.workers.values()].find((worker) => worker !== home)!;
-    assert.equal(away.running(JOB).length, 0, `${kind}: the third waits for room`);
+    assert.equal(away.running(JOB).length, 0, `${kind}: the third waits for capacity`);
     home.mute = true;
     world.failOver();
     await world.run(world.settings.workers.lease_s * 0.9);
@@ -289,7 +293,7 @@
   }
 });
 
-test('tasks that end far apart, each just before a change of leader, count once and for ever', async () => {
+test('tasks that end far apart, each just before a change of leader, count permanently and only once', async () => {
   const world = await worldWith(['a', 'b']);
   world.submitJob({ id: JOB, tasks: 3 });
   await world.run(1);
@@ -298,7 +302,7 @@
       (worker) => task(worker, JOB, index) !== undefined,
     )!;
     on.end(task(on, JOB, index), 'done');
-    // Heard by the leader, and stored or not when it ends.
+    // The leader knows the end of the task, and has stored it or not when it ends itself.
     world.exchangeHeartbeat(on);
     if (index === 1) await world.run(2);
     world.exchangeHeartbeat(on);
--- a/test/meeting-records.test.ts
+++ b/test/meeting-records.test.ts
@@ -1,4 +1,4 @@
-/** Records that are written, listed and removed while transactions and heartbeats come late. */
+/** Writing, listing and removing records while transactions and heartbeats arrive late. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { outcome } from '../src/store/stored-job.js';
@@ -15,7 +15,7 @@
 const accepted: Event = (store) => store.accept({ id: JOB });
 const cancelled: Event = (store) => store.cancel(JOB);
 
-test('a fresh listing tells the same of a job as the stream of changes', () => {
+test('a new listing gives the same outcome of a job as the stream of changes', () => {
   const cases: [string, Event[], string][] = [
     ['accepted', [accepted], 'open'],
     ['done', [accepted, done], 'done'],
@@ -37,7 +37,7 @@
   }
 });
 
-test('a cancellation that is listed before its job is never announced as an open job', () => {
+test('a job whose cancellation is listed before it is never announced as open', () => {
   const store = new MemoryStore();
   store.accept({ id: JOB });
   store.cancel(JOB, 'a');
@@ -46,10 +46,10 @@
     onReady: (storedJob) => void (outcome(storedJob) === 'open' && open.push(storedJob.spec.id)),
   });
   assert.equal(outcome(replica.jobs.get(JOB)!), 'cancelled');
-  assert.deepEqual(replica.cancelledSince(0), [JOB], 'told to others in an outage');
+  assert.deepEqual(replica.cancelledSince(0), [JOB], 'reported to other controllers in an outage');
 });
 
-test('of two acceptances of a job the older one describes it, whatever the order of listing', () => {
+test('the older of two acceptances of a job gives its specification, in any order of listing', () => {
   const store = new MemoryStore();
   store.accept({ id: JOB, gpus: 2 });
   store.accept({ id: JOB, gpus: 4 }, 0, 'a');
@@ -59,7 +59,7 @@
 });
 
 test('the record of a job that is done is never written again', async () => {
-  // A gang over two machines: its end is stored late, after the other machine's heartbeat.
+  // A gang on two machines: its end is stored late, after the other machine's heartbeat.
   const world = new LeaderWorld();
   const ids = ['a', 'b'];
   for (const id of ids) world.fleet.add(id);
@@ -93,7 +93,7 @@
     const worker = world.fleet.add('a');
     world.submitJob({ id: JOB, tasks: 2 });
     await world.run(2);
-    // Its lease expired long ago; it comes back with a new agent epoch.
+    // Its lease expired long ago; it sends heartbeats again with a new agent epoch.
     world.term.loseMachine(world.machine('a'));
     world.parts.forgetMachine(world.machine('a'));
     worker.tasks.clear();
--- a/test/progress-parts.test.ts
+++ b/test/progress-parts.test.ts
@@ -1,4 +1,4 @@
-/** Progress of large arrays under limits that are smaller than those by which it was divided. */
+/** Progress of large job arrays after the size limit of stored values was reduced. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BitSet } from '../src/jobs/bit-set.js';
@@ -10,7 +10,7 @@
 const TASKS = 20_000;
 const REDUCED_VALUE_KB = 2;
 
-/** The store has an array whose first tasks an old version has stored as done. */
+/** The store has a job array whose first tasks were stored as done by an old version. */
 function worldWith(doneBefore: number): LeaderWorld {
   const world = new LeaderWorld();
   world.settings.state.value_kb = REDUCED_VALUE_KB;
@@ -36,7 +36,7 @@
   }
 }
 
-test('an array that an old version began is finished in parts that fit, across a change of leader', async () => {
+test('a job array begun by an old version is finished in parts within the limit, across a change of leader', async () => {
   const world = worldWith(9000);
   assert.equal(world.term.jobs.get(JOB)!.done.count, 9000);
   finishTasks(world, 8000, 15_000);
@@ -57,7 +57,7 @@
   }
 });
 
-test('as long as an old controller is there, progress is written as that one reads it', async () => {
+test('while an old controller is present, progress is written in the form that it reads', async () => {
   const world = worldWith(100);
   let everyoneNew = false;
   world.term.context.allReadDenseRecords = () => everyoneNew;
@@ -68,7 +68,7 @@
   const parts = (): string[] =>
     world.store.keys().filter((k) => k.startsWith(records.PROGRESS_PARTS));
   assert.deepEqual(parts(), []);
-  // The last one is replaced within the term; what is not stored yet goes into parts.
+  // The last old controller is replaced within the term; progress that is not stored yet is written in parts.
   finishTasks(world, 7000, TASKS);
   everyoneNew = true;
   world.leader.tick();
--- a/test/renewals-at-size.test.ts
+++ b/test/renewals-at-size.test.ts
@@ -1,5 +1,5 @@
 /**
- * Many jobs are cancelled at once in a large fleet while leaders follow one another. 200 machines; more with
+ * Cancels many jobs at once in a large fleet during successive changes of leader. 200 machines by default; more with
  * RENEWALS_MACHINES: `RENEWALS_MACHINES=4000 node --test target/check/test/renewals-at-size.test.js`.
  */
 import assert from 'node:assert/strict';
@@ -10,10 +10,10 @@
 const MACHINES = Number(process.env.RENEWALS_MACHINES ?? 200);
 const TASKS_PER_JOB = 8;
 const GPUS_PER_TASK = 4;
-/** Of these GPUs a machine has eight. */
+/** Number of jobs that fills the fleet; a machine has eight GPUs. */
 const JOBS = (MACHINES * 8) / GPUS_PER_TASK / TASKS_PER_JOB;
 const TERMS = 5;
-/** Length of a term, in leases: every machine is heard once or twice in it, or not at all. */
+/** Length of a term, in leases: at most two heartbeats of each machine arrive in it. */
 const TERM_LEASES = 0.6;
 
 const idOf = (number: number): string => `wk-${String(number).padStart(6, '0')}`;
@@ -32,7 +32,7 @@
   return world;
 }
 
-test('half of a full fleet is cancelled at once as its leaders end one after another', async () => {
+test('half of the jobs on a full fleet are cancelled at once during successive changes of leader', async () => {
   const world = await fullFleet();
   const running = (): number =>
     [...world.fleet.workers.values()].reduce((sum, { tasks }) => sum + tasks.size, 0);
@@ -63,7 +63,10 @@
   assert.equal(world.toldAt.size, Math.ceil(JOBS / 2), 'all users were told');
   assert.deepEqual(world.fleet.violations, []);
   const afterS = lastGoneAt - cancelledAt;
-  assert.ok(afterS < world.times.leaseS * 1.5, `a cancelled task was there after ${afterS} s`);
+  assert.ok(
+    afterS < world.times.leaseS * 1.5,
+    `a cancelled task was still running after ${afterS} s`,
+  );
   process.stdout.write(
     `# ${MACHINES} machines: the last cancelled task was seen after ${afterS} s\n`,
   );
--- a/test/renewals-random.test.ts
+++ b/test/renewals-random.test.ts
@@ -1,7 +1,7 @@
 /**
- * Short terms, lost answers and cancellations in any order, with several controllers in injected time: no renewal of
- * a lease leaves out a stop that its giver can know of, and no cancelled task outlives its time. A fixed seed; more
- * with RENEWALS_RUNS and RENEWALS_SEED:
+ * Short terms, lost answers and cancellations in any order, with several controllers and an injected clock: no renewal
+ * of a lease omits a stop that the renewing controller can know of, and no cancelled task runs for longer than
+ * `cancel_s`. The seed is fixed by default; to vary it, set RENEWALS_RUNS and RENEWALS_SEED:
  * `RENEWALS_RUNS=2000 RENEWALS_SEED=7 node --test target/check/test/renewals-random.test.js`.
  */
 import assert from 'node:assert/strict';
@@ -12,10 +12,10 @@
 
 const RUNS = Number(process.env.RENEWALS_RUNS ?? 800);
 const SEED = Number(process.env.RENEWALS_SEED ?? 48);
-/** Length of a step of the day, in heartbeat intervals. */
+/** Length of a time step, in heartbeat intervals. */
 const STEP_HEARTBEATS = 0.5;
 
-/** What must hold at any moment. */
+/** Checks the invariants. */
 function check(world: ControlPlaneWorld): void {
   assert.deepEqual(world.overdueTasks(), []);
   const wrong = world.omittedStops.filter(
@@ -41,7 +41,7 @@
       check(world);
     }
   }
-  // Terms stay short until every cancellation that was told has had its time.
+  // Terms stay short until cancel_s has passed since every cancellation that a user was told of.
   const until = Math.max(...world.toldAt.values(), world.now) + day.times.cancelS + stepS;
   for (let i = 0; world.now < until; i++) {
     if (i % 7 === 3) TROUBLES['the leader ends']!(world, i);
@@ -57,7 +57,7 @@
   events: fc.array(event, { minLength: 4, maxLength: 24 }),
 });
 
-test('troubles in any order over short terms: no renewal omits a stop, no cancelled task is overdue', async () => {
+test('random faults over short terms: no renewal omits a stop, and no cancelled task is overdue', async () => {
   await fc.assert(fc.asyncProperty(day, play), {
     seed: SEED,
     numRuns: RUNS,
--- a/test/support/leader-stages.ts
+++ b/test/support/leader-stages.ts
@@ -1,18 +1,18 @@
-/** How far tasks have come when troubles begin, and worlds to begin with. */
+/** Stages of a task at which a fault occurs, and worlds in which tests start. */
 import type { TaskStatus } from '../../src/wire/workers.js';
 import { LeaderWorld } from './leader-world.js';
 import type { Worker } from './simulated-fleet.js';
 
-/** The job that most cases are about. */
+/** The job that most cases concern. */
 export const JOB = 'wk-000001';
 /** Another job. */
 export const OTHER = 'wk-000002';
 
-/** The task of a worker, which must be there. */
+/** A task on a worker, which must exist. */
 export const task = (worker: Worker, job = JOB, index = 0): TaskStatus =>
   worker.running(job).find((task) => task.index === index)!;
 
-/** Machines that are known and ready. */
+/** A world with these machines, all known and ready. */
 export async function worldWith(ids: string[], gpusMax = 100): Promise<LeaderWorld> {
   const world = new LeaderWorld(gpusMax);
   for (const id of ids) world.fleet.add(id, id.startsWith('z2') ? 'z2' : 'z1');
@@ -20,19 +20,19 @@
   return world;
 }
 
-/** How far a task has come when the troubles begin. */
+/** Stages of a task at which a fault occurs; the function brings the task to the stage. */
 export const STAGES: [string, (world: LeaderWorld) => Promise<void>][] = [
   ['waiting', async () => undefined],
   ['placed, its claim not stored', async (world) => world.runCycle()],
   [
-    'placed, and its machine asks before the claim is stored',
+    'placed, and its machine sends a heartbeat before the claim is stored',
     async (world) => {
       world.runCycle();
       world.exchangeHeartbeat(world.fleet.workers.get('a')!);
     },
   ],
   [
-    'its claim is under way',
+    'its claim is in flight',
     async (world) => {
       world.runCycle();
       await world.writeOnceInMode('hold back');
--- a/test/support/leader-world.ts
+++ b/test/support/leader-world.ts
@@ -1,5 +1,5 @@
 /**
- * A leader over a store in memory and simulated workers. Time moves by hand, and nothing opens a socket.
+ * A leader with an in-memory store and simulated workers. Tests advance the clock, and nothing opens a socket.
  */
 import type { CloudClient } from '../../src/cloud/client.js';
 import type { Settings } from '../../src/config/settings.js';
@@ -20,7 +20,7 @@
 import { MemoryStore, type StoreMode } from './memory-store.js';
 import { decodeHeartbeatReply, Fleet, type Worker } from './simulated-fleet.js';
 
-/** What runs from timers in a leader, driven by hand here. */
+/** Internals of a leader that normally run from timers and that the simulation calls directly. */
 interface LeaderParts {
   scheduleCycle(): void;
   runCycle(): void;
@@ -32,7 +32,7 @@
   dispatcher: { dispatch(): void };
 }
 
-/** What a leader has decided so far. */
+/** The leader's decisions so far. */
 interface Decisions {
   /** Key, revision and value of each record, by key. */
   stored: [string, number, unknown][];
@@ -41,15 +41,15 @@
   wanted: ReturnType<CapacityManager['machinesToAdd']>;
 }
 
-/** What a world has besides store, fleet and leader. */
+/** Optional components of a world. */
 export interface LeaderWorldOptions {
   subsystems?: readonly Subsystem[];
   cloud?: CloudClient;
-  /** Workers that do more than the usual ones. */
+  /** A fleet of extended workers. */
   fleet?: Fleet;
 }
 
-/** A leader over a store and a fleet. `takeOver` ends it, and another one begins. */
+/** A leader with a store and a fleet. `failOver` replaces the leader by a new one. */
 export class LeaderWorld {
   readonly settings: Settings = settings();
   readonly store = new MemoryStore();
@@ -60,12 +60,12 @@
   token = 0;
   canWrite = true;
   zoneRenewal = { keptUntil: -Infinity, provenAt: Infinity };
-  /** What others renew in the leader's place. */
+  /** Renewals that other controllers give in the leader's place. */
   othersRenewal = { keptUntil: -Infinity, provenAt: Infinity };
-  /** How often the leader has asked a majority for a proof of that. */
+  /** How often the leader has asked a majority for a proof of these renewals. */
   proofsRequested = 0;
   machinesGivenBack: string[] = [];
-  /** By how much the time of day has jumped on the leader's machine. */
+  /** Offset of the time of day on the leader's machine after a clock jump. */
   wallJumpMs = 0;
 
   constructor(
@@ -83,7 +83,7 @@
     return this.fleet.now;
   }
 
-  /** Time of day, in ms, as the leader's machine shows it. */
+  /** Time of day on the leader's machine, in ms. */
   wallMs(): number {
     return 1e9 + this.now * 1000 + this.wallJumpMs;
   }
@@ -107,7 +107,7 @@
     });
   }
 
-  /** The leader ends with all that it has in memory; another controller leads from now on. */
+  /** Ends the leader, whose memory is lost; another controller leads from now on. */
   failOver(): void {
     const value = records.encodeLeader({
       node: 'n',
@@ -155,26 +155,26 @@
     this.parts.capacity.provisioner.listedOnce = true;
   }
 
-  /** A job is accepted, and the leader sees it. */
+  /** Stores a job as accepted; the leader reads it. */
   submitJob(over: Partial<JobSpec> = {}): void {
     this.store.accept(over, 1e9 + this.now * 1000);
     this.store.feed(this.replica);
   }
 
-  /** The user is told so as soon as it is stored. */
+  /** Stores a cancellation; the user gets the answer as soon as it is stored. */
   cancel(id: string): void {
     this.store.cancel(id);
     this.fleet.cancelled.add(id);
   }
 
-  /** As `cancel`, where the leader can be asked: the user is told once it has noted the cancellation. */
+  /** As `cancel`, with the leader reachable: the user gets the answer once the leader has noted the cancellation. */
   cancelNotedByLeader(id: string): void {
     this.store.cancel(id);
     this.leader.onCancellationHeard(id);
     this.fleet.cancelled.add(id);
   }
 
-  /** A worker reports and gets its answer. */
+  /** Sends a worker's heartbeat to the leader and delivers the answer. */
   exchangeHeartbeat(worker: Worker): void {
     if (worker.mute) return;
     const sentAt = this.now;
@@ -184,7 +184,7 @@
     worker.takeAnswer(token, commands, sentAt);
   }
 
-  /** A direct command goes out; the caller says what becomes of it. */
+  /** Sends the due direct commands; the caller determines whether they arrive and are answered. */
   sendDirect(id: string): { arrive(): void; unanswered(): void } {
     const machine = this.machine(id);
     const worker = this.fleet.workers.get(id)!;
@@ -198,20 +198,20 @@
     };
   }
 
-  /** Writes until nothing is due; the leader sees it. */
+  /** Writes until nothing is due; the leader reads the changes. */
   async writeAll(): Promise<void> {
     for (let i = 0; i < 20 && this.canWrite && (await this.parts.writer.writeBatch()); i++);
     this.store.feed(this.replica);
   }
 
-  /** One transaction that the key-value store meets in this mode; from then on it serves. */
+  /** Writes one batch with the store in this mode, then sets the store to `serve`. */
   async writeOnceInMode(mode: StoreMode): Promise<void> {
     this.store.mode = mode;
     await this.parts.writer.writeBatch();
     this.store.mode = 'serve';
   }
 
-  /** All that is stored, was started and would be added now: the same, if the same was decided. */
+  /** All stored records, started tasks and machines to add, for comparing the decisions of two runs. */
   decisions(): Decisions {
     const { store, fleet } = this;
     return {
@@ -224,13 +224,13 @@
     };
   }
 
-  /** The leader sees what is stored and runs a scheduling cycle. */
+  /** The leader reads the store's changes and runs a scheduling cycle. */
   runCycle(): void {
     this.store.feed(this.replica);
     this.parts.runCycle();
   }
 
-  /** Time passes: workers report every interval, the leader places, stores and commands. */
+  /** Advances the time: in every interval workers send heartbeats, and the leader places, stores and commands. */
   async run(seconds: number): Promise<void> {
     const { report_s } = this.settings.workers;
     for (let left = seconds; left > 1e-9; left -= report_s) {
--- a/test/term-tokens.test.ts
+++ b/test/term-tokens.test.ts
@@ -1,4 +1,4 @@
-/** Tokens of one term beside its own: who gives them, who takes them for its own, and which starts they refuse. */
+/** Further tokens of a term: which controllers give them, which accept them as their own, and which starts they refuse. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { substituteToken, type SubstituteTokenOptions } from '../src/heartbeat/substitute-token.js';
@@ -50,7 +50,7 @@
   return substituteToken(options);
 }
 
-test("the token of a renewal in a leader's place: the term's, and one that refuses what must not start", () => {
+test("a substitute's renewal carries a token of the leader's term that refuses starts of cancelled tasks", () => {
   const cases: [string, Situation, number | null][] = [
     ['nothing is known of the machine', { shownToken: LEADER_TOKEN }, LEADER_TOKEN],
     ['it has not seen the leader', { shownToken: 7 }, LEADER_TOKEN],
@@ -73,7 +73,7 @@
   for (const [name, situation, token] of cases) assert.equal(tokenFor(situation), token, name);
 });
 
-/** A leader, and a machine that has shown its token. */
+/** A leader and a machine that has shown its token. */
 async function withMachine(): Promise<LeaderWorld> {
   const world = new LeaderWorld();
   world.fleet.add('a');
@@ -81,26 +81,26 @@
   return world;
 }
 
-test("a leader goes on with a token that was given in its place, and takes no later leader's for it", async () => {
+test("a leader continues with a token that a substitute has given, but rejects a later leader's token", async () => {
   const world = await withMachine();
   const worker = world.fleet.workers.get('a')!;
-  // Others have written since: the leader has read it, and has stored nothing itself.
+  // Another controller has written since. The leader has read that, but has committed nothing itself.
   world.store.put('ps/other', {});
   world.store.feed(world.replica);
   worker.token = world.store.currentRevision;
   assert.ok(worker.token > world.term.latestRevision);
   await world.run(1);
-  assert.equal(worker.answeredAt, world.now, 'answered, with a token that it takes');
+  assert.equal(worker.answeredAt, world.now, 'answered with a token that it accepts');
   world.submitJob({ id: JOB });
   await world.run(1);
   assert.equal(world.fleet.running(JOB), 1);
-  // What the leader has not read may be a later leader's.
+  // A revision that the leader has not read may be a later leader's token.
   worker.token = world.store.currentRevision + 1;
   const { status } = world.leader.answerHeartbeat(worker.heartbeat());
   assert.equal(status, 503);
 });
 
-test('after the key has changed hands, what was read is not taken for the own term', async () => {
+test("once another leader has put the key, revisions that were read do not count as the old leader's term", async () => {
   const world = await withMachine();
   const worker = world.fleet.workers.get('a')!;
   const { leader, replica, token } = world;
@@ -125,7 +125,7 @@
   assert.deepEqual(direct(), ['start']);
   const [attempt] = machine.activeAttempts();
   assert.ok(attempt!.claimRevision! > machine.token);
-  // No higher token is certain to be there once the start has to be refused.
+  // Without a revision above the token, no higher token is certain to exist when the start has to be refused.
   machine.token = attempt!.claimRevision!;
   assert.deepEqual(direct(), []);
   world.fleet.workers.get('a')!.token = machine.token;
