--- a/src/leader/attempts/attempt-stopper.ts
+++ b/src/leader/attempts/attempt-stopper.ts
@@ -36,7 +36,7 @@
     this.term.requestCycle();
   }
 
-  /** Stops an attempt that no job needs without grace; one that has ended may be forgotten by its worker. */
+  /** Stops an attempt that no job needs, without grace; if it has ended, its worker may forget it. */
   dismiss(attempt: Attempt): void {
     if (attempt.state === 'ended') attempt.settled = true;
     else attempt.stopRequest ??= { at: this.term.now, graceS: 0, sentAt: null };
--- a/src/leader/attempts/lease-expiry.ts
+++ b/src/leader/attempts/lease-expiry.ts
@@ -31,11 +31,11 @@
       machine.leaseRenewed(zone.keptUntil);
       if (now <= machine.leaseExpiresAt) continue;
       // A proof from before the lease's end does not exclude a later renewal.
-      const isSubstitutesProven = substitutes.provenAt >= machine.leaseExpiresAt;
+      const areSubstitutesProven = substitutes.provenAt >= machine.leaseExpiresAt;
       const isZoneProven = zone.provenAt >= machine.leaseExpiresAt;
-      substitutesUnproven ||= !isSubstitutesProven;
+      substitutesUnproven ||= !areSubstitutesProven;
       zoneUnproven ||= !isZoneProven;
-      if (isSubstitutesProven && isZoneProven) this.leaseExpired(machine);
+      if (areSubstitutesProven && isZoneProven) this.leaseExpired(machine);
     }
     if (substitutesUnproven) context.requestOthersProof();
     if (zoneUnproven) context.requestZoneProof();
--- a/src/leader/capacity/free-capacity.ts
+++ b/src/leader/capacity/free-capacity.ts
@@ -72,8 +72,8 @@
 
   /** See `FreeCapacity.hasImage`. */
   hasImage(image: string): boolean {
-    const { running, cached, nothingEvicted: nothingDropped } = this.details;
-    return running.has(image) || (nothingDropped && cached.has(image));
+    const { running, cached, nothingEvicted } = this.details;
+    return running.has(image) || (nothingEvicted && cached.has(image));
   }
 
   /** See `FreeCapacity.imageDelayS`. */
@@ -86,12 +86,12 @@
 
   /** See `FreeCapacity.cachedHotImages`. */
   cachedHotImages(hot: HotImage[]): HotImage[] {
-    const { details: facts } = this;
-    if (facts.hotImages !== hot) {
-      facts.hotImages = hot;
-      facts.cachedHotImages = hot.filter((hotImage) => facts.cached.has(hotImage.image));
+    const { details } = this;
+    if (details.hotImages !== hot) {
+      details.hotImages = hot;
+      details.cachedHotImages = hot.filter((hotImage) => details.cached.has(hotImage.image));
     }
-    return facts.cachedHotImages;
+    return details.cachedHotImages;
   }
 }
 
@@ -110,7 +110,7 @@
 
 /**
  * Free capacity of all machines, and the usage of all teams. The entry of a machine is recomputed only after
- * something on the machine has changed: with some hundred machines and many scheduling cycles a second, computing
+ * something on the machine has changed: with several hundred machines and many scheduling cycles a second, computing
  * all entries in each cycle took most of a controller's share of a core.
  */
 export class FreeCapacityIndex {
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -9,7 +9,7 @@
 import type { Term } from '../term/term.js';
 import type { WarmReserve } from './warm-reserve.js';
 
-/** Boot times after which a machine is returned that has sent no heartbeat, by its state in the cloud's list. */
+/** Boot times after which a machine without a heartbeat is returned, by its state in the cloud's list. */
 const NO_HEARTBEAT_BOOTS = { booting: 6, running: 4, failed: 0 } as const;
 /** Leases added to that, as time for its first heartbeat. */
 const NO_HEARTBEAT_LEASES = 2;
@@ -112,7 +112,7 @@
     for (const machine of this.term.machines.values()) {
       if ((machine.state !== 'ready' && machine.state !== 'silent') || machine.attempts.size > 0)
         continue;
-      empty.push({ machine: machine, gb: machine.images.totalGb });
+      empty.push({ machine, gb: machine.images.totalGb });
     }
     empty.sort((a, b) => a.gb - b.gb);
     return empty.map((entry) => entry.machine);
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -51,7 +51,7 @@
   private readonly forecast: DemandForecast;
   private readonly subsystems: ActiveSubsystems;
   private readonly cancelledAttempts: CancelledAttempts;
-  private readonly termLog: TermLog;
+  private readonly log: TermLog;
   private readonly latencies: LatencyHistograms;
   private timer: NodeJS.Timeout | null = null;
   private readonly cyclePacing: CyclePacing;
@@ -72,7 +72,7 @@
     this.latencies = latencies;
     this.term = new Term(context);
     this.cancelledAttempts = new CancelledAttempts(this.term);
-    this.termLog = new TermLog(this.term, this.cancelledAttempts);
+    this.log = new TermLog(this.term, this.cancelledAttempts);
     this.cyclePacing = new CyclePacing({ leaseS: context.settings.workers.lease_s, overload });
     this.term.onCycleRequested = () => this.scheduleCycle();
     this.forecast = makeForecast(this.term);
@@ -132,7 +132,7 @@
 
   /** Starts the record writer, the machine provisioner and the scheduling cycles. */
   start(): void {
-    this.termLog.logStart();
+    this.log.began();
     void this.writer.run();
     void this.capacity.provisioner.run();
     this.scheduleCycle();
@@ -140,7 +140,7 @@
 
   /** Ends the term: nothing more is written or commanded, and no machine is requested. */
   stop(): void {
-    this.termLog.logEnd();
+    this.log.ended();
     this.stopped = true;
     this.writer.stop();
     this.capacity.provisioner.stop();
@@ -210,7 +210,7 @@
   /** Called about twice in a heartbeat interval, for work that depends only on time. */
   tick(): void {
     if (this.stopped) return;
-    this.termLog.tick();
+    this.log.tick();
     this.capacity.consolidate();
     this.term.fenceUnanswered();
     splitOversizedProgress(this.term);
--- a/src/leader/term/term-log.ts
+++ b/src/leader/term/term-log.ts
@@ -13,7 +13,7 @@
   ) {}
 
   /** Logs the start: what was read, and the cancelled tasks that earlier terms have left on machines. */
-  logStart(): void {
+  began(): void {
     const { context, machines, jobs } = this.term;
     this.cancelledAttempts.tick();
     context.log.info(
@@ -29,7 +29,7 @@
   }
 
   /** Logs the end. A term has started nothing on machines that have not shown its token. */
-  logEnd(): void {
+  ended(): void {
     const { context, machines, now, startedAt } = this.term;
     context.log.info(
       {
