--- a/src/leader/writes/record-writer.ts
+++ b/src/leader/writes/record-writer.ts
@@ -20,8 +20,9 @@
 /** How long the writer waits when nothing is due, unless it is woken. */
 const IDLE_S = 0.25;
 const COMMIT_TIMEOUT_S = 1.5;
-/** Waits before the next try: after an error, and after a rejected request (up to as much again is added at random). */
+/** Wait before a retry after an error. */
 const RETRY_S = 0.2;
+/** Wait before a retry after a rejected request; up to as much again is added at random. */
 const REJECTED_RETRY_S = 0.1;
 
 /** Dependencies of `RecordWriter`. */
--- a/test/late-starts-random.test.ts
+++ b/test/late-starts-random.test.ts
@@ -1,8 +1,8 @@
 /**
  * Delayed starts together with outages, late commits, leaders that end or freeze, cut links and cancellations, in any
  * order and with an injected clock: once a cancelled task must be gone, its worker refuses each start of it that may
- * still arrive. Checked after every step, whether or not the start arrives then. The seed is fixed by default; to vary
- * it, set LATE_STARTS_RUNS and LATE_STARTS_SEED:
+ * still arrive. Checked after every step, whether or not the start arrives then. The seed is fixed; for more or other
+ * runs, set LATE_STARTS_RUNS and LATE_STARTS_SEED:
  * `LATE_STARTS_RUNS=5000 LATE_STARTS_SEED=7 node --test target/check/test/late-starts-random.test.js`.
  */
 import { test } from 'node:test';
--- a/test/renewals-random.test.ts
+++ b/test/renewals-random.test.ts
@@ -1,7 +1,7 @@
 /**
  * Short terms, lost answers and cancellations in any order, with several controllers and an injected clock: no renewal
  * of a lease omits a stop that the renewing controller can know of, and no cancelled task runs for longer than
- * `cancel_s`. The seed is fixed by default; to vary it, set RENEWALS_RUNS and RENEWALS_SEED:
+ * `cancel_s`. The seed is fixed; for more or other runs, set RENEWALS_RUNS and RENEWALS_SEED:
  * `RENEWALS_RUNS=2000 RENEWALS_SEED=7 node --test target/check/test/renewals-random.test.js`.
  */
 import assert from 'node:assert/strict';
