--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -61,15 +61,15 @@
     this.frames.push(encodeFrame(value));
     if (this.state === 'flushing') return;
     if (urgent) {
-      this.become('flushing');
+      this.setState('flushing');
       setImmediate(() => this.flush());
     } else if (this.state === 'empty') {
-      this.become('gathering');
+      this.setState('gathering');
       this.timer = setTimeout(() => this.flush(), this.batchingDelayS * 1000);
     }
   }
 
-  private become(state: WriterState): void {
+  private setState(state: WriterState): void {
     if (this.state === 'gathering') clearTimeout(this.timer);
     this.state = state;
   }
@@ -77,7 +77,7 @@
   private flush(): void {
     const { frames } = this;
     this.frames = [];
-    this.become('empty');
+    this.setState('empty');
     if (this.socket.destroyed) return;
     const attached = this.attachment();
     if (attached !== null) frames.push(encodeFrame(attached));
@@ -87,20 +87,20 @@
 
 /** Takes frames out of the bytes of a connection. */
 export class FrameReader {
-  private held: Buffer = Buffer.alloc(0);
+  private buffered: Buffer = Buffer.alloc(0);
 
   /** Throws on a frame that is too long or not CBOR. */
   push(data: Buffer): unknown[] {
-    this.held = this.held.length === 0 ? data : Buffer.concat([this.held, data]);
-    const out: unknown[] = [];
-    while (this.held.length >= LENGTH_BYTES) {
-      const size = this.held.readUInt32BE(0);
+    this.buffered = this.buffered.length === 0 ? data : Buffer.concat([this.buffered, data]);
+    const frames: unknown[] = [];
+    while (this.buffered.length >= LENGTH_BYTES) {
+      const size = this.buffered.readUInt32BE(0);
       if (size === 0 || size > MAX_FRAME) throw new FrameSizeError(size);
       const end = LENGTH_BYTES + size;
-      if (this.held.length < end) break;
-      out.push(decoder.decode(this.held.subarray(LENGTH_BYTES, end)));
-      this.held = this.held.subarray(end);
+      if (this.buffered.length < end) break;
+      frames.push(decoder.decode(this.buffered.subarray(LENGTH_BYTES, end)));
+      this.buffered = this.buffered.subarray(end);
     }
-    return out;
+    return frames;
   }
 }
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -8,7 +8,7 @@
 import {
   FEATURES,
   parseAnswer,
-  parseFromAnswerer,
+  parseAcceptorFrame,
   PROTOCOL_VERSION,
   type Answer,
   type AnswerTo,
@@ -21,7 +21,7 @@
 type LinkState = 'down' | 'connecting' | 'up';
 
 /** Milliseconds that a connection may take to come about. */
-const CONNECT_MS = 1500;
+const CONNECT_TIMEOUT_MS = 1500;
 /** Milliseconds between two attempts to connect: at first, and at most. */
 const MIN_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 2000;
@@ -61,7 +61,7 @@
 
   constructor(private readonly options: LinkOptions) {}
 
-  private become(state: LinkState): void {
+  private setState(state: LinkState): void {
     this.state = state;
     if (state === 'down') {
       this.socket?.destroy();
@@ -86,42 +86,42 @@
     this.socket = socket;
     const writer = new FrameWriter(socket, healthAttachment(health), batchingDelayS);
     this.writer = writer;
-    this.become('connecting');
+    this.setState('connecting');
     const reader = new FrameReader();
     socket.setNoDelay(true);
-    const down = (): void => {
-      if (this.socket === socket) this.become('down');
+    const onDisconnect = (): void => {
+      if (this.socket === socket) this.setState('down');
     };
-    const slow = answerTimeout(() => {
-      if (this.state === 'connecting') down();
-    }, CONNECT_MS);
+    const connectTimer = answerTimeout(() => {
+      if (this.state === 'connecting') onDisconnect();
+    }, CONNECT_TIMEOUT_MS);
     socket.on('connect', () => {
-      clearTimeout(slow);
-      if (this.socket === socket) this.become('up');
+      clearTimeout(connectTimer);
+      if (this.socket === socket) this.setState('up');
     });
     socket.on('data', (data) => {
       try {
-        for (const frame of reader.push(data)) this.received(frame);
+        for (const frame of reader.push(data)) this.handleFrame(frame);
       } catch (error) {
         log.info({ err: error }, 'malformed peer frame');
-        down();
+        onDisconnect();
       }
     });
-    socket.on('error', down);
+    socket.on('error', onDisconnect);
     socket.on('close', () => {
-      clearTimeout(slow);
-      down();
+      clearTimeout(connectTimer);
+      onDisconnect();
     });
     writer.write({ v: PROTOCOL_VERSION, from: self, features: FEATURES } satisfies HelloFrame);
   }
 
-  private received(raw: unknown): void {
-    const frame = parseFromAnswerer(raw);
+  private handleFrame(raw: unknown): void {
+    const frame = parseAcceptorFrame(raw);
     if (frame.kind === 'fitness') this.options.health.note(this.options.peer, frame.fitness);
-    else this.answered(frame.id, frame.answer);
+    else this.handleAnswer(frame.id, frame.answer);
   }
 
-  private answered(id: number, answer: unknown): void {
+  private handleAnswer(id: number, answer: unknown): void {
     this.answeredAt = performance.now();
     const pending = this.pending.get(id);
     if (pending === undefined) return;
@@ -144,7 +144,7 @@
         resolve(null);
         // Hanging, perhaps cut off: a new connection is the only way to find out. Not when others were
         // answered meanwhile: hundreds of heartbeats may be under way on this one.
-        if (this.socket === socket && this.answeredAt < sentAt) this.become('down');
+        if (this.socket === socket && this.answeredAt < sentAt) this.setState('down');
       }, timeoutS * 1000);
       // `answered` parses the answer by the kind of the question.
       const resolveAs = resolve as Pending['resolve'];
@@ -155,6 +155,6 @@
 
   /** Ends the connection; questions under way have no answer. */
   close(): void {
-    this.become('down');
+    this.setState('down');
   }
 }
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -136,25 +136,25 @@
 
 const isFields = (raw: unknown): raw is Fields => raw !== null && typeof raw === 'object';
 
-function objectOf(frame: unknown): Fields {
+function requireFields(frame: unknown): Fields {
   if (!isFields(frame)) throw new MalformedFrameError('no object');
   return frame;
 }
 
-function frameId(frame: Fields): number {
+function requireFrameId(frame: Fields): number {
   if (typeof frame.id !== 'number') throw new MalformedFrameError('no id');
   return frame.id;
 }
 
 const finite = v.pipe(v.number(), v.finite());
-const amount = v.pipe(finite, v.minValue(0));
+const nonNegative = v.pipe(finite, v.minValue(0));
 const revision = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
 const jobId = v.pipe(v.string(), v.maxLength(MAX_JOB_ID));
 
 // Questions
 
-const question = v.variant('q', [
-  v.object({ q: v.literal('refused'), token: revision, forMs: amount, applied: revision }),
+const questionSchema = v.variant('q', [
+  v.object({ q: v.literal('refused'), token: revision, forMs: nonNegative, applied: revision }),
   v.object({ q: v.literal('elected'), token: revision }),
   v.object({ q: v.literal('there') }),
   v.object({
@@ -170,7 +170,7 @@
 export function parseQuestion(raw: Fields): Question | null {
   // Checked by hand: heartbeats come hundreds of times a second.
   if (raw.q === 'report') return parseHeartbeatQuestion(raw);
-  const result = v.safeParse(question, raw);
+  const result = v.safeParse(questionSchema, raw);
   return result.success ? result.output : null;
 }
 
@@ -181,21 +181,21 @@
 
 // Answers
 
-const flag = v.fallback(v.optional(v.boolean()), undefined);
-const seconds = v.fallback(v.optional(finite), undefined);
-const words = v.fallback(v.optional(v.string()), undefined);
+const optionalBoolean = v.fallback(v.optional(v.boolean()), undefined);
+const optionalNumber = v.fallback(v.optional(finite), undefined);
+const optionalString = v.fallback(v.optional(v.string()), undefined);
 
-const ANSWERS = {
+const ANSWER_SCHEMAS = {
   refused: v.object({
-    refused: flag,
+    refused: optionalBoolean,
     cancelled: v.fallback(v.optional(v.array(v.string())), undefined),
-    freshAgeS: seconds,
+    freshAgeS: optionalNumber,
   }),
-  elected: v.object({ remainsS: seconds }),
-  there: v.object({ there: flag }),
-  user: v.object({ status: seconds, body: words, retryAfter: seconds }),
-  cancelling: v.object({ told: flag }),
-  cancelled: v.object({ noted: flag }),
+  elected: v.object({ remainsS: optionalNumber }),
+  there: v.object({ there: optionalBoolean }),
+  user: v.object({ status: optionalNumber, body: optionalString, retryAfter: optionalNumber }),
+  cancelling: v.object({ told: optionalBoolean }),
+  cancelled: v.object({ noted: optionalBoolean }),
 };
 
 /** The answer to a question of this kind. Null: it is no object, which counts as no answer. */
@@ -205,7 +205,7 @@
   if (!isFields(raw)) return null;
   // Checked by hand, as the question is.
   if (kind === 'report') return parseHeartbeatAnswer(raw);
-  const result = v.safeParse(ANSWERS[kind], raw);
+  const result = v.safeParse(ANSWER_SCHEMAS[kind], raw);
   return result.success ? result.output : {};
 }
 
@@ -219,52 +219,52 @@
 
 // Frames
 
-const hello = v.object({
+const helloSchema = v.object({
   v: v.literal(PROTOCOL_VERSION),
   from: v.string(),
   features: v.fallback(v.optional(v.array(v.string()), []), []),
 });
-const fitness = v.object({
-  latenessS: amount,
+const healthSchema = v.object({
+  latenessS: nonNegative,
   served: v.boolean(),
-  relayS: v.optional(amount),
+  relayS: v.optional(nonNegative),
 });
 
 /** The first frame of a connection. Throws MalformedFrameError. */
 export function parseHello(frame: unknown): Hello {
-  const result = v.safeParse(hello, frame);
+  const result = v.safeParse(helloSchema, frame);
   if (!result.success) throw new MalformedFrameError('unknown version');
   const { from, features } = result.output;
   return { from, features: new Set(features) };
 }
 
 function parseHealth(raw: unknown): ControllerHealth {
-  const result = v.safeParse(fitness, raw);
+  const result = v.safeParse(healthSchema, raw);
   if (!result.success) throw new MalformedFrameError('fitness');
   return result.output;
 }
 
 /** What the controller that opened a connection sends on it; `question` null: a malformed one. */
-export type FromAsker =
+export type InitiatorFrame =
   | { kind: 'question'; id: number; question: Question | null }
   | { kind: 'fitness'; fitness: ControllerHealth };
 
 /** A later frame of the controller that asks. Throws MalformedFrameError. */
-export function parseFromAsker(raw: unknown): FromAsker {
-  const frame = objectOf(raw);
+export function parseInitiatorFrame(raw: unknown): InitiatorFrame {
+  const frame = requireFields(raw);
   if ('fitness' in frame) return { kind: 'fitness', fitness: parseHealth(frame.fitness) };
-  const id = frameId(frame);
+  const id = requireFrameId(frame);
   if (!isFields(frame.q)) throw new MalformedFrameError('no question');
   return { kind: 'question', id, question: parseQuestion(frame.q) };
 }
 
 /** What the controller that accepted a connection sends on it; `answer`: see `parseAnswer`. */
-export type FromAnswerer =
+export type AcceptorFrame =
   { kind: 'answer'; id: number; answer: unknown } | { kind: 'fitness'; fitness: ControllerHealth };
 
 /** A frame of the controller that answers. Throws MalformedFrameError. */
-export function parseFromAnswerer(raw: unknown): FromAnswerer {
-  const frame = objectOf(raw);
+export function parseAcceptorFrame(raw: unknown): AcceptorFrame {
+  const frame = requireFields(raw);
   if ('fitness' in frame) return { kind: 'fitness', fitness: parseHealth(frame.fitness) };
-  return { kind: 'answer', id: frameId(frame), answer: frame.a };
+  return { kind: 'answer', id: requireFrameId(frame), answer: frame.a };
 }
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -6,7 +6,7 @@
 import { Link } from './link.js';
 import {
   MalformedFrameError,
-  parseFromAsker,
+  parseInitiatorFrame,
   parseHello,
   type Answer,
   type AnswerFrame,
@@ -78,25 +78,26 @@
       this.options.batchingDelayS,
     );
     let from: string | null = null;
-    let busy = 0;
-    const received = (raw: unknown): void => {
+    let pendingQuestions = 0;
+    const handleFrame = (raw: unknown): void => {
       if (from === null) {
         from = this.identify(raw);
         return;
       }
-      const frame = parseFromAsker(raw);
+      const frame = parseInitiatorFrame(raw);
       if (frame.kind === 'fitness') {
         this.options.health.note(from, frame.fitness);
         return;
       }
-      if (++busy > this.options.maxPending) throw new MalformedFrameError('too many questions');
-      void this.answer(writer, from, frame.id, frame.question).finally(() => busy--);
+      if (++pendingQuestions > this.options.maxPending)
+        throw new MalformedFrameError('too many questions');
+      void this.answer(writer, from, frame.id, frame.question).finally(() => pendingQuestions--);
     };
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.accepted.delete(socket));
     socket.on('data', (data) => {
       try {
-        for (const frame of reader.push(data)) received(frame);
+        for (const frame of reader.push(data)) handleFrame(frame);
       } catch (error) {
         this.options.log.info({ err: error }, 'malformed peer frame');
         socket.destroy();
@@ -128,10 +129,10 @@
   }
 
   /** Rejects when the address cannot be had. */
-  listen(at: Endpoint): Promise<void> {
+  listen(address: Endpoint): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
-      this.server.listen(at.port, at.host, () => {
+      this.server.listen(address.port, address.host, () => {
         this.server.off('error', reject);
         resolve();
       });
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -22,7 +22,7 @@
  * Of a second's worth of all writes, what a follower may write at once: users submit the jobs of a pipeline
  * one after another, and with a follower's share of a second the third one waited for most of another.
  */
-const FOLLOWER_BURST = 0.3;
+const FOLLOWER_BURST_S = 0.3;
 
 /** The key-value store as this node sees it, within this node's share of the request limits. */
 export class KeyValueStoreClient {
@@ -66,7 +66,7 @@
     const writes =
       (role === 'leader' ? 1 - 0.45 * followers : 0.45 / controllers) * write_rps * 0.9;
     const reads = (role === 'leader' ? 1 - 0.8 * followers : 0.8 / controllers) * rps * 0.9;
-    this.writeBudget.setRate(writes, role === 'leader' ? null : write_rps * FOLLOWER_BURST);
+    this.writeBudget.setRate(writes, role === 'leader' ? null : write_rps * FOLLOWER_BURST_S);
     this.requestBudget.setRate(reads);
   }
 
@@ -130,8 +130,8 @@
 
   /** The caller has taken the writes from `writes`. */
   async compareAndSwap(
-    guards: wire.Precondition[],
-    ops: wire.Operation[],
+    preconditions: wire.Precondition[],
+    operations: wire.Operation[],
     timeoutS: number,
     urgent = true,
   ): Promise<CompareAndSwapResult> {
@@ -140,7 +140,7 @@
       this.http,
       'POST',
       wire.TRANSACTION_PATH,
-      wire.encodeTransaction(guards, ops),
+      wire.encodeTransaction(preconditions, operations),
       timeoutS,
     );
     if (response.status === 200)
@@ -160,7 +160,7 @@
   }
 
   /** All keys below a prefix. `revision` is that of the first page: follow the changes from there. */
-  async list(prefix: string, each: (item: wire.KeyValue) => void): Promise<number> {
+  async list(prefix: string, onItem: (item: wire.KeyValue) => void): Promise<number> {
     let after = '';
     let revision = -1;
     for (;;) {
@@ -175,7 +175,7 @@
       if (response.status !== 200) throw new RequestRejectedError(response.status);
       const page = this.parseBody(response, wire.parsePage);
       if (revision < 0) revision = page.revision;
-      for (const item of page.items) each(item);
+      for (const item of page.items) onItem(item);
       if (!page.more || page.items.length === 0) return revision;
       after = page.items[page.items.length - 1]!.key;
     }
@@ -198,9 +198,9 @@
   }
 
   /** A new lease's id; `lifeS`: its time to live. Throws RequestRejectedError, OutcomeUnknownError. */
-  async grantLease(lifeS: number, timeoutS: number): Promise<number> {
+  async grantLease(ttlS: number, timeoutS: number): Promise<number> {
     await this.waitForBudget(true);
-    const body = wire.encodeLeaseTtl(Math.round(lifeS * 1000));
+    const body = wire.encodeLeaseTtl(Math.round(ttlS * 1000));
     const response = await this.call(this.http, 'POST', wire.LEASES_PATH, body, timeoutS);
     if (response.status !== 200 && response.status !== 201)
       throw new RequestRejectedError(response.status);
--- a/src/store/job-compaction.ts
+++ b/src/store/job-compaction.ts
@@ -12,14 +12,14 @@
  * an answer may still rest on. Alike ones share the rest.
  */
 export class JobCompactor {
-  private readonly specs = new Map<string, JobSpec>();
+  private readonly sharedSpecs = new Map<string, JobSpec>();
 
   /** The same job without what no answer rests on. */
   compact(storedJob: StoredJob): StoredJob {
     const { atMs, acceptedAt, cancelledAt, cancelledByDependency, doneAt, doneMs } = storedJob;
     const { readyAt, readyMs, doneTasks } = storedJob;
     return {
-      spec: this.spec(storedJob.spec),
+      spec: this.sharedSpec(storedJob.spec),
       atMs,
       acceptedAt,
       cancelledAt,
@@ -37,10 +37,10 @@
   }
 
   /** The kind stays: a service must not be named as needed, however long it is over. */
-  private spec({ kind, tasks }: { kind: JobKind; tasks: number }): JobSpec {
+  private sharedSpec({ kind, tasks }: { kind: JobKind; tasks: number }): JobSpec {
     const key = `${kind} ${tasks}`;
-    let spec = this.specs.get(key);
-    if (spec === undefined) this.specs.set(key, (spec = { ...EMPTY_SPEC, kind, tasks }));
+    let spec = this.sharedSpecs.get(key);
+    if (spec === undefined) this.sharedSpecs.set(key, (spec = { ...EMPTY_SPEC, kind, tasks }));
     return spec;
   }
 }
--- a/src/store/job-table.ts
+++ b/src/store/job-table.ts
@@ -16,17 +16,17 @@
 }
 
 /** Results of `cancelledSince` that are kept: one for each controller that may ask, and some more. */
-const MAX_KEPT_RESULTS = 16;
+const MAX_CACHED_RESULTS = 16;
 
 /** All jobs that were ever accepted, kept up to date by a listing and then by the stream of changes. */
 export class JobTable {
   readonly jobs = new Map<string, StoredJob>();
   readonly dependencies: DependencyGraph;
   /** A listing is being read: nothing is concluded from a cancellation before it is complete. */
-  listing = false;
-  private readonly earlyCancels = new Map<string, number>();
+  listingInProgress = false;
+  private readonly earlyCancellations = new Map<string, number>();
   private readonly earlyProgress = new Map<string, KeyValue[]>();
-  private cancelled = { applied: -1, since: new Map<number, CancelledSince>() };
+  private cancelledCache = { applied: -1, since: new Map<number, CancelledSince>() };
   private readonly compactor = new JobCompactor();
 
   constructor(
@@ -60,7 +60,7 @@
 
   /** The listing is complete, with the changes since its first page. */
   listingComplete(): void {
-    this.listing = false;
+    this.listingInProgress = false;
     this.dependencies.rebuild();
     for (const storedJob of this.jobs.values()) {
       if (storedJob.progress !== null && outcome(storedJob) === 'cancelled') {
@@ -75,14 +75,15 @@
    * while nothing is read: the results are kept until something is.
    */
   cancelledSince(revision: number, applied: number): CancelledSince {
-    if (this.cancelled.applied !== applied) this.cancelled = { applied, since: new Map() };
-    const { since } = this.cancelled;
-    let found = since.get(revision);
-    if (found !== undefined) return found;
-    if (since.size >= MAX_KEPT_RESULTS) since.clear();
-    found = this.findCancelledSince(revision);
-    since.set(revision, found);
-    return found;
+    if (this.cancelledCache.applied !== applied)
+      this.cancelledCache = { applied, since: new Map() };
+    const { since } = this.cancelledCache;
+    let result = since.get(revision);
+    if (result !== undefined) return result;
+    if (since.size >= MAX_CACHED_RESULTS) since.clear();
+    result = this.findCancelledSince(revision);
+    since.set(revision, result);
+    return result;
   }
 
   private findCancelledSince(revision: number): CancelledSince {
@@ -111,17 +112,17 @@
       this.mergeRepeatedAcceptance(storedJob, accepted, revision);
       return;
     }
-    const alone = accepted.spec.dependencies.length === 0;
+    const independent = accepted.spec.dependencies.length === 0;
     // Field by field: spreading `accepted` takes ten times as long as all the rest, see docs/profile.md.
-    const facts: StoredJob = {
+    const newJob: StoredJob = {
       spec: accepted.spec,
       atMs: accepted.atMs,
       acceptedAt: revision,
-      cancelledAt: this.earlyCancels.get(id) ?? null,
+      cancelledAt: this.earlyCancellations.get(id) ?? null,
       cancelledByDependency: false,
       doneAt: null,
       doneMs: 0,
-      readyAt: alone ? revision : null,
+      readyAt: independent ? revision : null,
       readyMs: accepted.atMs,
       unmetDependencies: 0,
       doneTasks: 0,
@@ -129,14 +130,14 @@
       progress: new Map(),
       claimCount: 0,
     };
-    this.earlyCancels.delete(id);
-    this.jobs.set(id, facts);
+    this.earlyCancellations.delete(id);
+    this.jobs.set(id, newJob);
     for (const item of this.earlyProgress.get(id) ?? []) {
       this.applyProgress(item.key, item.value, item.revision);
     }
     this.earlyProgress.delete(id);
-    if (alone && outcome(facts) === 'open') this.events.onReady(facts);
-    else if (!this.listing) this.dependencies.accepted(facts);
+    if (independent && outcome(newJob) === 'open') this.events.onReady(newJob);
+    else if (!this.listingInProgress) this.dependencies.accepted(newJob);
   }
 
   /**
@@ -160,14 +161,14 @@
     const storedJob = this.jobs.get(id);
     if (storedJob === undefined) {
       // A listing goes by key, not by time: the job itself may come later.
-      const early = this.earlyCancels.get(id);
-      this.earlyCancels.set(id, Math.min(early ?? Infinity, revision));
+      const early = this.earlyCancellations.get(id);
+      this.earlyCancellations.set(id, Math.min(early ?? Infinity, revision));
       return;
     }
     if (storedJob.cancelledAt !== null && revision > storedJob.cancelledAt) return;
     storedJob.cancelledAt = revision;
     storedJob.cancelledByDependency = false;
-    if (this.listing || outcome(storedJob) !== 'cancelled') return;
+    if (this.listingInProgress || outcome(storedJob) !== 'cancelled') return;
     this.closeCancelled(storedJob);
     this.dependencies.cancelled(storedJob);
   }
@@ -203,17 +204,17 @@
       attainedS,
     });
     storedJob.doneMs = Math.max(storedJob.doneMs, record.doneMs ?? 0);
-    this.sumProgress(storedJob);
+    this.updateTotals(storedJob);
   }
 
   /** Done when all records together name all tasks, with the youngest of them. */
-  private sumProgress(storedJob: StoredJob): void {
+  private updateTotals(storedJob: StoredJob): void {
     const stored = [...storedJob.progress!.values()];
     storedJob.doneTasks = countDone(storedJob.spec.tasks, stored);
     storedJob.attainedS = stored.reduce((sum, { attainedS }) => sum + attainedS, 0);
     if (storedJob.doneTasks < storedJob.spec.tasks) return;
     storedJob.doneAt = Math.max(...stored.map(({ revision }) => revision));
     storedJob.progress = null;
-    if (!this.listing && outcome(storedJob) === 'done') this.dependencies.done(storedJob);
+    if (!this.listingInProgress && outcome(storedJob) === 'done') this.dependencies.done(storedJob);
   }
 }
--- a/src/store/machine-record.ts
+++ b/src/store/machine-record.ts
@@ -39,14 +39,14 @@
 export type ClaimForm = 'plain' | 'dense';
 
 /** What the dense form can hold: ids without its separators. */
-const PLAIN_WORD = /^[\w.-]+$/;
+const DENSE_SAFE_ID = /^[\w.-]+$/;
 /** Radix of attempts in the dense form. */
-const RADIX = 36;
+const ATTEMPT_RADIX = 36;
 
 /** The densest form that is allowed and can hold all claims. */
-function densest({ claims }: MachineRecord, allowed: ClaimForm): ClaimForm {
+function densestForm({ claims }: MachineRecord, allowed: ClaimForm): ClaimForm {
   if (allowed === 'plain') return 'plain';
-  return claims.every(({ job }) => PLAIN_WORD.test(job)) ? 'dense' : 'plain';
+  return claims.every(({ job }) => DENSE_SAFE_ID.test(job)) ? 'dense' : 'plain';
 }
 
 /**
@@ -59,30 +59,30 @@
   maxBytes = Infinity,
   allowed: ClaimForm = 'plain',
 ): unknown {
-  const whole = encodeAs(record, 'plain');
-  if (bytesOf(whole) <= maxBytes) return whole;
-  const form = densest(record, allowed);
-  const left = maxBytes - bytesOf(encodeAs({ ...record, images: [] }, form));
-  return encodeAs({ ...record, images: latestWithin(record.images, left) }, form);
+  const complete = encodeAs(record, 'plain');
+  if (encodedBytes(complete) <= maxBytes) return complete;
+  const form = densestForm(record, allowed);
+  const bytesLeft = maxBytes - encodedBytes(encodeAs({ ...record, images: [] }, form));
+  return encodeAs({ ...record, images: latestWithin(record.images, bytesLeft) }, form);
 }
 
 /** Bytes of a record without any images. */
 export function bytesWithoutImages(record: MachineRecord, allowed: ClaimForm): number {
-  return bytesOf(encodeAs({ ...record, images: [] }, densest(record, allowed)));
+  return encodedBytes(encodeAs({ ...record, images: [] }, densestForm(record, allowed)));
 }
 
-const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
+const encodedBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
 /** The images used last that take no more than so many bytes. */
 function latestWithin(images: [string, number][], bytes: number): [string, number][] {
-  const kept: [string, number][] = [];
-  let left = bytes;
+  const latest: [string, number][] = [];
+  let bytesLeft = bytes;
   for (const image of images.toReversed()) {
-    left -= bytesOf(image) + 1;
-    if (left < 0) break;
-    kept.unshift(image);
+    bytesLeft -= encodedBytes(image) + 1;
+    if (bytesLeft < 0) break;
+    latest.unshift(image);
   }
-  return kept;
+  return latest;
 }
 
 const encodeAs = (record: MachineRecord, form: ClaimForm): unknown => ({
@@ -130,7 +130,7 @@
 function encodeDenseClaims(claims: Claim[]): string {
   const groups = new Map<string, number[]>();
   for (const { job, index, attempt } of claims) {
-    const name = `${job}:${attempt.toString(RADIX)}`;
+    const name = `${job}:${attempt.toString(ATTEMPT_RADIX)}`;
     const indexes = groups.get(name);
     if (indexes === undefined) groups.set(name, [index]);
     else indexes.push(index);
@@ -158,7 +158,7 @@
     for (const part of tasks.split(',')) {
       const [first = '', last = first] = part.split('-');
       for (let index = parseInteger(first, 10); index <= parseInteger(last, 10); index++) {
-        claims.push({ job, index, attempt: parseInteger(attempt, RADIX) });
+        claims.push({ job, index, attempt: parseInteger(attempt, ATTEMPT_RADIX) });
       }
     }
   }
--- a/src/store/replica-sync.ts
+++ b/src/store/replica-sync.ts
@@ -65,23 +65,23 @@
   }
 
   private async load(): Promise<void> {
-    const began = this.options.clock.now();
+    const startedAt = this.options.clock.now();
     const keys = new Set<string>();
-    const first = await this.options.store.list(records.ROOT, (item) => {
+    const firstPageRevision = await this.options.store.list(records.ROOT, (item) => {
       keys.add(item.key);
       this.replica.applyListed(item);
     });
-    this.replica.removeMissing(keys, first);
-    this.replica.applied = Math.max(this.replica.applied, first);
+    this.replica.removeMissing(keys, firstPageRevision);
+    this.replica.applied = Math.max(this.replica.applied, firstPageRevision);
     // Pages differ in age: only with the changes since the first one do they make one picture.
-    const response = await this.options.store.changes(records.ROOT, first, 0, 5);
+    const response = await this.options.store.changes(records.ROOT, firstPageRevision, 0, 5);
     if (response === null) throw new OutdatedListingError();
     this.replica.advance(response.revision, response.changes);
     this.replica.listingComplete();
-    this.freshAt = Math.max(this.freshAt, began);
+    this.freshAt = Math.max(this.freshAt, startedAt);
     this.ready = true;
     const { applied: revision, jobs, machines } = this.replica;
-    const tookS = this.options.clock.now() - began;
+    const tookS = this.options.clock.now() - startedAt;
     this.options.log.info(
       { revision, jobs: jobs.size, machines: machines.size, tookS },
       'replica loaded',
@@ -109,8 +109,8 @@
   }
 
   private async readNow(): Promise<boolean> {
-    const wait = this.lastReadAt + this.options.syncGapS - this.options.clock.now();
-    if (wait > 0) await sleep(wait);
+    const waitS = this.lastReadAt + this.options.syncGapS - this.options.clock.now();
+    if (waitS > 0) await sleep(waitS);
     // The read is sent after this point; whoever joins later waits for the next one.
     this.currentReadSent = true;
     const sentAt = this.options.clock.now();
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -93,7 +93,7 @@
    * then the job is done. So nothing is concluded from a cancellation before `listed`.
    */
   applyListed(item: KeyValue): void {
-    this.jobTable.listing = true;
+    this.jobTable.listingInProgress = true;
     this.applyPut(item.key, item.value, item.revision);
   }
 
@@ -190,7 +190,7 @@
         this.listener.onLeader?.();
       }
     } else if (key.startsWith(records.SUBSYSTEMS)) {
-      this.subsystems.removed(key, revision);
+      this.subsystems.remove(key, revision);
     } else if (key.startsWith(records.CONTROLLERS)) {
       const node = key.slice(records.CONTROLLERS.length);
       if ((this.controllers.get(node) ?? Infinity) >= revision) return;
@@ -200,7 +200,7 @@
       const id = key.slice(records.MACHINES.length);
       const old = this.machines.get(id);
       if (old !== undefined && old.revision < revision) {
-        this.countClaims(old.record, -1);
+        this.adjustClaimCounts(old.record, -1);
         this.machines.delete(id);
       }
     }
@@ -210,16 +210,16 @@
     const old = this.machines.get(id);
     if (old !== undefined) {
       if (old.revision >= revision) return;
-      this.countClaims(old.record, -1);
+      this.adjustClaimCounts(old.record, -1);
     }
     this.machines.set(id, { record, revision });
-    this.countClaims(record, 1);
+    this.adjustClaimCounts(record, 1);
   }
 
-  private countClaims(record: records.MachineRecord, by: number): void {
+  private adjustClaimCounts(record: records.MachineRecord, delta: number): void {
     for (const claim of record.claims) {
       const storedJob = this.jobs.get(claim.job);
-      if (storedJob !== undefined) storedJob.claimCount = Math.max(0, storedJob.claimCount + by);
+      if (storedJob !== undefined) storedJob.claimCount = Math.max(0, storedJob.claimCount + delta);
     }
   }
 }
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -20,9 +20,9 @@
 const WRITE_TIMEOUT_S = 1.5;
 
 /** What a record takes beside its jobs and cancellations, in bytes. */
-const RECORD_BYTES = 64;
+const RECORD_OVERHEAD_BYTES = 64;
 /** Of the largest value that the key-value store takes, what a record fills. */
-const VALUE_SHARE = 0.9;
+const MAX_FILL_FRACTION = 0.9;
 
 /** Bytes that a job takes in a record. */
 const acceptedJobBytes = (accepted: records.AcceptedJob): number =>
@@ -47,13 +47,16 @@
 export class RequestWriter {
   private queue: PendingRequest[] = [];
   private running = false;
-  private counter = 0;
+  private batchCount = 0;
 
   constructor(private readonly options: RequestWriterOptions) {}
 
   /** Whether the key-value store takes a record with this job, alone if need be. */
   fits(accepted: records.AcceptedJob): boolean {
-    return RECORD_BYTES + acceptedJobBytes(accepted) <= this.options.store.valueBytes * VALUE_SHARE;
+    return (
+      RECORD_OVERHEAD_BYTES + acceptedJobBytes(accepted) <=
+      this.options.store.valueBytes * MAX_FILL_FRACTION
+    );
   }
 
   /** Whether more waits than can be stored within this time: what comes now would wait in vain. */
@@ -87,14 +90,17 @@
 
   private nextBatch(): PendingRequest[] {
     const now = this.options.clock.now();
-    const late = this.queue.filter((request) => request.deadline <= now);
-    for (const request of late) request.resolve(null);
+    const expired = this.queue.filter((request) => request.deadline <= now);
+    for (const request of expired) request.resolve(null);
     this.queue = this.queue.filter((request) => request.deadline > now);
     const batch: PendingRequest[] = [];
-    let bytes = RECORD_BYTES;
+    let bytes = RECORD_OVERHEAD_BYTES;
     while (this.queue.length > 0) {
       const request = this.queue[0]!;
-      if (batch.length > 0 && bytes + request.size > this.options.store.valueBytes * VALUE_SHARE)
+      if (
+        batch.length > 0 &&
+        bytes + request.size > this.options.store.valueBytes * MAX_FILL_FRACTION
+      )
         break;
       bytes += request.size;
       batch.push(this.queue.shift()!);
@@ -106,22 +112,22 @@
    * The records of a batch, to be put in one transaction. Jobs that need others go where versions that
    * would start them at once do not look.
    */
-  private puts(batch: PendingRequest[]): { put: string; value: unknown }[] {
+  private encodePuts(batch: PendingRequest[]): { put: string; value: unknown }[] {
     const jobs = batch.flatMap((request) => (request.kind === 'job' ? [request.accepted] : []));
     const cancelledIds = batch.flatMap((request) =>
       request.kind === 'cancel' ? [request.id] : [],
     );
     const dependent = jobs.filter((job) => job.spec.dependencies.length > 0);
-    const others = jobs.filter((job) => job.spec.dependencies.length === 0);
-    const name = `${this.options.incarnation}-${this.counter++}`;
+    const independent = jobs.filter((job) => job.spec.dependencies.length === 0);
+    const batchName = `${this.options.incarnation}-${this.batchCount++}`;
     const puts: { put: string; value: unknown }[] = [];
-    if (others.length + cancelledIds.length > 0) {
-      const value = records.encodeRequestBatch({ jobs: others, cancelledIds });
-      puts.push({ put: records.JOBS + name, value });
+    if (independent.length + cancelledIds.length > 0) {
+      const value = records.encodeRequestBatch({ jobs: independent, cancelledIds });
+      puts.push({ put: records.JOBS + batchName, value });
     }
     if (dependent.length > 0) {
       const value = records.encodeRequestBatch({ jobs: dependent, cancelledIds: [] });
-      puts.push({ put: records.DEPENDENT_JOBS + name, value });
+      puts.push({ put: records.DEPENDENT_JOBS + batchName, value });
     }
     return puts;
   }
@@ -140,7 +146,7 @@
   }
 
   private async storeBatch(batch: PendingRequest[]): Promise<void> {
-    const puts = this.puts(batch);
+    const puts = this.encodePuts(batch);
     // One write is taken already; with dependent jobs beside others it is two.
     if (puts.length > 1) this.options.budget.force(puts.length - 1);
     const deadline = Math.max(...batch.map((request) => request.deadline));
--- a/src/store/stored-progress.ts
+++ b/src/store/stored-progress.ts
@@ -23,9 +23,9 @@
 /** Tasks that any of the records names. Chunks and parts of one job may overlap. */
 export function countDone(tasks: number, stored: StoredProgress[]): number {
   if (stored.length === 1) return stored[0]!.bits.count;
-  const all = new BitSet(tasks);
+  const union = new BitSet(tasks);
   for (const { first, bits } of stored) {
-    for (let i = 0; i < bits.size; i++) if (bits.has(i)) all.add(first + i);
+    for (let i = 0; i < bits.size; i++) if (bits.has(i)) union.add(first + i);
   }
-  return all.count;
+  return union.count;
 }
--- a/src/store/subsystem-records.ts
+++ b/src/store/subsystem-records.ts
@@ -22,27 +22,28 @@
   /** A record was put with this revision; an older one changes nothing. */
   put(key: string, value: unknown, revision: number): void {
     const { subsystem, rest } = splitKey(key);
-    let own = this.bySubsystem.get(subsystem);
-    if (own === undefined) {
-      own = new Map();
-      this.bySubsystem.set(subsystem, own);
+    let ofSubsystem = this.bySubsystem.get(subsystem);
+    if (ofSubsystem === undefined) {
+      ofSubsystem = new Map();
+      this.bySubsystem.set(subsystem, ofSubsystem);
     }
-    if ((own.get(rest)?.revision ?? -1) >= revision) return;
-    own.set(rest, { value, revision });
+    if ((ofSubsystem.get(rest)?.revision ?? -1) >= revision) return;
+    ofSubsystem.set(rest, { value, revision });
   }
 
   /** A record was removed with this revision. */
-  removed(key: string, revision: number): void {
+  remove(key: string, revision: number): void {
     const { subsystem, rest } = splitKey(key);
-    const own = this.bySubsystem.get(subsystem);
-    const old = own?.get(rest);
-    if (own !== undefined && old !== undefined && old.revision < revision) own.delete(rest);
+    const ofSubsystem = this.bySubsystem.get(subsystem);
+    const old = ofSubsystem?.get(rest);
+    if (ofSubsystem !== undefined && old !== undefined && old.revision < revision)
+      ofSubsystem.delete(rest);
   }
 
   /** Whole keys of all records. */
   keys(): string[] {
-    return [...this.bySubsystem].flatMap(([subsystem, own]) =>
-      [...own.keys()].map((rest) => records.subsystemPrefix(subsystem) + rest),
+    return [...this.bySubsystem].flatMap(([subsystem, ofSubsystem]) =>
+      [...ofSubsystem.keys()].map((rest) => records.subsystemPrefix(subsystem) + rest),
     );
   }
 }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -3,19 +3,19 @@
 
 /** The cloud's messages. */
 
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const types = v.object({
+const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
+const typesSchema = v.object({
   castings: v.array(
     v.object({
       name: v.string(),
-      cores: amount,
-      gpus: amount,
-      mem_gb: amount,
-      local_gb: v.optional(amount, 0),
-      pull_gb_per_s: v.optional(amount, 1),
-      hourly: amount,
-      spot_price: v.optional(amount, 0),
-      startup_s: v.optional(amount, 60),
+      cores: nonNegative,
+      gpus: nonNegative,
+      mem_gb: nonNegative,
+      local_gb: v.optional(nonNegative, 0),
+      pull_gb_per_s: v.optional(nonNegative, 1),
+      hourly: nonNegative,
+      spot_price: v.optional(nonNegative, 0),
+      startup_s: v.optional(nonNegative, 60),
       yards: v.array(v.string()),
     }),
   ),
@@ -23,7 +23,7 @@
 
 /** Machine types of `GET /machine_types`. Throws on a malformed answer. */
 export function parseTypes(raw: unknown): MachineType[] {
-  return v.parse(types, raw).castings.map((casting) => ({
+  return v.parse(typesSchema, raw).castings.map((casting) => ({
     name: casting.name,
     cores: casting.cores,
     gpus: casting.gpus,
@@ -48,7 +48,7 @@
   ageS: number;
 }
 
-const list = v.object({
+const listSchema = v.object({
   benches: v.array(
     v.object({
       ref: v.string(),
@@ -65,7 +65,7 @@
 
 /** A page of `GET /hosts`. Throws on a malformed answer. */
 export function parseList(raw: unknown): { machines: ListedMachine[]; more: boolean } {
-  const parsed = v.parse(list, raw);
+  const parsed = v.parse(listSchema, raw);
   return {
     more: parsed.more,
     machines: parsed.benches.map((bench) => ({
@@ -80,9 +80,10 @@
   };
 }
 
-const rented = v.object({ benches: v.array(v.string()) });
+const scaleOutAnswerSchema = v.object({ benches: v.array(v.string()) });
 /** Ids of the machines that a request rented. Throws on a malformed answer. */
-export const parseScaleOutAnswer = (raw: unknown): string[] => v.parse(rented, raw).benches;
+export const parseScaleOutAnswer = (raw: unknown): string[] =>
+  v.parse(scaleOutAnswerSchema, raw).benches;
 
 /** A rental request; its name never recurs for another one. */
 export interface ScaleOutRequest {
--- a/src/wire/heartbeat-scan.ts
+++ b/src/wire/heartbeat-scan.ts
@@ -49,7 +49,7 @@
 const isDigit = (byte: number): boolean => byte >= ZERO && byte <= NINE;
 
 /** Whether a byte goes on with a number, `true`, `false` or `null`. */
-function isLiteral(byte: number | undefined): boolean {
+function continuesLiteral(byte: number | undefined): boolean {
   if (byte === undefined || isSpace(byte)) return false;
   return byte !== COMMA && byte !== CLOSE_BRACE && byte !== CLOSE_BRACKET && byte !== QUOTE;
 }
@@ -157,7 +157,7 @@
 
   private skipLiteral(): void {
     const start = this.position;
-    while (isLiteral(this.body[this.position])) this.position++;
+    while (continuesLiteral(this.body[this.position])) this.position++;
     if (this.position === start) this.state = 'unsure';
   }
 
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -24,25 +24,28 @@
 /** An answer of the store that is not by the protocol. */
 export class MalformedMessageError extends Error {}
 
-const objectOf = (raw: unknown): Record<string, unknown> => {
+const requireObject = (raw: unknown): Record<string, unknown> => {
   if (raw === null || typeof raw !== 'object') throw new MalformedMessageError('not an object');
   return raw as Record<string, unknown>;
 };
-const revisionOf = (raw: unknown): number => {
+const requireRevision = (raw: unknown): number => {
   if (typeof raw !== 'number' || !Number.isSafeInteger(raw) || raw < 0)
     throw new MalformedMessageError('revision');
   return raw;
 };
-const stringOf = (raw: unknown): string => {
+const requireString = (raw: unknown): string => {
   if (typeof raw !== 'string') throw new MalformedMessageError('key');
   return raw;
 };
 
 /** Body of `POST /commit`: a compare-and-swap over several keys. */
-export const encodeTransaction = (guards: Precondition[], ops: Operation[]): string =>
+export const encodeTransaction = (preconditions: Precondition[], operations: Operation[]): string =>
   JSON.stringify({
-    guards: guards.map((precondition) => ({ path: precondition.key, mark: precondition.revision })),
-    apply: ops.map((operation) => {
+    guards: preconditions.map((precondition) => ({
+      path: precondition.key,
+      mark: precondition.revision,
+    })),
+    apply: operations.map((operation) => {
       if ('remove' in operation) return { remove: operation.remove };
       const put: Record<string, unknown> = { put: operation.put, data: operation.value };
       if (operation.lease !== undefined) put.loan = operation.lease;
@@ -51,53 +54,57 @@
   });
 
 /** Revision of an answer. Throws MalformedMessageError. */
-export const parseRevision = (raw: unknown): number => revisionOf(objectOf(raw).ledger);
+export const parseRevision = (raw: unknown): number => requireRevision(requireObject(raw).ledger);
 
 /** Keys whose preconditions failed. Throws MalformedMessageError. */
 export function parseFailedKeys(raw: unknown): string[] {
-  const failed = objectOf(raw).failed;
-  return Array.isArray(failed) ? failed.map(stringOf) : [];
+  const failed = requireObject(raw).failed;
+  return Array.isArray(failed) ? failed.map(requireString) : [];
 }
 
 /** A key with its value. Throws MalformedMessageError. */
 export function parseItem(raw: unknown): KeyValue {
-  const item = objectOf(raw);
-  return { key: stringOf(item.path), value: item.data, revision: revisionOf(item.mark) };
+  const item = requireObject(raw);
+  return { key: requireString(item.path), value: item.data, revision: requireRevision(item.mark) };
 }
 
 /** A page of a listing. Throws MalformedMessageError. */
 export function parsePage(raw: unknown): { items: KeyValue[]; more: boolean; revision: number } {
-  const page = objectOf(raw);
+  const page = requireObject(raw);
   if (!Array.isArray(page.items)) throw new MalformedMessageError('items');
   return {
     items: page.items.map(parseItem),
     more: page.more === true,
-    revision: revisionOf(page.ledger),
+    revision: requireRevision(page.ledger),
   };
 }
 
 /** Changes since a revision. Throws MalformedMessageError. */
 export function parseChanges(raw: unknown): { revision: number; changes: Change[] } {
-  const response = objectOf(raw);
+  const response = requireObject(raw);
   if (!Array.isArray(response.log)) throw new MalformedMessageError('log');
   return {
-    revision: revisionOf(response.ledger),
+    revision: requireRevision(response.ledger),
     changes: response.log.map((entry): Change => {
-      const change = objectOf(entry);
+      const change = requireObject(entry);
       return change.put !== undefined
         ? {
             kind: 'put',
-            key: stringOf(change.put),
+            key: requireString(change.put),
             value: change.data,
-            revision: revisionOf(change.mark),
+            revision: requireRevision(change.mark),
           }
-        : { kind: 'removed', key: stringOf(change.remove), revision: revisionOf(change.mark) };
+        : {
+            kind: 'removed',
+            key: requireString(change.remove),
+            revision: requireRevision(change.mark),
+          };
     }),
   };
 }
 
 /** Id of a granted lease. Throws MalformedMessageError. */
-export const parseLeaseId = (raw: unknown): number => revisionOf(objectOf(raw).loan);
+export const parseLeaseId = (raw: unknown): number => requireRevision(requireObject(raw).loan);
 
 /** Path of transactions. */
 export const TRANSACTION_PATH = '/commit';
@@ -108,7 +115,7 @@
 /** Path of a lease's renewals. */
 export const leaseKeepAlivePath = (id: number): string => `/grants/${id}/extend`;
 /** Body of a request for a lease that lives so many ms. */
-export const encodeLeaseTtl = (ms: number): string => JSON.stringify({ life_ms: ms });
+export const encodeLeaseTtl = (ttlMs: number): string => JSON.stringify({ life_ms: ttlMs });
 /** Path of a key. */
 export const keyPath = (key: string): string => `/keys/${key}`;
 /** Path of the page of a listing that begins after a key; empty: the first page. */
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -16,38 +16,38 @@
 /** Whether this is the form of a job's id. */
 export const validId = (id: string): boolean => ID.test(id);
 
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const word = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
-const flag = v.boolean();
+const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
+const shortText = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
+const boolean = v.boolean();
 
-const submission = v.object({
+const submissionSchema = v.object({
   ref: v.pipe(v.string(), v.regex(ID)),
-  guild: word,
-  crew: word,
+  guild: shortText,
+  crew: shortText,
   form: v.picklist(['batch', 'group', 'daemon']),
   rank: v.picklist(['critical', 'high', 'standard', 'best_effort']),
   pieces: v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(100_000)),
-  cores: amount,
-  gpus: amount,
-  mem_gb: amount,
-  mould: word,
-  image_gb: amount,
-  castings: v.nullish(v.pipe(v.array(word), v.maxLength(100)), null),
-  yard: v.nullish(word, null),
-  one_zone: flag,
-  scatter: flag,
-  loaner: flag,
-  reckon_s: amount,
-  stamp_s: amount,
-  stamping_s: amount,
-  due_s: v.nullish(amount, null),
+  cores: nonNegative,
+  gpus: nonNegative,
+  mem_gb: nonNegative,
+  mould: shortText,
+  image_gb: nonNegative,
+  castings: v.nullish(v.pipe(v.array(shortText), v.maxLength(100)), null),
+  yard: v.nullish(shortText, null),
+  one_zone: boolean,
+  scatter: boolean,
+  loaner: boolean,
+  reckon_s: nonNegative,
+  stamp_s: nonNegative,
+  stamping_s: nonNegative,
+  due_s: v.nullish(nonNegative, null),
   awaits: v.nullish(v.array(v.pipe(v.string(), v.regex(ID))), null),
 });
 
 /** The job of a submission's body. Throws BadMessage. */
 export function parseSubmission(body: Buffer): JobSpec {
   const raw = parseObject(body);
-  const result = v.safeParse(submission, raw);
+  const result = v.safeParse(submissionSchema, raw);
   if (!result.success) {
     const issue = result.issues[0];
     throw new BadMessage(`${v.getDotPath(issue) ?? 'body'}: ${issue.message}`);
@@ -129,26 +129,27 @@
   | { to: 'wrong-method' }
   | { to: 'nowhere' };
 
-const only = (is: boolean, route: UserRoute): UserRoute => (is ? route : { to: 'wrong-method' });
+const requireMethod = (matches: boolean, route: UserRoute): UserRoute =>
+  matches ? route : { to: 'wrong-method' };
 
 /** Where a request goes. The workers' heartbeats share the address with the users. */
 export function route(method: string, target: string): UserRoute {
   const query = target.indexOf('?');
   const path = query < 0 ? target : target.slice(0, query);
-  if (path === '/checkin') return only(method === 'POST', { to: 'checkin' });
-  if (path === '/ready') return only(method === 'GET', { to: 'ready' });
-  if (path === '/submissions') return only(method === 'POST', { to: 'submit' });
-  if (path === '/metrics') return only(method === 'GET', { to: 'metrics' });
+  if (path === '/checkin') return requireMethod(method === 'POST', { to: 'checkin' });
+  if (path === '/ready') return requireMethod(method === 'GET', { to: 'ready' });
+  if (path === '/submissions') return requireMethod(method === 'POST', { to: 'submit' });
+  if (path === '/metrics') return requireMethod(method === 'GET', { to: 'metrics' });
   const subsystem = /^\/subsystems\/([a-z-]+)$/.exec(path)?.[1];
   if (subsystem !== undefined) {
-    return only(method === 'GET', { to: 'subsystem', name: subsystem });
+    return requireMethod(method === 'GET', { to: 'subsystem', name: subsystem });
   }
   const match = /^\/submissions\/([^/]+)(\/withdraw)?$/.exec(path);
   if (match !== null) {
     const id = match[1]!;
     return match[2] === undefined
-      ? only(method === 'GET', { to: 'poll', id })
-      : only(method === 'POST', { to: 'cancel', id });
+      ? requireMethod(method === 'GET', { to: 'poll', id })
+      : requireMethod(method === 'POST', { to: 'cancel', id });
   }
   return { to: 'nowhere' };
 }
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -63,12 +63,12 @@
   no_such: 'unknown',
 };
 
-const count = (value: unknown, name: string): number => {
+const requireCount = (value: unknown, name: string): number => {
   if (typeof value !== 'number' || !Number.isSafeInteger(value) || value < 0)
     throw new BadMessage(name);
   return value;
 };
-const text = (value: unknown, name: string): string => {
+const requireName = (value: unknown, name: string): string => {
   if (typeof value !== 'string' || value.length === 0 || value.length > MAX_NAME_LENGTH)
     throw new BadMessage(name);
   return value;
@@ -94,8 +94,8 @@
     const state = TASK_STATES[String(piece.temper)];
     if (state === undefined) throw new BadMessage('temper');
     tasks.push({
-      ...parseTaskName(text(piece.piece, 'piece')),
-      attempt: count(piece.pour, 'pour'),
+      ...parseTaskName(requireName(piece.piece, 'piece')),
+      attempt: requireCount(piece.pour, 'pour'),
       state,
       cause: state === 'ended' ? (EXIT_CAUSES[String(piece.cause)] ?? 'error') : null,
       saved: piece.saved === true,
@@ -106,14 +106,14 @@
     throw new BadMessage('recall_s');
   }
   return {
-    machine: text(heartbeat.bench, 'bench'),
-    addr: text(heartbeat.addr, 'addr'),
-    type: text(heartbeat.casting, 'casting'),
-    zone: text(heartbeat.yard, 'yard'),
+    machine: requireName(heartbeat.bench, 'bench'),
+    addr: requireName(heartbeat.addr, 'addr'),
+    type: requireName(heartbeat.casting, 'casting'),
+    zone: requireName(heartbeat.yard, 'yard'),
     spot: heartbeat.loaner === true,
-    agentEpoch: count(heartbeat.shift, 'shift'),
-    sequence: count(heartbeat.tally, 'tally'),
-    token: count(heartbeat.hallmark, 'hallmark'),
+    agentEpoch: requireCount(heartbeat.shift, 'shift'),
+    sequence: requireCount(heartbeat.tally, 'tally'),
+    token: requireCount(heartbeat.hallmark, 'hallmark'),
     reclaimNoticeS: notice ?? null,
     tasks,
   };
@@ -144,7 +144,7 @@
 }
 
 /** The last answer without commands. Most answers are of that kind, and most machines have the same token. */
-let withoutCommands = { token: 0, text: '{"hallmark":0,"orders":[]}' };
+let cachedEmptyReply = { token: 0, text: '{"hallmark":0,"orders":[]}' };
 
 /**
  * An answer to a heartbeat: the token, and the commands in the order in which they are to be carried out. More than
@@ -158,15 +158,19 @@
   if (commands.length > 0) {
     return JSON.stringify({ hallmark: token, orders: commands.map(encodeCommand) });
   }
-  if (withoutCommands.token !== token) {
-    withoutCommands = { token, text: `{"hallmark":${token},"orders":[]}` };
+  if (cachedEmptyReply.token !== token) {
+    cachedEmptyReply = { token, text: `{"hallmark":${token},"orders":[]}` };
   }
-  return withoutCommands.text;
+  return cachedEmptyReply.text;
 }
 
 /** Body of `POST /do`. */
-export const encodeDirectCommands = (token: number, session: number, commands: Command[]): string =>
-  JSON.stringify({ hallmark: token, shift: session, orders: commands.map(encodeCommand) });
+export const encodeDirectCommands = (
+  token: number,
+  agentEpoch: number,
+  commands: Command[],
+): string =>
+  JSON.stringify({ hallmark: token, shift: agentEpoch, orders: commands.map(encodeCommand) });
 
 /** Body of a 421: the controller to go to, if one is known. */
 export const encodeRedirect = (node: string | null): string =>
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -29,16 +29,16 @@
   );
 });
 
-const SAW_REPORT = { status: 200, body: 'report' };
-const FIGURES: Record<string, ControllerHealth> = {
+const HEARTBEAT_ANSWER = { status: 200, body: 'report' };
+const HEALTH: Record<string, ControllerHealth> = {
   a: { latenessS: 1, served: true },
   b: { latenessS: 2, served: false },
 };
 /** What each controller has been told, by its name. */
-const noted = new Map<string, ControllerHealth>();
-const fitness = (self: string): HealthExchange => ({
-  nextToSend: () => () => FIGURES[self]!,
-  note: (_from, figure) => void noted.set(self, figure),
+const received = new Map<string, ControllerHealth>();
+const healthExchange = (self: string): HealthExchange => ({
+  nextToSend: () => () => HEALTH[self]!,
+  note: (_from, figure) => void received.set(self, figure),
 });
 
 test('a hostile connection is closed and harms no other', async () => {
@@ -52,7 +52,7 @@
     },
     log: silentLog(),
     maxPending: 500,
-    health: fitness('a'),
+    health: healthExchange('a'),
     batchingDelayS: 0,
   });
   await server.listen(at);
@@ -65,11 +65,11 @@
     handler: () => ({}),
     log: silentLog(),
     maxPending: 500,
-    health: fitness('b'),
+    health: healthExchange('b'),
     batchingDelayS: 0,
   });
   assert.deepEqual(await client.ask('a', { q: 'report', body: Buffer.from('x'), hop: false }, 2), {
-    ...SAW_REPORT,
+    ...HEARTBEAT_ANSWER,
   });
   const hello = encodeFrame({ v: PROTOCOL_VERSION, from: 'b' });
   for (const bytes of [
@@ -86,7 +86,7 @@
     });
   }
   assert.deepEqual(await client.ask('a', { q: 'report', body: Buffer.from('y'), hop: false }, 2), {
-    ...SAW_REPORT,
+    ...HEARTBEAT_ANSWER,
   });
   // One question without an answer took hundreds of heartbeats with it that were under way beside it.
   const asks: Promise<Answer | null>[] = [client.ask('a', { q: 'there' }, 0.3)];
@@ -100,7 +100,7 @@
     null,
   );
   // Figures went both ways beside all this, without a question of their own.
-  assert.deepEqual([noted.get('a'), noted.get('b')], [FIGURES.b, FIGURES.a]);
+  assert.deepEqual([received.get('a'), received.get('b')], [HEALTH.b, HEALTH.a]);
   client.close();
   server.close();
 });
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -8,7 +8,7 @@
 import { makeAttempt } from '../src/workers/attempt.js';
 import { spec } from './helpers.js';
 
-const accepted = (over = {}) => ({ spec: spec({ tasks: 2, ...over }), atMs: 5 });
+const accepted = (overrides = {}) => ({ spec: spec({ tasks: 2, ...overrides }), atMs: 5 });
 const put = (key: string, value: unknown, revision: number) =>
   ({ kind: 'put', key, value: JSON.parse(JSON.stringify(value)) as unknown, revision }) as const;
 const job = (revision: number) =>
@@ -63,13 +63,13 @@
 
 test('records survive their way through the store', () => {
   const job = accepted({ types: ['g8'], zone: 'z1', oneZone: true, spot: true, deadlineS: 7 });
-  const through = <T>(x: T): T => JSON.parse(JSON.stringify(x)) as T;
-  assert.deepEqual(records.decodeJob(through(records.encodeJob(job))), job);
+  const roundTrip = <T>(x: T): T => JSON.parse(JSON.stringify(x)) as T;
+  assert.deepEqual(records.decodeJob(roundTrip(records.encodeJob(job))), job);
   const record: records.MachineRecord = {
     owner: 'n', term: 4, addr: 'a:1', type: 'g8', zone: 'z', spot: true, returning: false,
     claims: [{ job: 'wk-000001', index: 3, attempt: 9 }], images: [['i', 4]],
   }; // prettier-ignore
-  assert.deepEqual(records.decodeMachine(through(records.encodeMachine(record))), record);
+  assert.deepEqual(records.decodeMachine(roundTrip(records.encodeMachine(record))), record);
   const bits = new BitSet(20);
   for (const i of [0, 7, 8, 19]) bits.add(i);
   const back = BitSet.decode(20, bits.encode());
--- a/test/support/memory-store.ts
+++ b/test/support/memory-store.ts
@@ -85,7 +85,7 @@
 
   /** What was held back is carried out now. */
   deliverHeldBack(): void {
-    for (const late of this.heldBack.splice(0)) late();
+    for (const apply of this.heldBack.splice(0)) apply();
   }
 
   /** See `KeyValueStoreClient.get`. */
@@ -148,9 +148,9 @@
   }
 
   /** Keys begin with the controller that writes them: what comes later may be listed first. */
-  accept(over: Partial<JobSpec>, atMs = 0, writer = 'b'): number {
+  accept(overrides: Partial<JobSpec>, atMs = 0, writer = 'b'): number {
     const value = records.encodeRequestBatch({
-      jobs: [{ spec: spec(over), atMs }],
+      jobs: [{ spec: spec(overrides), atMs }],
       cancelledIds: [],
     });
     return this.put(`${records.JOBS}${writer}-${this.currentRevision}`, value);
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -37,7 +37,7 @@
 import { SchedulerWorld } from './scheduler-world.js';
 import { poolText, warmPools } from './warm-pool-world.js';
 import {
-  json,
+  jsonRoundTrip,
   outcomeOf,
   storeMessages,
   workerMessages,
@@ -108,7 +108,7 @@
       records.acknowledgementKey('n-0'), records.subsystemPrefix('lending'), records.machineKey('host-1'),
     ],
     submissions,
-    submissionsAgain: records.encodeRequestBatch(records.decodeRequestBatch(json(submissions))),
+    submissionsAgain: records.encodeRequestBatch(records.decodeRequestBatch(jsonRoundTrip(submissions))),
     progress,
     progressAgain: progress.map((value) => records.encodeProgress(records.decodeProgress(value))),
     versions,
@@ -404,5 +404,5 @@
     metricsWithPools: withPools.leader.statistics(),
     help: help(),
   };
-  return json(forms) as RecordedForms;
+  return jsonRoundTrip(forms) as RecordedForms;
 }
--- a/test/support/recorded-messages.ts
+++ b/test/support/recorded-messages.ts
@@ -3,8 +3,8 @@
 import {
   FEATURES,
   parseAnswer,
-  parseFromAnswerer,
-  parseFromAsker,
+  parseAcceptorFrame,
+  parseInitiatorFrame,
   parseHello,
   PROTOCOL_VERSION,
   type Answer,
@@ -30,7 +30,7 @@
 }
 
 /** The value as it is after a way through JSON. */
-export const json = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+export const jsonRoundTrip = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 /** Recorded forms of these messages. */
 export function storeMessages(): RecordedForms {
   const changes = {
@@ -60,8 +60,10 @@
     failed: store.parseFailedKeys({ failed: ['a'] }),
     lease: store.parseLeaseId({ loan: 7 }),
     item: Object.values(store.parseItem({ path: 'a', data: 1, mark: 2 })),
-    page: json(Object.values(store.parsePage({ items: [], more: true, ledger: 3 }))),
-    changes: json(store.parseChanges(changes).changes.map((change) => Object.values(change))),
+    page: jsonRoundTrip(Object.values(store.parsePage({ items: [], more: true, ledger: 3 }))),
+    changes: jsonRoundTrip(
+      store.parseChanges(changes).changes.map((change) => Object.values(change)),
+    ),
     malformed: [null, {}, { ledger: -1 }, { ledger: 'x' }, { ledger: 1, log: [{ mark: 1 }] }].map(
       (raw) => [
         outcomeOf(() => store.parseRevision(raw)),
@@ -217,17 +219,19 @@
   return {
     frames: frames.map((frame) => frame.toString('hex')),
     hello: [parseHello(reread(frames[0]!)).from, ...parseHello(reread(frames[0]!)).features],
-    questions: json(asked.map((frame) => Object.values(parseFromAsker(frame)))),
-    answers: json(
+    questions: jsonRoundTrip(asked.map((frame) => Object.values(parseInitiatorFrame(frame)))),
+    answers: jsonRoundTrip(
       Object.entries(ANSWERS).map(([kind, answer]) =>
         Object.values(parseAnswer(kind as QuestionKind, answer) ?? {}),
       ),
     ),
-    fitness: json([parseFromAsker(fitness), parseFromAnswerer(fitness)].map(Object.values)),
+    fitness: jsonRoundTrip(
+      [parseInitiatorFrame(fitness), parseAcceptorFrame(fitness)].map(Object.values),
+    ),
     malformed: [
       outcomeOf(() => parseHello({ v: 1, from: 'n-0' })),
       ...[null, {}, { id: 1 }, { id: 1, q: { q: 'odd' } }, { fitness: {} }].map((raw) =>
-        outcomeOf(() => Object.values(parseFromAsker(raw))),
+        outcomeOf(() => Object.values(parseInitiatorFrame(raw))),
       ),
       ...['elected', 'report', 'user'].map((kind) =>
         parseAnswer(kind as QuestionKind, { status: 'x' }),
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -16,7 +16,7 @@
   unknown
 >;
 
-const through = <T>(value: T): unknown => JSON.parse(JSON.stringify(value));
+const roundTrip = <T>(value: T): unknown => JSON.parse(JSON.stringify(value));
 
 test('what the version in production writes is read, and written to the letter as it reads it', () => {
   const cases: [string, unknown, (value: unknown) => unknown][] = [
@@ -28,7 +28,7 @@
     ['acknowledgement', production.acknowledgement, (value) => records.encodeAcknowledgement(records.decodeAcknowledgement(value))],
   ]; // prettier-ignore
   for (const [name, value, rewrite] of cases)
-    assert.deepEqual(through(rewrite(value)), value, name);
+    assert.deepEqual(roundTrip(rewrite(value)), value, name);
   const [job] = records.decodeRequestBatch(production.submissions).jobs;
   assert.deepEqual([job!.spec.id, job!.spec.dependencies], ['wk-000412', []]);
 });
@@ -54,15 +54,18 @@
   claims, images,
 }); // prettier-ignore
 
-const inOrder = (claims: records.Claim[]): string[] =>
+const sortedClaims = (claims: records.Claim[]): string[] =>
   claims.map(({ job, index, attempt }) => `${job}/${index}#${attempt}`).sort();
 
 test('the dense form of claims loses nothing', () => {
-  const claims = fc.uniqueArray(claim, { selector: (c) => inOrder([c])[0], maxLength: 200 });
+  const claims = fc.uniqueArray(claim, { selector: (c) => sortedClaims([c])[0], maxLength: 200 });
   fc.assert(
     fc.property(claims, (all) => {
       const value = records.encodeMachine(machine(all), 1, 'dense');
-      assert.deepEqual(inOrder(records.decodeMachine(through(value)).claims), inOrder(all));
+      assert.deepEqual(
+        sortedClaims(records.decodeMachine(roundTrip(value)).claims),
+        sortedClaims(all),
+      );
     }),
   );
 });
@@ -85,8 +88,8 @@
     const record = machine(claims(count), images);
     const value = records.encodeMachine(record, 2048, allowed) as Record<string, unknown>;
     assert.ok(form in value, name);
-    const read = records.decodeMachine(through(value));
-    assert.deepEqual(inOrder(read.claims), inOrder(record.claims), name);
+    const read = records.decodeMachine(roundTrip(value));
+    assert.deepEqual(sortedClaims(read.claims), sortedClaims(record.claims), name);
     assert.equal(read.images.length === images.length, keepsAll, name);
     // Those that stay are the ones used last.
     assert.deepEqual(read.images, images.slice(images.length - read.images.length), name);
@@ -113,7 +116,7 @@
   const replica = new Replica(8192);
   const put = (key: string, value: unknown): void => {
     const revision = replica.applied + 1;
-    replica.advance(revision, [{ kind: 'put', key, value: through(value), revision }]);
+    replica.advance(revision, [{ kind: 'put', key, value: roundTrip(value), revision }]);
   };
   for (const [node, { record, leads }] of Object.entries(others)) {
     if (record !== null) put(records.versionKey(node), records.encodeVersion({ features: record }));
