--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -1,16 +1,16 @@
 import type { Socket } from 'node:net';
 import { Decoder, Encoder } from 'cbor-x';
 
-/** Frames between controllers: four bytes with the length of the body, then the body in CBOR. */
+/** Frames between controllers: a four-byte length prefix followed by the body in CBOR. */
 
-/** Bytes of a frame's body, at most. */
+/** Maximum length of a frame's body. */
 export const MAX_FRAME = 256 * 1024;
 const LENGTH_BYTES = 4;
 
-/** A frame that is empty or longer than any controller sends: its connection is closed. */
+/** A frame that is empty or longer than the limit. The receiver closes the connection. */
 class FrameSizeError extends Error {
   constructor(readonly bytes: number) {
-    super(`frame of ${bytes} bytes`);
+    super(`peer frame of ${bytes} bytes; expected 1 byte to 256 KiB`);
     this.name = 'FrameSizeError';
   }
 }
@@ -18,7 +18,7 @@
 const encoder = new Encoder({ useRecords: false, structuredClone: false });
 const decoder = new Decoder({ useRecords: false, structuredClone: false });
 
-/** A frame's bytes. */
+/** Encodes a value as a frame, including the length prefix. */
 export function encodeFrame(value: unknown): Buffer {
   const body = encoder.encode(value);
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
@@ -32,16 +32,16 @@
  *   empty -> flushing
  *   gathering -> empty
  *
- * `gathering`: the frames that wait can wait for others. `flushing`: they go out at the end of this turn
- * of the event loop.
+ * `gathering`: only frames that are not urgent are queued. `flushing`: the queue is written at the end of
+ * this turn of the event loop.
  */
 type WriterState = 'empty' | 'gathering' | 'flushing';
 
 /**
- * Writes frames to a connection, those of one turn of the event loop together: a controller that falls
- * behind finds many heartbeats in a turn, and each write is a system call and a packet. Frames that can wait
- * for others go out with the next urgent one, or once `gatherS` is over: on both ends a batch is one
- * system call, one turn of the event loop and one packet.
+ * Writes frames to a connection in batches. All frames of one turn of the event loop are written together:
+ * a controller that falls behind reads many heartbeats in one turn, and each write costs a system call and a
+ * packet. Frames that are not urgent are written with the next urgent one or after `batchingDelayS`: on both
+ * ends a batch costs one system call, one turn of the event loop and one packet.
  */
 export class FrameWriter {
   private frames: Buffer[] = [];
@@ -50,13 +50,13 @@
 
   constructor(
     private readonly socket: Pick<Socket, 'destroyed' | 'write'>,
-    /** A frame to go with those of a turn; null: none. */
+    /** Returns a frame to append to each batch, or null for none. */
     private readonly attachment: () => object | null,
-    /** Seconds for which frames that are not urgent may wait for others. */
+    /** Maximum delay in seconds of frames that are not urgent. */
     private readonly batchingDelayS: number,
   ) {}
 
-  /** Adds a frame; one that is not urgent may wait for others. */
+  /** Queues a frame. A frame that is not urgent may be delayed by up to `batchingDelayS`. */
   write(value: object, urgent = true): void {
     this.frames.push(encodeFrame(value));
     if (this.state === 'flushing') return;
@@ -85,11 +85,11 @@
   }
 }
 
-/** Takes frames out of the bytes of a connection. */
+/** Decodes frames from the byte stream of a connection. */
 export class FrameReader {
   private buffered: Buffer = Buffer.alloc(0);
 
-  /** Throws on a frame that is too long or not CBOR. */
+  /** Returns the frames completed by `data`. Throws on a frame that is empty, too long or not CBOR. */
   push(data: Buffer): unknown[] {
     this.buffered = this.buffered.length === 0 ? data : Buffer.concat([this.buffered, data]);
     const frames: unknown[] = [];
--- a/src/peers/health-exchange.ts
+++ b/src/peers/health-exchange.ts
@@ -1,17 +1,17 @@
 import type { ControllerHealth, HealthFrame } from './messages.js';
 
-/** Where the figures of health that travel between controllers come from and go to. */
+/** Source and destination of the health reports that controllers exchange. */
 export interface HealthExchange {
   /**
-   * Called once for each connection. What it returns is called with each flush, and gives this
-   * controller's figure when the other end is due to get it again, otherwise null.
+   * Called once for each connection. The returned function is called with each flush; it returns this
+   * controller's health when the next report to the peer is due, otherwise null.
    */
   nextToSend(): () => ControllerHealth | null;
-  /** Another controller's figure has come. */
+  /** Called when a health report of another controller arrives. */
   note(node: string, health: ControllerHealth): void;
 }
 
-/** The attachment of a `FrameWriter`. */
+/** The `attachment` of a `FrameWriter` that sends this controller's health. */
 export function healthAttachment(exchange: HealthExchange): () => HealthFrame | null {
   const send = exchange.nextToSend();
   return () => {
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -20,34 +20,33 @@
 
 type LinkState = 'down' | 'connecting' | 'up';
 
-/** Milliseconds that a connection may take to come about. */
 const CONNECT_TIMEOUT_MS = 1500;
-/** Milliseconds between two attempts to connect: at first, and at most. */
+/** Initial and maximum delay between two connection attempts. */
 const MIN_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 2000;
 
-/** A question that has not been answered yet. */
+/** A question that is waiting for its answer. */
 interface Pending {
   kind: QuestionKind;
   resolve: (answer: Answer | null) => void;
   timer: NodeJS.Timeout;
 }
 
-/** What a `Link` works with. */
+/** Dependencies and settings of a `Link`. */
 export interface LinkOptions {
-  /** Names of this controller and of the other one. */
+  /** Names of this controller and of the peer. */
   self: string;
   peer: string;
   addr: Endpoint;
   log: Log;
-  /** Questions under way at a time, at most. */
+  /** Maximum number of unanswered questions. */
   maxPending: number;
-  /** Seconds for which heartbeats that are forwarded may wait for others. */
+  /** Maximum delay in seconds of forwarded heartbeats, which are sent in batches. */
   batchingDelayS: number;
   health: HealthExchange;
 }
 
-/** Asks another controller over a connection that it opens itself, again and again where it must. */
+/** Sends questions to one peer over an outgoing connection, which is reopened by a later question if it was closed. */
 export class Link {
   private state: LinkState = 'down';
   private socket: Socket | null = null;
@@ -56,7 +55,7 @@
   private readonly pending = new Map<number, Pending>();
   private retryAt = 0;
   private backoffMs = MIN_BACKOFF_MS;
-  /** When the last answer came, in milliseconds of `performance.now()`. */
+  /** Time of the last answer, in milliseconds of `performance.now()`. */
   answeredAt = -Infinity;
 
   constructor(private readonly options: LinkOptions) {}
@@ -130,7 +129,7 @@
     pending.resolve(parseAnswer(pending.kind, answer));
   }
 
-  /** Null: no answer. */
+  /** Sends a question. Resolves with null if there is no answer in time. */
   ask<Q extends Question>(question: Q, timeoutS: number): Promise<AnswerTo<Q> | null> {
     if (this.state === 'down') this.open();
     const { socket, writer } = this;
@@ -142,18 +141,18 @@
       const timer = answerTimeout(() => {
         if (!this.pending.delete(id)) return;
         resolve(null);
-        // Hanging, perhaps cut off: a new connection is the only way to find out. Not when others were
-        // answered meanwhile: hundreds of heartbeats may be under way on this one.
+        // The connection may be dead, which only a new one can show. If other questions were answered
+        // in the meantime it is kept: hundreds of heartbeats may be waiting for their answers on it.
         if (this.socket === socket && this.answeredAt < sentAt) this.setState('down');
       }, timeoutS * 1000);
-      // `answered` parses the answer by the kind of the question.
+      // `handleAnswer` parses the answer according to the kind of the question.
       const resolveAs = resolve as Pending['resolve'];
       this.pending.set(id, { kind: question.q, resolve: resolveAs, timer });
       writer.write({ id, q: question } satisfies QuestionFrame, question.q !== 'report');
     });
   }
 
-  /** Ends the connection; questions under way have no answer. */
+  /** Closes the connection. Pending questions resolve with null. */
   close(): void {
     this.setState('down');
   }
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -1,71 +1,71 @@
 import * as v from 'valibot';
 
 /**
- * Messages between controllers, and their validation. A connection carries questions one way and their
- * answers the other way; both ways carry the sender's health now and then.
+ * Messages between controllers and their validation. On a connection, the initiator sends questions and the
+ * acceptor sends the answers. Both sides also send their health from time to time.
  */
 
 /**
- * Raised when a message changes in a way that the other version would take wrongly. Controllers of
- * different versions do not talk to each other.
+ * Incremented when a message changes in a way that another version would misinterpret. Controllers with
+ * different protocol versions do not exchange messages.
  */
 export const PROTOCOL_VERSION = 2;
 
-/** Longest id of a job in a message, in characters. */
+/** Maximum length of a job id in a message, in characters. */
 const MAX_JOB_ID = 200;
 
-/** What one controller asks another. Field names are part of the protocol between controllers. */
+/** A question of one controller to another. The field names are part of the protocol between controllers. */
 export type Question =
-  /** A worker's heartbeat, forwarded as it came. `hop`: pass it on to the leader if you do not lead. */
+  /** A worker's heartbeat, forwarded unchanged. `hop`: the receiver forwards it to the leader if it does not lead. */
   | { q: 'report'; body: Buffer; hop: boolean }
   /**
-   * Does the state service refuse you too? Promise not to take over for a while if it does, and tell
-   * the cancellations stored after the revision `applied`.
+   * Asks whether the state service refuses the receiver too. If it does, the receiver promises not to take
+   * over leadership for `forMs` and answers with the cancellations stored after the revision `applied`.
    */
   | { q: 'refused'; token: number; forMs: number; applied: number }
-  /** A leader was elected: acknowledge it. */
+  /** Asks the receiver to acknowledge the leader with this token. */
   | { q: 'elected'; token: number }
-  /** Are you there? */
+  /** Asks whether the receiver is reachable. */
   | { q: 'there' }
-  /** A user's request, passed on by a controller that the state service does not serve. */
+  /** A user's request, forwarded by a controller that the state service does not serve. */
   | { q: 'user'; to: 'submit' | 'poll' | 'cancel'; text: string }
-  /** A cancellation is about to be stored: stop its tasks if your zone is cut off. */
+  /** A cancellation is about to be stored: the receiver stops the job's tasks if its zone is cut off. */
   | { q: 'cancelling'; job: string }
-  /** A cancellation is stored: note it, whatever the state service shows you. */
+  /** A cancellation is stored: the receiver records it, even if its replica does not show it. */
   | { q: 'cancelled'; job: string };
 
-/** Names the kinds of questions. */
+/** The kind of a question. */
 export type QuestionKind = Question['q'];
 /** The question of one kind. */
 export type QuestionOf<K extends QuestionKind> = Extract<Question, { q: K }>;
 
-/** What an HTTP request is answered with, told to the controller that has passed the request on. */
+/** The reply to an HTTP request, returned to the controller that forwarded the request. */
 export interface ReplyAnswer {
   status?: number;
   body?: string;
-  /** Seconds. */
+  /** In seconds. */
   retryAfter?: number;
 }
 
 /** The answer to `refused`. */
 export interface RefusedAnswer {
-  /** Whether the key-value store refuses the one asked. */
+  /** Whether the key-value store refuses the answering controller. */
   refused?: boolean;
-  /** Ids of jobs. */
+  /** Ids of cancelled jobs. */
   cancelled?: string[];
-  /** Seconds since the one asked is certain to have known every stored cancellation. */
+  /** Seconds since the answering controller last knew every stored cancellation for certain. */
   freshAgeS?: number;
 }
 
 /** The answer to `elected`. */
 export interface ElectedAnswer {
-  /** Seconds until the last promise of the one asked has ended; negative: it has. */
+  /** Seconds until the last promise of the answering controller ends; negative if it has ended. */
   remainsS?: number;
 }
 
 /**
- * The answer to each kind of question. All fields may be missing: whoever has nothing to say, or was
- * asked something malformed, gives an empty answer; and a malformed field is left out on arrival.
+ * The answer to each kind of question. All fields are optional: a controller that has no answer, or that
+ * received a malformed question, sends an empty answer, and a malformed field is dropped on arrival.
  */
 export interface AnswerByKind {
   report: ReplyAnswer;
@@ -82,24 +82,24 @@
 /** The answer to one question. */
 export type AnswerTo<Q extends Question> = AnswerByKind[Q['q']];
 
-/** How well a controller is able to lead. */
+/** The health of a controller, by which its ability to lead is judged. */
 export interface ControllerHealth {
-  /** Seconds by which it is behind, see `Overload.latenessS`. */
+  /** How late it is, in seconds; see `Overload.latenessS`. */
   latenessS: number;
   /** Whether the key-value store serves it. */
   served: boolean;
-  /** Seconds that heartbeats it forwarded to the leader waited lately; none: it passed none on. */
+  /** Recent waiting time in seconds of heartbeats that it forwarded to the leader; missing if it forwarded none. */
   relayS?: number;
 }
 
 /**
- * What a version can do that earlier ones with the same protocol cannot. A version without the list
- * has none of it.
+ * A capability that earlier versions with the same protocol lack. A version that sends no list of
+ * features has none of them.
  */
 export type Feature =
-  /** Jobs that need other jobs, and all forms of records that came with them. */
+  /** Jobs that depend on other jobs, and all record formats introduced with them. */
   'pipelines';
-/** The features of this version. */
+/** Features of this version. */
 export const FEATURES: readonly Feature[] = ['pipelines'];
 
 /** The first frame of a connection. */
@@ -109,27 +109,27 @@
   features: readonly string[];
 }
 
-/** Who has opened a connection, and what its version can do. */
+/** The initiator of a connection and the features of its version. */
 export interface Hello {
   from: string;
   features: ReadonlySet<string>;
 }
-/** A question with the number that its answer has. */
+/** A question with the id that its answer will carry. */
 export interface QuestionFrame {
   id: number;
   q: Question;
 }
-/** An answer with the number of its question. */
+/** An answer with the id of its question. */
 export interface AnswerFrame {
   id: number;
   a: Answer;
 }
-/** The sender's health, which goes both ways. Its key is part of the protocol. */
+/** The sender's health, sent in both directions. The key `fitness` is part of the protocol. */
 export interface HealthFrame {
   fitness: ControllerHealth;
 }
 
-/** A frame that no controller sends: its connection is closed. */
+/** A frame that violates the protocol. The receiver closes the connection. */
 export class MalformedFrameError extends Error {}
 
 type Fields = Record<string, unknown>;
@@ -166,9 +166,9 @@
   v.object({ q: v.literal('cancelled'), job: jobId }),
 ]);
 
-/** Null: malformed, or of a kind that is not known. */
+/** Validates a question. Returns null if it is malformed or of an unknown kind. */
 export function parseQuestion(raw: Fields): Question | null {
-  // Checked by hand: heartbeats come hundreds of times a second.
+  // Validated without valibot for speed: hundreds of heartbeats arrive every second.
   if (raw.q === 'report') return parseHeartbeatQuestion(raw);
   const result = v.safeParse(questionSchema, raw);
   return result.success ? result.output : null;
@@ -198,12 +198,12 @@
   cancelled: v.object({ noted: optionalBoolean }),
 };
 
-/** The answer to a question of this kind. Null: it is no object, which counts as no answer. */
+/** Validates the answer to a question of this kind. Returns null, which counts as no answer, if it is not an object. */
 export function parseAnswer<K extends QuestionKind>(kind: K, raw: unknown): AnswerByKind[K] | null;
-/** The same for a kind that is not known before. */
+/** Overload for a kind that is not known at compile time. */
 export function parseAnswer(kind: QuestionKind, raw: unknown): Answer | null {
   if (!isFields(raw)) return null;
-  // Checked by hand, as the question is.
+  // Validated without valibot, as the question is.
   if (kind === 'report') return parseHeartbeatAnswer(raw);
   const result = v.safeParse(ANSWER_SCHEMAS[kind], raw);
   return result.success ? result.output : {};
@@ -230,7 +230,7 @@
   relayS: v.optional(nonNegative),
 });
 
-/** The first frame of a connection. Throws MalformedFrameError. */
+/** Validates the first frame of a connection. Throws MalformedFrameError. */
 export function parseHello(frame: unknown): Hello {
   const result = v.safeParse(helloSchema, frame);
   if (!result.success) throw new MalformedFrameError('unknown version');
@@ -244,12 +244,12 @@
   return result.output;
 }
 
-/** What the controller that opened a connection sends on it; `question` null: a malformed one. */
+/** A frame sent by the initiator of a connection; `question` is null if it is malformed. */
 export type InitiatorFrame =
   | { kind: 'question'; id: number; question: Question | null }
   | { kind: 'fitness'; fitness: ControllerHealth };
 
-/** A later frame of the controller that asks. Throws MalformedFrameError. */
+/** Validates a frame of the initiator after its hello. Throws MalformedFrameError. */
 export function parseInitiatorFrame(raw: unknown): InitiatorFrame {
   const frame = requireFields(raw);
   if ('fitness' in frame) return { kind: 'fitness', fitness: parseHealth(frame.fitness) };
@@ -258,11 +258,11 @@
   return { kind: 'question', id, question: parseQuestion(frame.q) };
 }
 
-/** What the controller that accepted a connection sends on it; `answer`: see `parseAnswer`. */
+/** A frame sent by the acceptor of a connection; `answer` is validated by `parseAnswer`. */
 export type AcceptorFrame =
   { kind: 'answer'; id: number; answer: unknown } | { kind: 'fitness'; fitness: ControllerHealth };
 
-/** A frame of the controller that answers. Throws MalformedFrameError. */
+/** Validates a frame of the acceptor. Throws MalformedFrameError. */
 export function parseAcceptorFrame(raw: unknown): AcceptorFrame {
   const frame = requireFields(raw);
   if ('fitness' in frame) return { kind: 'fitness', fitness: parseHealth(frame.fitness) };
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -14,33 +14,36 @@
   type Question,
 } from './messages.js';
 
-/** Answers a question; the answer is of the question's kind. What it throws is an empty answer. */
+/** Answers a question; the answer is of the question's kind. If it throws, an empty answer is sent. */
 export type QuestionHandler = (from: string, question: Question) => Promise<Answer> | Answer;
 
-/** What a `PeerNetwork` works with. */
+/** Dependencies and settings of a `PeerNetwork`. */
 export interface PeerNetworkOptions {
   self: string;
   peers: { node: string; addr: Endpoint }[];
   handler: QuestionHandler;
   log: Log;
-  /** Questions under way on one link: each comes from a connection of this controller's. */
+  /**
+   * Maximum number of unanswered questions on one link. Each question originates from an incoming
+   * connection of the controller that sends it.
+   */
   maxPending: number;
   health: HealthExchange;
-  /** Seconds for which heartbeats that are forwarded may wait for others. */
+  /** Maximum delay in seconds of forwarded heartbeats, which are sent in batches. */
   batchingDelayS: number;
 }
 
 /**
- * The links between controllers: CBOR frames with a length before them, over TCP. Each node asks
- * over connections that it opened itself and answers on those that it accepted. Nothing that must
- * hold rests on these links alone; a broken frame closes its connection and nothing else.
+ * The connections between controllers: length-prefixed CBOR frames over TCP. Each controller sends its
+ * questions over connections that it opened and answers on those that it accepted. No safety property
+ * depends on these connections alone. A malformed frame closes its own connection and nothing else.
  */
 export class PeerNetwork {
   private readonly server: Server;
   private readonly links = new Map<string, Link>();
   private readonly accepted = new Set<Socket>();
   private closed = false;
-  /** What each of the others said of its version when it opened its latest connection. */
+  /** Features that each peer announced when it opened its latest connection. */
   private readonly features = new Map<string, ReadonlySet<string>>();
 
   constructor(private readonly options: PeerNetworkOptions) {
@@ -64,7 +67,7 @@
   }
 
   private accept(socket: Socket): void {
-    // A peer needs one connection; some more for those it has given up and that still hang.
+    // A peer needs one connection; the rest allows for abandoned ones that are still open here.
     if (this.accepted.size >= this.links.size * 8 + 8) {
       const oldest = this.accepted.values().next().value;
       oldest?.destroy();
@@ -90,7 +93,7 @@
         return;
       }
       if (++pendingQuestions > this.options.maxPending)
-        throw new MalformedFrameError('too many questions');
+        throw new MalformedFrameError('more unanswered questions on one connection than the limit');
       void this.answer(writer, from, frame.id, frame.question).finally(() => pendingQuestions--);
     };
     socket.on('error', () => socket.destroy());
@@ -107,12 +110,13 @@
 
   private identify(hello: unknown): string {
     const { from, features } = parseHello(hello);
-    if (!this.links.has(from)) throw new MalformedFrameError('unknown peer');
+    if (!this.links.has(from))
+      throw new MalformedFrameError('hello names a controller that is not configured as a peer');
     this.features.set(from, features);
     return from;
   }
 
-  /** `question` null: it was malformed. */
+  /** Answers a question; null, a malformed question, gets an empty answer. */
   private async answer(
     writer: FrameWriter,
     from: string,
@@ -123,12 +127,12 @@
     try {
       if (question !== null) answer = await this.options.handler(from, question);
     } catch (error) {
-      this.options.log.info({ err: error }, 'peer question failed');
+      this.options.log.info({ err: error }, 'answering a question of a peer failed');
     }
     writer.write({ id, a: answer } satisfies AnswerFrame);
   }
 
-  /** Rejects when the address cannot be had. */
+  /** Starts to accept connections. Rejects if the address cannot be bound. */
   listen(address: Endpoint): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -144,18 +148,18 @@
     return [...this.links.keys()];
   }
 
-  /** What another controller said of its version; null: it has not opened a connection to this one. */
+  /** Features that a peer announced; null if it has not opened a connection to this controller. */
   announcedFeatures(node: string): ReadonlySet<string> | null {
     return this.features.get(node) ?? null;
   }
 
-  /** The others, those that answered last first. */
+  /** Names of the other controllers, the one with the latest answer first. */
   byLatestAnswer(): string[] {
     const links = [...this.links].sort((a, b) => b[1].answeredAt - a[1].answeredAt);
     return links.map(([node]) => node);
   }
 
-  /** Null: no answer. */
+  /** Sends a question to a peer. Resolves with null if there is no answer in time. */
   ask<Q extends Question>(
     node: string,
     question: Q,
@@ -165,7 +169,7 @@
     return this.links.get(node)?.ask(question, timeoutS) ?? Promise.resolve(null);
   }
 
-  /** Ends all connections; every later question has no answer. */
+  /** Closes all connections. Later questions resolve with null. */
   close(): void {
     this.closed = true;
     this.server.close();
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -3,41 +3,41 @@
 import type { Settings } from '../config/settings.js';
 import * as wire from '../wire/key-value-store.js';
 
-/** Refused: the request was certainly not carried out. */
+/** The request was rejected or never sent: it was certainly not executed. */
 export class RequestRejectedError extends Error {
   constructor(readonly status: number) {
     super(`state service answered ${status}`);
   }
 }
-/** No answer: the request may have been carried out, or may still be. */
+/** No usable response: the request may have been executed, or may still be. */
 export class OutcomeUnknownError extends Error {}
 
-/** Carried out with a revision, or refused by these keys' preconditions. */
+/** The revision of an executed transaction, or the keys whose preconditions failed. */
 export type CompareAndSwapResult = { ok: true; revision: number } | { ok: false; failed: string[] };
 
-/** What the last answer of the store, or its lack, said. */
+/** The state of the store by its last response; `silent` if there was none. */
 export type StoreHealth = 'unknown' | 'served' | 'refused' | 'silent';
 
 /**
- * Of a second's worth of all writes, what a follower may write at once: users submit the jobs of a pipeline
- * one after another, and with a follower's share of a second the third one waited for most of another.
+ * Burst of a follower, in seconds of the total write rate. Users submit the jobs of a pipeline one after another;
+ * with a burst of one second of a follower's own share the third job waited for most of another second.
  */
 const FOLLOWER_BURST_S = 0.3;
 
-/** The key-value store as this node sees it, within this node's share of the request limits. */
+/** Client of the key-value store that keeps within this controller's share of the request limits. */
 export class KeyValueStoreClient {
   private readonly http: HttpClient;
   private readonly watchHttp: HttpClient;
   readonly requestBudget: TokenBucket;
   readonly writeBudget: TokenBucket;
-  /** What the last answer, or its lack, said. */
+  /** The state of the store by its last response. */
   health: StoreHealth = 'unknown';
-  /** When the last request that was served had been sent. */
+  /** Steady time at which the latest served request was sent. */
   servedAt = -Infinity;
   rejectedAt = -Infinity;
-  /** When the last answer of any kind came. */
+  /** Steady time of the last response of any kind. */
   answeredAt = -Infinity;
-  /** Refused with 503 ever since; null: served, or not heard from. */
+  /** Steady time of the first 503 since the last served request; null if there was none. */
   rejectedSince: number | null = null;
   readonly valueBytes: number;
   readonly operationsPerTransaction: number;
@@ -56,8 +56,8 @@
   }
 
   /**
-   * The limits hold for all nodes together, so each keeps to a share of them: the leader to what is
-   * left when every other node takes a follower's share. A tenth stays unused for late requests.
+   * The limits apply to all controllers together, so each uses a share: the leader uses what remains when
+   * every other controller uses a follower's share. A tenth stays unused as a margin for late requests.
    */
   setRole(role: 'leader' | 'follower'): void {
     const controllers = Math.max(1, this.settings.controllerCount);
@@ -105,7 +105,7 @@
     try {
       return JSON.parse(response.body.toString('utf8'));
     } catch {
-      throw new OutcomeUnknownError('garbled answer');
+      throw new OutcomeUnknownError('state service sent a response that is not JSON');
     }
   }
 
@@ -114,12 +114,12 @@
       return parse(this.parseJson(response));
     } catch (error) {
       if (error instanceof wire.MalformedMessageError)
-        throw new OutcomeUnknownError(`garbled answer: ${error.message}`);
+        throw new OutcomeUnknownError(`state service sent a malformed response: ${error.message}`);
       throw error;
     }
   }
 
-  /** Waits for its turn within the budget; what is urgent goes at once and is made up for later. */
+  /** Waits for the request budget. An urgent request is sent at once; later requests wait longer instead. */
   private async waitForBudget(urgent: boolean): Promise<void> {
     if (urgent) {
       this.requestBudget.force(1);
@@ -128,7 +128,7 @@
     while (!this.requestBudget.tryTake(1)) await sleep(this.requestBudget.secondsUntil(1));
   }
 
-  /** The caller has taken the writes from `writes`. */
+  /** Executes a transaction. The caller must have taken its writes from `writeBudget`. */
   async compareAndSwap(
     preconditions: wire.Precondition[],
     operations: wire.Operation[],
@@ -150,7 +150,7 @@
     throw new RequestRejectedError(response.status);
   }
 
-  /** Null: there is no such key. Throws RequestRejectedError, OutcomeUnknownError. */
+  /** Reads a key; null if it does not exist. Throws RequestRejectedError, OutcomeUnknownError. */
   async get(key: string, timeoutS: number): Promise<wire.KeyValue | null> {
     await this.waitForBudget(true);
     const response = await this.call(this.http, 'GET', wire.keyPath(key), undefined, timeoutS);
@@ -159,7 +159,7 @@
     throw new RequestRejectedError(response.status);
   }
 
-  /** All keys below a prefix. `revision` is that of the first page: follow the changes from there. */
+  /** Lists all keys with a prefix. Returns the revision of the first page, from which changes must be followed. */
   async list(prefix: string, onItem: (item: wire.KeyValue) => void): Promise<number> {
     let after = '';
     let revision = -1;
@@ -181,7 +181,7 @@
     }
   }
 
-  /** Null: too old, read the keys again. */
+  /** Reads the changes after a revision; null if the store no longer has them and the keys must be listed again. */
   async changes(
     prefix: string,
     after: number,
@@ -197,7 +197,7 @@
     return this.parseBody(response, wire.parseChanges);
   }
 
-  /** A new lease's id; `lifeS`: its time to live. Throws RequestRejectedError, OutcomeUnknownError. */
+  /** Creates a lease and returns its id. Throws RequestRejectedError, OutcomeUnknownError. */
   async grantLease(ttlS: number, timeoutS: number): Promise<number> {
     await this.waitForBudget(true);
     const body = wire.encodeLeaseTtl(Math.round(ttlS * 1000));
@@ -207,7 +207,7 @@
     return this.parseBody(response, wire.parseLeaseId);
   }
 
-  /** False: the lease has come to an end. */
+  /** Renews a lease. Returns false if it has expired. */
   async keepLeaseAlive(id: number, timeoutS: number): Promise<boolean> {
     await this.waitForBudget(true);
     const response = await this.call(this.http, 'POST', wire.leaseKeepAlivePath(id), '', timeoutS);
@@ -216,13 +216,13 @@
     return true;
   }
 
-  /** Ends a lease; its keys go with it. */
+  /** Revokes a lease, which removes its keys. */
   async endLease(id: number, timeoutS: number): Promise<void> {
     await this.waitForBudget(true);
     await this.call(this.http, 'DELETE', wire.leasePath(id), undefined, timeoutS);
   }
 
-  /** What went to the key-value store and came from it since the start. */
+  /** Requests and bytes exchanged with the key-value store since the start. */
   get traffic(): Traffic {
     const [a, b] = [this.http.traffic, this.watchHttp.traffic];
     return {
@@ -233,7 +233,7 @@
     };
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void {
     this.http.close();
     this.watchHttp.close();
--- a/src/store/job-compaction.ts
+++ b/src/store/job-compaction.ts
@@ -8,13 +8,13 @@
 }; // prettier-ignore
 
 /**
- * What is left of jobs that were over long ago: their outcome, and of what they asked for only what
- * an answer may still rest on. Alike ones share the rest.
+ * Reduces jobs that finished long ago to their outcome and the few fields of the spec that responses still
+ * need. Jobs of the same kind and size share one spec.
  */
 export class JobCompactor {
   private readonly sharedSpecs = new Map<string, JobSpec>();
 
-  /** The same job without what no answer rests on. */
+  /** Returns the job without the data that no response needs. */
   compact(storedJob: StoredJob): StoredJob {
     const { atMs, acceptedAt, cancelledAt, cancelledByDependency, doneAt, doneMs } = storedJob;
     const { readyAt, readyMs, doneTasks } = storedJob;
@@ -36,7 +36,7 @@
     };
   }
 
-  /** The kind stays: a service must not be named as needed, however long it is over. */
+  /** Keeps the kind, since no job may depend on a service, even on one that finished long ago. */
   private sharedSpec({ kind, tasks }: { kind: JobKind; tasks: number }): JobSpec {
     const key = `${kind} ${tasks}`;
     let spec = this.sharedSpecs.get(key);
--- a/src/store/job-table.ts
+++ b/src/store/job-table.ts
@@ -1,4 +1,4 @@
-/** What the store says of jobs: accepted, cancelled, done; a pure function of the order of its changes. */
+/** The stored state of jobs: accepted, cancelled, done. It is a pure function of the sequence of changes. */
 
 import { chunkSize } from '../jobs/chunks.js';
 import { DependencyGraph, type DependencyEvents } from '../pipelines/dependency-graph.js';
@@ -8,21 +8,21 @@
 import { neverStarted, outcome, specOf, type StoredJob } from './stored-job.js';
 import { countDone, decodeBits, parseProgressKey } from './stored-progress.js';
 
-/** Jobs whose cancellation was stored after a revision. */
+/** Cancelled jobs whose cancellation was stored after a revision. */
 interface CancelledSince {
   ids: readonly string[];
-  /** A leader that had not read one of them may have stored a claim of it that this copy does not show. */
+  /** A leader that had not read one of the cancellations may have stored claims of the job that are missing here. */
   mayLackClaims: boolean;
 }
 
-/** Results of `cancelledSince` that are kept: one for each controller that may ask, and some more. */
+/** Maximum number of cached results of `cancelledSince`: enough for one per controller that may ask, with a margin. */
 const MAX_CACHED_RESULTS = 16;
 
-/** All jobs that were ever accepted, kept up to date by a listing and then by the stream of changes. */
+/** All jobs that were ever accepted, built from a listing and updated from the stream of changes. */
 export class JobTable {
   readonly jobs = new Map<string, StoredJob>();
   readonly dependencies: DependencyGraph;
-  /** A listing is being read: nothing is concluded from a cancellation before it is complete. */
+  /** While a listing is being read, cancellations have no effects yet: see `Replica.applyListed`. */
   listingInProgress = false;
   private readonly earlyCancellations = new Map<string, number>();
   private readonly earlyProgress = new Map<string, KeyValue[]>();
@@ -30,7 +30,7 @@
   private readonly compactor = new JobCompactor();
 
   constructor(
-    /** Tasks in one chunk of a job's progress, by the stored format. */
+    /** Number of tasks in one chunk of a job's progress in the stored format. */
     readonly tasksPerChunk: number,
     private readonly events: DependencyEvents,
   ) {
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Of jobs that are over and were accepted before this time only the outcome stays in memory: users
-   * may ask for ever, and what they are told needs no more. Not while a machine's record names one of
-   * its tasks: what that takes there must be known.
+   * Reduces finished jobs that were accepted before this time to their outcome. Users may poll a job for
+   * an unlimited time, and the response needs nothing else. Jobs with a claim in a machine record are
+   * skipped, since the resources that their tasks occupy there must stay known.
    */
   compactFinished(beforeMs: number): void {
     for (const [id, storedJob] of this.jobs) {
@@ -58,7 +58,7 @@
     }
   }
 
-  /** The listing is complete, with the changes since its first page. */
+  /** Called when the listing and the changes since its first page have been applied. */
   listingComplete(): void {
     this.listingInProgress = false;
     this.dependencies.rebuild();
@@ -70,9 +70,9 @@
   }
 
   /**
-   * Ids of jobs that may have tasks and whose cancellation was stored after `revision`, as far as this copy
-   * goes, which holds all changes up to `applied`. Rarely asked for, and then many times for a few revisions
-   * while nothing is read: the results are kept until something is.
+   * Cancelled jobs that may have tasks and whose cancellation was stored after `revision`, among the changes
+   * up to `applied` that this replica holds. Calls are rare, but then come in large numbers for a few revisions
+   * while no changes arrive, so results are cached until the next change.
    */
   cancelledSince(revision: number, applied: number): CancelledSince {
     if (this.cancelledCache.applied !== applied)
@@ -91,7 +91,7 @@
     let mayLackClaims = false;
     for (const [id, storedJob] of this.jobs) {
       if (storedJob.cancelledAt === null || storedJob.cancelledAt <= revision) continue;
-      // What never started has no task whose lease could be renewed: a cascade may hold thousands.
+      // A job that never started has no task whose lease could be renewed; a cascade may contain thousands of them.
       if (outcome(storedJob) !== 'cancelled' || neverStarted(storedJob)) continue;
       ids.push(id);
       mayLackClaims ||= storedJob.claimCount < storedJob.spec.tasks - storedJob.doneTasks;
@@ -99,7 +99,7 @@
     return { ids, mayLackClaims };
   }
 
-  /** A batch of accepted jobs and cancellations. */
+  /** Applies a batch of accepted jobs and cancellations. */
   applyBatch(batch: records.RequestBatchRecord, revision: number): void {
     for (const accepted of batch.jobs) this.applyAccepted(accepted, revision);
     for (const id of batch.cancelledIds) this.applyCancellation(id, revision);
@@ -113,7 +113,7 @@
       return;
     }
     const independent = accepted.spec.dependencies.length === 0;
-    // Field by field: spreading `accepted` takes ten times as long as all the rest, see docs/profile.md.
+    // Not spread from `accepted`: that takes ten times as long as the rest of this function, see docs/profile.md.
     const newJob: StoredJob = {
       spec: accepted.spec,
       atMs: accepted.atMs,
@@ -141,8 +141,8 @@
   }
 
   /**
-   * Two nodes accepted the same job at once: the same job, the older acceptance counts, in whatever
-   * order a listing shows the two.
+   * Two controllers accepted the same job at the same time. The acceptance with the lower revision counts,
+   * regardless of the order in which a listing returns the two.
    */
   private mergeRepeatedAcceptance(
     storedJob: StoredJob,
@@ -160,7 +160,7 @@
   private applyCancellation(id: string, revision: number): void {
     const storedJob = this.jobs.get(id);
     if (storedJob === undefined) {
-      // A listing goes by key, not by time: the job itself may come later.
+      // A listing is ordered by key, not by revision: the job itself may follow later.
       const early = this.earlyCancellations.get(id);
       this.earlyCancellations.set(id, Math.min(early ?? Infinity, revision));
       return;
@@ -178,7 +178,7 @@
     this.events.onCancelled(storedJob);
   }
 
-  /** A record of done tasks. */
+  /** Applies a record of done tasks. */
   applyProgress(key: string, value: unknown, revision: number): void {
     const { id, number, isPart } = parseProgressKey(key);
     const storedJob = this.jobs.get(id);
@@ -207,7 +207,7 @@
     this.updateTotals(storedJob);
   }
 
-  /** Done when all records together name all tasks, with the youngest of them. */
+  /** Recomputes the totals. A job is done, with the latest revision of its records, once they cover all tasks. */
   private updateTotals(storedJob: StoredJob): void {
     const stored = [...storedJob.progress!.values()];
     storedJob.doneTasks = countDone(storedJob.spec.tasks, stored);
--- a/src/store/machine-record.ts
+++ b/src/store/machine-record.ts
@@ -1,6 +1,6 @@
-/** A machine's record in the store: what may be on it, and who commands it. */
+/** The stored record of a machine: the attempts that may be on it and the controller that owns it. */
 
-/** A stored record that no version of this program wrote. */
+/** A stored record that is not in the format of any version of this program. */
 class MalformedRecordError extends Error {
   override readonly name = 'MalformedRecordError';
 }
@@ -12,12 +12,12 @@
   attempt: number;
 }
 
-/** A machine as it is stored. */
+/** The stored record of a machine. */
 export interface MachineRecord {
-  /** The controller that owns the machine. Its term is the revision of its leadership. */
+  /** The leader that owns the machine; `term` is the revision of its leader record. */
   owner: string;
   term: number;
-  /** Token that its worker may have been given, where that is above `term`. */
+  /** Highest token that the worker may have received, if it is above `term`. */
   token?: number;
   addr: string;
   type: string;
@@ -25,34 +25,34 @@
   spot: boolean;
   returning: boolean;
   claims: Claim[];
-  /** Images that were seen there, the latest last, with their size. */
+  /** Images seen on the machine with their sizes in GB, the most recently used last. */
   images: [string, number][];
 }
 
 /**
- * How claims are written.
+ * The encoding of claims.
  *
- *   plain  a list of lists, as by all versions
- *   dense  one word for each attempt of a job, with ranges of its tasks; versions before pipelines take
- *          such a record for garbage, and the machine for one without claims
+ *   plain  an array of arrays, which all versions read
+ *   dense  one string for each attempt number of a job, with ranges of task indexes; versions before pipelines
+ *          treat such a record as malformed and the machine as one without claims
  */
 export type ClaimForm = 'plain' | 'dense';
 
-/** What the dense form can hold: ids without its separators. */
+/** Job ids that the dense form can represent: those without its separators. */
 const DENSE_SAFE_ID = /^[\w.-]+$/;
-/** Radix of attempts in the dense form. */
+/** Radix of attempt numbers in the dense form. */
 const ATTEMPT_RADIX = 36;
 
-/** The densest form that is allowed and can hold all claims. */
+/** The most compact form that is allowed and can represent all claims. */
 function densestForm({ claims }: MachineRecord, allowed: ClaimForm): ClaimForm {
   if (allowed === 'plain') return 'plain';
   return claims.every(({ job }) => DENSE_SAFE_ID.test(job)) ? 'dense' : 'plain';
 }
 
 /**
- * The stored form of a record, within so many bytes where that can be had: dense where that is allowed and
- * the plain form is too large, and without the images that were used longest ago. Images are worth
- * something, claims are never left out.
+ * Encodes a record for the store, in at most `maxBytes` if possible. If the plain form with all images is too
+ * large, the dense form is used where it is allowed, and the least recently used images are omitted. Images are
+ * only a hint for placement; claims are never omitted, even if the limit is exceeded.
  */
 export function encodeMachine(
   record: MachineRecord,
@@ -66,14 +66,14 @@
   return encodeAs({ ...record, images: latestWithin(record.images, bytesLeft) }, form);
 }
 
-/** Bytes of a record without any images. */
+/** Encoded size of a record without any images, in bytes. */
 export function bytesWithoutImages(record: MachineRecord, allowed: ClaimForm): number {
   return encodedBytes(encodeAs({ ...record, images: [] }, densestForm(record, allowed)));
 }
 
 const encodedBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
-/** The images used last that take no more than so many bytes. */
+/** The most recently used images that fit into this number of bytes. */
 function latestWithin(images: [string, number][], bytes: number): [string, number][] {
   const latest: [string, number][] = [];
   let bytesLeft = bytes;
@@ -99,7 +99,7 @@
   i: record.images,
 });
 
-/** The record of a stored value, in either form of claims. Throws on a malformed one. */
+/** Decodes a stored record with claims in either form. Throws on a malformed value. */
 export function decodeMachine(value: unknown): MachineRecord {
   const stored = value as Record<string, unknown>;
   const flags = stored.f as number;
@@ -126,7 +126,7 @@
   }));
 }
 
-/** `job:attempt:tasks` for each attempt of a job, with a space between; tasks as `0-3,7`. */
+/** Encodes `job:attempt:tasks` for each attempt number of a job, separated by spaces; tasks as `0-3,7`. */
 function encodeDenseClaims(claims: Claim[]): string {
   const groups = new Map<string, number[]>();
   for (const { job, index, attempt } of claims) {
@@ -165,7 +165,7 @@
   return claims;
 }
 
-/** Throws where it is no whole number: the record is garbage then. */
+/** Parses an integer. Throws if it is none: the record is malformed. */
 function parseInteger(text: string, radix: number): number {
   const value = Number.parseInt(text, radix);
   if (!Number.isSafeInteger(value)) throw new MalformedRecordError('no number');
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -1,45 +1,45 @@
 import { NO_DEPENDENCIES, type JobSpec, type MachineType } from '../jobs/types.js';
 
 /**
- * What the controllers keep in the key-value store. Keys:
+ * Records that the controllers store in the key-value store. Keys:
  *
- *   ps/j/<incarnation>-<n>   accepted jobs and cancellations, a batch each; never changed again
- *   ps/d/<incarnation>-<n>   accepted jobs that need other jobs, likewise
- *   ps/v/<node>              what the version that a controller runs, or has run last, can do
- *   ps/p/<job>/<chunk>       which tasks are done; never changed again once all are
- *   ps/q/<job>/<first task> the same of fewer tasks, where a chunk is larger than a value may be
+ *   ps/j/<incarnation>-<n>   a batch of accepted jobs and cancellations; immutable
+ *   ps/d/<incarnation>-<n>   a batch of accepted jobs that depend on other jobs; immutable
+ *   ps/v/<node>              features of the version that a controller runs or ran last
+ *   ps/p/<job>/<chunk>       which tasks of a chunk are done; immutable once all are
+ *   ps/q/<job>/<first task>  the same for part of a chunk, where a chunk exceeds the size limit of a value
  *   ps/m/<machine>           a machine, its owner and the attempts that may be on it
- *   ps/l                     the leader, attached to its lease; its revision is the token
- *   ps/n/<node>              a controller that is there, attached to a lease of its own
- *   ps/a/<node>              the latest leader that a controller has acknowledged by way of the store
- *   ps/t                     the machine types, for times when the cloud does not answer
- *   ps/x/<subsystem>/...     what a subsystem keeps; its form is the subsystem's own
+ *   ps/l                     the leader, attached to its lease; its revision is the fencing token
+ *   ps/n/<node>              a live controller, attached to a lease of its own
+ *   ps/a/<node>              the latest leader that a controller has acknowledged through the store
+ *   ps/t                     the machine types, used while the cloud does not answer
+ *   ps/x/<subsystem>/...     records of a subsystem, in a format of its own
  *
- * Versions before pipelines ignore ps/d/ and ps/v/: a job that needs others can never be started by one
- * of them. docs/upgrade.md says of each record what older versions do with it.
+ * Versions before pipelines ignore ps/d/ and ps/v/, so they can never start a job that depends on others.
+ * docs/upgrade.md describes how older versions treat each record.
  *
- * Order in time is the order of revisions: of "done" and "cancelled" the older one counts.
+ * Events are ordered by revision: if a job is both done and cancelled, the one with the lower revision counts.
  */
 export const ROOT = 'ps/';
 /** Prefix of accepted jobs and cancellations. */
 export const JOBS = 'ps/j/';
-/** Prefix of accepted jobs that need other jobs. */
+/** Prefix of accepted jobs that depend on other jobs. */
 export const DEPENDENT_JOBS = 'ps/d/';
-/** Prefix of what controllers' versions can do. */
+/** Prefix of the features of controllers' versions. */
 export const VERSIONS = 'ps/v/';
 /** Prefix of chunks of done tasks. */
 export const PROGRESS = 'ps/p/';
-/** Prefix of parts of done tasks, smaller than chunks. */
+/** Prefix of progress parts, which are smaller than chunks. */
 export const PROGRESS_PARTS = 'ps/q/';
 /** Prefix of machines. */
 export const MACHINES = 'ps/m/';
-/** Prefix of controllers that are there. */
+/** Prefix of live controllers. */
 export const CONTROLLERS = 'ps/n/';
 /** Prefix of acknowledgements of leaders. */
 export const ACKNOWLEDGEMENTS = 'ps/a/';
-/** The leader's key. */
+/** Key of the leader. */
 export const LEADER = 'ps/l';
-/** The machine types' key. */
+/** Key of the machine types. */
 export const MACHINE_TYPES = 'ps/t';
 /** Prefix of subsystems' records. */
 export const SUBSYSTEMS = 'ps/x/';
@@ -51,24 +51,24 @@
   `${PROGRESS_PARTS}${job}/${first}`;
 /** Key of a controller's presence. */
 export const controllerKey = (node: string): string => `${CONTROLLERS}${node}`;
-/** Key of what a controller's version can do. */
+/** Key of the features of a controller's version. */
 export const versionKey = (node: string): string => `${VERSIONS}${node}`;
 /** Key of a controller's acknowledgement. */
 export const acknowledgementKey = (node: string): string => `${ACKNOWLEDGEMENTS}${node}`;
-/** Where the records of a subsystem are. */
+/** Prefix of the records of one subsystem. */
 export const subsystemPrefix = (subsystem: string): string => `${SUBSYSTEMS}${subsystem}/`;
 /** Key of a machine's record. */
 export const machineKey = (id: string): string => `${MACHINES}${id}`;
 
 export { decodeMachine, encodeMachine, type Claim, type MachineRecord } from './machine-record.js';
 
-/** An accepted job and the time of day of its acceptance in ms. */
+/** An accepted job and the time of its acceptance, in ms since the epoch. */
 export interface AcceptedJob {
   spec: JobSpec;
   atMs: number;
 }
 
-/** Accepted jobs and ids of cancelled ones, stored together. */
+/** Accepted jobs and ids of cancelled jobs, stored in one record. */
 export interface RequestBatchRecord {
   jobs: AcceptedJob[];
   cancelledIds: string[];
@@ -76,30 +76,30 @@
 
 const KINDS = ['array', 'gang', 'service'] as const;
 
-/** The stored form of a batch. */
+/** Encodes a batch for the store. */
 export function encodeRequestBatch(batch: RequestBatchRecord): unknown {
   return { s: batch.jobs.map(encodeJob), c: batch.cancelledIds };
 }
 
-/** The stored form of a job: a list of its fields in a fixed order. */
+/** Encodes a job for the store: an array of its fields in a fixed order. */
 export function encodeJob({ spec: spec, atMs }: AcceptedJob): unknown[] {
   const flags = (spec.oneZone ? 1 : 0) | (spec.scatter ? 2 : 0) | (spec.spot ? 4 : 0);
   return [
     spec.id, spec.class, spec.team, KINDS.indexOf(spec.kind), spec.priority, spec.tasks, spec.cores, spec.gpus, spec.memGb,
     spec.image, spec.imageGb, spec.types, spec.zone, flags, spec.estimateS, spec.checkpointS, spec.saveS, spec.deadlineS,
     atMs,
-    // Appended only where there are any: all other jobs are stored as by versions that do not know it.
+    // Appended only if there are any, so that other jobs are stored exactly as by versions without dependencies.
     ...(spec.dependencies.length === 0 ? [] : [spec.dependencies]),
   ]; // prettier-ignore
 }
 
-/** The batch of a stored value. Throws on a malformed one. */
+/** Decodes a stored batch. Throws on a malformed value. */
 export function decodeRequestBatch(value: unknown): RequestBatchRecord {
   const stored = value as { s: unknown[][]; c: string[] };
   return { jobs: stored.s.map(decodeJob), cancelledIds: stored.c };
 }
 
-/** The job of its stored form. Throws on a malformed one. */
+/** Decodes a stored job. Throws on a malformed value. */
 export function decodeJob(stored: unknown[]): AcceptedJob {
   const flags = stored[13] as number;
   return {
@@ -130,19 +130,19 @@
   };
 }
 
-/** Done tasks of a job, or of a chunk or part of it. */
+/** Done tasks of a chunk of a job, or of a part of a chunk. */
 export interface ProgressRecord {
-  /** Bits of the done tasks in base64; null: all. */
+  /** Bit set of the done tasks in base64; null if all are done. */
   bits: string | null;
-  /** Seconds of run time that the tasks have had, failed runs included. */
+  /** Total run time of the tasks in seconds, including failed attempts. */
   attainedS: number;
-  /** Time of day in ms at which it was written, once all are done. Older versions leave it out. */
+  /** Time in ms since the epoch at which the record with all tasks done was written. Older versions omit it. */
   doneMs?: number;
-  /** Tasks that a part is of; chunks leave it out. */
+  /** Number of tasks in a part; omitted in chunks. */
   tasks?: number;
 }
 
-/** The stored form of done tasks. */
+/** Encodes done tasks for the store. */
 export const encodeProgress = (record: ProgressRecord): unknown => ({
   b: record.bits,
   a: Math.round(record.attainedS),
@@ -150,7 +150,7 @@
   ...(record.tasks === undefined ? {} : { n: record.tasks }),
 });
 
-/** Done tasks of a stored value. Throws on a malformed one. */
+/** Decodes stored done tasks. Throws on a malformed value. */
 export function decodeProgress(value: unknown): ProgressRecord {
   const stored = value as { b: string | null; a?: number; m?: number; n?: number };
   const doneMs = typeof stored.m === 'number' ? { doneMs: stored.m } : {};
@@ -158,25 +158,25 @@
   return { bits: stored.b, attainedS: stored.a ?? 0, ...doneMs, ...tasks };
 }
 
-/** The features file of a controller: which subsystems it switches on, and a hash of it. */
+/** The features file of a controller: its hash and the subsystems that it enables. */
 export interface FeaturesFileRecord {
   hash: string;
   subsystems: string[];
 }
 
-/** What a controller's version can do, and its features file. */
+/** The features of a controller's version, and its features file. */
 export interface VersionRecord {
   features: string[];
-  /** Missing: no features file, or a version that knows none. */
+  /** Missing if there is no features file or the version does not support one. */
   file?: FeaturesFileRecord;
 }
 
-/** The stored form of a version. */
+/** Encodes a version for the store. */
 export const encodeVersion = ({ features, file }: VersionRecord): unknown => ({
   f: features,
   ...(file === undefined ? {} : { h: file.hash, s: file.subsystems }),
 });
-/** The version of a stored value. Throws on a malformed one. */
+/** Decodes a stored version. Throws on a malformed value. */
 export function decodeVersion(value: unknown): VersionRecord {
   const stored = value as { f: string[]; h?: unknown; s?: unknown };
   const features = stored.f.map(String);
@@ -184,18 +184,18 @@
   return { features, file: { hash: stored.h, subsystems: stored.s.map(String) } };
 }
 
-/** Who leads: the controller, and the campaign by which it was elected. */
+/** The leading controller; `incarnation` identifies the campaign in which it was elected. */
 export interface LeaderRecord {
   node: string;
   incarnation: string;
 }
 
-/** The stored form of a leader. */
+/** Encodes a leader for the store. */
 export const encodeLeader = (record: LeaderRecord): unknown => ({
   n: record.node,
   i: record.incarnation,
 });
-/** The leader of a stored value. Throws on a malformed one. */
+/** Decodes a stored leader. Throws on a malformed value. */
 export function decodeLeader(value: unknown): LeaderRecord {
   const stored = value as { n: string; i: string };
   return { node: stored.n, incarnation: stored.i };
@@ -207,18 +207,18 @@
   remainsS: number;
 }
 
-/** The stored form of an acknowledgement. */
+/** Encodes an acknowledgement for the store. */
 export const encodeAcknowledgement = (record: AcknowledgementRecord): unknown => ({
   t: record.token,
   r: record.remainsS,
 });
-/** The acknowledgement of a stored value. Throws on a malformed one. */
+/** Decodes a stored acknowledgement. Throws on a malformed value. */
 export function decodeAcknowledgement(value: unknown): AcknowledgementRecord {
   const stored = value as { t: number; r: number };
   return { token: stored.t, remainsS: stored.r };
 }
 
-/** The stored form of the machine types: as they are. */
+/** Encodes the machine types for the store: they are stored unchanged. */
 export const encodeMachineTypes = (types: MachineType[]): unknown => types;
-/** The machine types of a stored value. */
+/** Decodes stored machine types. */
 export const decodeMachineTypes = (value: unknown): MachineType[] => value as MachineType[];
--- a/src/store/replica-sync.ts
+++ b/src/store/replica-sync.ts
@@ -5,30 +5,30 @@
 import { type Replica } from './replica.js';
 import * as records from './records.js';
 
-/** The store has dropped the changes since the first page of a listing: it was read too slowly. */
+/** A listing took so long that the store no longer has the changes since its first page. */
 class OutdatedListingError extends Error {
   constructor() {
-    super('listing too slow');
+    super('listing took too long: the store no longer has the changes since its first page');
     this.name = 'OutdatedListingError';
   }
 }
 
-/** What a `ReplicaSync` works with. */
+/** Dependencies and settings of a `ReplicaSync`. */
 export interface ReplicaSyncOptions {
   store: KeyValueStoreClient;
   replica: Replica;
   clock: Clock;
   log: Log;
-  /** Pause between two watches: a follower has no hurry, a leader has. */
+  /** Pause in seconds between two watches: longer on a follower than on a leader. */
   pauseS: () => number;
-  /** Least time between two synchronising reads. */
+  /** Minimum time in seconds between two reads of `sync`. */
   syncGapS: number;
 }
 
-/** Keeps a replica up with the store, and answers "is it as new as now?". */
+/** Keeps a replica up to date with the store, and brings it up to the present on request. */
 export class ReplicaSync {
   ready = false;
-  /** Steady time at which the last read was sent whose answer is in the replica. */
+  /** Steady time at which the latest read whose response is in the replica was sent. */
   freshAt = -Infinity;
   private stopped = false;
   private currentRead: Promise<boolean> | null = null;
@@ -41,7 +41,7 @@
     this.replica = options.replica;
   }
 
-  /** Lists the store once and then follows its changes, until `stop`. */
+  /** Lists the store and then follows its changes until `stop`; lists it again if the changes are no longer available. */
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -73,7 +73,7 @@
     });
     this.replica.removeMissing(keys, firstPageRevision);
     this.replica.applied = Math.max(this.replica.applied, firstPageRevision);
-    // Pages differ in age: only with the changes since the first one do they make one picture.
+    // Pages are read at different revisions: only with the changes since the first one are they consistent.
     const response = await this.options.store.changes(records.ROOT, firstPageRevision, 0, 5);
     if (response === null) throw new OutdatedListingError();
     this.replica.advance(response.revision, response.changes);
@@ -89,8 +89,8 @@
   }
 
   /**
-   * True once the replica holds everything that had been stored when this was called. Callers share
-   * reads: one that begins after the call is needed, one already under way may be too old.
+   * Resolves with true once the replica holds everything that was stored at the time of the call. Callers share
+   * reads, but only reads that were sent after the call: an earlier one may miss later changes.
    */
   sync(): Promise<boolean> {
     if (this.currentRead === null) {
@@ -111,7 +111,7 @@
   private async readNow(): Promise<boolean> {
     const waitS = this.lastReadAt + this.options.syncGapS - this.options.clock.now();
     if (waitS > 0) await sleep(waitS);
-    // The read is sent after this point; whoever joins later waits for the next one.
+    // The read is sent after this point, so later callers wait for the next one.
     this.currentReadSent = true;
     const sentAt = this.options.clock.now();
     this.lastReadAt = sentAt;
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Ends `run`. */
+  /** Stops `run`. */
   stop(): void {
     this.stopped = true;
   }
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -7,13 +7,13 @@
 import * as records from './records.js';
 import { SubsystemRecords } from './subsystem-records.js';
 
-/** What a replica tells as changes come in. */
+/** Callbacks of a replica as changes arrive. */
 export interface ReplicaListener {
-  /** A job may start from now on: it was accepted, or all jobs that it needs are done. */
+  /** A job may start from now on: it was accepted without dependencies, or all its dependencies are done. */
   onReady?(storedJob: StoredJob): void;
   onCancelled?(storedJob: StoredJob): void;
   onLeader?(): void;
-  /** A controller's key was put or is gone. */
+  /** A controller's key was put or removed. */
   onPresence?(node: string): void;
   onAcknowledgement?(node: string, ack: records.AcknowledgementRecord): void;
 }
@@ -24,24 +24,24 @@
   revision: number;
 }
 
-/** A replica of the store, fed by listing and then by the stream of changes in their order. */
+/** A replica of the store, built from a listing and then updated from the ordered stream of changes. */
 export class Replica {
-  /** All changes up to this revision are in. */
+  /** All changes up to this revision have been applied. */
   applied = -1;
   readonly machines = new Map<string, StoredMachine>();
   leader: (records.LeaderRecord & { revision: number }) | null = null;
-  /** Controllers whose key is there, with its revision. */
+  /** Live controllers, with the revisions of their keys. */
   readonly controllers = new Map<string, number>();
-  /** What controllers have acknowledged by way of the store, and the record's revision. */
+  /** Acknowledgements that controllers have stored, with the revisions of the records. */
   readonly acknowledgements = new Map<
     string,
     { ack: records.AcknowledgementRecord; revision: number }
   >();
-  /** What the version that a controller ran last could do, and the record's revision. */
+  /** The version that each controller ran last, with the revision of the record. */
   readonly versions = new Map<string, { record: records.VersionRecord; revision: number }>();
-  /** What subsystems keep, as it was written: also of those that are switched off here. */
+  /** Records of all subsystems, including those that are disabled on this controller. */
   readonly subsystems = new SubsystemRecords();
-  /** The highest token that is known. */
+  /** The highest known fencing token. */
   lastToken = 0;
   machineTypes: MachineType[] | null = null;
   machineTypesRevision = 0;
@@ -49,7 +49,7 @@
   private readonly jobTable: JobTable;
   listener: ReplicaListener = {};
 
-  /** `valueBytes`: the size of a value by which progress is divided into records. */
+  /** `valueBytes`: the size limit of a stored value, which determines the size of progress chunks. */
   constructor(valueBytes: number) {
     this.jobTable = new JobTable(chunkTasks(valueBytes), {
       onReady: (storedJob) => this.listener.onReady?.(storedJob),
@@ -62,12 +62,12 @@
     return this.jobTable.jobs;
   }
 
-  /** Which jobs need which. */
+  /** The dependencies between jobs. */
   get dependencies(): DependencyGraph {
     return this.jobTable.dependencies;
   }
 
-  /** Tasks in one chunk of a job's progress, by the stored format. */
+  /** Number of tasks in one chunk of a job's progress in the stored format. */
   get chunkTasks(): number {
     return this.jobTable.tasksPerChunk;
   }
@@ -77,34 +77,34 @@
     this.jobTable.compactFinished(beforeMs);
   }
 
-  /** See `JobTable.cancelledSince`. */
+  /** Ids of cancelled jobs, see `JobTable.cancelledSince`. */
   cancelledSince(revision: number): readonly string[] {
     return this.jobTable.cancelledSince(revision, this.applied).ids;
   }
 
-  /** Whether claims of jobs that were cancelled after a revision may be stored that this copy does not show. */
+  /** Whether the store may hold claims of jobs cancelled after a revision that this replica does not show. */
   mayLackClaimsSince(revision: number): boolean {
     return this.jobTable.cancelledSince(revision, this.applied).mayLackClaims;
   }
 
   /**
-   * One item of a listing. Older copies of what is known already change nothing. A listing goes by
-   * key, not by revision: a job's progress comes after its cancellation even where it is older, and
-   * then the job is done. So nothing is concluded from a cancellation before `listed`.
+   * Applies one item of a listing, unless it is older than what is known. A listing is ordered by key, not by
+   * revision: a job's progress follows its cancellation even if the progress is older and the job is therefore
+   * done. So cancellations have no effects before `listingComplete`.
    */
   applyListed(item: KeyValue): void {
     this.jobTable.listingInProgress = true;
     this.applyPut(item.key, item.value, item.revision);
   }
 
-  /** The listing is complete, with the changes since its first page. */
+  /** Called when the listing and the changes since its first page have been applied. */
   listingComplete(): void {
     this.jobTable.listingComplete();
   }
 
   /**
-   * Keys that a fresh listing lacks are gone. `revision`: of its first page. What has been put since may
-   * be missing from it, and the changes show it.
+   * Applies the removal of keys that are missing from a new listing. `revision` is that of its first page: a
+   * later put may be missing from the listing, but is among the changes that follow.
    */
   removeMissing(keys: Set<string>, revision: number): void {
     const known = [...this.machines.keys()].map(records.machineKey);
@@ -114,7 +114,7 @@
     for (const key of known) if (!keys.has(key)) this.applyRemoval(key, revision + 1);
   }
 
-  /** Changes after some revision at or below `applied`, up to `revision`. */
+  /** Applies the changes up to `revision`. They must begin at or below `applied`. */
   advance(revision: number, changes: Change[]): void {
     for (const change of changes) {
       if (change.revision <= this.applied) continue;
@@ -128,7 +128,7 @@
     try {
       this.applyRecord(key, value, revision);
     } catch {
-      // A value that no version of ours wrote: it must not stop the rest.
+      // A value in an unknown format must not prevent the other records from being applied.
       this.malformedRecords++;
     }
   }
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -13,22 +13,21 @@
   | { kind: 'cancel'; id: string; size: number }
 ) & { deadline: number; resolve: (state: JobOutcome | null) => void };
 
-/** Requests in a row without an answer after which a batch is given up. */
+/** Number of failed requests after which a batch, or the read after it, is abandoned. */
 const MAX_FAILURES = 2;
 
-/** Seconds within which a write has to be answered. */
 const WRITE_TIMEOUT_S = 1.5;
 
-/** What a record takes beside its jobs and cancellations, in bytes. */
+/** Size of a record without its jobs and cancellations. */
 const RECORD_OVERHEAD_BYTES = 64;
-/** Of the largest value that the key-value store takes, what a record fills. */
+/** Maximum size of a record, as a fraction of the size limit of a value in the key-value store. */
 const MAX_FILL_FRACTION = 0.9;
 
-/** Bytes that a job takes in a record. */
+/** Encoded size of a job in a record, in bytes. */
 const acceptedJobBytes = (accepted: records.AcceptedJob): number =>
   Buffer.byteLength(JSON.stringify(records.encodeJob(accepted))) + 1;
 
-/** What a `RequestWriter` works with. */
+/** Dependencies of a `RequestWriter`. */
 export interface RequestWriterOptions {
   incarnation: string;
   store: KeyValueStoreClient;
@@ -40,8 +39,8 @@
 }
 
 /**
- * Stores what users ask for: accepted jobs and cancellations. What arrives while a batch is under
- * way goes into the next one, so that an answer waits for milliseconds and costs a fraction of a
+ * Stores users' requests, accepted jobs and cancellations, in batches. Requests that arrive while a batch is
+ * being stored go into the next one, so that a response is delayed by milliseconds and costs a fraction of a
  * write.
  */
 export class RequestWriter {
@@ -51,7 +50,7 @@
 
   constructor(private readonly options: RequestWriterOptions) {}
 
-  /** Whether the key-value store takes a record with this job, alone if need be. */
+  /** Whether a record with this job alone fits into a value of the key-value store. */
   fits(accepted: records.AcceptedJob): boolean {
     return (
       RECORD_OVERHEAD_BYTES + acceptedJobBytes(accepted) <=
@@ -59,19 +58,19 @@
     );
   }
 
-  /** Whether more waits than can be stored within this time: what comes now would wait in vain. */
+  /** Whether the queue holds more than can be stored within this time, so that a new request would time out. */
   full(timeoutS: number): boolean {
     const bytes = this.queue.reduce((sum, request) => sum + request.size, 0);
     return bytes > this.options.budget.perSecond * timeoutS * this.options.store.valueBytes;
   }
 
-  /** Resolves with the job's outcome once it is stored and read back; null: unsure. */
+  /** Stores a job. Resolves with its outcome once that is read back; null if it is unknown whether it was stored. */
   accept(accepted: records.AcceptedJob, timeoutS: number): Promise<JobOutcome | null> {
     const size = acceptedJobBytes(accepted);
     return this.enqueue({ kind: 'job', accepted, size }, timeoutS);
   }
 
-  /** Stores a cancellation. Resolves with the job's outcome once that is read back; null: unsure. */
+  /** Stores a cancellation. Resolves with the job's outcome once that is read back; null if it is unknown. */
   cancel(id: string, timeoutS: number): Promise<JobOutcome | null> {
     return this.enqueue({ kind: 'cancel', id, size: id.length + 3 }, timeoutS);
   }
@@ -109,8 +108,8 @@
   }
 
   /**
-   * The records of a batch, to be put in one transaction. Jobs that need others go where versions that
-   * would start them at once do not look.
+   * Encodes the records of a batch, which are put in one transaction. Jobs with dependencies get a key prefix
+   * that old versions ignore, since those would start the jobs at once.
    */
   private encodePuts(batch: PendingRequest[]): { put: string; value: unknown }[] {
     const jobs = batch.flatMap((request) => (request.kind === 'job' ? [request.accepted] : []));
@@ -147,7 +146,7 @@
 
   private async storeBatch(batch: PendingRequest[]): Promise<void> {
     const puts = this.encodePuts(batch);
-    // One write is taken already; with dependent jobs beside others it is two.
+    // One write has been taken from the budget; a batch with both dependent and independent jobs needs two.
     if (puts.length > 1) this.options.budget.force(puts.length - 1);
     const deadline = Math.max(...batch.map((request) => request.deadline));
     const stored = await this.writePuts(puts, deadline);
@@ -160,9 +159,9 @@
   }
 
   /**
-   * Whether the store has taken a batch. A submission that can't be taken is answered at once: a store that
-   * refuses, or two requests without an answer, end the wait. Another controller may be served, and the
-   * user may come back.
+   * Writes a batch and returns whether it is stored. If the store rejects it, or two requests fail, this returns
+   * without waiting for the deadline: the user is answered soon and can try again, perhaps at another controller
+   * that the store serves.
    */
   private async writePuts(
     puts: { put: string; value: unknown }[],
@@ -177,8 +176,9 @@
       first = false;
       try {
         const result = await store.compareAndSwap(preconditions, puts, WRITE_TIMEOUT_S);
-        // A failed precondition: an attempt that was not answered has been carried out after all.
-        if (!result.ok) log.debug({ keys: result.failed }, 'stored by an earlier attempt');
+        // A failed precondition: an earlier attempt without a response was executed.
+        if (!result.ok)
+          log.debug({ keys: result.failed }, 'batch was stored by an earlier attempt');
         return true;
       } catch (error) {
         const status = error instanceof RequestRejectedError ? error.status : null;
@@ -190,7 +190,7 @@
     return false;
   }
 
-  /** Nobody is told anything before this controller's replica holds what was stored. */
+  /** Waits until this controller's replica holds the stored batch. Users get no response before that. */
   private async readBack(deadline: number): Promise<boolean> {
     const { replicaSync, clock } = this.options;
     for (let reads = 0; reads < MAX_FAILURES && clock.now() < deadline; reads++) {
--- a/src/store/stored-job.ts
+++ b/src/store/stored-job.ts
@@ -2,52 +2,52 @@
 import type { JobSpec } from '../jobs/types.js';
 import type { AcceptedJob } from './records.js';
 
-/** Which tasks a stored record names as done. */
+/** The done tasks of one stored progress record. */
 export interface StoredProgress {
-  /** The task of the lowest bit. */
+  /** Index of the task of the lowest bit. */
   first: number;
   bits: BitSet;
   revision: number;
   attainedS: number;
 }
 
-/** What the store says of one job. A pure function of the changes up to a revision. */
+/** The stored state of one job. It is a pure function of the changes up to a revision. */
 export interface StoredJob extends AcceptedJob {
-  /** Revision at which it was accepted. */
+  /** Revision of its acceptance. */
   acceptedAt: number;
-  /** Revision of the first cancellation: its own, or that of a job that it needs. */
+  /** Revision of the first cancellation: its own, or that of a job that it depends on. */
   cancelledAt: number | null;
-  /** It was cancelled with a job that it needs, before its own user cancelled it. */
+  /** Whether it was cancelled with a job that it depends on, before a cancellation of its own. */
   cancelledByDependency: boolean;
-  /** Revision at which its last task was stored as done. */
+  /** Revision at which the last of its tasks was stored as done. */
   doneAt: number | null;
-  /** Time of day in ms at which its last task was found done, as the leader had it; 0: not known. */
+  /** Time in ms since the epoch, by the leader's clock, at which its last task was done; 0 if unknown. */
   doneMs: number;
   /**
-   * Revision from which its tasks may start: all jobs that it needs were done by then, and it was not
-   * cancelled before. Null: they must not.
+   * Revision from which its tasks may start: all jobs that it depends on were done by then, and it was not
+   * cancelled before. Null if its tasks must not start.
    */
   readyAt: number | null;
-  /** Time of day in ms of the same moment; of its acceptance where it needs no other job. */
+  /** Time in ms since the epoch at which it became ready; for a job without dependencies, the time of its acceptance. */
   readyMs: number;
-  /** How many entries of `spec.dependencies` are not known to be done. */
+  /** Number of entries of `spec.dependencies` that are not known to be done. */
   unmetDependencies: number;
   doneTasks: number;
   attainedS: number;
-  /** Its records of done tasks, by key. Dropped once the job is over. */
+  /** Its progress records by key. Dropped once the job is finished. */
   progress: Map<string, StoredProgress> | null;
-  /** Attempts that machine records name at present. */
+  /** Number of claims of the job in the current machine records. */
   claimCount: number;
 }
 
-/** Null: it is over, and what it asked for has left memory. */
+/** The spec of a job; null if the job is finished and was compacted. */
 export const specOf = (storedJob: StoredJob): JobSpec | null =>
   storedJob.spec.id === '' ? null : storedJob.spec;
 
-/** What has become of a job; `open`: nothing final yet. */
+/** The outcome of a job; `open` if it is not final yet. */
 export type JobOutcome = 'open' | 'done' | 'cancelled';
 
-/** The older one of "done" and "cancelled" counts, on every node and for ever. */
+/** If a job is both done and cancelled, the lower revision counts: final, and the same on every controller. */
 export function outcome(storedJob: StoredJob): JobOutcome {
   if (
     storedJob.cancelledAt !== null &&
@@ -57,21 +57,21 @@
   return storedJob.doneAt !== null ? 'done' : 'open';
 }
 
-/** Whether the store, as far as it was read, shows that a job is cancelled; false for one that it does not show. */
+/** Whether the store, as far as it was read, shows that a job is cancelled; false for an unknown job. */
 export const isStoredCancelled = (storedJob: StoredJob | undefined): boolean =>
   storedJob !== undefined && outcome(storedJob) === 'cancelled';
 
-/** Not over, and in need of no other job any more: its tasks may start. */
+/** Whether a job is open and all its dependencies are done, so that its tasks may start. */
 export const isReady = (storedJob: StoredJob): boolean =>
   storedJob.readyAt !== null && outcome(storedJob) === 'open';
 
-/** Accepted, not over, and still in need of other jobs: nothing of it may start. */
+/** Whether a job is open and waits for dependencies, so that none of its tasks may start. */
 export const isWaiting = (storedJob: StoredJob): boolean =>
   storedJob.readyAt === null && outcome(storedJob) === 'open';
 
 /**
- * Whether no task of a cancelled job was ever started, nor can be: it was cancelled before it became
- * ready, and a leader starts tasks of a job only once its replica of the store shows it as ready.
+ * Whether a job was cancelled before it became ready. None of its tasks was ever started or ever will be,
+ * since a leader starts tasks of a job only once its replica of the store shows the job as ready.
  */
 export const neverStarted = (storedJob: StoredJob): boolean =>
   storedJob.readyAt === null && outcome(storedJob) === 'cancelled';
--- a/src/store/subsystem-records.ts
+++ b/src/store/subsystem-records.ts
@@ -1,4 +1,4 @@
-/** A copy of what subsystems keep in the store, by subsystem; the values are not looked into. */
+/** A copy of the records that subsystems store, by subsystem. The values are opaque here. */
 
 import * as records from './records.js';
 
@@ -14,12 +14,12 @@
 export class SubsystemRecords {
   private readonly bySubsystem = new Map<string, Map<string, StoredValue>>();
 
-  /** The records of one subsystem by key, without its prefix. The map stays the same and changes. */
+  /** The records of one subsystem by key without its prefix: a live view, not a copy. */
   of(subsystem: string): ReadonlyMap<string, StoredValue> {
     return this.bySubsystem.get(subsystem) ?? NO_RECORDS;
   }
 
-  /** A record was put with this revision; an older one changes nothing. */
+  /** Applies a put, unless the record has this revision or a later one. */
   put(key: string, value: unknown, revision: number): void {
     const { subsystem, rest } = splitKey(key);
     let ofSubsystem = this.bySubsystem.get(subsystem);
@@ -31,7 +31,7 @@
     ofSubsystem.set(rest, { value, revision });
   }
 
-  /** A record was removed with this revision. */
+  /** Applies a removal, unless the record has this revision or a later one. */
   remove(key: string, revision: number): void {
     const { subsystem, rest } = splitKey(key);
     const ofSubsystem = this.bySubsystem.get(subsystem);
@@ -40,7 +40,7 @@
       ofSubsystem.delete(rest);
   }
 
-  /** Whole keys of all records. */
+  /** Full keys of all records, with their prefixes. */
   keys(): string[] {
     return [...this.bySubsystem].flatMap(([subsystem, ofSubsystem]) =>
       [...ofSubsystem.keys()].map((rest) => records.subsystemPrefix(subsystem) + rest),
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
 import type { MachineType } from '../jobs/types.js';
 
-/** The cloud's messages. */
+/** Messages of the cloud's API. */
 
 const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
 const typesSchema = v.object({
@@ -21,7 +21,7 @@
   ),
 });
 
-/** Machine types of `GET /machine_types`. Throws on a malformed answer. */
+/** Parses the response of `GET /machine_types`. Throws on a malformed one. */
 export function parseTypes(raw: unknown): MachineType[] {
   return v.parse(typesSchema, raw).castings.map((casting) => ({
     name: casting.name,
@@ -37,7 +37,7 @@
   }));
 }
 
-/** A machine as the cloud's list names it; `ageS`: since its rental request. */
+/** A machine in the cloud's list; `ageS`: seconds since the request to rent it. */
 export interface ListedMachine {
   id: string;
   addr: string;
@@ -63,7 +63,7 @@
   more: v.optional(v.boolean(), false),
 });
 
-/** A page of `GET /hosts`. Throws on a malformed answer. */
+/** Parses a page of `GET /hosts`. Throws on a malformed response. */
 export function parseList(raw: unknown): { machines: ListedMachine[]; more: boolean } {
   const parsed = v.parse(listSchema, raw);
   return {
@@ -81,11 +81,11 @@
 }
 
 const scaleOutAnswerSchema = v.object({ benches: v.array(v.string()) });
-/** Ids of the machines that a request rented. Throws on a malformed answer. */
+/** Parses the ids of the machines rented by a request. Throws on a malformed response. */
 export const parseScaleOutAnswer = (raw: unknown): string[] =>
   v.parse(scaleOutAnswerSchema, raw).benches;
 
-/** A rental request; its name never recurs for another one. */
+/** A request to rent machines. Its name is unique and never reused. */
 export interface ScaleOutRequest {
   name: string;
   type: string;
@@ -109,18 +109,17 @@
 
 /** Path of the machine types. */
 export const TYPES_PATH = '/machine_types';
-/** Path of rental requests. */
+/** Path of requests to rent machines. */
 export const MACHINES_PATH = '/hosts';
-/** Path of returns. */
+/** Path of requests to return machines. */
 export const SCALE_IN_PATH = '/hosts/return';
-/** Path of the page of the list that begins after an id; empty: the first page. */
+/** Path of the page of the machine list after an id; empty for the first page. */
 export const listPath = (after: string): string =>
   `/hosts?limit=500${after === '' ? '' : `&after=${encodeURIComponent(after)}`}`;
 
-/** Most machines in one rental request, and most names in one return. */
-/** A machine that is given back costs at least this time. */
+/** Minimum time that is charged for a machine, in seconds. */
 export const MIN_CHARGE_S = 60;
-/** Most machines in one rental request. */
+/** Maximum number of machines in one request to rent machines. */
 export const SCALE_OUT_MAX = 50;
-/** Most names in one return. */
+/** Maximum number of machines in one request to return machines. */
 export const SCALE_IN_MAX = 100;
--- a/src/wire/heartbeat-scan.ts
+++ b/src/wire/heartbeat-scan.ts
@@ -1,10 +1,10 @@
 /**
- * Reads single fields from the bytes of a worker's heartbeat without parsing it as a whole.
+ * Reads single fields from the bytes of a worker's heartbeat without parsing all of it.
  *
- * What a scan returns is what a full parse of the same bytes would give, if a full parse accepts them; a scan
- * does not show that they are well-formed. It returns null for whatever it can't be certain of, and the caller
- * parses the heartbeat instead: escapes and bytes beyond ASCII, a number in any form but plain digits, a field that
- * is missing or of another type.
+ * A scan returns what a full parse of the same bytes would return, if the full parse accepts them; a scan does not
+ * prove that they are well-formed. It returns null for everything that it cannot decide, and the caller then does a
+ * full parse: escapes, bytes beyond ASCII, a number that is not written in plain digits, a field that is missing
+ * or of another type.
  */
 
 const TAB = 0x09;
@@ -23,9 +23,9 @@
 const CLOSE_BRACE = 0x7d;
 const FIRST_BEYOND_ASCII = 0x80;
 
-/** As many digits as always make an integer that a number holds exactly. */
+/** Any integer with so many digits is a safe integer. */
 const MAX_DIGITS = 15;
-/** The longest name that a full parse accepts, in characters. */
+/** Maximum length of a name that a full parse accepts, in characters. */
 export const MAX_NAME_LENGTH = 200;
 
 const MACHINE = Buffer.from('bench');
@@ -33,12 +33,12 @@
 const TOKEN = Buffer.from('hallmark');
 const SEQUENCE = Buffer.from('tally');
 
-/** What the bytes of a heartbeat say without being parsed. */
+/** The fields of a heartbeat that a scan reads. */
 export interface ScannedHeartbeat {
   machine: string;
   zone: string;
   token: number;
-  /** Where the value of the sequence number begins in the body, and where it has ended. */
+  /** Offsets in the body of the first byte of the sequence number and of the byte after its last. */
   sequenceStart: number;
   sequenceEnd: number;
 }
@@ -48,13 +48,13 @@
 
 const isDigit = (byte: number): boolean => byte >= ZERO && byte <= NINE;
 
-/** Whether a byte goes on with a number, `true`, `false` or `null`. */
+/** Whether a byte continues a number, `true`, `false` or `null`. */
 function continuesLiteral(byte: number | undefined): boolean {
   if (byte === undefined || isSpace(byte)) return false;
   return byte !== COMMA && byte !== CLOSE_BRACE && byte !== CLOSE_BRACKET && byte !== QUOTE;
 }
 
-/** The integer written in plain digits, without leading zeros, from `start` to before `end`; or null. */
+/** Reads an integer in plain digits from `start` up to, not including, `end`; null if it has leading zeros or is none. */
 export function readInteger(body: Buffer, start: number, end: number): number | null {
   const digits = end - start;
   if (digits < 1 || digits > MAX_DIGITS) return null;
@@ -68,9 +68,9 @@
   return value;
 }
 
-/** Goes through the members of the outermost object, one at a time. */
+/** Iterates over the members of the outermost object. */
 class MemberScanner {
-  /** `unsure`: something was met that only a full parse can judge. */
+  /** `unsure`: there is something that only a full parse can decide. */
   state: 'members' | 'ended' | 'unsure' = 'members';
   private keyStart = 0;
   private keyEnd = 0;
@@ -83,7 +83,7 @@
     this.expect(OPEN_BRACE);
   }
 
-  /** Moves on to the next member. False: there is none, or it is unsure whether there is. */
+  /** Advances to the next member. Returns false if there is none or if only a full parse can decide. */
   next(): boolean {
     if (this.state !== 'members') return false;
     this.skipSpace();
@@ -100,7 +100,7 @@
     return this.endMember();
   }
 
-  /** Whether the member that was found last has this name. */
+  /** Whether the current member has this name. */
   keyIs(name: Buffer): boolean {
     const { body, keyStart } = this;
     if (this.keyEnd - keyStart !== name.length) return false;
@@ -108,19 +108,19 @@
     return true;
   }
 
-  /** The present value, if it is a string that a full parse accepts as a name. */
+  /** The current value, if it is a string that a full parse accepts as a name; otherwise null. */
   name(): string | null {
     const length = this.valueEnd - this.valueStart - 2;
     if (this.body[this.valueStart] !== QUOTE || length < 1 || length > MAX_NAME_LENGTH) return null;
     return this.body.toString('latin1', this.valueStart + 1, this.valueEnd - 1);
   }
 
-  /** The value as a whole number; null: it is not plainly one. */
+  /** The current value, if it is an integer in plain digits; otherwise null. */
   integer(): number | null {
     return readInteger(this.body, this.valueStart, this.valueEnd);
   }
 
-  /** After a member: another one, or the end of the object and of the body. */
+  /** Reads what follows a member: a comma, or the end of the object and of the body. */
   private endMember(): boolean {
     if (this.stateIsUnsure()) return false;
     if (this.body[this.position] === COMMA) {
@@ -161,7 +161,7 @@
     if (this.position === start) this.state = 'unsure';
   }
 
-  /** Skips a string without escapes, in ASCII. */
+  /** Skips an ASCII string without escapes. */
   private skipString(): void {
     this.expect(QUOTE);
     const { body } = this;
@@ -177,7 +177,7 @@
     this.position = position;
   }
 
-  /** Skips an object or a list with all that is in it. */
+  /** Skips an object or an array. */
   private skipNested(): void {
     let depth = 0;
     while (this.state !== 'unsure') {
@@ -195,7 +195,7 @@
   }
 }
 
-/** What routing and the recognition of unchanged reports need; null: parse the heartbeat. */
+/** Reads the fields that routing and the detection of unchanged heartbeats need; null if a full parse is necessary. */
 export function scanHeartbeat(body: Buffer): ScannedHeartbeat | null {
   const members = new MemberScanner(body);
   let machine: string | null = null;
@@ -203,7 +203,7 @@
   let token: number | null = null;
   let sequence: { start: number; end: number } | null = null;
   while (members.next()) {
-    // As for JSON.parse, of a field that comes twice the last counts.
+    // Of a repeated field the last one counts, as for JSON.parse.
     if (members.keyIs(MACHINE)) machine = members.name();
     else if (members.keyIs(ZONE)) zone = members.name();
     else if (members.keyIs(TOKEN)) token = members.integer();
@@ -217,8 +217,8 @@
 }
 
 /**
- * The machine that a heartbeat seems to be of, from the first field of that name. A hint for looking something up:
- * whoever uses it must compare the whole body.
+ * The machine id in the first field of that name. It is only a hint for a lookup: the caller must compare the
+ * whole body.
  */
 export function scanMachineId(body: Buffer): string | null {
   const members = new MemberScanner(body);
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -1,4 +1,4 @@
-/** The key-value store's messages. */
+/** Messages of the key-value store's API. */
 
 /** A key and the revision that it must have; 0: it must not exist. */
 export interface Precondition {
@@ -6,7 +6,7 @@
   revision: number;
 }
 
-/** A put, with the lease that the key hangs on, or a removal. */
+/** A put, optionally with the lease that the key is attached to, or a removal. */
 export type Operation = { put: string; value: unknown; lease?: number } | { remove: string };
 
 /** A key with its value and the revision of its latest change. */
@@ -16,12 +16,12 @@
   revision: number;
 }
 
-/** A change of a key, in the order of revisions. */
+/** A change of a key. */
 export type Change =
   | { kind: 'put'; key: string; value: unknown; revision: number }
   | { kind: 'removed'; key: string; revision: number };
 
-/** An answer of the store that is not by the protocol. */
+/** A response of the store that violates the protocol. */
 export class MalformedMessageError extends Error {}
 
 const requireObject = (raw: unknown): Record<string, unknown> => {
@@ -53,22 +53,22 @@
     }),
   });
 
-/** Revision of an answer. Throws MalformedMessageError. */
+/** Parses the revision of a response. Throws MalformedMessageError. */
 export const parseRevision = (raw: unknown): number => requireRevision(requireObject(raw).ledger);
 
-/** Keys whose preconditions failed. Throws MalformedMessageError. */
+/** Parses the keys whose preconditions failed. Throws MalformedMessageError. */
 export function parseFailedKeys(raw: unknown): string[] {
   const failed = requireObject(raw).failed;
   return Array.isArray(failed) ? failed.map(requireString) : [];
 }
 
-/** A key with its value. Throws MalformedMessageError. */
+/** Parses a key with its value. Throws MalformedMessageError. */
 export function parseItem(raw: unknown): KeyValue {
   const item = requireObject(raw);
   return { key: requireString(item.path), value: item.data, revision: requireRevision(item.mark) };
 }
 
-/** A page of a listing. Throws MalformedMessageError. */
+/** Parses a page of a listing. Throws MalformedMessageError. */
 export function parsePage(raw: unknown): { items: KeyValue[]; more: boolean; revision: number } {
   const page = requireObject(raw);
   if (!Array.isArray(page.items)) throw new MalformedMessageError('items');
@@ -79,7 +79,7 @@
   };
 }
 
-/** Changes since a revision. Throws MalformedMessageError. */
+/** Parses the changes since a revision. Throws MalformedMessageError. */
 export function parseChanges(raw: unknown): { revision: number; changes: Change[] } {
   const response = requireObject(raw);
   if (!Array.isArray(response.log)) throw new MalformedMessageError('log');
@@ -103,25 +103,25 @@
   };
 }
 
-/** Id of a granted lease. Throws MalformedMessageError. */
+/** Parses the id of a granted lease. Throws MalformedMessageError. */
 export const parseLeaseId = (raw: unknown): number => requireRevision(requireObject(raw).loan);
 
 /** Path of transactions. */
 export const TRANSACTION_PATH = '/commit';
-/** Path of new leases. */
+/** Path of requests for new leases. */
 export const LEASES_PATH = '/grants';
 /** Path of a lease. */
 export const leasePath = (id: number): string => `/grants/${id}`;
-/** Path of a lease's renewals. */
+/** Path of renewals of a lease. */
 export const leaseKeepAlivePath = (id: number): string => `/grants/${id}/extend`;
-/** Body of a request for a lease that lives so many ms. */
+/** Body of a request for a lease with this time to live. */
 export const encodeLeaseTtl = (ttlMs: number): string => JSON.stringify({ life_ms: ttlMs });
 /** Path of a key. */
 export const keyPath = (key: string): string => `/keys/${key}`;
-/** Path of the page of a listing that begins after a key; empty: the first page. */
+/** Path of the page of a listing after a key; empty for the first page. */
 export const listPath = (prefix: string, after: string): string =>
   `/keys?prefix=${encodeURIComponent(prefix)}&limit=1000` +
   (after === '' ? '' : `&after=${encodeURIComponent(after)}`);
-/** Path of the changes after a revision; `waitMs`: how long to wait for one. */
+/** Path of the changes after a revision; `waitMs`: how long the store waits for a change before it answers. */
 export const changesPath = (prefix: string, after: number, waitMs: number): string =>
   `/changes?prefix=${encodeURIComponent(prefix)}&after=${after}&block_ms=${waitMs}`;
--- a/src/wire/last-heartbeat.ts
+++ b/src/wire/last-heartbeat.ts
@@ -2,16 +2,16 @@
 import { readInteger, scanHeartbeat } from './heartbeat-scan.js';
 import type { Heartbeat } from './workers.js';
 
-/** Longer bodies are not kept: a sixteenth of the longest that is accepted. */
+/** Longer bodies are not cached: a sixteenth of the longest accepted body. */
 const MAX_CACHED_BYTES = REQUEST_LIMITS.bodyBytes / 16;
-/** Memory for a body is had in steps, so that one a little longer than the last fits too. */
+/** The buffer grows in steps of this size, so that a slightly longer body fits without a new allocation. */
 const ALLOCATION_STEP_BYTES = MAX_CACHED_BYTES / 16;
 
 interface CachedHeartbeat {
   heartbeat: Heartbeat;
-  /** The body, in memory of its own: a slice would hold the whole buffer that it was received in. */
+  /** A copy of the body: a slice would keep the whole receive buffer alive. */
   body: Buffer;
-  /** Where its sequence number is; null until a heartbeat comes that may be a repetition. */
+  /** Position of the sequence number; null until the first heartbeat that may be a repetition. */
   sequence: SequencePosition | null;
 }
 
@@ -21,15 +21,15 @@
 }
 
 /**
- * A machine's last parsed report, and the bytes that it came in. Most reports of a machine differ from the one
- * before in the sequence number alone; those need no parsing. It is a shortcut for the parser and decides
- * nothing: `repeat` returns what a full parse of the same bytes would, or null.
+ * A machine's last parsed heartbeat and its bytes. Most heartbeats of a machine differ from the previous one only
+ * in the sequence number and need no parsing. This is purely an optimisation: `decodeRepetition` returns what a
+ * full parse of the same bytes would return, or null.
  */
 export class LastHeartbeat {
   private cached: CachedHeartbeat | null = null;
   private buffer: Buffer = Buffer.alloc(0);
 
-  /** Keeps a heartbeat to compare with, unless it is too long. */
+  /** Caches a heartbeat for comparison, unless it is too long. */
   keep(heartbeat: Heartbeat, body: Buffer): void {
     this.cached = null;
     const { length } = body;
@@ -43,10 +43,10 @@
     this.cached = { heartbeat, body: this.buffer.subarray(0, length), sequence: null };
   }
 
-  /** The heartbeat in a body that differs from the one kept in the sequence number alone; null: parse it. */
+  /** Decodes a body that differs from the cached one only in the sequence number; null if it must be parsed. */
   decodeRepetition(body: Buffer): Heartbeat | null {
     const { cached } = this;
-    // A sequence number has one digit more than the one before, at the most.
+    // A sequence number has at most one digit more than the previous one.
     if (cached === null || Math.abs(body.length - cached.body.length) > 1) return null;
     const sequence = this.locateSequence(cached);
     if (sequence === null) return null;
@@ -59,7 +59,7 @@
     return { ...cached.heartbeat, sequence: sequenceNumber };
   }
 
-  /** Null, and nothing kept any more: it can't be told with certainty. */
+  /** Position of the sequence number. If a scan cannot determine it, returns null and clears the cache. */
   private locateSequence(cached: CachedHeartbeat): SequencePosition | null {
     if (cached.sequence !== null) return cached.sequence;
     const scanned = scanHeartbeat(cached.body);
@@ -68,7 +68,7 @@
     return cached.sequence;
   }
 
-  /** Whether a heartbeat was got from the one kept by `repeat`. */
+  /** Whether `decodeRepetition` derived this heartbeat from the cached one. */
   wasDecodedFrom(heartbeat: Heartbeat): boolean {
     return this.cached?.heartbeat.tasks === heartbeat.tasks;
   }
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,19 +1,19 @@
 import * as v from 'valibot';
 import { NO_DEPENDENCIES, type JobKind, type JobSpec, type Priority } from '../jobs/types.js';
 
-/** Users' messages: the only place that knows their field names. */
+/** Messages of the users' API. Only this module knows their field names. */
 
-/** How long users wait for the answer to a submission or a cancellation (protocol). */
+/** How long users wait for the response to a submission or a cancellation, in seconds (protocol). */
 export const SUBMIT_WAIT_S = 5;
 
-/** What is wrong with a message: the field and what was expected. */
+/** A malformed message. The error message names the field and what was expected. */
 export class BadMessage extends Error {}
 
 const KINDS: Record<string, JobKind> = { batch: 'array', group: 'gang', daemon: 'service' };
 const PRIORITIES: Record<string, Priority> = { critical: 0, high: 1, standard: 2, best_effort: 3 };
 
 const ID = /^wk-\d{1,18}$/;
-/** Whether this is the form of a job's id. */
+/** Whether a string has the format of a job id. */
 export const validId = (id: string): boolean => ID.test(id);
 
 const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
@@ -44,7 +44,7 @@
   awaits: v.nullish(v.array(v.pipe(v.string(), v.regex(ID))), null),
 });
 
-/** The job of a submission's body. Throws BadMessage. */
+/** Parses the body of a submission. Throws BadMessage. */
 export function parseSubmission(body: Buffer): JobSpec {
   const raw = parseObject(body);
   const result = v.safeParse(submissionSchema, raw);
@@ -81,11 +81,11 @@
   };
 }
 
-/** Whether a submission may be one that needs other jobs. False is certain. */
+/** Whether a submission may have dependencies. False means that it certainly has none. */
 export const mayHaveDependencies = (body: Buffer): boolean =>
   body.includes('"awaits"') || body.includes('\\u');
 
-/** A body's JSON object. Throws BadMessage. */
+/** Parses a body that is a JSON object. Throws BadMessage. */
 export function parseObject(body: Buffer): Record<string, unknown> {
   let raw: unknown;
   try {
@@ -99,14 +99,14 @@
   return raw as Record<string, unknown>;
 }
 
-/** The state of a job as users are told it. */
+/** The state of a job as reported to users. */
 export type ShownState = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** Answer to a submission or cancellation. */
+/** Body of the response to a submission or cancellation. */
 export const encodeAccepted = (id: string, state: ShownState): string =>
   JSON.stringify({ ref: id, temper: state });
 
-/** Answer to a poll; `done` and `running`: tasks. */
+/** Body of the response to a poll; `done` and `running` are numbers of tasks. */
 export const encodeStatus = (
   id: string,
   state: ShownState,
@@ -114,10 +114,10 @@
   running: number,
 ): string => JSON.stringify({ ref: id, temper: state, done, running });
 
-/** Answer that says what is wrong. */
+/** Body of an error response. */
 export const encodeError = (error: string): string => JSON.stringify({ error });
 
-/** Where a request goes. */
+/** The endpoint of a request. */
 export type UserRoute =
   | { to: 'submit' }
   | { to: 'poll'; id: string }
@@ -132,7 +132,7 @@
 const requireMethod = (matches: boolean, route: UserRoute): UserRoute =>
   matches ? route : { to: 'wrong-method' };
 
-/** Where a request goes. The workers' heartbeats share the address with the users. */
+/** Routes a request. Workers' heartbeats arrive at the same address as users' requests. */
 export function route(method: string, target: string): UserRoute {
   const query = target.indexOf('?');
   const path = query < 0 ? target : target.slice(0, query);
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,12 +1,14 @@
 import { MAX_NAME_LENGTH } from './heartbeat-scan.js';
 import { BadMessage } from './users.js';
 
-/** Workers' heartbeats and the commands to them: the only place that knows their field names. */
+/** Workers' heartbeats and the commands to workers. Only this module knows their field names. */
 
-/** Times that the protocol fixes, whatever a deployment's heartbeat interval: how long a worker waits for
- * the answer to a heartbeat, and the least time between two reports when something changes. */
+/**
+ * How long a worker waits for the answer to a heartbeat, in seconds. The protocol fixes this and the minimum gap
+ * below, independently of the heartbeat interval of a deployment.
+ */
 export const ANSWER_WAIT_S = 4;
-/** The least time between two heartbeats when something changes, in seconds (protocol). */
+/** Minimum time between two heartbeats when something changes, in seconds (protocol). */
 export const MIN_HEARTBEAT_GAP_S = 0.5;
 
 /** The state of a task on its machine. */
@@ -15,7 +17,7 @@
 export type ExitCause =
   'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'full' | 'busy' | 'unknown';
 
-/** A task of a heartbeat. */
+/** The status of a task in a heartbeat. */
 export interface TaskStatus {
   job: string;
   index: number;
@@ -25,7 +27,7 @@
   saved: boolean;
 }
 
-/** A worker's heartbeat with the status of its tasks; `reclaimNoticeS`: until the cloud takes the machine. */
+/** A worker's heartbeat; `reclaimNoticeS`: seconds until the cloud reclaims the machine, if it has given notice. */
 export interface Heartbeat {
   machine: string;
   addr: string;
@@ -74,7 +76,7 @@
   return value;
 };
 
-/** Of `job/index`. Throws BadMessage. */
+/** Parses `job/index`. Throws BadMessage. */
 export function parseTaskName(piece: string): { job: string; index: number } {
   const slash = piece.indexOf('/');
   const index = Number(piece.slice(slash + 1));
@@ -82,7 +84,7 @@
   return { job: piece.slice(0, slash), index };
 }
 
-/** Checked by hand: a heartbeat comes from every machine every second. */
+/** Validates a heartbeat, without valibot for speed: every machine sends one every second. Throws BadMessage. */
 export function parseHeartbeat(raw: unknown): Heartbeat {
   if (raw === null || typeof raw !== 'object') throw new BadMessage('not an object');
   const heartbeat = raw as Record<string, unknown>;
@@ -119,7 +121,7 @@
   };
 }
 
-/** The heartbeat in a body as a worker sent it. Throws BadMessage if it is no JSON or not a heartbeat. */
+/** Parses the body of a heartbeat. Throws BadMessage if it is not JSON or not a heartbeat. */
 export function decodeHeartbeat(body: Buffer): Heartbeat {
   let raw: unknown;
   try {
@@ -143,12 +145,12 @@
   return encoded;
 }
 
-/** The last answer without commands. Most answers are of that kind, and most machines have the same token. */
+/** The last reply without commands: most replies have none, and most machines have the same token. */
 let cachedEmptyReply = { token: 0, text: '{"hallmark":0,"orders":[]}' };
 
 /**
- * An answer to a heartbeat: the token, and the commands in the order in which they are to be carried out. More than
- * a message takes otherwise are written one a line, since no line may be longer than 64 KiB (protocol).
+ * The reply to a heartbeat: the token, and the commands in the order of their execution. If there are more than
+ * `MAX_COMMANDS_PER_MESSAGE`, each is written on its own line, since no line may exceed 64 KiB (protocol).
  */
 export function encodeHeartbeatReply(token: number, commands: readonly Command[]): string {
   if (commands.length > MAX_COMMANDS_PER_MESSAGE) {
@@ -172,15 +174,15 @@
 ): string =>
   JSON.stringify({ hallmark: token, shift: agentEpoch, orders: commands.map(encodeCommand) });
 
-/** Body of a 421: the controller to go to, if one is known. */
+/** Body of a 421 response: the controller to which the worker should switch, if known. */
 export const encodeRedirect = (node: string | null): string =>
   node === null ? '{}' : JSON.stringify({ foreman: node });
 
-/** Bytes of a request at most (protocol), and what a heartbeat takes for each task. */
+/** Maximum size of a request (protocol), and the size of one task in a heartbeat. */
 const REQUEST_BYTES = 64 * 1024;
 const REPORTED_TASK_BYTES = 128;
-/** Tasks on a machine, those that have ended among them, that a heartbeat has place for. */
+/** Maximum number of tasks in a heartbeat, including ended ones. */
 export const MAX_REPORTED_TASKS = Math.floor(REQUEST_BYTES / REPORTED_TASK_BYTES);
 
-/** The most commands in one message, far below a line of 64 KiB. */
+/** Maximum number of commands on one line of a message: far below the limit of 64 KiB for a line. */
 export const MAX_COMMANDS_PER_MESSAGE = 400;
