--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -26,7 +26,7 @@
 const MAX_BACKOFF_MS = 2000;
 
 /** A question that is waiting for its answer. */
-interface Pending {
+interface PendingQuestion {
   kind: QuestionKind;
   resolve: (answer: Answer | null) => void;
   timer: NodeJS.Timeout;
@@ -52,7 +52,7 @@
   private socket: Socket | null = null;
   private writer: FrameWriter | null = null;
   private nextId = 1;
-  private readonly pending = new Map<number, Pending>();
+  private readonly pending = new Map<number, PendingQuestion>();
   private retryAt = 0;
   private backoffMs = MIN_BACKOFF_MS;
   /** Time of the last answer, in milliseconds of `performance.now()`. */
@@ -146,7 +146,7 @@
         if (this.socket === socket && this.answeredAt < sentAt) this.setState('down');
       }, timeoutS * 1000);
       // `handleAnswer` parses the answer according to the kind of the question.
-      const resolveAs = resolve as Pending['resolve'];
+      const resolveAs = resolve as PendingQuestion['resolve'];
       this.pending.set(id, { kind: question.q, resolve: resolveAs, timer });
       writer.write({ id, q: question } satisfies QuestionFrame, question.q !== 'report');
     });
--- a/src/store/job-table.ts
+++ b/src/store/job-table.ts
@@ -9,7 +9,7 @@
 import { countDone, decodeBits, parseProgressKey } from './stored-progress.js';
 
 /** Cancelled jobs whose cancellation was stored after a revision. */
-interface CancelledSince {
+interface CancelledJobs {
   ids: readonly string[];
   /** A leader that had not read one of the cancellations may have stored claims of the job that are missing here. */
   mayLackClaims: boolean;
@@ -26,7 +26,7 @@
   listingInProgress = false;
   private readonly earlyCancellations = new Map<string, number>();
   private readonly earlyProgress = new Map<string, KeyValue[]>();
-  private cancelledCache = { applied: -1, since: new Map<number, CancelledSince>() };
+  private cancelledCache = { applied: -1, since: new Map<number, CancelledJobs>() };
   private readonly compactor = new JobCompactor();
 
   constructor(
@@ -74,7 +74,7 @@
    * up to `applied` that this replica holds. Calls are rare, but then come in large numbers for a few revisions
    * while no changes arrive, so results are cached until the next change.
    */
-  cancelledSince(revision: number, applied: number): CancelledSince {
+  cancelledSince(revision: number, applied: number): CancelledJobs {
     if (this.cancelledCache.applied !== applied)
       this.cancelledCache = { applied, since: new Map() };
     const { since } = this.cancelledCache;
@@ -86,7 +86,7 @@
     return result;
   }
 
-  private findCancelledSince(revision: number): CancelledSince {
+  private findCancelledSince(revision: number): CancelledJobs {
     const ids: string[] = [];
     let mayLackClaims = false;
     for (const [id, storedJob] of this.jobs) {
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -19,12 +19,12 @@
 const WRITE_TIMEOUT_S = 1.5;
 
 /** Size of a record without its jobs and cancellations. */
-const RECORD_OVERHEAD_BYTES = 64;
+const EMPTY_RECORD_BYTES = 64;
 /** Maximum size of a record, as a fraction of the size limit of a value in the key-value store. */
-const MAX_FILL_FRACTION = 0.9;
+const MAX_FILL = 0.9;
 
 /** Encoded size of a job in a record, in bytes. */
-const acceptedJobBytes = (accepted: records.AcceptedJob): number =>
+const jobBytes = (accepted: records.AcceptedJob): number =>
   Buffer.byteLength(JSON.stringify(records.encodeJob(accepted))) + 1;
 
 /** Dependencies of a `RequestWriter`. */
@@ -52,10 +52,7 @@
 
   /** Whether a record with this job alone fits into a value of the key-value store. */
   fits(accepted: records.AcceptedJob): boolean {
-    return (
-      RECORD_OVERHEAD_BYTES + acceptedJobBytes(accepted) <=
-      this.options.store.valueBytes * MAX_FILL_FRACTION
-    );
+    return EMPTY_RECORD_BYTES + jobBytes(accepted) <= this.options.store.valueBytes * MAX_FILL;
   }
 
   /** Whether the queue holds more than can be stored within this time, so that a new request would time out. */
@@ -66,7 +63,7 @@
 
   /** Stores a job. Resolves with its outcome once that is read back; null if it is unknown whether it was stored. */
   accept(accepted: records.AcceptedJob, timeoutS: number): Promise<JobOutcome | null> {
-    const size = acceptedJobBytes(accepted);
+    const size = jobBytes(accepted);
     return this.enqueue({ kind: 'job', accepted, size }, timeoutS);
   }
 
@@ -93,13 +90,10 @@
     for (const request of expired) request.resolve(null);
     this.queue = this.queue.filter((request) => request.deadline > now);
     const batch: PendingRequest[] = [];
-    let bytes = RECORD_OVERHEAD_BYTES;
+    let bytes = EMPTY_RECORD_BYTES;
     while (this.queue.length > 0) {
       const request = this.queue[0]!;
-      if (
-        batch.length > 0 &&
-        bytes + request.size > this.options.store.valueBytes * MAX_FILL_FRACTION
-      )
+      if (batch.length > 0 && bytes + request.size > this.options.store.valueBytes * MAX_FILL)
         break;
       bytes += request.size;
       batch.push(this.queue.shift()!);
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -12,16 +12,16 @@
 const KINDS: Record<string, JobKind> = { batch: 'array', group: 'gang', daemon: 'service' };
 const PRIORITIES: Record<string, Priority> = { critical: 0, high: 1, standard: 2, best_effort: 3 };
 
-const ID = /^wk-\d{1,18}$/;
+const JOB_ID_PATTERN = /^wk-\d{1,18}$/;
 /** Whether a string has the format of a job id. */
-export const validId = (id: string): boolean => ID.test(id);
+export const validId = (id: string): boolean => JOB_ID_PATTERN.test(id);
 
 const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
 const shortText = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 const boolean = v.boolean();
 
 const submissionSchema = v.object({
-  ref: v.pipe(v.string(), v.regex(ID)),
+  ref: v.pipe(v.string(), v.regex(JOB_ID_PATTERN)),
   guild: shortText,
   crew: shortText,
   form: v.picklist(['batch', 'group', 'daemon']),
@@ -41,7 +41,7 @@
   stamp_s: nonNegative,
   stamping_s: nonNegative,
   due_s: v.nullish(nonNegative, null),
-  awaits: v.nullish(v.array(v.pipe(v.string(), v.regex(ID))), null),
+  awaits: v.nullish(v.array(v.pipe(v.string(), v.regex(JOB_ID_PATTERN))), null),
 });
 
 /** Parses the body of a submission. Throws BadMessage. */
@@ -129,27 +129,27 @@
   | { to: 'wrong-method' }
   | { to: 'nowhere' };
 
-const requireMethod = (matches: boolean, route: UserRoute): UserRoute =>
-  matches ? route : { to: 'wrong-method' };
+/** The route, if the request has the method that the route requires. */
+const allow = (ok: boolean, route: UserRoute): UserRoute => (ok ? route : { to: 'wrong-method' });
 
 /** Routes a request. Workers' heartbeats arrive at the same address as users' requests. */
 export function route(method: string, target: string): UserRoute {
   const query = target.indexOf('?');
   const path = query < 0 ? target : target.slice(0, query);
-  if (path === '/checkin') return requireMethod(method === 'POST', { to: 'checkin' });
-  if (path === '/ready') return requireMethod(method === 'GET', { to: 'ready' });
-  if (path === '/submissions') return requireMethod(method === 'POST', { to: 'submit' });
-  if (path === '/metrics') return requireMethod(method === 'GET', { to: 'metrics' });
+  if (path === '/checkin') return allow(method === 'POST', { to: 'checkin' });
+  if (path === '/ready') return allow(method === 'GET', { to: 'ready' });
+  if (path === '/submissions') return allow(method === 'POST', { to: 'submit' });
+  if (path === '/metrics') return allow(method === 'GET', { to: 'metrics' });
   const subsystem = /^\/subsystems\/([a-z-]+)$/.exec(path)?.[1];
   if (subsystem !== undefined) {
-    return requireMethod(method === 'GET', { to: 'subsystem', name: subsystem });
+    return allow(method === 'GET', { to: 'subsystem', name: subsystem });
   }
   const match = /^\/submissions\/([^/]+)(\/withdraw)?$/.exec(path);
   if (match !== null) {
     const id = match[1]!;
     return match[2] === undefined
-      ? requireMethod(method === 'GET', { to: 'poll', id })
-      : requireMethod(method === 'POST', { to: 'cancel', id });
+      ? allow(method === 'GET', { to: 'poll', id })
+      : allow(method === 'POST', { to: 'cancel', id });
   }
   return { to: 'nowhere' };
 }
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -14,7 +14,7 @@
 import { PeerNetwork } from '../src/peers/peer-network.js';
 import { silentLog } from '../src/log.js';
 
-test('frames survive any cutting; what is too long or no CBOR is refused', () => {
+test('frames are decoded however the bytes are split; too long or malformed ones are rejected', () => {
   const bytes = Buffer.concat([encodeFrame({ a: 1 }), encodeFrame({ b: 'x'.repeat(1000) })]);
   for (const step of [1, 3, 5000]) {
     const reader = new FrameReader();
@@ -34,14 +34,14 @@
   a: { latenessS: 1, served: true },
   b: { latenessS: 2, served: false },
 };
-/** What each controller has been told, by its name. */
+/** The last health report that each controller received, by its name. */
 const received = new Map<string, ControllerHealth>();
 const healthExchange = (self: string): HealthExchange => ({
   nextToSend: () => () => HEALTH[self]!,
   note: (_from, figure) => void received.set(self, figure),
 });
 
-test('a hostile connection is closed and harms no other', async () => {
+test('a connection that violates the protocol is closed without affecting others', async () => {
   const at = { host: '127.0.0.1', port: 0 };
   const server = new PeerNetwork({
     self: 'a',
@@ -88,28 +88,33 @@
   assert.deepEqual(await client.ask('a', { q: 'report', body: Buffer.from('y'), hop: false }, 2), {
     ...HEARTBEAT_ANSWER,
   });
-  // One question without an answer took hundreds of heartbeats with it that were under way beside it.
+  // Guards against a timed-out question closing the connection while other questions on it are being answered.
   const asks: Promise<Answer | null>[] = [client.ask('a', { q: 'there' }, 0.3)];
   for (let i = 0; i < 300; i++) asks.push(client.ask('a', { q: 'elected', token: i }, 5));
   const got = await Promise.all(asks);
   assert.deepEqual(got, [null, ...Array.from({ length: 300 }, (_, i) => ({ remainsS: i }))]);
   const { accepted } = server as unknown as { accepted: Set<unknown> };
-  assert.equal(accepted.size, 1, 'the same connection throughout');
+  assert.equal(accepted.size, 1, 'the connection was never reopened');
   assert.equal(
     await client.ask('nobody', { q: 'report', body: Buffer.from(''), hop: false }, 1),
     null,
   );
-  // Figures went both ways beside all this, without a question of their own.
+  // Health reports were sent in both directions along with the other frames, without questions of their own.
   assert.deepEqual([received.get('a'), received.get('b')], [HEALTH.b, HEALTH.a]);
   client.close();
   server.close();
 });
 
-test('frames that can wait go out together: with the next urgent one, or when their time is up', async () => {
+test('frames that are not urgent are sent with the next urgent one or after the batching delay', async () => {
   const cases: { name: string; urgent: boolean[]; writes: number; soon: boolean }[] = [
-    { name: 'reports only', urgent: [false, false, false], writes: 1, soon: false },
-    { name: 'an urgent one takes along what waits', urgent: [false, true], writes: 1, soon: true },
-    { name: 'nothing is held back behind it', urgent: [true, false, true], writes: 1, soon: true },
+    { name: 'heartbeats only', urgent: [false, false, false], writes: 1, soon: false },
+    { name: 'an urgent frame flushes the queue', urgent: [false, true], writes: 1, soon: true },
+    {
+      name: 'no frame after an urgent one is delayed',
+      urgent: [true, false, true],
+      writes: 1,
+      soon: true,
+    },
   ];
   for (const { name, urgent, writes, soon } of cases) {
     const written: Buffer[] = [];
@@ -124,12 +129,12 @@
     assert.deepEqual(
       frames,
       urgent.map((_, id) => ({ id })),
-      'in their order',
+      'order is preserved',
     );
   }
 });
 
-test('a malformed question is none, and a malformed field of an answer is left out', () => {
+test('a malformed question is rejected, and a malformed field of an answer is dropped', () => {
   const questions: [object, boolean][] = [
     [{ q: 'report', body: Buffer.from('x'), hop: true }, true],
     [{ q: 'report', body: 'x', hop: true }, false],
@@ -159,7 +164,7 @@
     ['cancelled', 5, null],
   ];
   for (const [kind, raw, parsed] of answers) {
-    // Fields that are undefined are as good as missing.
+    // Undefined fields count as missing.
     assert.deepEqual(JSON.parse(JSON.stringify(parseAnswer(kind, raw))), parsed);
   }
 });
--- a/test/recorded-forms.test.ts
+++ b/test/recorded-forms.test.ts
@@ -1,4 +1,4 @@
-/** Messages, records, answers, help texts and decisions are the ones that were recorded. */
+/** Compares messages, records, responses, help texts and scheduling decisions with the recorded ones. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -9,12 +9,13 @@
 } from './support/recorded-forms.js';
 
 const recorded = JSON.parse(readFileSync(RECORDED_FORMS_FILE, 'utf8')) as RecordedForms;
-const made = await recordedForms();
+const current = await recordedForms();
 
 for (const name of Object.keys(recorded)) {
-  test(`recorded forms: ${name} as it was`, () => assert.deepEqual(made[name], recorded[name]));
+  test(`recorded forms: ${name} is unchanged`, () =>
+    assert.deepEqual(current[name], recorded[name]));
 }
 
-test('recorded forms: none is missing, none is new', () => {
-  assert.deepEqual(Object.keys(made), Object.keys(recorded));
+test('recorded forms: the set of names is unchanged', () => {
+  assert.deepEqual(Object.keys(current), Object.keys(recorded));
 });
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -30,7 +30,7 @@
     revision,
   );
 
-test('of done and cancelled the older one counts, in whatever order a listing brings them', () => {
+test('if a job is both done and cancelled, the lower revision counts, in any order of a listing', () => {
   const cases: [string, ReturnType<typeof put>[], string][] = [
     ['accepted', [job(1)], 'open'],
     ['done', [job(1), done(2)], 'done'],
@@ -40,7 +40,7 @@
     ['half done', [job(1), done(2, 'AQ==')], 'open'],
   ];
   for (const [name, changes, want] of cases) {
-    // A listing goes by key: cancellations come before ends.
+    // A listing is ordered by key: cancellations come before progress.
     const listed = [...changes].sort((job, b) => (job.key < b.key ? -1 : 1));
     const orders = [changes, [...changes].reverse(), listed];
     for (const order of orders) {
@@ -51,7 +51,7 @@
   }
 });
 
-test('a job accepted twice is one job, garbage is dropped, old changes change nothing', () => {
+test('a job accepted twice is one job, malformed records are dropped, old changes are ignored', () => {
   const replica = new Replica(8192);
   replica.advance(9, [job(7), job(8), put(`${records.JOBS}x`, { s: 5 }, 9)]);
   assert.equal(replica.jobs.size, 1);
@@ -61,7 +61,7 @@
   assert.equal(replica.applied, 9);
 });
 
-test('records survive their way through the store', () => {
+test('records are unchanged after encoding and decoding', () => {
   const job = accepted({ types: ['g8'], zone: 'z1', oneZone: true, spot: true, deadlineS: 7 });
   const roundTrip = <T>(x: T): T => JSON.parse(JSON.stringify(x)) as T;
   assert.deepEqual(records.decodeJob(roundTrip(records.encodeJob(job))), job);
@@ -79,7 +79,7 @@
   );
 });
 
-test('the largest array fits into the values of the key-value store', () => {
+test('the progress of the largest job array fits into the values of the key-value store', () => {
   const replica = new Replica(8192);
   replica.applyListed(
     put(
@@ -100,7 +100,7 @@
   }
 });
 
-test('the life of a task: wanted, claimed, lost, wanted again, done, stored', () => {
+test('life cycle of a task: pending, claimed, lost, pending again, done, stored', () => {
   const replica = new Replica(8192);
   replica.applyListed(job(1));
   const live = new LiveJob(
@@ -120,20 +120,24 @@
   attempt.state = 'gone';
   live.removeAttempt(attempt);
   assert.deepEqual(live.pendingTasks(0, 9), [0, 1]);
-  assert.equal(live.nextNumber(0, 50), 51, 'numbers of attempts never recur');
+  assert.equal(live.nextNumber(0, 50), 51, 'attempt numbers are never reused');
   live.delayRetry(0, 0, 1, 10);
-  assert.deepEqual(live.pendingTasks(0.5, 9), [1], 'not at once after a failure');
+  assert.deepEqual(live.pendingTasks(0.5, 9), [1], 'not immediately after a failure');
   assert.deepEqual(live.pendingTasks(2, 9), [0, 1]);
   live.markDone(0, 3);
   live.endsToStore.push(attempt);
   const fresh = live.progress.unstoredTasks(0);
   live.markDone(1, 3);
-  assert.deepEqual(live.tasksStored(0, fresh, 4), [attempt], 'settled by the record that names it');
-  assert.ok(live.progress.dirty.has(0), 'what was done meanwhile is written next');
+  assert.deepEqual(
+    live.tasksStored(0, fresh, 4),
+    [attempt],
+    'confirmed by the record that contains its task',
+  );
+  assert.ok(live.progress.dirty.has(0), 'tasks done in the meantime are written next');
   assert.ok(live.isFinished);
 });
 
-test('of jobs that are over only the outcome stays in memory, and it stays the same', () => {
+test('finished jobs are compacted to their outcome, which does not change', () => {
   const claim = (revision: number, n: number) =>
     put(
       records.machineKey('host-1'),
@@ -144,14 +148,14 @@
       }),
       revision,
     ); // prettier-ignore
-  // Changes, the time before which jobs are trimmed (it was accepted at 5 ms), outcome, trimmed.
+  // Changes, time before which accepted jobs are compacted (this one: 5 ms), outcome, whether it is compacted.
   const cases: [string, ReturnType<typeof put>[], number, string, boolean][] = [
     ['open', [job(1)], 10, 'open', false],
     ['done', [job(1), done(2)], 10, 'done', true],
     ['cancelled', [job(1), cancel(2)], 10, 'cancelled', true],
-    ['not old enough', [job(1), done(2)], 5, 'done', false],
-    ['still on a machine', [job(1), cancel(2), claim(3, 1)], 10, 'cancelled', false],
-    ['no longer on it', [job(1), claim(2, 2), cancel(3), claim(4, 0)], 10, 'cancelled', true],
+    ['accepted too recently', [job(1), done(2)], 5, 'done', false],
+    ['still claimed by a machine record', [job(1), cancel(2), claim(3, 1)], 10, 'cancelled', false],
+    ['no longer claimed', [job(1), claim(2, 2), cancel(3), claim(4, 0)], 10, 'cancelled', true],
   ];
   for (const [name, changes, before, out, trimmed] of cases) {
     const replica = new Replica(8192);
@@ -160,7 +164,7 @@
     const storedJob = replica.jobs.get('wk-000001')!;
     assert.equal(specOf(storedJob) === null, trimmed, name);
     assert.equal(storedJob.spec.tasks, 2, name);
-    // What comes late, or again, changes nothing.
+    // Late or repeated changes have no effect.
     replica.advance(12, [job(10), cancel(11), done(12)]);
     if (out !== 'open') assert.equal(outcome(storedJob), out, name);
   }
--- a/test/support/encoded-heartbeat.ts
+++ b/test/support/encoded-heartbeat.ts
@@ -1,4 +1,4 @@
-/** Heartbeats as workers write them. */
+/** Encodes heartbeats as workers do. */
 import type { Heartbeat, TaskStatus } from '../../src/wire/workers.js';
 
 const STATES: Record<TaskStatus['state'], string> = {
--- a/test/support/memory-store.ts
+++ b/test/support/memory-store.ts
@@ -1,4 +1,4 @@
-/** A key-value store in memory, by the protocol, whose transactions can be late or lose their answers. */
+/** An in-memory key-value store whose transactions can be rejected or delayed, or lose their responses. */
 import type { JobSpec } from '../../src/jobs/types.js';
 import {
   RequestRejectedError,
@@ -12,10 +12,10 @@
 import { spec } from '../helpers.js';
 import { fake } from './fake.js';
 
-/** What becomes of the next transactions. */
+/** What happens to the following transactions. */
 export type StoreMode = 'serve' | 'refuse' | 'lose answers' | 'hold back';
 
-/** A key-value store by the protocol. Its methods are those of the client that the code under test uses. */
+/** An in-memory key-value store with the methods of the client that the code under test uses. */
 export class MemoryStore implements Pick<
   KeyValueStoreClient,
   'compareAndSwap' | 'get' | 'changes' | 'grantLease' | 'keepLeaseAlive' | 'endLease' | 'setRole'
@@ -30,18 +30,18 @@
   private readonly items = new Map<string, KeyValue>();
   private readonly changeLog: Change[] = [];
   private readonly heldBack: (() => void)[] = [];
-  /** Keys that are attached to a lease. */
+  /** Leases by the keys that are attached to them. */
   private readonly leaseOf = new Map<string, number>();
   private leases = 0;
 
-  /** The store as the client that the code under test asks for. */
+  /** This store as the type of client that the code under test expects. */
   client(): KeyValueStoreClient {
     return fake<KeyValueStoreClient>(this);
   }
 
   /** See `KeyValueStoreClient.setRole`. */
   setRole(): void {
-    // No limits to share out.
+    // This store has no request limits.
   }
 
   private apply(preconditions: Precondition[], operations: Operation[]): CompareAndSwapResult {
@@ -67,7 +67,7 @@
     return { ok: true, revision: this.currentRevision };
   }
 
-  /** See `KeyValueStoreClient.compareAndSwap`; what becomes of it is `mode`. */
+  /** See `KeyValueStoreClient.compareAndSwap`; `mode` determines what happens to it. */
   compareAndSwap(
     preconditions: Precondition[],
     operations: Operation[],
@@ -83,7 +83,7 @@
     return Promise.resolve(result);
   }
 
-  /** What was held back is carried out now. */
+  /** Executes the transactions that were held back. */
   deliverHeldBack(): void {
     for (const apply of this.heldBack.splice(0)) apply();
   }
@@ -101,7 +101,7 @@
     return Promise.resolve({ revision: this.currentRevision, changes });
   }
 
-  /** See `KeyValueStoreClient.grantLease`; leases never end here. */
+  /** See `KeyValueStoreClient.grantLease`; leases never expire here. */
   grantLease(): Promise<number> {
     return Promise.resolve(++this.leases);
   }
@@ -121,7 +121,7 @@
     return Promise.resolve();
   }
 
-  /** Puts a value without a precondition. Returns its revision. */
+  /** Puts a value without a precondition and returns its revision. */
   put(key: string, value: unknown): number {
     this.apply([], [{ put: key, value }]);
     return this.currentRevision;
@@ -142,12 +142,12 @@
     return this.items.get(key)?.value;
   }
 
-  /** The revision of a key; 0: there is none. */
+  /** The revision of a key; 0 if it does not exist. */
   revision(key: string): number {
     return this.items.get(key)?.revision ?? 0;
   }
 
-  /** Keys begin with the controller that writes them: what comes later may be listed first. */
+  /** Stores an accepted job. Keys begin with the writing controller, so a listing may not be in order of revisions. */
   accept(overrides: Partial<JobSpec>, atMs = 0, writer = 'b'): number {
     const value = records.encodeRequestBatch({
       jobs: [{ spec: spec(overrides), atMs }],
@@ -156,24 +156,24 @@
     return this.put(`${records.JOBS}${writer}-${this.currentRevision}`, value);
   }
 
-  /** Stores a cancellation. Returns its revision. */
+  /** Stores a cancellation and returns its revision. */
   cancel(id: string, writer = 'b'): number {
     const value = records.encodeRequestBatch({ jobs: [], cancelledIds: [id] });
     return this.put(`${records.JOBS}${writer}-${this.currentRevision}`, value);
   }
 
-  /** Feeds a replica with the stream of changes. */
+  /** Applies all changes to a replica. */
   feed(replica: Replica): Replica {
     replica.advance(this.currentRevision, this.changeLog);
     return replica;
   }
 
-  /** A replica that has read nothing. */
+  /** A replica to which nothing has been applied. */
   emptyReplica(): Replica {
     return new Replica(this.valueBytes);
   }
 
-  /** A replica reads a listing, in the order of keys. */
+  /** Applies a complete listing, in order of keys, to a replica. */
   list(replica: Replica): Replica {
     const keys = [...this.items.keys()].sort();
     for (const key of keys) replica.applyListed(this.items.get(key)!);
@@ -183,7 +183,7 @@
     return replica;
   }
 
-  /** A replica that lists the store afresh. */
+  /** A new replica to which a complete listing has been applied. */
   listed(listener: Replica['listener'] = {}): Replica {
     const replica = this.emptyReplica();
     replica.listener = listener;
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -1,9 +1,8 @@
 /**
- * Every form that leaves this program or stays in the store, made by the code as it stands:
- * messages, records, answers, settings errors, `/metrics`, help texts, and the decisions of the
- * scheduler. `npm run fixtures` writes them to `test/fixtures/recorded-forms.json`, and
- * `test/recorded-forms.test.ts` compares. A difference is a change of a wire format, of a stored
- * format or of a decision, never of a name inside the program.
+ * All external formats, as produced by the current code: messages, stored records, responses, settings
+ * errors, `/metrics`, help texts, and the decisions of the scheduler. `npm run fixtures` writes them to
+ * `test/fixtures/recorded-forms.json`, and `test/recorded-forms.test.ts` compares them with that file. A
+ * difference means a change of a wire format, a stored format or a decision, never of an internal name.
  */
 import { spawnSync } from 'node:child_process';
 import { readFileSync } from 'node:fs';
@@ -38,7 +37,7 @@
 import { poolText, warmPools } from './warm-pool-world.js';
 import {
   jsonRoundTrip,
-  outcomeOf,
+  resultOrError,
   storeMessages,
   workerMessages,
   userMessages,
@@ -119,9 +118,9 @@
     acknowledgement: [acknowledgement, records.encodeAcknowledgement(records.decodeAcknowledgement(acknowledgement))],
     types: [types, records.encodeMachineTypes(records.decodeMachineTypes(types))],
     garbage: [null, {}, { t: 1 }, { d: 'wk-1:x' }].map((value) => [
-      outcomeOf(() => records.encodeMachine(records.decodeMachine(value))),
-      outcomeOf(() => records.encodeRequestBatch(records.decodeRequestBatch(value))),
-      outcomeOf(() => records.encodeProgress(records.decodeProgress(value))),
+      resultOrError(() => records.encodeMachine(records.decodeMachine(value))),
+      resultOrError(() => records.encodeRequestBatch(records.decodeRequestBatch(value))),
+      resultOrError(() => records.encodeProgress(records.decodeProgress(value))),
     ]),
   }; // prettier-ignore
 }
@@ -227,8 +226,8 @@
   };
 }
 
-/** Figures that are of this process, not of the code. */
-const MEASURED = new Set(['memory_mb', 'heap_mb']);
+/** Metrics that depend on the running process and not on the code. */
+const PROCESS_DEPENDENT = new Set(['memory_mb', 'heap_mb']);
 
 function metrics(world: LeaderWorld): RecordedForms {
   const platform: Settings = parseSettings(readFileSync('deploy/example.toml', 'utf8'));
@@ -236,7 +235,7 @@
     clock: { now: () => 1 },
   });
   const own = controller.metrics();
-  for (const name of MEASURED) own[name] = 'measured';
+  for (const name of PROCESS_DEPENDENT) own[name] = 'measured';
   controller.stop();
   const latencies = new LatencyHistograms(() => 0);
   for (const kind of ['report', 'submission', 'pass', 'lag'] as const)
@@ -257,7 +256,7 @@
   };
 }
 
-/** A day of work with a change of leader: all that was stored and started in it. */
+/** A short workload with a failover: everything that was stored and started. */
 async function decisionsOfDay(world: LeaderWorld): Promise<RecordedForms> {
   for (const id of ['m1', 'm2', 'm3', 'm4']) world.fleet.add(id, id === 'm3' ? 'z2' : 'z1');
   await world.run(2);
@@ -302,12 +301,12 @@
   };
 }
 
-/** What is on each machine, and what is told to stop there, after every scheduling cycle of a short history. */
+/** The attempts on each machine, and which of them are being stopped, after each of a few scheduling cycles. */
 function decisionsOfCycles(): unknown[] {
-  const seen: unknown[] = [];
+  const cycles: unknown[] = [];
   const world = new SchedulerWorld(100, 10);
   const ids = ['a', 'b', 'c'];
-  const note = (): void => {
+  const recordCycle = (): void => {
     world.runCycle();
     const machines = ids.map((id) =>
       [...(world.term.machines.get(id)?.attempts.values() ?? [])].map(
@@ -315,7 +314,7 @@
           `${job}/${index}#${number}${stopRequest === null ? '' : ' stops'}`,
       ),
     );
-    seen.push([machines, world.machinesToAdd()]);
+    cycles.push([machines, world.machinesToAdd()]);
   };
   for (const id of ids) world.heartbeat(id, []);
   world.submitJob({
@@ -326,7 +325,7 @@
     saveS: 3,
     class: 'batch',
   });
-  note();
+  recordCycle();
   for (const id of ids) world.confirmClaims(id, false);
   world.submitJob({
     id: 'wk-2',
@@ -337,11 +336,11 @@
     priority: 1,
     class: 'train',
   });
-  note();
+  recordCycle();
   world.confirmClaims('a', true);
-  note();
+  recordCycle();
   world.confirmClaims('b', true);
-  note();
+  recordCycle();
   world.submitJob({
     id: 'wk-3',
     kind: 'service',
@@ -352,11 +351,11 @@
     imageGb: 30,
   });
   world.submitJob({ id: 'wk-6', tasks: 4, gpus: 1, estimateS: 1000, priority: 2, class: 'long' });
-  note();
+  recordCycle();
   for (const id of ids) world.confirmClaims(id, true);
-  note();
-  note();
-  return seen;
+  recordCycle();
+  recordCycle();
+  return cycles;
 }
 
 function help(): RecordedForms {
@@ -382,7 +381,7 @@
   }; // prettier-ignore
 }
 
-/** All forms by name, made by the present code. */
+/** All external formats by name, as produced by the current code. */
 export async function recordedForms(): Promise<RecordedForms> {
   seedRandom(7);
   const world = new LeaderWorld();
--- a/test/support/recorded-messages.ts
+++ b/test/support/recorded-messages.ts
@@ -1,4 +1,4 @@
-/** Recorded forms of messages, by the outside system that they go to or come from. */
+/** Messages to be recorded, by the external system that sends or receives them. */
 import { encodeFrame, FrameReader } from '../../src/peers/frames.js';
 import {
   FEATURES,
@@ -17,11 +17,11 @@
 import * as users from '../../src/wire/users.js';
 import * as workers from '../../src/wire/workers.js';
 
-/** What is compared: names of forms, and what each was. */
+/** Recorded values by name. */
 export type RecordedForms = Record<string, unknown>;
 
-/** The value of a call, or the name and message of what it throws. */
-export function outcomeOf(call: () => unknown): unknown {
+/** The result of a call, or the message of the error that it throws. */
+export function resultOrError(call: () => unknown): unknown {
   try {
     return call();
   } catch (error) {
@@ -29,9 +29,10 @@
   }
 }
 
-/** The value as it is after a way through JSON. */
+/** The value after encoding to JSON and back. */
 export const jsonRoundTrip = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
-/** Recorded forms of these messages. */
+
+/** Recorded forms of the messages of the key-value store. */
 export function storeMessages(): RecordedForms {
   const changes = {
     ledger: 9,
@@ -66,11 +67,11 @@
     ),
     malformed: [null, {}, { ledger: -1 }, { ledger: 'x' }, { ledger: 1, log: [{ mark: 1 }] }].map(
       (raw) => [
-        outcomeOf(() => store.parseRevision(raw)),
-        outcomeOf(() => store.parseItem(raw)),
-        outcomeOf(() => store.parsePage(raw)),
-        outcomeOf(() => Object.values(store.parseChanges(raw))),
-        outcomeOf(() => store.parseLeaseId(raw)),
+        resultOrError(() => store.parseRevision(raw)),
+        resultOrError(() => store.parseItem(raw)),
+        resultOrError(() => store.parsePage(raw)),
+        resultOrError(() => Object.values(store.parseChanges(raw))),
+        resultOrError(() => store.parseLeaseId(raw)),
       ],
     ),
   };
@@ -80,7 +81,7 @@
 const WORKER_CAUSES = [
   'done', 'halted', 'mates_gone', 'alone', 'error', 'full', 'in_use', 'no_such', 'of tomorrow',
 ]; // prettier-ignore
-const WORKER_REPORT = {
+const WORKER_HEARTBEAT = {
   bench: 'host-000231', addr: '10.1.0.232:9000', casting: 'g8', yard: 'a', loaner: true, shift: 1,
   tally: 88, hallmark: 41, recall_s: 25.5,
   pieces: [
@@ -91,7 +92,7 @@
   ],
 }; // prettier-ignore
 
-/** Recorded forms of these messages. */
+/** Recorded forms of the messages of workers. */
 export function workerMessages(): RecordedForms {
   const task = { job: 'wk-1', index: 4, attempt: 2 };
   const commands: workers.Command[] = [
@@ -99,22 +100,22 @@
     { kind: 'stop', ...task, graceS: 10 },
     { kind: 'start', ...task },
   ];
-  const parsed = workers.parseHeartbeat(WORKER_REPORT);
-  const broken = [
+  const parsed = workers.parseHeartbeat(WORKER_HEARTBEAT);
+  const malformed = [
     {},
-    { ...WORKER_REPORT, bench: '' },
-    { ...WORKER_REPORT, tally: -1 },
-    { ...WORKER_REPORT, recall_s: 'x' },
-    { ...WORKER_REPORT, pieces: [{ piece: 'wk-1', pour: 1, temper: 'running' }] },
-    { ...WORKER_REPORT, pieces: [{ piece: 'wk-1/0', pour: 1, temper: 'odd' }] },
+    { ...WORKER_HEARTBEAT, bench: '' },
+    { ...WORKER_HEARTBEAT, tally: -1 },
+    { ...WORKER_HEARTBEAT, recall_s: 'x' },
+    { ...WORKER_HEARTBEAT, pieces: [{ piece: 'wk-1', pour: 1, temper: 'running' }] },
+    { ...WORKER_HEARTBEAT, pieces: [{ piece: 'wk-1/0', pour: 1, temper: 'odd' }] },
   ];
   return {
     report: [
       parsed.machine, parsed.addr, parsed.type, parsed.zone, parsed.spot, parsed.agentEpoch,
       parsed.sequence, parsed.token, parsed.reclaimNoticeS, parsed.tasks.map((task) => Object.values(task)),
     ],
-    malformed: broken.map((raw) => outcomeOf(() => workers.parseHeartbeat(raw))),
-    garbage: outcomeOf(() => workers.decodeHeartbeat(Buffer.from('{'))),
+    malformed: malformed.map((raw) => resultOrError(() => workers.parseHeartbeat(raw))),
+    garbage: resultOrError(() => workers.decodeHeartbeat(Buffer.from('{'))),
     orders: [workers.encodeHeartbeatReply(41, []), workers.encodeHeartbeatReply(41, commands)],
     direct: workers.encodeDirectCommands(41, 3, commands),
     elsewhere: [workers.encodeRedirect(null), workers.encodeRedirect('n-1')],
@@ -129,10 +130,10 @@
   due_s: 900, awaits: ['wk-000398', 'wk-000398'],
 }; // prettier-ignore
 
-/** Recorded forms of these messages. */
+/** Recorded forms of the messages of users. */
 export function userMessages(): RecordedForms {
   const parse = (raw: unknown): unknown =>
-    outcomeOf(() => {
+    resultOrError(() => {
       const parsed = users.parseSubmission(Buffer.from(JSON.stringify(raw)));
       return records.encodeJob({ spec: parsed, atMs: 0 });
     });
@@ -152,7 +153,7 @@
   return {
     submissions: [...kinds, ...ranks, ...without, ...wrong].map(parse),
     notAnObject: ['[', '[]', '1'].map((text) =>
-      outcomeOf(() => users.parseSubmission(Buffer.from(text))),
+      resultOrError(() => users.parseSubmission(Buffer.from(text))),
     ),
     accepted: users.encodeAccepted('wk-1', 'queued'),
     status: users.encodeStatus('wk-1', 'running', 3, 4),
@@ -161,11 +162,11 @@
   };
 }
 
-/** Recorded forms of these messages. */
+/** Recorded forms of the messages of the cloud. */
 export function cloudMessages(): RecordedForms {
   const type = { name: 'g8', cores: 96, gpus: 8, mem_gb: 768, hourly: 12, yards: ['a', 'b'] };
   const bench = { ref: 'host-1', addr: '10.1.0.2:9', casting: 'g8', yard: 'a', loaner: true };
-  const rent = { name: 'r-17', type: 'g8', zone: 'a', spot: true, count: 12 };
+  const scaleOut = { name: 'r-17', type: 'g8', zone: 'a', spot: true, count: 12 };
   return {
     types: cloud
       .parseTypes({ castings: [type, { ...type, local_gb: 2, pull_gb_per_s: 3, spot_price: 4, startup_s: 5 }] })
@@ -175,9 +176,9 @@
       .machines.map((each) => Object.values(each)),
     rented: cloud.parseScaleOutAnswer({ benches: ['host-1'] }),
     malformed: [cloud.parseTypes, cloud.parseList, cloud.parseScaleOutAnswer].map((parse) =>
-      outcomeOf(() => parse({ benches: 1 })),
+      resultOrError(() => parse({ benches: 1 })),
     ),
-    rent: cloud.encodeScaleOut(rent),
+    rent: cloud.encodeScaleOut(scaleOut),
     return: cloud.encodeScaleIn(['host-1', 'host-2']),
     paths: [cloud.TYPES_PATH, cloud.MACHINES_PATH, cloud.SCALE_IN_PATH, cloud.listPath(''), cloud.listPath('a b')],
     bounds: [cloud.MIN_CHARGE_S, cloud.SCALE_OUT_MAX, cloud.SCALE_IN_MAX],
@@ -203,7 +204,7 @@
   cancelled: { noted: true },
 };
 
-/** Recorded forms of these messages. */
+/** Recorded forms of the messages between controllers. */
 export function peerMessages(): RecordedForms {
   const hello = { v: PROTOCOL_VERSION, from: 'n-0', features: FEATURES };
   const fitness = { fitness: { latenessS: 0.5, served: true, relayS: 0.1 } };
@@ -213,13 +214,15 @@
     ...QUESTIONS.map((q, i) => ({ id: i + 1, q })),
     ...Object.values(ANSWERS).map((answer, i) => ({ id: i + 1, a: answer })),
   ].map(encodeFrame);
-  const reread = (frame: Buffer): unknown => new FrameReader().push(frame)[0];
+  const decode = (frame: Buffer): unknown => new FrameReader().push(frame)[0];
   const [, , ...rest] = frames;
-  const asked = rest.slice(0, QUESTIONS.length).map(reread);
+  const decodedQuestions = rest.slice(0, QUESTIONS.length).map(decode);
   return {
     frames: frames.map((frame) => frame.toString('hex')),
-    hello: [parseHello(reread(frames[0]!)).from, ...parseHello(reread(frames[0]!)).features],
-    questions: jsonRoundTrip(asked.map((frame) => Object.values(parseInitiatorFrame(frame)))),
+    hello: [parseHello(decode(frames[0]!)).from, ...parseHello(decode(frames[0]!)).features],
+    questions: jsonRoundTrip(
+      decodedQuestions.map((frame) => Object.values(parseInitiatorFrame(frame))),
+    ),
     answers: jsonRoundTrip(
       Object.entries(ANSWERS).map(([kind, answer]) =>
         Object.values(parseAnswer(kind as QuestionKind, answer) ?? {}),
@@ -229,9 +232,9 @@
       [parseInitiatorFrame(fitness), parseAcceptorFrame(fitness)].map(Object.values),
     ),
     malformed: [
-      outcomeOf(() => parseHello({ v: 1, from: 'n-0' })),
+      resultOrError(() => parseHello({ v: 1, from: 'n-0' })),
       ...[null, {}, { id: 1 }, { id: 1, q: { q: 'odd' } }, { fitness: {} }].map((raw) =>
-        outcomeOf(() => Object.values(parseInitiatorFrame(raw))),
+        resultOrError(() => Object.values(parseInitiatorFrame(raw))),
       ),
       ...['elected', 'report', 'user'].map((kind) =>
         parseAnswer(kind as QuestionKind, { status: 'x' }),
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -1,4 +1,4 @@
-/** The version in production and this one side by side: records, frames, and who is there. */
+/** Compatibility of the version in production and this one: records, frames, and which versions are present. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -10,7 +10,7 @@
 import { bytesWithoutImages } from '../src/store/machine-record.js';
 import { Replica } from '../src/store/replica.js';
 
-/** As the version in production writes them: see its `made_by`. */
+/** Records and a hello written by the version in production; `made_by` in the file tells how. */
 const production = JSON.parse(readFileSync('test/fixtures/production.json', 'utf8')) as Record<
   'submissions' | 'progress' | 'machine' | 'leader' | 'acknowledgement' | 'hello',
   unknown
@@ -18,7 +18,7 @@
 
 const roundTrip = <T>(value: T): unknown => JSON.parse(JSON.stringify(value));
 
-test('what the version in production writes is read, and written to the letter as it reads it', () => {
+test('records of the version in production are read, and rewritten without any difference', () => {
   const cases: [string, unknown, (value: unknown) => unknown][] = [
     ['submissions', production.submissions, (value) => records.encodeRequestBatch(records.decodeRequestBatch(value))],
     ['progress', production.progress, (value) => records.encodeProgress(records.decodeProgress(value))],
@@ -33,13 +33,13 @@
   assert.deepEqual([job!.spec.id, job!.spec.dependencies], ['wk-000412', []]);
 });
 
-test('a hello without features is of an old version, and both versions take the same protocol', () => {
+test('a hello without features is from an old version, and both versions use the same protocol', () => {
   const old = parseHello(production.hello);
   assert.deepEqual([old.from, [...old.features]], ['n-0', []]);
   const now = { v: PROTOCOL_VERSION, from: 'n-1', features: FEATURES };
   assert.deepEqual([...parseHello(now).features], [...FEATURES]);
   assert.equal((production.hello as { v: number }).v, PROTOCOL_VERSION);
-  // Of a later version yet: what it can do beyond this one is no matter.
+  // From a later version: unknown features are accepted.
   assert.ok(parseHello({ ...now, features: ['pipelines', 'more'] }).features.has('pipelines'));
   assert.deepEqual([...parseHello({ ...now, features: 7 }).features], []);
 });
@@ -57,7 +57,7 @@
 const sortedClaims = (claims: records.Claim[]): string[] =>
   claims.map(({ job, index, attempt }) => `${job}/${index}#${attempt}`).sort();
 
-test('the dense form of claims loses nothing', () => {
+test('the dense form of claims is lossless', () => {
   const claims = fc.uniqueArray(claim, { selector: (c) => sortedClaims([c])[0], maxLength: 200 });
   fc.assert(
     fc.property(claims, (all) => {
@@ -70,7 +70,7 @@
   );
 });
 
-test('a record is dense only where it must be and may be, and images go before claims do', () => {
+test('a record is dense only if necessary and allowed, and only images are omitted, never claims', () => {
   const claims = (count: number): records.Claim[] =>
     Array.from({ length: count }, (_, index) => ({
       job: `wk-${100000 + (index % 8)}`,
@@ -80,8 +80,8 @@
   const images = Array.from({ length: 32 }, (_, i): [string, number] => [`image-${i}`, 34.3]);
   const cases: [string, number, 'plain' | 'dense', 't' | 'd', boolean][] = [
     ['small', 4, 'dense', 't', true],
-    ['too large, every controller is new', 64, 'dense', 'd', true],
-    ['too large, an old one is there', 60, 'plain', 't', false],
+    ['too large, all controllers read the dense form', 64, 'dense', 'd', true],
+    ['too large, an old controller is present', 60, 'plain', 't', false],
     ['a hundred times as many as fit in the plain form', 6000, 'dense', 'd', false],
   ];
   for (const [name, count, allowed, form, keepsAll] of cases) {
@@ -91,23 +91,26 @@
     const read = records.decodeMachine(roundTrip(value));
     assert.deepEqual(sortedClaims(read.claims), sortedClaims(record.claims), name);
     assert.equal(read.images.length === images.length, keepsAll, name);
-    // Those that stay are the ones used last.
+    // The most recently used images remain.
     assert.deepEqual(read.images, images.slice(images.length - read.images.length), name);
     const least = bytesWithoutImages(record, allowed);
     assert.ok(JSON.stringify(value).length <= Math.max(2048, least), name);
   }
   const foreign = [{ job: 'a b:c', index: 0, attempt: 1 }];
-  assert.ok('t' in (records.encodeMachine(machine(foreign), 1, 'dense') as object), 'an odd name');
+  assert.ok(
+    't' in (records.encodeMachine(machine(foreign), 1, 'dense') as object),
+    'the dense form cannot represent this job id',
+  );
 });
 
 const LEASE_S = 2;
 
 interface Present {
-  /** What its record in the store says; null: there is none. */
+  /** Features in its stored version record; null if there is none. */
   record: string[] | null;
-  /** What its latest hello said; null: none was heard. */
+  /** Features in its latest hello; null if none was received. */
   hello: string[] | null;
-  /** Seconds since anything was heard of it. */
+  /** Seconds since its last message. */
   silentS: number;
   leads?: boolean;
 }
@@ -139,20 +142,20 @@
   });
 }
 
-test('an old version counts as present while it is heard of or leads, and never for good', () => {
+test('an old version counts as present while it sends messages or leads, and not indefinitely', () => {
   const NEW: Present = { record: ['pipelines'], hello: ['pipelines'], silentS: 0 };
   const OLD: Present = { record: null, hello: [], silentS: 0 };
   const cases: [string, Present, { everyone: boolean; old: boolean }][] = [
     ['new', NEW, { everyone: true, old: false }],
-    ['new, by its record alone', { ...NEW, hello: null }, { everyone: true, old: false }],
-    ['new, by its hello alone', { ...NEW, record: null }, { everyone: true, old: false }],
-    ['new, ended', { ...NEW, silentS: Infinity }, { everyone: true, old: false }],
+    ['new, known only by its record', { ...NEW, hello: null }, { everyone: true, old: false }],
+    ['new, known only by its hello', { ...NEW, record: null }, { everyone: true, old: false }],
+    ['new, stopped', { ...NEW, silentS: Infinity }, { everyone: true, old: false }],
     ['old', OLD, { everyone: false, old: true }],
-    ['old, only its answers were heard', { ...OLD, hello: null }, { everyone: false, old: true }],
-    ['old once more after it was new', { ...NEW, hello: [] }, { everyone: false, old: true }],
-    ['old, silent for long', { ...OLD, silentS: LEASE_S * 4 }, { everyone: false, old: false }],
-    ['old, cut off, and it leads', { ...OLD, silentS: Infinity, leads: true }, { everyone: false, old: true }],
-    ['never heard of', { record: null, hello: null, silentS: Infinity }, { everyone: false, old: false }],
+    ['old, only answers were received from it', { ...OLD, hello: null }, { everyone: false, old: true }],
+    ['old again after an upgrade was reverted', { ...NEW, hello: [] }, { everyone: false, old: true }],
+    ['old, silent for four leases', { ...OLD, silentS: LEASE_S * 4 }, { everyone: false, old: false }],
+    ['old, unreachable, and leading', { ...OLD, silentS: Infinity, leads: true }, { everyone: false, old: true }],
+    ['no message or record at all', { record: null, hello: null, silentS: Infinity }, { everyone: false, old: false }],
   ]; // prettier-ignore
   for (const [name, other, { everyone, old }] of cases) {
     const seen = versions({ b: NEW, c: other });
