--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -19,15 +19,15 @@
   /** A worker's heartbeat, forwarded unchanged. `hop`: the receiver forwards it to the leader if it does not lead. */
   | { q: 'report'; body: Buffer; hop: boolean }
   /**
-   * Asks whether the state service refuses the receiver too. If it does, the receiver promises not to take
-   * over leadership for `forMs` and answers with the cancellations stored after the revision `applied`.
+   * Asks whether the key-value store refuses the receiver too. If it does, the receiver promises not to take
+   * over leadership for about `forMs` and answers with the cancellations stored after the revision `applied`.
    */
   | { q: 'refused'; token: number; forMs: number; applied: number }
   /** Asks the receiver to acknowledge the leader with this token. */
   | { q: 'elected'; token: number }
   /** Asks whether the receiver is reachable. */
   | { q: 'there' }
-  /** A user's request, forwarded by a controller that the state service does not serve. */
+  /** A user's request, forwarded by a controller that the key-value store does not serve. */
   | { q: 'user'; to: 'submit' | 'poll' | 'cancel'; text: string }
   /** A cancellation is about to be stored: the receiver stops the job's tasks if its zone is cut off. */
   | { q: 'cancelling'; job: string }
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -15,7 +15,7 @@
 /** The revision of an executed transaction, or the keys whose preconditions failed. */
 export type CompareAndSwapResult = { ok: true; revision: number } | { ok: false; failed: string[] };
 
-/** The state of the store by its last response; `silent` if there was none. */
+/** The state of the store according to the last request; `silent` if it got no response. */
 export type StoreHealth = 'unknown' | 'served' | 'refused' | 'silent';
 
 /**
@@ -30,7 +30,7 @@
   private readonly watchHttp: HttpClient;
   readonly requestBudget: TokenBucket;
   readonly writeBudget: TokenBucket;
-  /** The state of the store by its last response. */
+  /** The state of the store according to the last request. */
   health: StoreHealth = 'unknown';
   /** Steady time at which the latest served request was sent. */
   servedAt = -Infinity;
--- a/src/store/machine-record.ts
+++ b/src/store/machine-record.ts
@@ -14,7 +14,7 @@
 
 /** The stored record of a machine. */
 export interface MachineRecord {
-  /** The leader that owns the machine; `term` is the revision of its leader record. */
+  /** The controller that owns the machine; `term` is the revision at which it became the leader. */
   owner: string;
   term: number;
   /** Highest token that the worker may have received, if it is above `term`. */
