--- a/src/wire/last-heartbeat.ts
+++ b/src/wire/last-heartbeat.ts
@@ -27,20 +27,20 @@
  */
 export class LastHeartbeat {
   private cached: CachedHeartbeat | null = null;
-  private buffer: Buffer = Buffer.alloc(0);
+  private memory: Buffer = Buffer.alloc(0);
 
   /** Caches a heartbeat for comparison, unless it is too long. */
   keep(heartbeat: Heartbeat, body: Buffer): void {
     this.cached = null;
     const { length } = body;
     if (length > MAX_CACHED_BYTES) return;
-    if (length > this.buffer.length) {
-      this.buffer = Buffer.allocUnsafeSlow(
+    if (length > this.memory.length) {
+      this.memory = Buffer.allocUnsafeSlow(
         Math.ceil(length / ALLOCATION_STEP_BYTES) * ALLOCATION_STEP_BYTES,
       );
     }
-    body.copy(this.buffer);
-    this.cached = { heartbeat, body: this.buffer.subarray(0, length), sequence: null };
+    body.copy(this.memory);
+    this.cached = { heartbeat, body: this.memory.subarray(0, length), sequence: null };
   }
 
   /** Decodes a body that differs from the cached one only in the sequence number; null if it must be parsed. */
