--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -8,7 +8,7 @@
 import {
   FEATURES,
   parseAnswer,
-  parseFromAnswerer,
+  parseAcceptorFrame,
   PROTOCOL_VERSION,
   type Answer,
   type AnswerTo,
@@ -20,48 +20,47 @@
 
 type LinkState = 'down' | 'connecting' | 'up';
 
-/** Milliseconds that a connection may take to come about. */
-const CONNECT_MS = 1500;
-/** Milliseconds between two attempts to connect: at first, and at most. */
+const CONNECT_TIMEOUT_MS = 1500;
+/** Initial and maximum delay between two connection attempts. */
 const MIN_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 2000;
 
-/** A question that has not been answered yet. */
-interface Pending {
+/** A question that is waiting for its answer. */
+interface PendingQuestion {
   kind: QuestionKind;
   resolve: (answer: Answer | null) => void;
   timer: NodeJS.Timeout;
 }
 
-/** What a `Link` works with. */
+/** Dependencies and settings of a `Link`. */
 export interface LinkOptions {
-  /** Names of this controller and of the other one. */
+  /** Names of this controller and of the peer. */
   self: string;
   peer: string;
   addr: Endpoint;
   log: Log;
-  /** Questions under way at a time, at most. */
+  /** Maximum number of unanswered questions. */
   maxPending: number;
-  /** Seconds for which heartbeats that are forwarded may wait for others. */
+  /** Maximum delay in seconds of forwarded heartbeats, which are sent in batches. */
   batchingDelayS: number;
   health: HealthExchange;
 }
 
-/** Asks another controller over a connection that it opens itself, again and again where it must. */
+/** Sends questions to one peer over an outgoing connection, which is reopened by a later question if it was closed. */
 export class Link {
   private state: LinkState = 'down';
   private socket: Socket | null = null;
   private writer: FrameWriter | null = null;
   private nextId = 1;
-  private readonly pending = new Map<number, Pending>();
+  private readonly pending = new Map<number, PendingQuestion>();
   private retryAt = 0;
   private backoffMs = MIN_BACKOFF_MS;
-  /** When the last answer came, in milliseconds of `performance.now()`. */
+  /** Time of the last answer, in milliseconds of `performance.now()`. */
   answeredAt = -Infinity;
 
   constructor(private readonly options: LinkOptions) {}
 
-  private become(state: LinkState): void {
+  private setState(state: LinkState): void {
     this.state = state;
     if (state === 'down') {
       this.socket?.destroy();
@@ -86,42 +85,42 @@
     this.socket = socket;
     const writer = new FrameWriter(socket, healthAttachment(health), batchingDelayS);
     this.writer = writer;
-    this.become('connecting');
+    this.setState('connecting');
     const reader = new FrameReader();
     socket.setNoDelay(true);
-    const down = (): void => {
-      if (this.socket === socket) this.become('down');
+    const onDisconnect = (): void => {
+      if (this.socket === socket) this.setState('down');
     };
-    const slow = answerTimeout(() => {
-      if (this.state === 'connecting') down();
-    }, CONNECT_MS);
+    const connectTimer = answerTimeout(() => {
+      if (this.state === 'connecting') onDisconnect();
+    }, CONNECT_TIMEOUT_MS);
     socket.on('connect', () => {
-      clearTimeout(slow);
-      if (this.socket === socket) this.become('up');
+      clearTimeout(connectTimer);
+      if (this.socket === socket) this.setState('up');
     });
     socket.on('data', (data) => {
       try {
-        for (const frame of reader.push(data)) this.received(frame);
+        for (const frame of reader.push(data)) this.handleFrame(frame);
       } catch (error) {
         log.info({ err: error }, 'malformed peer frame');
-        down();
+        onDisconnect();
       }
     });
-    socket.on('error', down);
+    socket.on('error', onDisconnect);
     socket.on('close', () => {
-      clearTimeout(slow);
-      down();
+      clearTimeout(connectTimer);
+      onDisconnect();
     });
     writer.write({ v: PROTOCOL_VERSION, from: self, features: FEATURES } satisfies HelloFrame);
   }
 
-  private received(raw: unknown): void {
-    const frame = parseFromAnswerer(raw);
+  private handleFrame(raw: unknown): void {
+    const frame = parseAcceptorFrame(raw);
     if (frame.kind === 'fitness') this.options.health.note(this.options.peer, frame.fitness);
-    else this.answered(frame.id, frame.answer);
+    else this.handleAnswer(frame.id, frame.answer);
   }
 
-  private answered(id: number, answer: unknown): void {
+  private handleAnswer(id: number, answer: unknown): void {
     this.answeredAt = performance.now();
     const pending = this.pending.get(id);
     if (pending === undefined) return;
@@ -130,7 +129,7 @@
     pending.resolve(parseAnswer(pending.kind, answer));
   }
 
-  /** Null: no answer. */
+  /** Sends a question. Resolves with null if there is no answer in time. */
   ask<Q extends Question>(question: Q, timeoutS: number): Promise<AnswerTo<Q> | null> {
     if (this.state === 'down') this.open();
     const { socket, writer } = this;
@@ -142,19 +141,19 @@
       const timer = answerTimeout(() => {
         if (!this.pending.delete(id)) return;
         resolve(null);
-        // Hanging, perhaps cut off: a new connection is the only way to find out. Not when others were
-        // answered meanwhile: hundreds of heartbeats may be under way on this one.
-        if (this.socket === socket && this.answeredAt < sentAt) this.become('down');
+        // The connection may be dead, which only a new one can show. If other questions were answered
+        // in the meantime it is kept: hundreds of heartbeats may be waiting for their answers on it.
+        if (this.socket === socket && this.answeredAt < sentAt) this.setState('down');
       }, timeoutS * 1000);
-      // `answered` parses the answer by the kind of the question.
-      const resolveAs = resolve as Pending['resolve'];
+      // `handleAnswer` parses the answer according to the kind of the question.
+      const resolveAs = resolve as PendingQuestion['resolve'];
       this.pending.set(id, { kind: question.q, resolve: resolveAs, timer });
       writer.write({ id, q: question } satisfies QuestionFrame, question.q !== 'report');
     });
   }
 
-  /** Ends the connection; questions under way have no answer. */
+  /** Closes the connection. Pending questions resolve with null. */
   close(): void {
-    this.become('down');
+    this.setState('down');
   }
 }
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -13,22 +13,21 @@
   | { kind: 'cancel'; id: string; size: number }
 ) & { deadline: number; resolve: (state: JobOutcome | null) => void };
 
-/** Requests in a row without an answer after which a batch is given up. */
+/** Number of failed requests after which a batch, or the read after it, is abandoned. */
 const MAX_FAILURES = 2;
 
-/** Seconds within which a write has to be answered. */
 const WRITE_TIMEOUT_S = 1.5;
 
-/** What a record takes beside its jobs and cancellations, in bytes. */
-const RECORD_BYTES = 64;
-/** Of the largest value that the key-value store takes, what a record fills. */
-const VALUE_SHARE = 0.9;
+/** Size of a record without its jobs and cancellations. */
+const EMPTY_RECORD_BYTES = 64;
+/** Maximum size of a record, as a fraction of the size limit of a value in the key-value store. */
+const MAX_FILL = 0.9;
 
-/** Bytes that a job takes in a record. */
-const acceptedJobBytes = (accepted: records.AcceptedJob): number =>
+/** Encoded size of a job in a record, in bytes. */
+const jobBytes = (accepted: records.AcceptedJob): number =>
   Buffer.byteLength(JSON.stringify(records.encodeJob(accepted))) + 1;
 
-/** What a `RequestWriter` works with. */
+/** Dependencies of a `RequestWriter`. */
 export interface RequestWriterOptions {
   incarnation: string;
   store: KeyValueStoreClient;
@@ -40,35 +39,35 @@
 }
 
 /**
- * Stores what users ask for: accepted jobs and cancellations. What arrives while a batch is under
- * way goes into the next one, so that an answer waits for milliseconds and costs a fraction of a
+ * Stores users' requests, accepted jobs and cancellations, in batches. Requests that arrive while a batch is
+ * being stored go into the next one, so that a response is delayed by milliseconds and costs a fraction of a
  * write.
  */
 export class RequestWriter {
   private queue: PendingRequest[] = [];
   private running = false;
-  private counter = 0;
+  private batchCount = 0;
 
   constructor(private readonly options: RequestWriterOptions) {}
 
-  /** Whether the key-value store takes a record with this job, alone if need be. */
+  /** Whether a record with this job alone fits into a value of the key-value store. */
   fits(accepted: records.AcceptedJob): boolean {
-    return RECORD_BYTES + acceptedJobBytes(accepted) <= this.options.store.valueBytes * VALUE_SHARE;
+    return EMPTY_RECORD_BYTES + jobBytes(accepted) <= this.options.store.valueBytes * MAX_FILL;
   }
 
-  /** Whether more waits than can be stored within this time: what comes now would wait in vain. */
+  /** Whether the queue holds more than can be stored within this time, so that a new request would time out. */
   full(timeoutS: number): boolean {
     const bytes = this.queue.reduce((sum, request) => sum + request.size, 0);
     return bytes > this.options.budget.perSecond * timeoutS * this.options.store.valueBytes;
   }
 
-  /** Resolves with the job's outcome once it is stored and read back; null: unsure. */
+  /** Stores a job. Resolves with its outcome once that is read back; null if it is unknown whether it was stored. */
   accept(accepted: records.AcceptedJob, timeoutS: number): Promise<JobOutcome | null> {
-    const size = acceptedJobBytes(accepted);
+    const size = jobBytes(accepted);
     return this.enqueue({ kind: 'job', accepted, size }, timeoutS);
   }
 
-  /** Stores a cancellation. Resolves with the job's outcome once that is read back; null: unsure. */
+  /** Stores a cancellation. Resolves with the job's outcome once that is read back; null if it is unknown. */
   cancel(id: string, timeoutS: number): Promise<JobOutcome | null> {
     return this.enqueue({ kind: 'cancel', id, size: id.length + 3 }, timeoutS);
   }
@@ -87,14 +86,14 @@
 
   private nextBatch(): PendingRequest[] {
     const now = this.options.clock.now();
-    const late = this.queue.filter((request) => request.deadline <= now);
-    for (const request of late) request.resolve(null);
+    const expired = this.queue.filter((request) => request.deadline <= now);
+    for (const request of expired) request.resolve(null);
     this.queue = this.queue.filter((request) => request.deadline > now);
     const batch: PendingRequest[] = [];
-    let bytes = RECORD_BYTES;
+    let bytes = EMPTY_RECORD_BYTES;
     while (this.queue.length > 0) {
       const request = this.queue[0]!;
-      if (batch.length > 0 && bytes + request.size > this.options.store.valueBytes * VALUE_SHARE)
+      if (batch.length > 0 && bytes + request.size > this.options.store.valueBytes * MAX_FILL)
         break;
       bytes += request.size;
       batch.push(this.queue.shift()!);
@@ -103,25 +102,25 @@
   }
 
   /**
-   * The records of a batch, to be put in one transaction. Jobs that need others go where versions that
-   * would start them at once do not look.
+   * Encodes the records of a batch, which are put in one transaction. Jobs with dependencies get a key prefix
+   * that old versions ignore, since those would start the jobs at once.
    */
-  private puts(batch: PendingRequest[]): { put: string; value: unknown }[] {
+  private encodePuts(batch: PendingRequest[]): { put: string; value: unknown }[] {
     const jobs = batch.flatMap((request) => (request.kind === 'job' ? [request.accepted] : []));
     const cancelledIds = batch.flatMap((request) =>
       request.kind === 'cancel' ? [request.id] : [],
     );
     const dependent = jobs.filter((job) => job.spec.dependencies.length > 0);
-    const others = jobs.filter((job) => job.spec.dependencies.length === 0);
-    const name = `${this.options.incarnation}-${this.counter++}`;
+    const independent = jobs.filter((job) => job.spec.dependencies.length === 0);
+    const batchName = `${this.options.incarnation}-${this.batchCount++}`;
     const puts: { put: string; value: unknown }[] = [];
-    if (others.length + cancelledIds.length > 0) {
-      const value = records.encodeRequestBatch({ jobs: others, cancelledIds });
-      puts.push({ put: records.JOBS + name, value });
+    if (independent.length + cancelledIds.length > 0) {
+      const value = records.encodeRequestBatch({ jobs: independent, cancelledIds });
+      puts.push({ put: records.JOBS + batchName, value });
     }
     if (dependent.length > 0) {
       const value = records.encodeRequestBatch({ jobs: dependent, cancelledIds: [] });
-      puts.push({ put: records.DEPENDENT_JOBS + name, value });
+      puts.push({ put: records.DEPENDENT_JOBS + batchName, value });
     }
     return puts;
   }
@@ -140,8 +139,8 @@
   }
 
   private async storeBatch(batch: PendingRequest[]): Promise<void> {
-    const puts = this.puts(batch);
-    // One write is taken already; with dependent jobs beside others it is two.
+    const puts = this.encodePuts(batch);
+    // One write has been taken from the budget; a batch with both dependent and independent jobs needs two.
     if (puts.length > 1) this.options.budget.force(puts.length - 1);
     const deadline = Math.max(...batch.map((request) => request.deadline));
     const stored = await this.writePuts(puts, deadline);
@@ -154,9 +153,9 @@
   }
 
   /**
-   * Whether the store has taken a batch. A submission that can't be taken is answered at once: a store that
-   * refuses, or two requests without an answer, end the wait. Another controller may be served, and the
-   * user may come back.
+   * Writes a batch and returns whether it is stored. If the store rejects it, or two requests fail, this returns
+   * without waiting for the deadline: the user is answered soon and can try again, perhaps at another controller
+   * that the store serves.
    */
   private async writePuts(
     puts: { put: string; value: unknown }[],
@@ -171,8 +170,9 @@
       first = false;
       try {
         const result = await store.compareAndSwap(preconditions, puts, WRITE_TIMEOUT_S);
-        // A failed precondition: an attempt that was not answered has been carried out after all.
-        if (!result.ok) log.debug({ keys: result.failed }, 'stored by an earlier attempt');
+        // A failed precondition: an earlier attempt without a response was executed.
+        if (!result.ok)
+          log.debug({ keys: result.failed }, 'batch was stored by an earlier attempt');
         return true;
       } catch (error) {
         const status = error instanceof RequestRejectedError ? error.status : null;
@@ -184,7 +184,7 @@
     return false;
   }
 
-  /** Nobody is told anything before this controller's replica holds what was stored. */
+  /** Waits until this controller's replica holds the stored batch. Users get no response before that. */
   private async readBack(deadline: number): Promise<boolean> {
     const { replicaSync, clock } = this.options;
     for (let reads = 0; reads < MAX_FAILURES && clock.now() < deadline; reads++) {
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,29 +1,29 @@
 import * as v from 'valibot';
 import type { MachineType } from '../jobs/types.js';
 
-/** The cloud's messages. */
+/** Messages of the cloud's API. */
 
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const types = v.object({
+const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
+const typesSchema = v.object({
   castings: v.array(
     v.object({
       name: v.string(),
-      cores: amount,
-      gpus: amount,
-      mem_gb: amount,
-      local_gb: v.optional(amount, 0),
-      pull_gb_per_s: v.optional(amount, 1),
-      hourly: amount,
-      spot_price: v.optional(amount, 0),
-      startup_s: v.optional(amount, 60),
+      cores: nonNegative,
+      gpus: nonNegative,
+      mem_gb: nonNegative,
+      local_gb: v.optional(nonNegative, 0),
+      pull_gb_per_s: v.optional(nonNegative, 1),
+      hourly: nonNegative,
+      spot_price: v.optional(nonNegative, 0),
+      startup_s: v.optional(nonNegative, 60),
       yards: v.array(v.string()),
     }),
   ),
 });
 
-/** Machine types of `GET /machine_types`. Throws on a malformed answer. */
+/** Parses the response of `GET /machine_types`. Throws on a malformed one. */
 export function parseTypes(raw: unknown): MachineType[] {
-  return v.parse(types, raw).castings.map((casting) => ({
+  return v.parse(typesSchema, raw).castings.map((casting) => ({
     name: casting.name,
     cores: casting.cores,
     gpus: casting.gpus,
@@ -37,7 +37,7 @@
   }));
 }
 
-/** A machine as the cloud's list names it; `ageS`: since its rental request. */
+/** A machine in the cloud's list; `ageS`: seconds since the request to rent it. */
 export interface ListedMachine {
   id: string;
   addr: string;
@@ -48,7 +48,7 @@
   ageS: number;
 }
 
-const list = v.object({
+const listSchema = v.object({
   benches: v.array(
     v.object({
       ref: v.string(),
@@ -63,9 +63,9 @@
   more: v.optional(v.boolean(), false),
 });
 
-/** A page of `GET /hosts`. Throws on a malformed answer. */
+/** Parses a page of `GET /hosts`. Throws on a malformed response. */
 export function parseList(raw: unknown): { machines: ListedMachine[]; more: boolean } {
-  const parsed = v.parse(list, raw);
+  const parsed = v.parse(listSchema, raw);
   return {
     more: parsed.more,
     machines: parsed.benches.map((bench) => ({
@@ -80,11 +80,12 @@
   };
 }
 
-const rented = v.object({ benches: v.array(v.string()) });
-/** Ids of the machines that a request rented. Throws on a malformed answer. */
-export const parseScaleOutAnswer = (raw: unknown): string[] => v.parse(rented, raw).benches;
+const scaleOutAnswerSchema = v.object({ benches: v.array(v.string()) });
+/** Parses the ids of the machines rented by a request. Throws on a malformed response. */
+export const parseScaleOutAnswer = (raw: unknown): string[] =>
+  v.parse(scaleOutAnswerSchema, raw).benches;
 
-/** A rental request; its name never recurs for another one. */
+/** A request to rent machines. Its name is unique and never reused. */
 export interface ScaleOutRequest {
   name: string;
   type: string;
@@ -108,18 +109,17 @@
 
 /** Path of the machine types. */
 export const TYPES_PATH = '/machine_types';
-/** Path of rental requests. */
+/** Path of requests to rent machines. */
 export const MACHINES_PATH = '/hosts';
-/** Path of returns. */
+/** Path of requests to return machines. */
 export const SCALE_IN_PATH = '/hosts/return';
-/** Path of the page of the list that begins after an id; empty: the first page. */
+/** Path of the page of the machine list after an id; empty for the first page. */
 export const listPath = (after: string): string =>
   `/hosts?limit=500${after === '' ? '' : `&after=${encodeURIComponent(after)}`}`;
 
-/** Most machines in one rental request, and most names in one return. */
-/** A machine that is given back costs at least this time. */
+/** Minimum time that is charged for a machine, in seconds. */
 export const MIN_CHARGE_S = 60;
-/** Most machines in one rental request. */
+/** Maximum number of machines in one request to rent machines. */
 export const SCALE_OUT_MAX = 50;
-/** Most names in one return. */
+/** Maximum number of machines in one request to return machines. */
 export const SCALE_IN_MAX = 100;
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -1,4 +1,4 @@
-/** The key-value store's messages. */
+/** Messages of the key-value store's API. */
 
 /** A key and the revision that it must have; 0: it must not exist. */
 export interface Precondition {
@@ -6,7 +6,7 @@
   revision: number;
 }
 
-/** A put, with the lease that the key hangs on, or a removal. */
+/** A put, optionally with the lease that the key is attached to, or a removal. */
 export type Operation = { put: string; value: unknown; lease?: number } | { remove: string };
 
 /** A key with its value and the revision of its latest change. */
@@ -16,33 +16,36 @@
   revision: number;
 }
 
-/** A change of a key, in the order of revisions. */
+/** A change of a key. */
 export type Change =
   | { kind: 'put'; key: string; value: unknown; revision: number }
   | { kind: 'removed'; key: string; revision: number };
 
-/** An answer of the store that is not by the protocol. */
+/** A response of the store that violates the protocol. */
 export class MalformedMessageError extends Error {}
 
-const objectOf = (raw: unknown): Record<string, unknown> => {
+const requireObject = (raw: unknown): Record<string, unknown> => {
   if (raw === null || typeof raw !== 'object') throw new MalformedMessageError('not an object');
   return raw as Record<string, unknown>;
 };
-const revisionOf = (raw: unknown): number => {
+const requireRevision = (raw: unknown): number => {
   if (typeof raw !== 'number' || !Number.isSafeInteger(raw) || raw < 0)
     throw new MalformedMessageError('revision');
   return raw;
 };
-const stringOf = (raw: unknown): string => {
+const requireString = (raw: unknown): string => {
   if (typeof raw !== 'string') throw new MalformedMessageError('key');
   return raw;
 };
 
 /** Body of `POST /commit`: a compare-and-swap over several keys. */
-export const encodeTransaction = (guards: Precondition[], ops: Operation[]): string =>
+export const encodeTransaction = (preconditions: Precondition[], operations: Operation[]): string =>
   JSON.stringify({
-    guards: guards.map((precondition) => ({ path: precondition.key, mark: precondition.revision })),
-    apply: ops.map((operation) => {
+    guards: preconditions.map((precondition) => ({
+      path: precondition.key,
+      mark: precondition.revision,
+    })),
+    apply: operations.map((operation) => {
       if ('remove' in operation) return { remove: operation.remove };
       const put: Record<string, unknown> = { put: operation.put, data: operation.value };
       if (operation.lease !== undefined) put.loan = operation.lease;
@@ -50,71 +53,75 @@
     }),
   });
 
-/** Revision of an answer. Throws MalformedMessageError. */
-export const parseRevision = (raw: unknown): number => revisionOf(objectOf(raw).ledger);
+/** Parses the revision of a response. Throws MalformedMessageError. */
+export const parseRevision = (raw: unknown): number => requireRevision(requireObject(raw).ledger);
 
-/** Keys whose preconditions failed. Throws MalformedMessageError. */
+/** Parses the keys whose preconditions failed. Throws MalformedMessageError. */
 export function parseFailedKeys(raw: unknown): string[] {
-  const failed = objectOf(raw).failed;
-  return Array.isArray(failed) ? failed.map(stringOf) : [];
+  const failed = requireObject(raw).failed;
+  return Array.isArray(failed) ? failed.map(requireString) : [];
 }
 
-/** A key with its value. Throws MalformedMessageError. */
+/** Parses a key with its value. Throws MalformedMessageError. */
 export function parseItem(raw: unknown): KeyValue {
-  const item = objectOf(raw);
-  return { key: stringOf(item.path), value: item.data, revision: revisionOf(item.mark) };
+  const item = requireObject(raw);
+  return { key: requireString(item.path), value: item.data, revision: requireRevision(item.mark) };
 }
 
-/** A page of a listing. Throws MalformedMessageError. */
+/** Parses a page of a listing. Throws MalformedMessageError. */
 export function parsePage(raw: unknown): { items: KeyValue[]; more: boolean; revision: number } {
-  const page = objectOf(raw);
+  const page = requireObject(raw);
   if (!Array.isArray(page.items)) throw new MalformedMessageError('items');
   return {
     items: page.items.map(parseItem),
     more: page.more === true,
-    revision: revisionOf(page.ledger),
+    revision: requireRevision(page.ledger),
   };
 }
 
-/** Changes since a revision. Throws MalformedMessageError. */
+/** Parses the changes since a revision. Throws MalformedMessageError. */
 export function parseChanges(raw: unknown): { revision: number; changes: Change[] } {
-  const response = objectOf(raw);
+  const response = requireObject(raw);
   if (!Array.isArray(response.log)) throw new MalformedMessageError('log');
   return {
-    revision: revisionOf(response.ledger),
+    revision: requireRevision(response.ledger),
     changes: response.log.map((entry): Change => {
-      const change = objectOf(entry);
+      const change = requireObject(entry);
       return change.put !== undefined
         ? {
             kind: 'put',
-            key: stringOf(change.put),
+            key: requireString(change.put),
             value: change.data,
-            revision: revisionOf(change.mark),
+            revision: requireRevision(change.mark),
           }
-        : { kind: 'removed', key: stringOf(change.remove), revision: revisionOf(change.mark) };
+        : {
+            kind: 'removed',
+            key: requireString(change.remove),
+            revision: requireRevision(change.mark),
+          };
     }),
   };
 }
 
-/** Id of a granted lease. Throws MalformedMessageError. */
-export const parseLeaseId = (raw: unknown): number => revisionOf(objectOf(raw).loan);
+/** Parses the id of a granted lease. Throws MalformedMessageError. */
+export const parseLeaseId = (raw: unknown): number => requireRevision(requireObject(raw).loan);
 
 /** Path of transactions. */
 export const TRANSACTION_PATH = '/commit';
-/** Path of new leases. */
+/** Path of requests for new leases. */
 export const LEASES_PATH = '/grants';
 /** Path of a lease. */
 export const leasePath = (id: number): string => `/grants/${id}`;
-/** Path of a lease's renewals. */
+/** Path of renewals of a lease. */
 export const leaseKeepAlivePath = (id: number): string => `/grants/${id}/extend`;
-/** Body of a request for a lease that lives so many ms. */
-export const encodeLeaseTtl = (ms: number): string => JSON.stringify({ life_ms: ms });
+/** Body of a request for a lease with this time to live. */
+export const encodeLeaseTtl = (ttlMs: number): string => JSON.stringify({ life_ms: ttlMs });
 /** Path of a key. */
 export const keyPath = (key: string): string => `/keys/${key}`;
-/** Path of the page of a listing that begins after a key; empty: the first page. */
+/** Path of the page of a listing after a key; empty for the first page. */
 export const listPath = (prefix: string, after: string): string =>
   `/keys?prefix=${encodeURIComponent(prefix)}&limit=1000` +
   (after === '' ? '' : `&after=${encodeURIComponent(after)}`);
-/** Path of the changes after a revision; `waitMs`: how long to wait for one. */
+/** Path of the changes after a revision; `waitMs`: how long the store waits for a change before it answers. */
 export const changesPath = (prefix: string, after: number, waitMs: number): string =>
   `/changes?prefix=${encodeURIComponent(prefix)}&after=${after}&block_ms=${waitMs}`;
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,53 +1,53 @@
 import * as v from 'valibot';
 import { NO_DEPENDENCIES, type JobKind, type JobSpec, type Priority } from '../jobs/types.js';
 
-/** Users' messages: the only place that knows their field names. */
+/** Messages of the users' API. Only this module knows their field names. */
 
-/** How long users wait for the answer to a submission or a cancellation (protocol). */
+/** How long users wait for the response to a submission or a cancellation, in seconds (protocol). */
 export const SUBMIT_WAIT_S = 5;
 
-/** What is wrong with a message: the field and what was expected. */
+/** A malformed message. The error message names the field and what was expected. */
 export class BadMessage extends Error {}
 
 const KINDS: Record<string, JobKind> = { batch: 'array', group: 'gang', daemon: 'service' };
 const PRIORITIES: Record<string, Priority> = { critical: 0, high: 1, standard: 2, best_effort: 3 };
 
-const ID = /^wk-\d{1,18}$/;
-/** Whether this is the form of a job's id. */
-export const validId = (id: string): boolean => ID.test(id);
+const JOB_ID_PATTERN = /^wk-\d{1,18}$/;
+/** Whether a string has the format of a job id. */
+export const validId = (id: string): boolean => JOB_ID_PATTERN.test(id);
 
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const word = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
-const flag = v.boolean();
+const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
+const shortText = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
+const boolean = v.boolean();
 
-const submission = v.object({
-  ref: v.pipe(v.string(), v.regex(ID)),
-  guild: word,
-  crew: word,
+const submissionSchema = v.object({
+  ref: v.pipe(v.string(), v.regex(JOB_ID_PATTERN)),
+  guild: shortText,
+  crew: shortText,
   form: v.picklist(['batch', 'group', 'daemon']),
   rank: v.picklist(['critical', 'high', 'standard', 'best_effort']),
   pieces: v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(100_000)),
-  cores: amount,
-  gpus: amount,
-  mem_gb: amount,
-  mould: word,
-  image_gb: amount,
-  castings: v.nullish(v.pipe(v.array(word), v.maxLength(100)), null),
-  yard: v.nullish(word, null),
-  one_zone: flag,
-  scatter: flag,
-  loaner: flag,
-  reckon_s: amount,
-  stamp_s: amount,
-  stamping_s: amount,
-  due_s: v.nullish(amount, null),
-  awaits: v.nullish(v.array(v.pipe(v.string(), v.regex(ID))), null),
+  cores: nonNegative,
+  gpus: nonNegative,
+  mem_gb: nonNegative,
+  mould: shortText,
+  image_gb: nonNegative,
+  castings: v.nullish(v.pipe(v.array(shortText), v.maxLength(100)), null),
+  yard: v.nullish(shortText, null),
+  one_zone: boolean,
+  scatter: boolean,
+  loaner: boolean,
+  reckon_s: nonNegative,
+  stamp_s: nonNegative,
+  stamping_s: nonNegative,
+  due_s: v.nullish(nonNegative, null),
+  awaits: v.nullish(v.array(v.pipe(v.string(), v.regex(JOB_ID_PATTERN))), null),
 });
 
-/** The job of a submission's body. Throws BadMessage. */
+/** Parses the body of a submission. Throws BadMessage. */
 export function parseSubmission(body: Buffer): JobSpec {
   const raw = parseObject(body);
-  const result = v.safeParse(submission, raw);
+  const result = v.safeParse(submissionSchema, raw);
   if (!result.success) {
     const issue = result.issues[0];
     throw new BadMessage(`${v.getDotPath(issue) ?? 'body'}: ${issue.message}`);
@@ -81,11 +81,11 @@
   };
 }
 
-/** Whether a submission may be one that needs other jobs. False is certain. */
+/** Whether a submission may have dependencies. False means that it certainly has none. */
 export const mayHaveDependencies = (body: Buffer): boolean =>
   body.includes('"awaits"') || body.includes('\\u');
 
-/** A body's JSON object. Throws BadMessage. */
+/** Parses a body that is a JSON object. Throws BadMessage. */
 export function parseObject(body: Buffer): Record<string, unknown> {
   let raw: unknown;
   try {
@@ -99,14 +99,14 @@
   return raw as Record<string, unknown>;
 }
 
-/** The state of a job as users are told it. */
+/** The state of a job as reported to users. */
 export type ShownState = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** Answer to a submission or cancellation. */
+/** Body of the response to a submission or cancellation. */
 export const encodeAccepted = (id: string, state: ShownState): string =>
   JSON.stringify({ ref: id, temper: state });
 
-/** Answer to a poll; `done` and `running`: tasks. */
+/** Body of the response to a poll; `done` and `running` are numbers of tasks. */
 export const encodeStatus = (
   id: string,
   state: ShownState,
@@ -114,10 +114,10 @@
   running: number,
 ): string => JSON.stringify({ ref: id, temper: state, done, running });
 
-/** Answer that says what is wrong. */
+/** Body of an error response. */
 export const encodeError = (error: string): string => JSON.stringify({ error });
 
-/** Where a request goes. */
+/** The endpoint of a request. */
 export type UserRoute =
   | { to: 'submit' }
   | { to: 'poll'; id: string }
@@ -129,26 +129,27 @@
   | { to: 'wrong-method' }
   | { to: 'nowhere' };
 
-const only = (is: boolean, route: UserRoute): UserRoute => (is ? route : { to: 'wrong-method' });
+/** The route, if the request has the method that the route requires. */
+const allow = (ok: boolean, route: UserRoute): UserRoute => (ok ? route : { to: 'wrong-method' });
 
-/** Where a request goes. The workers' heartbeats share the address with the users. */
+/** Routes a request. Workers' heartbeats arrive at the same address as users' requests. */
 export function route(method: string, target: string): UserRoute {
   const query = target.indexOf('?');
   const path = query < 0 ? target : target.slice(0, query);
-  if (path === '/checkin') return only(method === 'POST', { to: 'checkin' });
-  if (path === '/ready') return only(method === 'GET', { to: 'ready' });
-  if (path === '/submissions') return only(method === 'POST', { to: 'submit' });
-  if (path === '/metrics') return only(method === 'GET', { to: 'metrics' });
+  if (path === '/checkin') return allow(method === 'POST', { to: 'checkin' });
+  if (path === '/ready') return allow(method === 'GET', { to: 'ready' });
+  if (path === '/submissions') return allow(method === 'POST', { to: 'submit' });
+  if (path === '/metrics') return allow(method === 'GET', { to: 'metrics' });
   const subsystem = /^\/subsystems\/([a-z-]+)$/.exec(path)?.[1];
   if (subsystem !== undefined) {
-    return only(method === 'GET', { to: 'subsystem', name: subsystem });
+    return allow(method === 'GET', { to: 'subsystem', name: subsystem });
   }
   const match = /^\/submissions\/([^/]+)(\/withdraw)?$/.exec(path);
   if (match !== null) {
     const id = match[1]!;
     return match[2] === undefined
-      ? only(method === 'GET', { to: 'poll', id })
-      : only(method === 'POST', { to: 'cancel', id });
+      ? allow(method === 'GET', { to: 'poll', id })
+      : allow(method === 'POST', { to: 'cancel', id });
   }
   return { to: 'nowhere' };
 }
