--- a/src/leader/scheduling/claim-limit.ts
+++ b/src/leader/scheduling/claim-limit.ts
@@ -9,14 +9,14 @@
 import type { Term } from '../term/term.js';
 
 /** A claim takes no more than so many bytes: a job's id, its attempt, the task and what is between. */
-const CLAIM_BYTES = 64;
+const MAX_CLAIM_BYTES = 64;
 /** In the dense form, one more task of a job that the record names already. */
-const DENSE_TASK_BYTES = 8;
+const MAX_DENSE_TASK_BYTES = 8;
 /** A record without claims and images takes no more than so many bytes, as a rule. */
-const FRAME_BYTES = 512;
+const BASE_BYTES = 512;
 
-interface Measured {
-  version: number;
+interface MeasuredRecord {
+  changeCount: number;
   bytes: number;
 }
 
@@ -26,10 +26,10 @@
  * that hold so many claims that it may matter, and anew only after a change.
  */
 export class ClaimLimit {
-  private readonly measured = new Map<string, Measured>();
+  private readonly measuredRecords = new Map<string, MeasuredRecord>();
   /** Machines whose bytes have to be counted. */
   private readonly nearLimit = new Set<string>();
-  private form: ClaimForm = 'plain';
+  private claimForm: ClaimForm = 'plain';
   private readonly maxBytes: number;
 
   constructor(private readonly term: Term) {
@@ -39,9 +39,9 @@
   /** A scheduling cycle begins. */
   beginCycle(): void {
     const form: ClaimForm = this.term.context.allReadDenseRecords() ? 'dense' : 'plain';
-    if (form !== this.form) this.measured.clear();
-    this.form = form;
-    if (this.measured.size > this.term.machines.size * 2) this.measured.clear();
+    if (form !== this.claimForm) this.measuredRecords.clear();
+    this.claimForm = form;
+    if (this.measuredRecords.size > this.term.machines.size * 2) this.measuredRecords.clear();
     this.nearLimit.clear();
     for (const machine of this.term.machines.values()) this.noteClaimed(machine);
   }
@@ -56,23 +56,23 @@
     // Asked for each job and machine of each scheduling cycle: as a rule this is all.
     if (this.nearLimit.size === 0 && !job.isGang) return true;
     const machine = this.term.machines.get(capacity.id)!;
-    const held = machine.attempts.size;
-    const more = job.isGang ? tasksThatFit(job, capacity) : 1;
-    if (held === 0 || this.certainlyFits(held + more)) return true;
-    if (held + more > MAX_REPORTED_TASKS) return false;
-    const eachMore = this.form === 'dense' ? DENSE_TASK_BYTES : CLAIM_BYTES;
-    return this.bytes(machine) + CLAIM_BYTES + (more - 1) * eachMore <= this.maxBytes;
+    const claimCount = machine.attempts.size;
+    const added = job.isGang ? tasksThatFit(job, capacity) : 1;
+    if (claimCount === 0 || this.certainlyFits(claimCount + added)) return true;
+    if (claimCount + added > MAX_REPORTED_TASKS) return false;
+    const bytesEach = this.claimForm === 'dense' ? MAX_DENSE_TASK_BYTES : MAX_CLAIM_BYTES;
+    return this.recordBytes(machine) + MAX_CLAIM_BYTES + (added - 1) * bytesEach <= this.maxBytes;
   }
 
   private certainlyFits(claims: number): boolean {
-    return claims <= MAX_REPORTED_TASKS && FRAME_BYTES + claims * CLAIM_BYTES <= this.maxBytes;
+    return claims <= MAX_REPORTED_TASKS && BASE_BYTES + claims * MAX_CLAIM_BYTES <= this.maxBytes;
   }
 
-  private bytes(machine: Machine): number {
-    const known = this.measured.get(machine.id);
-    if (known?.version === machine.changeCount) return known.bytes;
-    const bytes = bytesWithoutImages(machineRecord(this.term, machine), this.form);
-    this.measured.set(machine.id, { version: machine.changeCount, bytes });
+  private recordBytes(machine: Machine): number {
+    const cached = this.measuredRecords.get(machine.id);
+    if (cached?.changeCount === machine.changeCount) return cached.bytes;
+    const bytes = bytesWithoutImages(machineRecord(this.term, machine), this.claimForm);
+    this.measuredRecords.set(machine.id, { changeCount: machine.changeCount, bytes });
     return bytes;
   }
 }
--- a/src/leader/scheduling/cycle-context.ts
+++ b/src/leader/scheduling/cycle-context.ts
@@ -32,15 +32,15 @@
   /** Tasks that were placed. */
   placed: number;
   /** Tasks that may start but fit nowhere. */
-  short: number;
+  unplaced: number;
 }
 
 /** Tasks of a job in each zone, counted for as long as they may be on a machine. */
-export function zonesOf(term: Term, job: LiveJob): Map<string, number> {
-  const zones = new Map<string, number>();
+export function taskCountsByZone(term: Term, job: LiveJob): Map<string, number> {
+  const counts = new Map<string, number>();
   for (const attempt of job.activeAttempts()) {
     const zone = term.machines.get(attempt.machine)?.zone;
-    if (zone !== undefined) zones.set(zone, (zones.get(zone) ?? 0) + 1);
+    if (zone !== undefined) counts.set(zone, (counts.get(zone) ?? 0) + 1);
   }
-  return zones;
+  return counts;
 }
--- a/src/leader/scheduling/cycle-pacing.ts
+++ b/src/leader/scheduling/cycle-pacing.ts
@@ -7,7 +7,7 @@
  * The longest pause between two passes, in leases. By the share of time alone that scheduling cycles may take on a late
  * leader, the next one came eighteen seconds after one of a second, the first after all controllers had ended.
  */
-const MAX_PAUSE_LEASES = 0.3;
+const MAX_CYCLE_PAUSE_LEASES = 0.3;
 
 /** What a `CyclePacing` works with. */
 export interface CyclePacingOptions {
@@ -26,7 +26,7 @@
   /** A scheduling cycle has ended. Times in seconds of the clock. */
   cycleEnded(began: number, end: number): void {
     const pauseS = (end - began) * (1 / this.options.overload.cycleShare - 1);
-    const longestS = this.options.leaseS * MAX_PAUSE_LEASES;
-    this.nextAt = Math.max(began + MIN_CYCLE_GAP_S, end + Math.min(longestS, pauseS));
+    const maxPauseS = this.options.leaseS * MAX_CYCLE_PAUSE_LEASES;
+    this.nextAt = Math.max(began + MIN_CYCLE_GAP_S, end + Math.min(maxPauseS, pauseS));
   }
 }
--- a/src/leader/scheduling/gang-reservations.ts
+++ b/src/leader/scheduling/gang-reservations.ts
@@ -8,7 +8,7 @@
 import type { Term } from '../term/term.js';
 
 /** A gang that has waited for so many leases gets machines reserved. */
-const RESERVE_LEASES = 3;
+const RESERVE_AFTER_LEASES = 3;
 
 interface Reservation {
   job: LiveJob;
@@ -54,8 +54,8 @@
   private isStillWanted(starved: LiveJob[], capacities: FreeCapacity[]): boolean {
     const { reservation } = this;
     if (reservation === null) return false;
-    const there = capacities.filter((capacity) => reservation.machines.has(capacity.id));
-    return there.length === reservation.machines.size && starved.includes(reservation.job);
+    const reserved = capacities.filter((capacity) => reservation.machines.has(capacity.id));
+    return reserved.length === reservation.machines.size && starved.includes(reservation.job);
   }
 
   private reservable(capacities: FreeCapacity[]): ReservableMachine[] {
@@ -67,7 +67,10 @@
 
   private isStarved(job: LiveJob, usages: TeamUsages): boolean {
     const { now, context } = this.term;
-    if (!job.isGang || now - job.readySince < context.settings.workers.lease_s * RESERVE_LEASES) {
+    if (
+      !job.isGang ||
+      now - job.readySince < context.settings.workers.lease_s * RESERVE_AFTER_LEASES
+    ) {
       return false;
     }
     const { spec } = job;
--- a/src/leader/scheduling/job-queue.ts
+++ b/src/leader/scheduling/job-queue.ts
@@ -73,8 +73,8 @@
   /** Whether it may end too late if it waits for a machine to boot first. Without a deadline: always. */
   private isUrgent({ spec }: LiveJob, { latestEndMs }: DownstreamPath): boolean {
     const { timeOfDay, slowestBootS } = this.term;
-    const leftS = (latestEndMs - timeOfDay.nowMs()) / 1000;
-    return latestEndMs === Infinity || leftS < spec.estimateS * ESTIMATE_ERROR + slowestBootS;
+    const remainingS = (latestEndMs - timeOfDay.nowMs()) / 1000;
+    return latestEndMs === Infinity || remainingS < spec.estimateS * ESTIMATE_ERROR + slowestBootS;
   }
 
   /** Ranks open jobs that have tasks to start. */
@@ -82,27 +82,29 @@
     const { policy, replica } = this.term.context;
     // Most fleets have no pipelines at most times, and scheduling cycles are many.
     const noPipelines = replica.dependencies.isEmpty;
-    const asReady = noPipelines
+    const rankInputOf = noPipelines
       ? withoutSuccessors
       : (job: LiveJob): RankInput => this.rankInput(job);
-    const open: LiveJob[] = [];
+    const openJobs: LiveJob[] = [];
     for (const job of this.term.jobs.values()) {
       if (job.phase !== 'active') continue;
       if (!noPipelines || job.spec !== job.storedJob.spec) this.inheritPriority(job);
-      open.push(job);
+      openJobs.push(job);
     }
-    const finite = open.filter((job) => job.spec.kind !== 'service');
-    const remainings = finite.map((job) => remainingTimeS(asReady(job), policy));
-    this.longJobs.update(remainings, policy, now);
-    finite.forEach((job, i) => (job.isLong = this.longJobs.isLong(remainings[i]!, job.isLong)));
-    this.markGuaranteed(open);
-    const waiting = open.filter((job) => job.pendingTaskCount > 0);
+    const finiteJobs = openJobs.filter((job) => job.spec.kind !== 'service');
+    const remainingTimesS = finiteJobs.map((job) => remainingTimeS(rankInputOf(job), policy));
+    this.longJobs.update(remainingTimesS, policy, now);
+    finiteJobs.forEach(
+      (job, i) => (job.isLong = this.longJobs.isLong(remainingTimesS[i]!, job.isLong)),
+    );
+    this.markGuaranteed(openJobs);
+    const waitingJobs = openJobs.filter((job) => job.pendingTaskCount > 0);
     const jobScores = scores(
-      waiting.map(asReady),
-      waiting.map((job) => job.isLong),
+      waitingJobs.map(rankInputOf),
+      waitingJobs.map((job) => job.isLong),
       policy,
     );
-    const order = waiting.map((job, i) => {
+    const order = waitingJobs.map((job, i) => {
       job.score = jobScores[i]!;
       const { isGuaranteed, score, readyAt } = job;
       return { job, priority: job.spec.priority, guaranteed: isGuaranteed, score, readyAt };
@@ -114,14 +116,14 @@
    * A job is guaranteed when it fits with its team's earlier unfinished jobs into the guarantee. A
    * term's jobs are kept in the order of their acceptance.
    */
-  private markGuaranteed(open: LiveJob[]): void {
-    const sums = new Map<string, { cores: number; gpus: number }>();
-    for (const job of open) {
+  private markGuaranteed(openJobs: LiveJob[]): void {
+    const sumsByTeam = new Map<string, { cores: number; gpus: number }>();
+    for (const job of openJobs) {
       const team = this.term.context.settings.teams.get(job.spec.team);
       job.isGuaranteed = false;
       if (team === undefined || (team.cores <= 0 && team.gpus <= 0)) continue;
-      let sum = sums.get(team.name);
-      if (sum === undefined) sums.set(team.name, (sum = { cores: 0, gpus: 0 }));
+      let sum = sumsByTeam.get(team.name);
+      if (sum === undefined) sumsByTeam.set(team.name, (sum = { cores: 0, gpus: 0 }));
       sum.cores += job.spec.cores * job.spec.tasks;
       sum.gpus += job.spec.gpus * job.spec.tasks;
       job.isGuaranteed = isWithinLimit(sum.cores, team.cores) && isWithinLimit(sum.gpus, team.gpus);
--- a/src/leader/scheduling/long-work-share.ts
+++ b/src/leader/scheduling/long-work-share.ts
@@ -8,10 +8,10 @@
 import type { LongWorkShares, MachineFilter, CycleContext } from './cycle-context.js';
 import type { Term } from '../term/term.js';
 
-const NOTHING_TO_COUNT = (): void => undefined;
+const NO_ACCOUNTING = (): void => undefined;
 
 /** Where a job may be placed beside long work. */
-export interface SharedUse {
+export interface LongWorkFilter {
   mayUse: MachineFilter;
   /** Counts what the job itself takes. */
   noteAllocated: (capacity: FreeCapacity) => void;
@@ -33,8 +33,8 @@
   return (priority) => {
     let shares = byPriority.get(priority);
     if (shares === undefined) {
-      const long = [...startable].filter(([job]) => job.spec.priority <= priority);
-      shares = sharesFor(long, capacities, term.context.policy.rho);
+      const longJobs = [...startable].filter(([job]) => job.spec.priority <= priority);
+      shares = sharesFor(longJobs, capacities, term.context.policy.rho);
       byPriority.set(priority, shares);
     }
     return shares;
@@ -52,56 +52,57 @@
 }
 
 function sharesFor(
-  long: [LiveJob, number][],
+  longJobs: [LiveJob, number][],
   capacities: FreeCapacity[],
   rho: number,
 ): Map<string, number> {
   const shares = new Map<string, number>();
-  if (long.length === 0) return shares;
-  const wholes = new Map<string, number>();
+  if (longJobs.length === 0) return shares;
+  const unitsByType = new Map<string, number>();
   for (const capacity of capacities)
-    wholes.set(capacity.type, (wholes.get(capacity.type) ?? 0) + unitsOf(capacity.total));
-  for (const [type, whole] of wholes) {
-    const share = reservedForLongWork(whole, rho, wantedUnits(type, whole, long));
+    unitsByType.set(capacity.type, (unitsByType.get(capacity.type) ?? 0) + unitsOf(capacity.total));
+  for (const [type, typeUnits] of unitsByType) {
+    const share = reservedForLongWork(typeUnits, rho, wantedUnits(type, typeUnits, longJobs));
     if (share > 0) shares.set(type, share);
   }
   return shares;
 }
 
-function wantedUnits(type: string, whole: number, long: [LiveJob, number][]): number {
+function wantedUnits(type: string, typeUnits: number, longJobs: [LiveJob, number][]): number {
   let wanted = 0;
-  for (const [{ spec }, tasks] of long) {
+  for (const [{ spec }, tasks] of longJobs) {
     if (spec.types !== null && !spec.types.includes(type)) continue;
-    wanted += unitsOf(spec) * Math.min(tasks, whole / Math.max(unitsOf(spec), 1e-9));
+    wanted += unitsOf(spec) * Math.min(tasks, typeUnits / Math.max(unitsOf(spec), 1e-9));
   }
   return wanted;
 }
 
 /** GPUs or, on a machine without any, cores. */
-const unitsOn = (capacity: FreeCapacity, size: Resources): number =>
-  capacity.total.gpus > 0 ? size.gpus : size.cores;
+const unitsOn = (capacity: FreeCapacity, resources: Resources): number =>
+  capacity.total.gpus > 0 ? resources.gpus : resources.cores;
 
 /** The machines out of those it may use on which a job leaves the share that is held for long work. */
-export function sharedWithLongWork(
+export function longWorkFilter(
   job: LiveJob,
   cycle: CycleContext,
   mayUse: MachineFilter,
-): SharedUse {
+): LongWorkFilter {
   const exempt = job.isLong || job.spec.kind === 'service' || job.isGuaranteed;
-  if (exempt) return { mayUse: mayUse, noteAllocated: NOTHING_TO_COUNT };
+  if (exempt) return { mayUse: mayUse, noteAllocated: NO_ACCOUNTING };
   const shares = cycle.longWorkShares(job.spec.priority);
-  if (shares.size === 0) return { mayUse: mayUse, noteAllocated: NOTHING_TO_COUNT };
+  if (shares.size === 0) return { mayUse: mayUse, noteAllocated: NO_ACCOUNTING };
   const free = new Map<string, number>();
   for (const capacity of cycle.capacities) {
     if (shares.has(capacity.type) && mayUse(capacity))
       free.set(capacity.type, (free.get(capacity.type) ?? 0) + unitsOn(capacity, capacity));
   }
-  const need = unitsOf(job.spec);
+  const taskUnits = unitsOf(job.spec);
   return {
     mayUse: (capacity) => {
       const share = shares.get(capacity.type);
       return (
-        mayUse(capacity) && (share === undefined || (free.get(capacity.type) ?? 0) - need >= share)
+        mayUse(capacity) &&
+        (share === undefined || (free.get(capacity.type) ?? 0) - taskUnits >= share)
       );
     },
     noteAllocated: (capacity) =>
--- a/src/leader/scheduling/machine-eligibility.ts
+++ b/src/leader/scheduling/machine-eligibility.ts
@@ -12,8 +12,8 @@
 import type { Term } from '../term/term.js';
 
 /** A machine that has sent no heartbeat for so many intervals gets nothing new. */
-const RECENT_HEARTBEATS = 2.5;
-const ANY: MachineFilter = () => true;
+const MAX_HEARTBEAT_AGE_INTERVALS = 2.5;
+const ANY_MACHINE: MachineFilter = () => true;
 
 /** Whether anything new may go to a machine now. */
 export function acceptsNewWork(term: Term, machine: Machine): boolean {
@@ -26,7 +26,7 @@
     machine.drainingSince === null &&
     // Not by answers to direct commands: a worker that reaches no controller gives those too, while
     // its lease expires.
-    now - machine.heartbeatAt < report_s * RECENT_HEARTBEATS &&
+    now - machine.heartbeatAt < report_s * MAX_HEARTBEAT_AGE_INTERVALS &&
     now >= machine.condition.cordonedUntil
   );
 }
@@ -48,9 +48,9 @@
 /** Keeps reserved machines, records that are full and the warm capacity from jobs, pass by pass. */
 export class MachineEligibility {
   /** Free capacity beyond what is kept warm, on ordinary and on spot machines; in machines. */
-  private readonly excess = new Map<boolean, number>();
+  private readonly excessByKind = new Map<boolean, number>();
   /** Answers of `spotShort` within a scheduling cycle. */
-  private readonly shortTypes = new Map<string, boolean>();
+  private readonly spotShortageByType = new Map<string, boolean>();
 
   private readonly claimLimit: ClaimLimit;
 
@@ -62,15 +62,15 @@
   beginCycle(capacities: FreeCapacity[]): void {
     this.claimLimit.beginCycle();
     for (const spot of [false, true]) {
-      this.excess.set(spot, freeMachines(capacities, spot) - this.options.warmTarget(spot));
+      this.excessByKind.set(spot, freeMachines(capacities, spot) - this.options.warmTarget(spot));
     }
-    this.shortTypes.clear();
+    this.spotShortageByType.clear();
   }
 
   /** Counts what was taken of a machine of which so much was free before. */
   noteAllocated(capacity: FreeCapacity, freeShareBefore: number): void {
-    const excess = this.excess.get(capacity.spot)!;
-    this.excess.set(capacity.spot, excess + freeShare(capacity) - freeShareBefore);
+    const excess = this.excessByKind.get(capacity.spot)!;
+    this.excessByKind.set(capacity.spot, excess + freeShare(capacity) - freeShareBefore);
   }
 
   /** A claim was added to a machine. */
@@ -81,11 +81,11 @@
   /** The machines a job may use, whatever is held for long work. */
   filterFor(job: LiveJob): MachineFilter {
     const { reservations, subsystems } = this.options;
-    const leavesWarm = this.sparesWarmReserve(job);
+    const leavesWarmReserve = this.warmReserveFilter(job);
     return (capacity) =>
       !reservations.isReservedFrom(job, capacity.id) &&
       this.claimLimit.allows(job, capacity) &&
-      leavesWarm(capacity) &&
+      leavesWarmReserve(capacity) &&
       (!subsystems.hasAny || subsystems.mayUse(job.spec, capacity));
   }
 
@@ -95,28 +95,29 @@
    * could be given back does. The capacity that is kept warm is left alone on both kinds: gangs that
    * found it full of arrays waited until those had saved, which took longer than they may wait.
    */
-  private sparesWarmReserve(job: LiveJob): MachineFilter {
-    if (job.spec.priority < 3 || !job.spec.spot) return ANY;
+  private warmReserveFilter(job: LiveJob): MachineFilter {
+    if (job.spec.priority < 3 || !job.spec.spot) return ANY_MACHINE;
     const { gpus } = job.spec;
     // What leaves at once when others come may use even the capacity that is kept for them.
-    const soft = this.options.stopsQuickly(job.spec);
+    const stopsQuickly = this.options.stopsQuickly(job.spec);
     return (capacity) => {
-      const beyond =
-        soft || this.excess.get(capacity.spot)! >= gpus / Math.max(1, capacity.total.gpus);
-      if (capacity.spot) return beyond || job.isGuaranteed;
+      const isBeyondReserve =
+        stopsQuickly ||
+        this.excessByKind.get(capacity.spot)! >= gpus / Math.max(1, capacity.total.gpus);
+      if (capacity.spot) return isBeyondReserve || job.isGuaranteed;
       return (
         this.isSpotShort(capacity.type) ||
-        (beyond && this.options.freeCapacities.hasImportantWork(capacity.id))
+        (isBeyondReserve && this.options.freeCapacities.hasImportantWork(capacity.id))
       );
     };
   }
 
   private isSpotShort(type: string): boolean {
-    let short = this.shortTypes.get(type);
-    if (short === undefined) {
-      short = this.options.isSpotShort(type);
-      this.shortTypes.set(type, short);
+    let isShort = this.spotShortageByType.get(type);
+    if (isShort === undefined) {
+      isShort = this.options.isSpotShort(type);
+      this.spotShortageByType.set(type, isShort);
     }
-    return short;
+    return isShort;
   }
 }
--- a/src/leader/scheduling/preemption-candidates.ts
+++ b/src/leader/scheduling/preemption-candidates.ts
@@ -23,7 +23,7 @@
   /** What is being stopped there. Together with what is free: capacity that is there or on its way. */
   stopping: Resources;
   /** Seconds until that is gone. */
-  stoppingS: number;
+  stoppedInS: number;
   victims: VictimTask[];
   /** The least important priority among the victims; -1: there are none. */
   lowestPriority: number;
@@ -39,7 +39,7 @@
   const candidate: PreemptionCandidate = {
     capacity,
     stopping: { cores: 0, gpus: 0, memGb: 0 },
-    stoppingS: 0,
+    stoppedInS: 0,
     victims: [],
     lowestPriority: -1,
   };
@@ -47,10 +47,10 @@
     if (!occupiesCapacity(attempt)) continue;
     const job = term.jobs.get(attempt.job);
     if (job === undefined) continue;
-    const goneS = secondsUntilGone(job, attempt, now, subsystems);
-    if (goneS !== null) {
+    const stoppedInS = secondsUntilStopped(job, attempt, now, subsystems);
+    if (stoppedInS !== null) {
       release(job.spec, candidate.stopping);
-      candidate.stoppingS = Math.max(candidate.stoppingS, goneS);
+      candidate.stoppedInS = Math.max(candidate.stoppedInS, stoppedInS);
       continue;
     }
     const { state } = attempt;
@@ -62,7 +62,7 @@
 }
 
 /** Null: it was not told to stop, and is not about to be. */
-function secondsUntilGone(
+function secondsUntilStopped(
   job: LiveJob,
   attempt: Attempt,
   now: number,
@@ -75,14 +75,14 @@
 
 function victimTask(job: LiveJob, attempt: Attempt, now: number): VictimTask {
   const { spec } = job;
-  const ranS = attempt.startedAt === null ? 0 : now - attempt.startedAt;
-  const saves = spec.checkpointS > 0;
+  const runS = attempt.startedAt === null ? 0 : now - attempt.startedAt;
+  const savesCheckpoints = spec.checkpointS > 0;
   return {
     id: `${attempt.job}/${attempt.index}#${attempt.number}`,
     group: job.isGang ? attempt.job : `${attempt.job}/${attempt.index}`,
     lossS: 0,
-    saveS: saves ? spec.saveS : 0,
-    unsavedS: saves ? ranS % spec.checkpointS : ranS,
+    saveS: savesCheckpoints ? spec.saveS : 0,
+    unsavedS: savesCheckpoints ? runS % spec.checkpointS : runS,
     cores: spec.cores,
     gpus: spec.gpus,
     memGb: spec.memGb,
--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -24,7 +24,7 @@
 } from './preemption-candidates.js';
 import type { Term } from '../term/term.js';
 
-interface OpenCandidate extends OccupiedMachine {
+interface PlacementOption extends OccupiedMachine {
   candidate: PreemptionCandidate;
   delayS: number;
   /** How its victims are stopped. */
@@ -34,12 +34,12 @@
 
 /** A machine on which tasks are stopped for the job. */
 interface PreemptionChoice {
-  place: OpenCandidate;
+  option: PlacementOption;
   victims: VictimTask[];
 }
 
 /** Sets work of one priority apart from that of the next, whatever it loses. */
-const PRIORITY_TIER = 1e6;
+const PRIORITY_TIER_S = 1e6;
 /** A start that is late for its class counts as so many seconds, whatever its wait. */
 const LATE_PENALTY_S = 1e3;
 /** What the greatest harm that subsystems see counts for: less than a late start. */
@@ -60,13 +60,13 @@
   ) {}
 
   /** What stopping a task costs. Lower-priority work first; within it what loses least. */
-  private withCost(borrower: LiveJob, victim: VictimTask, how: PreemptionMode): VictimTask {
+  private withCost(preemptingJob: LiveJob, victim: VictimTask, mode: PreemptionMode): VictimTask {
     const { job } = victim;
-    const saves = job.spec.checkpointS > 0 && how !== 'immediate';
+    const saves = job.spec.checkpointS > 0 && mode !== 'immediate';
     const lossS = (saves ? victim.saveS : victim.unsavedS) * (job.isGang ? job.spec.tasks : 1);
     const harmS =
-      this.subsystems.preemptionHarm(borrower, victim, how !== 'immediate') * MAX_HARM_S;
-    return { ...victim, lossS: lossS + harmS + (3 - job.spec.priority) * PRIORITY_TIER };
+      this.subsystems.preemptionHarm(preemptingJob, victim, mode !== 'immediate') * MAX_HARM_S;
+    return { ...victim, lossS: lossS + harmS + (3 - job.spec.priority) * PRIORITY_TIER_S };
   }
 
   private mayPreempt(job: LiveJob, victim: LiveJob): boolean {
@@ -95,56 +95,61 @@
     tasks: number,
     zones: Map<string, number>,
     mayUse: (capacity: FreeCapacity) => boolean,
-    inTime = false,
+    onlyInTime = false,
   ): number {
-    const open = this.openCandidates(job, mayUse, inTime);
-    const { places, chosen } = choosePlaces(job, open, tasks, zones);
-    this.logPlan(job, tasks, places, chosen, inTime);
+    const options = this.placementOptions(job, mayUse, onlyInTime);
+    const { places: chosenOptions, chosen: preemptions } = chooseOptions(
+      job,
+      options,
+      tasks,
+      zones,
+    );
+    this.logPlan(job, tasks, chosenOptions, preemptions, onlyInTime);
     // A gang gains nothing from capacity for some of its tasks.
-    if (job.isGang && places.length < tasks) return tasks;
-    for (const choice of chosen) this.preempt(job, choice);
+    if (job.isGang && chosenOptions.length < tasks) return tasks;
+    for (const choice of preemptions) this.preempt(job, choice);
     // A gang of several was once passed over for a minute and more: as soon as one of its places was
     // free, lower-priority work took it, while the others were still being made.
-    for (const { candidate } of places) allocate(job.spec, candidate.capacity);
-    return tasks - places.length;
+    for (const { candidate } of chosenOptions) allocate(job.spec, candidate.capacity);
+    return tasks - chosenOptions.length;
   }
 
   /** Machines on which a task of the job could start, now or once something there has stopped. */
-  private openCandidates(
+  private placementOptions(
     job: LiveJob,
     mayUse: (capacity: FreeCapacity) => boolean,
-    inTime: boolean,
-  ): OpenCandidate[] {
+    onlyInTime: boolean,
+  ): PlacementOption[] {
     this.candidates ??= this.capacities.map((capacity) =>
       preemptionCandidate(this.term, capacity, this.subsystems),
     );
-    const leftS = this.leftS(job);
-    const open: OpenCandidate[] = [];
+    const remainingS = this.remainingS(job);
+    const options: PlacementOption[] = [];
     for (const candidate of this.candidates) {
       const { capacity } = candidate;
       if (!isAllowedOn(job.spec, capacity) || !mayUse(capacity)) continue;
-      const entry = this.openCandidate(job, candidate, leftS, inTime);
-      if (entry === null) continue;
-      if (entry.victims.length === 0 && !fits(job.spec, entry)) continue;
-      open.push(entry);
+      const option = this.placementOption(job, candidate, remainingS, onlyInTime);
+      if (option === null) continue;
+      if (option.victims.length === 0 && !fits(job.spec, option)) continue;
+      options.push(option);
     }
-    return open;
+    return options;
   }
 
   /** Seconds within which a task should be told to start; null: its class has no objective left. */
-  private leftS(job: LiveJob): number | null {
+  private remainingS(job: LiveJob): number | null {
     const ageS = this.term.now - job.readySince;
     const targetS = this.startObjectives.nextTargetS(job.spec.class, ageS);
     return targetS === null ? null : targetS - ageS - COMMAND_LATENCY_S;
   }
 
   /** Null: a start there is too late, and only those in time are wanted. */
-  private openCandidate(
+  private placementOption(
     job: LiveJob,
     candidate: PreemptionCandidate,
-    leftS: number | null,
-    inTime: boolean,
-  ): OpenCandidate | null {
+    remainingS: number | null,
+    onlyInTime: boolean,
+  ): PlacementOption | null {
     const { spec } = job;
     const { capacity, stopping } = candidate;
     const { id, type, zone, spot } = capacity;
@@ -152,8 +157,8 @@
     const imageS =
       capacity.imageDelayS(spec.image, spec.imageGb) * this.term.fetchTimes.safetyFactor;
     const saveS = victims.reduce((most, victim) => Math.max(most, victim.saveS), 0);
-    const mode = preemptionMode(leftS, saveS, imageS + candidate.stoppingS);
-    if (inTime && mode === 'too-late') return null;
+    const mode = preemptionMode(remainingS, saveS, imageS + candidate.stoppedInS);
+    if (onlyInTime && mode === 'too-late') return null;
     return {
       id,
       type,
@@ -179,35 +184,48 @@
   private logPlan(
     job: LiveJob,
     tasks: number,
-    places: OpenCandidate[],
-    chosen: PreemptionChoice[],
-    inTime: boolean,
+    chosenOptions: PlacementOption[],
+    preemptions: PreemptionChoice[],
+    onlyInTime: boolean,
   ): void {
     const { log } = this.term.context;
     if (!log.isLevelEnabled('debug')) return;
     const { id, class: jobClass } = job.spec;
     const ageS = this.term.now - job.readySince;
-    const stopped = chosen.flatMap(({ victims }) => victims.map((victim) => victim.id));
-    const modes = [...new Set(places.map(({ mode }) => mode))];
+    const stopped = preemptions.flatMap(({ victims }) => victims.map((victim) => victim.id));
+    const modes = [...new Set(chosenOptions.map(({ mode }) => mode))];
     log.debug(
-      { job: id, class: jobClass, tasks, places: places.length, stopped, modes, inTime, ageS },
+      {
+        job: id,
+        class: jobClass,
+        tasks,
+        places: chosenOptions.length,
+        stopped,
+        modes,
+        inTime: onlyInTime,
+        ageS,
+      },
       'preemption planned',
     );
   }
 
-  private preempt(job: LiveJob, { place, victims }: PreemptionChoice): void {
-    const { candidate } = place;
-    const saves = place.mode !== 'immediate';
+  private preempt(job: LiveJob, { option: option, victims }: PreemptionChoice): void {
+    const { candidate } = option;
+    const saves = option.mode !== 'immediate';
     const carryOut = (): boolean => this.carryOut(job, victims, saves);
-    this.subsystems.preempt({ machine: place.id, borrower: job, victims, saves, carryOut });
+    this.subsystems.preempt({ machine: option.id, borrower: job, victims, saves, carryOut });
     for (const victim of victims) release(victim, candidate.stopping);
-    const gone = new Set(victims.map((victim) => victim.id));
-    candidate.victims = candidate.victims.filter((victim) => !gone.has(victim.id));
+    const stoppedIds = new Set(victims.map((victim) => victim.id));
+    candidate.victims = candidate.victims.filter((victim) => !stoppedIds.has(victim.id));
   }
 
   /** Stops what is still there, unless the job that wanted the capacity is over or has a place by now. */
-  private carryOut(borrower: LiveJob, victims: readonly VictimTask[], saves: boolean): boolean {
-    if (borrower.phase !== 'active' || borrower.pendingTaskCount === 0) return false;
+  private carryOut(
+    preemptingJob: LiveJob,
+    victims: readonly VictimTask[],
+    saves: boolean,
+  ): boolean {
+    if (preemptingJob.phase !== 'active' || preemptingJob.pendingTaskCount === 0) return false;
     for (const { job, attempt } of victims) {
       // Stopping one task of a gang stops all that it runs by now: not for a task that is gone.
       if (!occupiesCapacity(attempt) || attempt.stopRequest !== null) continue;
@@ -222,38 +240,38 @@
  * Places for tasks: what is being freed already comes first, then the cheapest preemption. `zones` counts
  * the job's tasks and grows with each place.
  */
-function choosePlaces(
+function chooseOptions(
   { spec }: LiveJob,
-  open: OpenCandidate[],
+  options: PlacementOption[],
   tasks: number,
   zones: Map<string, number>,
-): { places: OpenCandidate[]; chosen: PreemptionChoice[] } {
+): { places: PlacementOption[]; chosen: PreemptionChoice[] } {
   const chosen: PreemptionChoice[] = [];
-  const places: OpenCandidate[] = [];
+  const places: PlacementOption[] = [];
   while (places.length < tasks) {
-    let place = soonestFit(spec, open, zones);
-    if (place === null) {
-      const choice = cheapestChoice(spec, open, zones);
+    let option = soonestFit(spec, options, zones);
+    if (option === null) {
+      const choice = cheapestChoice(spec, options, zones);
       if (choice === null) break;
       chosen.push(choice);
-      ({ place } = choice);
+      ({ option: option } = choice);
     }
-    allocate(spec, place);
-    zones.set(place.zone, (zones.get(place.zone) ?? 0) + 1);
-    places.push(place);
+    allocate(spec, option);
+    zones.set(option.zone, (zones.get(option.zone) ?? 0) + 1);
+    places.push(option);
   }
   return { places, chosen };
 }
 
 function soonestFit(
   spec: JobSpec,
-  open: OpenCandidate[],
+  options: PlacementOption[],
   zones: Map<string, number>,
-): OpenCandidate | null {
-  let soonest: OpenCandidate | null = null;
-  for (const place of open) {
-    if (!fits(spec, place) || !isZoneAllowed(spec, place.zone, zones)) continue;
-    if (soonest === null || place.delayS < soonest.delayS) soonest = place;
+): PlacementOption | null {
+  let soonest: PlacementOption | null = null;
+  for (const option of options) {
+    if (!fits(spec, option) || !isZoneAllowed(spec, option.zone, zones)) continue;
+    if (soonest === null || option.delayS < soonest.delayS) soonest = option;
   }
   return soonest;
 }
@@ -261,16 +279,16 @@
 /** The victims leave their machine, as far as the places that are still open go. */
 function cheapestChoice(
   spec: JobSpec,
-  open: OpenCandidate[],
+  options: PlacementOption[],
   zones: Map<string, number>,
 ): PreemptionChoice | null {
-  const plan = cheapestPreemption(spec, open, zones);
+  const plan = cheapestPreemption(spec, options, zones);
   if (plan === null) return null;
-  const place = open.find(({ id }) => id === plan.machine)!;
+  const option = options.find(({ id }) => id === plan.machine)!;
   const victims = plan.victims as VictimTask[];
   for (const victim of victims) {
-    release(victim, place);
-    place.victims.splice(place.victims.indexOf(victim), 1);
+    release(victim, option);
+    option.victims.splice(option.victims.indexOf(victim), 1);
   }
-  return { place, victims };
+  return { option: option, victims };
 }
--- a/src/leader/scheduling/replica-migrations.ts
+++ b/src/leader/scheduling/replica-migrations.ts
@@ -17,15 +17,15 @@
 
 /** Of a class's replicas, the share that may move within `MOVE_LEASES` leases. */
 const MIGRATION_SHARE = 0.12;
-const MIGRATION_LEASES = 3;
+const MIGRATION_WINDOW_LEASES = 3;
 /** One that is asked for by itself may move also where the share is less than a whole replica. */
 const MIN_MIGRATIONS = 1;
 /** Replicas that ran for so many leases are steady enough to be moved. */
-const STEADY_LEASES = 4;
+const MIN_RUN_LEASES = 4;
 /** For how many heartbeat intervals a place is kept for a replica on its way. */
-const RESERVED_HEARTBEATS = 2;
+const RESERVATION_HEARTBEATS = 2;
 /** The same for one that is moved by itself: it must not come back to where it was asked to leave. */
-const RESERVED_ALONE_HEARTBEATS = 6;
+const SINGLE_RESERVATION_HEARTBEATS = 6;
 
 /** Where a replica may be moved to. */
 export interface MigrationSearch {
@@ -39,11 +39,11 @@
 /** Draining machines: which replicas move, and the places that are kept for them. */
 export class ReplicaMigrations {
   private readonly reservations = new Map<string, { to: string; until: number }>();
-  private readonly recent: { at: number; class: string }[] = [];
+  private readonly recentMigrations: { at: number; class: string }[] = [];
 
   constructor(
     private readonly term: Term,
-    private readonly zonesOf: (job: LiveJob) => Map<string, number>,
+    private readonly taskCountsByZone: (job: LiveJob) => Map<string, number>,
   ) {}
 
   /** Moved replicas go to the places that were found for them, before anything else is placed. */
@@ -56,17 +56,20 @@
     if (this.reservations.size === 0) return 0;
     const byId = new Map(capacities.map((capacity) => [capacity.id, capacity]));
     let placed = 0;
-    for (const [key, b] of [...this.reservations]) {
+    for (const [key, reservation] of [...this.reservations]) {
       const { job: id, index } = parseTaskName(key);
       const job = this.term.jobs.get(id);
-      const capacity = byId.get(b.to);
-      if (job === undefined || job.phase !== 'active' || now > b.until) {
+      const capacity = byId.get(reservation.to);
+      if (job === undefined || job.phase !== 'active' || now > reservation.until) {
         this.reservations.delete(key);
         continue;
       }
       if (capacity === undefined || !job.pendingTasks(now, job.spec.tasks).includes(index))
         continue;
-      if (!fits(job.spec, capacity) || !isZoneAllowed(job.spec, capacity.zone, this.zonesOf(job)))
+      if (
+        !fits(job.spec, capacity) ||
+        !isZoneAllowed(job.spec, capacity.zone, this.taskCountsByZone(job))
+      )
         continue;
       if (!usages.allows(job.spec, 1)) continue;
       this.reservations.delete(key);
@@ -76,9 +79,9 @@
       placed++;
     }
     // Not there yet: the place is held for it.
-    for (const [key, b] of this.reservations) {
+    for (const [key, reservation] of this.reservations) {
       const spec = this.term.jobs.get(parseTaskName(key).job)?.spec;
-      const capacity = byId.get(b.to);
+      const capacity = byId.get(reservation.to);
       if (spec !== undefined && capacity !== undefined) allocate(spec, capacity);
     }
     return placed;
@@ -94,19 +97,19 @@
     for (const capacity of capacities) {
       const machine = this.term.machines.get(capacity.id);
       if (machine === undefined || capacity.spot || !usable(machine)) continue;
-      const held = machine.activeAttempts();
-      const jobs = held.map((attempt) => this.term.jobs.get(attempt.job));
-      const steady = held.every(
+      const attempts = machine.activeAttempts();
+      const jobs = attempts.map((attempt) => this.term.jobs.get(attempt.job));
+      const isMovable = attempts.every(
         (attempt, i) =>
           jobs[i]?.spec.kind === 'service' &&
           attempt.stopRequest === null &&
           attempt.startedAt !== null &&
-          now - attempt.startedAt > lease_s * STEADY_LEASES,
+          now - attempt.startedAt > lease_s * MIN_RUN_LEASES,
       );
-      if (!steady || now - machine.lastSeenAt > report_s * 1.5) continue;
+      if (!isMovable || now - machine.lastSeenAt > report_s * 1.5) continue;
       candidates.push({
         capacity,
-        replicas: jobs.map((job) => ({ spec: job!.spec, zones: this.zonesOf(job!) })),
+        replicas: jobs.map((job) => ({ spec: job!.spec, zones: this.taskCountsByZone(job!) })),
       });
     }
     return candidates;
@@ -156,20 +159,20 @@
     // The others answer meanwhile.
     if (!others.some((attempt) => attempt.state === 'running')) return false;
     if (!this.migrationBudget(MIN_MIGRATIONS)([{ spec }])) return false;
-    const zones = this.zonesOf(job);
-    const here = this.term.machines.get(attempt.machine)?.zone;
-    if (here !== undefined) zones.set(here, (zones.get(here) ?? 1) - 1);
-    const free = capacities.filter(
+    const zones = this.taskCountsByZone(job);
+    const zone = this.term.machines.get(attempt.machine)?.zone;
+    if (zone !== undefined) zones.set(zone, (zones.get(zone) ?? 1) - 1);
+    const targets = capacities.filter(
       (capacity) => capacity.id !== attempt.machine && (mayFetch || capacity.hasImage(spec.image)),
     );
-    const room = bestFit(
+    const target = bestFit(
       spec,
-      free,
+      targets,
       { zones, mayUse: (capacity) => mayUse(spec, capacity) },
       weights,
     );
-    if (room === null) return false;
-    this.startMigration(attempt, room.id, RESERVED_ALONE_HEARTBEATS);
+    if (target === null) return false;
+    this.startMigration(attempt, target.id, SINGLE_RESERVATION_HEARTBEATS);
     return true;
   }
 
@@ -177,12 +180,12 @@
   private startMigration(
     attempt: Attempt,
     to: string,
-    bookedHeartbeats = RESERVED_HEARTBEATS,
+    reservationHeartbeats = RESERVATION_HEARTBEATS,
   ): void {
     const { now } = this.term;
     const job = this.term.jobs.get(attempt.job)!;
-    this.recent.push({ at: now, class: job.spec.class });
-    const until = now + this.term.context.settings.workers.report_s * bookedHeartbeats;
+    this.recentMigrations.push({ at: now, class: job.spec.class });
+    const until = now + this.term.context.settings.workers.report_s * reservationHeartbeats;
     this.reservations.set(`${attempt.job}/${attempt.index}`, { to, until });
     this.term.stopAttempt(attempt, 0);
   }
@@ -197,27 +200,32 @@
   }
 
   /** Seconds between two replicas of a class that are moved one by one, at least. */
-  gapS(jobClass: string): number {
-    const spanS = this.term.context.settings.workers.lease_s * MIGRATION_LEASES;
+  minGapS(jobClass: string): number {
+    const windowS = this.term.context.settings.workers.lease_s * MIGRATION_WINDOW_LEASES;
     const share = (this.replicasByClass().get(jobClass) ?? 0) * MIGRATION_SHARE;
-    return spanS / Math.max(MIN_MIGRATIONS, Math.floor(share));
+    return windowS / Math.max(MIN_MIGRATIONS, Math.floor(share));
   }
 
   /** Whether so many more replicas may move: of a class, a small share within some leases. */
-  private migrationBudget(least = 0): (list: { spec: JobSpec }[]) => boolean {
+  private migrationBudget(minMoves = 0): (replicasToMove: { spec: JobSpec }[]) => boolean {
     const { now } = this.term;
     const { lease_s } = this.term.context.settings.workers;
-    while (this.recent.length > 0 && now - this.recent[0]!.at > lease_s * MIGRATION_LEASES) {
-      this.recent.shift();
+    while (
+      this.recentMigrations.length > 0 &&
+      now - this.recentMigrations[0]!.at > lease_s * MIGRATION_WINDOW_LEASES
+    ) {
+      this.recentMigrations.shift();
     }
     const replicas = this.replicasByClass();
-    return (list) => {
+    return (replicasToMove) => {
       const counts = new Map<string, number>();
-      for (const replica of list)
+      for (const replica of replicasToMove)
         counts.set(replica.spec.class, (counts.get(replica.spec.class) ?? 0) + 1);
-      return [...counts].every(([c, n]) => {
-        const moved = this.recent.filter((migration) => migration.class === c).length;
-        return moved + n <= Math.max(least, (replicas.get(c) ?? 0) * MIGRATION_SHARE);
+      return [...counts].every(([jobClass, count]) => {
+        const moved = this.recentMigrations.filter(
+          (migration) => migration.class === jobClass,
+        ).length;
+        return moved + count <= Math.max(minMoves, (replicas.get(jobClass) ?? 0) * MIGRATION_SHARE);
       });
     };
   }
--- a/src/leader/scheduling/scheduler.ts
+++ b/src/leader/scheduling/scheduler.ts
@@ -19,7 +19,7 @@
 import { longWorkShares } from './long-work-share.js';
 import { acceptsNewWork, MachineEligibility } from './machine-eligibility.js';
 import { ReplicaMigrations } from './replica-migrations.js';
-import { zonesOf, type CycleContext } from './cycle-context.js';
+import { taskCountsByZone, type CycleContext } from './cycle-context.js';
 import { JobQueue } from './job-queue.js';
 import type { Term } from '../term/term.js';
 import { UnplacedRequests } from './unplaced-requests.js';
@@ -28,13 +28,13 @@
  * Tasks placed in one scheduling cycle, at most, for each change a second that the store takes: a machine's
  * record takes many claims, and what is placed before it can be stored only waits.
  */
-const CLAIMS_PER_WRITE = 12;
+const MAX_CLAIMS_PER_WRITE = 12;
 /** Work that may run on spot machines waits so many boots for one before it takes a dear one. */
-const ORDINARY_BOOTS = 0.8;
+const ORDINARY_MACHINE_COST_BOOTS = 0.8;
 /** What a wholly empty machine costs against a full one, in boots. */
-const SPREAD_BOOTS = 0.08;
+const EMPTY_MACHINE_COST_BOOTS = 0.08;
 /** What telling a task to stop, and hearing that it has, take. */
-const LEAVE_S = MIN_HEARTBEAT_GAP_S * 2;
+const STOP_LATENCY_S = MIN_HEARTBEAT_GAP_S * 2;
 
 /** What a scheduling cycle did, and what it left. */
 export interface CycleResult {
@@ -69,9 +69,10 @@
   ) {
     this.startObjectives = new StartLatencyObjectives(term.context.settings.objectives);
     this.jobQueue = new JobQueue(term);
-    const leaves = (spec: JobSpec): boolean => stopsQuickly(spec, this.startObjectives, LEAVE_S);
-    this.freeCapacities = new FreeCapacityIndex(term, (job) => this.specOf(job), leaves);
-    this.migrations = new ReplicaMigrations(term, (job) => zonesOf(term, job));
+    const isQuicklyStopped = (spec: JobSpec): boolean =>
+      stopsQuickly(spec, this.startObjectives, STOP_LATENCY_S);
+    this.freeCapacities = new FreeCapacityIndex(term, (job) => this.specOf(job), isQuicklyStopped);
+    this.migrations = new ReplicaMigrations(term, (job) => taskCountsByZone(term, job));
     this.reservations = new GangReservations(term, (machine) =>
       this.freeCapacities.capacityWithoutFiniteWork(machine),
     );
@@ -79,7 +80,7 @@
       term,
       freeCapacities: this.freeCapacities,
       reservations: this.reservations,
-      stopsQuickly: leaves,
+      stopsQuickly: isQuicklyStopped,
       isSpotShort,
       warmTarget,
       subsystems,
@@ -90,8 +91,12 @@
   /** What places cost at present, in seconds. */
   weights(): PlacementWeights {
     const bootS = this.term.slowestBootS;
-    const hot = this.forecast.hotImages();
-    const weights = { ordinaryS: bootS * ORDINARY_BOOTS, spreadS: bootS * SPREAD_BOOTS, hot };
+    const hotImages = this.forecast.hotImages();
+    const weights = {
+      ordinaryCostS: bootS * ORDINARY_MACHINE_COST_BOOTS,
+      emptyCostS: bootS * EMPTY_MACHINE_COST_BOOTS,
+      hotImages,
+    };
     const { subsystems } = this;
     if (!subsystems.hasAny) return weights;
     return { ...weights, preferenceS: (spec, capacity) => subsystems.preferenceS(spec, capacity) };
@@ -148,15 +153,16 @@
     placedBefore: number,
     demand: Demand[],
   ): number {
-    const most = Math.ceil(this.term.context.settings.state.write_rps * CLAIMS_PER_WRITE);
+    const maxTasks = Math.ceil(this.term.context.settings.state.write_rps * MAX_CLAIMS_PER_WRITE);
     let placed = placedBefore;
     for (const job of jobs) {
-      if (placed >= most) break;
-      const outcome = this.placement.place(job, cycle, most - placed);
+      if (placed >= maxTasks) break;
+      const outcome = this.placement.place(job, cycle, maxTasks - placed);
       placed += outcome.placed;
-      if (outcome.short === 0) continue;
-      const left = this.preemptFor(job, cycle, outcome.short);
-      if (left > 0) demand.push({ spec: job.spec, tasks: left, zones: zonesOf(this.term, job) });
+      if (outcome.unplaced === 0) continue;
+      const unplaced = this.preemptFor(job, cycle, outcome.unplaced);
+      if (unplaced > 0)
+        demand.push({ spec: job.spec, tasks: unplaced, zones: taskCountsByZone(this.term, job) });
     }
     return placed;
   }
@@ -167,10 +173,15 @@
    */
   private preemptFor(job: LiveJob, cycle: CycleContext, tasks: number): number {
     if (cycle.unplaced.covers(job)) return tasks;
-    const may = this.eligibility.filterFor(job);
-    const left = cycle.preemptor.makeCapacity(job, tasks, zonesOf(this.term, job), may);
-    if (left > 0) cycle.unplaced.note(job);
-    return left;
+    const mayUse = this.eligibility.filterFor(job);
+    const unplaced = cycle.preemptor.makeCapacity(
+      job,
+      tasks,
+      taskCountsByZone(this.term, job),
+      mayUse,
+    );
+    if (unplaced > 0) cycle.unplaced.note(job);
+    return unplaced;
   }
 
   /** Empties a machine whose replicas fit elsewhere, to be given back. */
@@ -197,7 +208,7 @@
 
   /** Seconds between two moves of replicas of a class, at least. */
   migrationGapS(jobClass: string): number {
-    return this.migrations.gapS(jobClass);
+    return this.migrations.minGapS(jobClass);
   }
 
   private specOf(job: string): JobSpec | null {
--- a/src/leader/scheduling/unplaced-requests.ts
+++ b/src/leader/scheduling/unplaced-requests.ts
@@ -17,13 +17,13 @@
  */
 export class UnplacedRequests {
   /** Sizes that fit nowhere, by what else decides which machines a task may use; see `flagsOf`. */
-  private readonly sizes = [0, 1, 2, 3].map(() => new Map<string, Resources[]>());
+  private readonly sizesByFlags = [0, 1, 2, 3].map(() => new Map<string, Resources[]>());
 
   /** A task of the job found no capacity, and none can be made for it. */
   note(job: LiveJob): void {
     if (!isComparable(job)) return;
     const { requestKind, spec } = job;
-    const sizes = this.sizes[flagsOf(job)]!;
+    const sizes = this.sizesByFlags[flagsOf(job)]!;
     const known = sizes.get(requestKind);
     if (known === undefined) sizes.set(requestKind, [spec]);
     else if (!known.some((size) => fits(size, spec))) known.push(spec);
@@ -32,7 +32,7 @@
   /** Whether a task of the job is sure to find no capacity either. */
   covers(job: LiveJob): boolean {
     if (!isComparable(job)) return false;
-    const known = this.sizes[flagsOf(job)]!.get(job.requestKind);
+    const known = this.sizesByFlags[flagsOf(job)]!.get(job.requestKind);
     if (known === undefined) return false;
     for (const size of known) if (fits(size, job.spec)) return true;
     return false;
--- a/src/pipelines/dependency-graph.ts
+++ b/src/pipelines/dependency-graph.ts
@@ -49,11 +49,11 @@
   accepted(job: StoredJob): void {
     this.version++;
     this.link(job);
-    if (job.unmetDependencies === 0) this.makeReady(job);
+    if (job.unmetDependencies === 0) this.markReady(job);
     for (const id of job.spec.dependencies) {
-      const needed = this.jobs.get(id);
-      if (needed !== undefined && outcome(needed) === 'cancelled')
-        cancelWithDependency(job, needed);
+      const dependency = this.jobs.get(id);
+      if (dependency !== undefined && outcome(dependency) === 'cancelled')
+        cancelWithDependency(job, dependency);
     }
     if (outcome(job) === 'cancelled') {
       this.events.onCancelled(job);
@@ -64,10 +64,10 @@
   /** A job is done, in the order of changes. */
   done(job: StoredJob): void {
     this.version++;
-    for (const dependent of this.take(job)) {
+    for (const dependent of this.takeDependents(job)) {
       dependent.unmetDependencies--;
       if (dependent.unmetDependencies > 0 || outcome(dependent) !== 'open') continue;
-      this.makeReady(dependent);
+      this.markReady(dependent);
       this.events.onReady(dependent);
     }
   }
@@ -75,13 +75,13 @@
   /** A job is cancelled, in the order of changes: all that need it, directly or through others, are too. */
   cancelled(job: StoredJob): void {
     this.version++;
-    const over = [job];
-    for (let next = over.pop(); next !== undefined; next = over.pop()) {
-      for (const dependent of this.take(next)) {
+    const cancelledJobs = [job];
+    for (let next = cancelledJobs.pop(); next !== undefined; next = cancelledJobs.pop()) {
+      for (const dependent of this.takeDependents(next)) {
         if (outcome(dependent) !== 'open') continue;
         cancelWithDependency(dependent, next);
         this.events.onCancelled(dependent);
-        over.push(dependent);
+        cancelledJobs.push(dependent);
       }
     }
   }
@@ -93,14 +93,14 @@
   rebuild(): void {
     this.version++;
     this.dependents.clear();
-    const unready: StoredJob[] = [];
+    const notReady: StoredJob[] = [];
     for (const job of this.jobs.values()) {
-      if (specOf(job) !== null && job.readyAt === null) unready.push(job);
+      if (specOf(job) !== null && job.readyAt === null) notReady.push(job);
     }
-    for (const job of unready) this.link(job);
-    this.spreadCancellations();
-    for (const job of unready) if (job.unmetDependencies === 0) this.makeReady(job);
-    for (const job of unready) {
+    for (const job of notReady) this.link(job);
+    this.propagateCancellations();
+    for (const job of notReady) if (job.unmetDependencies === 0) this.markReady(job);
+    for (const job of notReady) {
       if (outcome(job) === 'cancelled') this.events.onCancelled(job);
       else if (outcome(job) === 'open' && job.readyAt !== null) this.events.onReady(job);
     }
@@ -110,8 +110,8 @@
   private link(job: StoredJob): void {
     job.unmetDependencies = 0;
     for (const id of job.spec.dependencies) {
-      const needed = this.jobs.get(id);
-      if (needed !== undefined && outcome(needed) === 'done') continue;
+      const dependency = this.jobs.get(id);
+      if (dependency !== undefined && outcome(dependency) === 'done') continue;
       job.unmetDependencies++;
       const waiting = this.dependents.get(id);
       if (waiting === undefined) this.dependents.set(id, [job]);
@@ -120,43 +120,44 @@
   }
 
   /** The oldest cancellation counts, by whatever way it comes. */
-  private spreadCancellations(): void {
-    const changed: StoredJob[] = [];
+  private propagateCancellations(): void {
+    const cancelledJobs: StoredJob[] = [];
     for (const id of this.dependents.keys()) {
-      const needed = this.jobs.get(id);
-      if (needed !== undefined && outcome(needed) === 'cancelled') changed.push(needed);
+      const dependency = this.jobs.get(id);
+      if (dependency !== undefined && outcome(dependency) === 'cancelled')
+        cancelledJobs.push(dependency);
     }
-    for (let next = changed.pop(); next !== undefined; next = changed.pop()) {
+    for (let next = cancelledJobs.pop(); next !== undefined; next = cancelledJobs.pop()) {
       for (const dependent of this.dependents.get(next.spec.id) ?? []) {
-        if (cancelWithDependency(dependent, next)) changed.push(dependent);
+        if (cancelWithDependency(dependent, next)) cancelledJobs.push(dependent);
       }
     }
   }
 
-  private take(job: StoredJob): StoredJob[] {
+  private takeDependents(job: StoredJob): StoredJob[] {
     const waiting = this.dependents.get(job.spec.id) ?? [];
     this.dependents.delete(job.spec.id);
     return waiting;
   }
 
   /** All that it needs is done. Cancelled before that, it is never ready. */
-  private makeReady(job: StoredJob): void {
+  private markReady(job: StoredJob): void {
     let revision = job.acceptedAt;
-    let ms = job.atMs;
+    let readyMs = job.atMs;
     for (const id of job.spec.dependencies) {
-      const needed = this.jobs.get(id)!;
-      revision = Math.max(revision, needed.doneAt!);
-      ms = Math.max(ms, needed.doneMs);
+      const dependency = this.jobs.get(id)!;
+      revision = Math.max(revision, dependency.doneAt!);
+      readyMs = Math.max(readyMs, dependency.doneMs);
     }
     if (job.cancelledAt !== null && job.cancelledAt < revision) return;
     job.readyAt = revision;
-    job.readyMs = ms;
+    job.readyMs = readyMs;
   }
 }
 
 /** Returns whether that made the cancellation of `job` older. */
-function cancelWithDependency(job: StoredJob, needed: StoredJob): boolean {
-  const revision = Math.max(needed.cancelledAt!, job.acceptedAt);
+function cancelWithDependency(job: StoredJob, dependency: StoredJob): boolean {
+  const revision = Math.max(dependency.cancelledAt!, job.acceptedAt);
   if (job.cancelledAt !== null && job.cancelledAt <= revision) return false;
   job.cancelledAt = revision;
   job.cancelledByDependency = true;
--- a/src/pipelines/downstream-path.ts
+++ b/src/pipelines/downstream-path.ts
@@ -23,40 +23,40 @@
 
 /** Derives what comes after jobs; kept until the graph changes. */
 export class DownstreamPaths {
-  private readonly known = new Map<string, DownstreamPath>();
-  private version = -1;
+  private readonly paths = new Map<string, DownstreamPath>();
+  private graphVersion = -1;
 
   constructor(private readonly graph: DependencyGraph) {}
 
   /** What comes after a job, derived anew only after the graph has changed. */
   of(job: StoredJob): DownstreamPath {
-    if (this.graph.version !== this.version) {
-      this.known.clear();
-      this.version = this.graph.version;
+    if (this.graph.version !== this.graphVersion) {
+      this.paths.clear();
+      this.graphVersion = this.graph.version;
     }
-    return this.known.get(job.spec.id) ?? this.derive(job);
+    return this.paths.get(job.spec.id) ?? this.compute(job);
   }
 
   /** Dependents first; with a stack of its own, since chains may have thousands of jobs. */
-  private derive(root: StoredJob): DownstreamPath {
+  private compute(root: StoredJob): DownstreamPath {
     const stack = [root];
-    const begun = new Set<string>();
+    const visited = new Set<string>();
     for (let job = stack.at(-1); job !== undefined; job = stack.at(-1)) {
       const { id } = job.spec;
       const dependents = this.graph.dependentsOf(id);
-      if (!begun.has(id)) {
-        begun.add(id);
-        const before = stack.length;
+      if (!visited.has(id)) {
+        visited.add(id);
+        const lengthBefore = stack.length;
         for (const dependent of dependents) {
           const { id: next } = dependent.spec;
-          if (!begun.has(next) && !this.known.has(next)) stack.push(dependent);
+          if (!visited.has(next) && !this.paths.has(next)) stack.push(dependent);
         }
-        if (stack.length > before) continue;
+        if (stack.length > lengthBefore) continue;
       }
       stack.pop();
-      if (!this.known.has(id)) this.known.set(id, this.combine(job, dependents));
+      if (!this.paths.has(id)) this.paths.set(id, this.combine(job, dependents));
     }
-    return this.known.get(root.spec.id)!;
+    return this.paths.get(root.spec.id)!;
   }
 
   private combine(job: StoredJob, dependents: readonly StoredJob[]): DownstreamPath {
@@ -70,7 +70,7 @@
       latestEndMs,
     };
     for (const { spec } of dependents) {
-      const after = this.known.get(spec.id);
+      const after = this.paths.get(spec.id);
       if (after === undefined) continue;
       path.priority = Math.min(path.priority, after.priority) as Priority;
       path.successors.push({ workS: predictedWorkS(spec), depth: after.depth });
--- a/src/scheduler/bin-packing.ts
+++ b/src/scheduler/bin-packing.ts
@@ -39,11 +39,11 @@
 /** Whether a job allows a machine's type, zone and kind. */
 export function isAllowedOn(
   spec: JobSpec,
-  room: { type: string; zone: string; spot: boolean },
+  machine: { type: string; zone: string; spot: boolean },
 ): boolean {
-  if (spec.types !== null && !spec.types.includes(room.type)) return false;
-  if (spec.zone !== null && spec.zone !== room.zone) return false;
-  return spec.spot || !room.spot;
+  if (spec.types !== null && !spec.types.includes(machine.type)) return false;
+  if (spec.zone !== null && spec.zone !== machine.zone) return false;
+  return spec.spot || !machine.spot;
 }
 
 /** Whether a job with tasks in these zones may have another one in this zone. */
@@ -65,10 +65,10 @@
 }
 
 /** Share of a machine that is free, by its scarcer resource: no GPU left is no capacity left. */
-export function freeShare(room: Resources & { total: Resources }): number {
-  const { total } = room;
-  const gpus = total.gpus > 0 ? room.gpus / total.gpus : 1;
-  const cores = total.cores > 0 ? room.cores / total.cores : 1;
+export function freeShare(capacity: Resources & { total: Resources }): number {
+  const { total } = capacity;
+  const gpus = total.gpus > 0 ? capacity.gpus / total.gpus : 1;
+  const cores = total.cores > 0 ? capacity.cores / total.cores : 1;
   return Math.max(0, Math.min(gpus, cores));
 }
 
@@ -85,36 +85,36 @@
  * What taking this place would cost those to come: seconds of fetching that tasks would be spared
  * here, where their image is cached, if it still had room for them.
  */
-function opportunityCostS(spec: JobSpec, capacity: FreeCapacity, hot: HotImage[]): number {
-  let lost = 0;
-  let after: Resources | null = null;
-  for (const hotImage of capacity.cachedHotImages?.(hot) ?? hot) {
+function opportunityCostS(spec: JobSpec, capacity: FreeCapacity, hotImages: HotImage[]): number {
+  let costS = 0;
+  let freeAfter: Resources | null = null;
+  for (const hotImage of capacity.cachedHotImages?.(hotImages) ?? hotImages) {
     if (
       hotImage.image === spec.image ||
       (capacity.spot && !hotImage.spec.spot) ||
       !fits(hotImage.spec, capacity)
     )
       continue;
-    after ??= {
+    freeAfter ??= {
       cores: capacity.cores - spec.cores,
       gpus: capacity.gpus - spec.gpus,
       memGb: capacity.memGb - spec.memGb,
     };
-    if (fits(hotImage.spec, after) || capacity.imageDelayS(hotImage.image, hotImage.gb) > 0)
+    if (fits(hotImage.spec, freeAfter) || capacity.imageDelayS(hotImage.image, hotImage.gb) > 0)
       continue;
     // One place serves one of them at a time.
-    lost += Math.min(1, hotImage.expected) * capacity.fetchS(hotImage.gb);
+    costS += Math.min(1, hotImage.expected) * capacity.fetchS(hotImage.gb);
   }
-  return lost;
+  return costS;
 }
 
 /** What places cost, in seconds. */
 export interface PlacementWeights {
   /** Seconds that work which may run on spot machines rather waits than to take an ordinary one. */
-  ordinaryS: number;
+  ordinaryCostS: number;
   /** Seconds that a wholly empty machine costs against a full one. */
-  spreadS: number;
-  hot?: HotImage[];
+  emptyCostS: number;
+  hotImages?: HotImage[];
   /** Seconds by which a task had better be placed there, for reasons outside of placing. */
   preferenceS?: (spec: JobSpec, capacity: FreeCapacity) => number;
 }
@@ -124,83 +124,83 @@
   spec: JobSpec,
   capacity: FreeCapacity,
   weights: PlacementWeights,
-  bound = Infinity,
+  boundS = Infinity,
 ): number {
-  const own =
+  const directCostS =
     capacity.imageDelayS(spec.image, spec.imageGb) +
-    (spec.spot && !capacity.spot ? weights.ordinaryS : 0) +
-    leftoverShare(spec, capacity) * weights.spreadS +
+    (spec.spot && !capacity.spot ? weights.ordinaryCostS : 0) +
+    leftoverShare(spec, capacity) * weights.emptyCostS +
     capacity.penaltyS -
     (weights.preferenceS?.(spec, capacity) ?? 0);
-  if (weights.hot === undefined || own >= bound) return own;
-  return own + opportunityCostS(spec, capacity, weights.hot);
+  if (weights.hotImages === undefined || directCostS >= boundS) return directCostS;
+  return directCostS + opportunityCostS(spec, capacity, weights.hotImages);
 }
 
 /** The machine on which a task costs least, or null: it fits nowhere that it may use. Takes nothing. */
 export function bestFit(
   spec: JobSpec,
-  rooms: Iterable<FreeCapacity>,
-  where: PlacementConstraints,
+  capacities: Iterable<FreeCapacity>,
+  constraints: PlacementConstraints,
   weights: PlacementWeights,
 ): FreeCapacity | null {
   let best: FreeCapacity | null = null;
-  let bestCost = Infinity;
-  for (const capacity of rooms) {
+  let bestCostS = Infinity;
+  for (const capacity of capacities) {
     if (!fits(spec, capacity) || !isAllowedOn(spec, capacity)) continue;
-    if (where.avoid?.has(capacity.id) === true) continue;
-    if (!isZoneAllowed(spec, capacity.zone, where.zones)) continue;
-    if (where.mayUse !== undefined && !where.mayUse(capacity)) continue;
-    const costS = placementCostS(spec, capacity, weights, bestCost);
-    if (costS < bestCost) {
+    if (constraints.avoid?.has(capacity.id) === true) continue;
+    if (!isZoneAllowed(spec, capacity.zone, constraints.zones)) continue;
+    if (constraints.mayUse !== undefined && !constraints.mayUse(capacity)) continue;
+    const costS = placementCostS(spec, capacity, weights, bestCostS);
+    if (costS < bestCostS) {
       best = capacity;
-      bestCost = costS;
+      bestCostS = costS;
     }
   }
   return best;
 }
 
 /** Takes a task's resources from what is free. */
-export function allocate(spec: Resources, room: Resources): void {
-  room.cores -= spec.cores;
-  room.gpus -= spec.gpus;
-  room.memGb -= spec.memGb;
+export function allocate(spec: Resources, capacity: Resources): void {
+  capacity.cores -= spec.cores;
+  capacity.gpus -= spec.gpus;
+  capacity.memGb -= spec.memGb;
 }
 
 /** Gives a task's resources back to what is free. */
-export function release(spec: Resources, room: Resources): void {
-  room.cores += spec.cores;
-  room.gpus += spec.gpus;
-  room.memGb += spec.memGb;
+export function release(spec: Resources, capacity: Resources): void {
+  capacity.cores += spec.cores;
+  capacity.gpus += spec.gpus;
+  capacity.memGb += spec.memGb;
 }
 
 /** All tasks of a gang or none: machines in the order of the tasks. What they take is taken when it fits. */
 export function placeGang(
   spec: JobSpec,
   capacities: FreeCapacity[],
-  where: PlacementConstraints,
+  constraints: PlacementConstraints,
   weights: PlacementWeights,
 ): FreeCapacity[] | null {
   const zones = spec.oneZone ? [...new Set(capacities.map((capacity) => capacity.zone))] : [null];
   let best: FreeCapacity[] | null = null;
-  let bestCost = Infinity;
+  let bestCostS = Infinity;
   for (const zone of zones) {
     const inZone =
       zone === null ? capacities : capacities.filter((capacity) => capacity.zone === zone);
-    const counts = new Map(where.zones);
-    const got: FreeCapacity[] = [];
-    let total = 0;
+    const counts = new Map(constraints.zones);
+    const chosen: FreeCapacity[] = [];
+    let maxCostS = 0;
     for (let i = 0; i < spec.tasks; i++) {
-      const capacity = bestFit(spec, inZone, { ...where, zones: counts }, weights);
+      const capacity = bestFit(spec, inZone, { ...constraints, zones: counts }, weights);
       if (capacity === null) break;
-      total = Math.max(total, placementCostS(spec, capacity, weights));
+      maxCostS = Math.max(maxCostS, placementCostS(spec, capacity, weights));
       allocate(spec, capacity);
       counts.set(capacity.zone, (counts.get(capacity.zone) ?? 0) + 1);
-      got.push(capacity);
+      chosen.push(capacity);
     }
-    for (const capacity of got) release(spec, capacity);
-    if (got.length === spec.tasks && total < bestCost) {
-      best = got;
-      bestCost = total;
+    for (const capacity of chosen) release(spec, capacity);
+    if (chosen.length === spec.tasks && maxCostS < bestCostS) {
+      best = chosen;
+      bestCostS = maxCostS;
     }
   }
   for (const capacity of best ?? []) allocate(spec, capacity);
@@ -211,6 +211,6 @@
  * The share of a machine type that is held for long work while it waits, capped at what that work
  * can use now; lent to everybody when none waits.
  */
-export function reservedForLongWork(capacity: number, rho: number, longWanted: number): number {
-  return Math.min(capacity * rho, longWanted);
+export function reservedForLongWork(capacity: number, rho: number, wanted: number): number {
+  return Math.min(capacity * rho, wanted);
 }
--- a/src/scheduler/drain-selection.ts
+++ b/src/scheduler/drain-selection.ts
@@ -24,7 +24,7 @@
 }
 
 /** A machine of which so much is free is worth draining. */
-const EMPTY_SHARE = 0.5;
+const MIN_FREE_SHARE = 0.5;
 
 /** Which machine to empty; null: none whose replicas all find a place with their image elsewhere. */
 export function chooseMachineToDrain(
@@ -34,12 +34,12 @@
   weights: PlacementWeights,
 ): { candidate: DrainCandidate; to: string[] } | null {
   const sorted = candidates
-    .filter((a) => a.replicas.length > 0 && freeShare(a.capacity) >= EMPTY_SHARE)
+    .filter((a) => a.replicas.length > 0 && freeShare(a.capacity) >= MIN_FREE_SHARE)
     .sort((a, b) => freeShare(b.capacity) - freeShare(a.capacity));
   for (const candidate of sorted) {
     if (!mayMove(candidate.replicas)) continue;
     // Only places on machines that are in use anyway: the emptier one never receives.
-    const places = capacities
+    const targets = capacities
       .filter(
         (capacity) =>
           capacity.id !== candidate.capacity.id && !capacity.spot && freeShare(capacity) < 1,
@@ -47,18 +47,18 @@
       .filter((capacity) => freeShare(capacity) <= freeShare(candidate.capacity))
       .map(copyFreeCapacity);
     const to: string[] = [];
-    const all = candidate.replicas.every((replica) => {
+    const allFit = candidate.replicas.every((replica) => {
       const zones = new Map(replica.zones);
       zones.set(candidate.capacity.zone, (zones.get(candidate.capacity.zone) ?? 1) - 1);
       // What is cached is an estimate; moving on a wrong one cost a replica a whole fetch.
-      const there = places.filter((capacity) => capacity.hasImage(replica.spec.image));
-      const room = bestFit(replica.spec, there, { zones }, weights);
-      if (room === null) return false;
-      allocate(replica.spec, room);
-      to.push(room.id);
+      const withImage = targets.filter((capacity) => capacity.hasImage(replica.spec.image));
+      const target = bestFit(replica.spec, withImage, { zones }, weights);
+      if (target === null) return false;
+      allocate(replica.spec, target);
+      to.push(target.id);
       return true;
     });
-    if (all) return { candidate: candidate, to };
+    if (allFit) return { candidate: candidate, to };
   }
   return null;
 }
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -34,19 +34,19 @@
   zones: Map<string, number>,
 ): PreemptionPlan | null {
   let best: PreemptionPlan | null = null;
-  let bestLoss = Infinity;
+  let bestCostS = Infinity;
   for (const machine of machines) {
     if (!isAllowedOn(spec, machine) || !isZoneAllowed(spec, machine.zone, zones)) continue;
     const free: Resources = { cores: machine.cores, gpus: machine.gpus, memGb: machine.memGb };
     const chosen: Victim[] = [];
-    let loss = machine.delayS ?? 0;
+    let costS = machine.delayS ?? 0;
     for (const victim of [...machine.victims].sort((a, b) => a.lossS - b.lossS)) {
       if (fits(spec, free)) break;
       free.cores += victim.cores;
       free.gpus += victim.gpus;
       free.memGb += victim.memGb;
       chosen.push(victim);
-      loss += victim.lossS;
+      costS += victim.lossS;
     }
     if (chosen.length === 0 || !fits(spec, free)) continue;
     // Those that turn out not to be needed stay.
@@ -59,12 +59,12 @@
       if (fits(spec, without)) {
         Object.assign(free, without);
         chosen.splice(chosen.indexOf(victim), 1);
-        loss -= victim.lossS;
+        costS -= victim.lossS;
       }
     }
-    if (loss < bestLoss) {
+    if (costS < bestCostS) {
       best = { machine: machine.id, victims: chosen };
-      bestLoss = loss;
+      bestCostS = costS;
     }
   }
   return best;
--- a/src/scheduler/quota.ts
+++ b/src/scheduler/quota.ts
@@ -77,17 +77,18 @@
 ): string | null {
   const team = teams.get(spec.team);
   if (team === undefined) return 'unknown team';
-  const allowed = types.filter(
+  const allowedTypes = types.filter(
     (type) =>
       (spec.types === null || spec.types.includes(type.name)) &&
       (spec.zone === null || type.zones.includes(spec.zone)),
   );
-  const fitting = allowed.filter((type) => fits(spec, type));
-  if (fitting.length === 0) return 'fits no allowed machine type';
+  const fittingTypes = allowedTypes.filter((type) => fits(spec, type));
+  if (fittingTypes.length === 0) return 'fits no allowed machine type';
   if (spec.kind === 'gang' && spec.scatter) {
-    const zones = new Set(fitting.flatMap((type) => type.zones));
-    const usable = spec.zone !== null || spec.oneZone ? 1 : zones.size;
-    if (maxTasksPerZone(spec.tasks) * usable < spec.tasks) return 'no zones can hold all its tasks';
+    const zones = new Set(fittingTypes.flatMap((type) => type.zones));
+    const usableZones = spec.zone !== null || spec.oneZone ? 1 : zones.size;
+    if (maxTasksPerZone(spec.tasks) * usableZones < spec.tasks)
+      return 'no zones can hold all its tasks';
   }
   const tasksAtOnce = spec.kind === 'array' ? 1 : spec.tasks;
   if (
--- a/src/scheduler/ranking.ts
+++ b/src/scheduler/ranking.ts
@@ -33,8 +33,8 @@
 
 /** The contribution φ of the paper: how much waits for this job. */
 export function downstreamWeight(input: RankInput, policy: Policy): number {
-  const [work, depth, each] = policy.omega;
-  let phi = each * input.successors.length;
+  const [work, depth, count] = policy.omega;
+  let phi = count * input.successors.length;
   for (const successor of input.successors) phi += work * successor.workS + depth * successor.depth;
   return phi;
 }
@@ -43,9 +43,9 @@
   values.length === 0 ? 0 : values.reduce((a, b) => a + b, 0) / values.length;
 
 /** Remaining time from which a pipeline is long. */
-export function longThreshold(remainings: number[], eta: number): number {
-  const average = mean(remainings);
-  const variance = mean(remainings.map((remaining) => (remaining - average) ** 2));
+export function longThresholdS(remainingTimesS: number[], eta: number): number {
+  const average = mean(remainingTimesS);
+  const variance = mean(remainingTimesS.map((remaining) => (remaining - average) ** 2));
   return average + eta * Math.sqrt(variance);
 }
 
@@ -54,42 +54,44 @@
  * threshold swing: it follows slowly, and what is long stays so until well below.
  */
 export class LongJobs {
-  private threshold: number | null = null;
-  private at = 0;
+  private thresholdS: number | null = null;
+  private updatedAt = 0;
 
   /** The remaining times of all pipelines at this moment. */
-  update(remainings: number[], policy: Policy, now: number): void {
-    if (remainings.length === 0) return;
-    const raw = longThreshold(remainings, policy.eta);
-    if (this.threshold === null) this.threshold = raw;
+  update(remainingTimesS: number[], policy: Policy, now: number): void {
+    if (remainingTimesS.length === 0) return;
+    const targetS = longThresholdS(remainingTimesS, policy.eta);
+    if (this.thresholdS === null) this.thresholdS = targetS;
     else {
-      const settle = Math.max(1, mean(remainings));
-      this.threshold += (raw - this.threshold) * Math.min(1, Math.max(0, now - this.at) / settle);
+      const timeConstantS = Math.max(1, mean(remainingTimesS));
+      this.thresholdS +=
+        (targetS - this.thresholdS) *
+        Math.min(1, Math.max(0, now - this.updatedAt) / timeConstantS);
     }
-    this.at = now;
+    this.updatedAt = now;
   }
 
   /** Whether a pipeline counts as long; `was`: it did until now. */
-  isLong(remainingS: number, was: boolean): boolean {
-    if (this.threshold === null) return false;
-    return remainingS > this.threshold * (was ? 0.8 : 1);
+  isLong(remainingS: number, wasLong: boolean): boolean {
+    if (this.thresholdS === null) return false;
+    return remainingS > this.thresholdS * (wasLong ? 0.8 : 1);
   }
 }
 
 /** Scores of all ready jobs; `long` says which belong to long pipelines. */
-export function scores(ready: RankInput[], long: boolean[], policy: Policy): number[] {
+export function scores(ready: RankInput[], isLong: boolean[], policy: Policy): number[] {
   const inverse = ready.map((input) => 1 / (remainingTimeS(input, policy) + policy.epsilonS));
   const phi = ready.map((input) => downstreamWeight(input, policy));
-  const heavy = ready.map((input, i) =>
-    long[i] === true && input.predictedS >= policy.heavy * input.pipelineMeanS ? 1 : 0,
+  const heavyMarks = ready.map((input, i) =>
+    isLong[i] === true && input.predictedS >= policy.heavy * input.pipelineMeanS ? 1 : 0,
   );
-  const scaled = (values: number[]): number[] => {
-    const by = mean(values) + policy.scaling;
-    return values.map((value) => value / by);
+  const normalized = (values: number[]): number[] => {
+    const divisor = mean(values) + policy.scaling;
+    return values.map((value) => value / divisor);
   };
-  const inverseScores = scaled(inverse);
-  const weightScores = scaled(phi);
-  const heavyScores = scaled(heavy);
+  const inverseScores = normalized(inverse);
+  const weightScores = normalized(phi);
+  const heavyScores = normalized(heavyMarks);
   return ready.map((input, i) => inverseScores[i]! + weightScores[i]! + heavyScores[i]!);
 }
 
--- a/src/scheduler/reservation.ts
+++ b/src/scheduler/reservation.ts
@@ -13,34 +13,38 @@
 }
 
 /** How many tasks fit into a size. */
-function taskCountIn(spec: JobSpec, size: Resources): number {
-  const left = { ...size };
+function taskCountIn(spec: JobSpec, capacity: Resources): number {
+  const free = { ...capacity };
   let tasks = 0;
-  while (tasks < spec.tasks && fits(spec, left)) {
-    left.cores -= spec.cores;
-    left.gpus -= spec.gpus;
-    left.memGb -= spec.memGb;
+  while (tasks < spec.tasks && fits(spec, free)) {
+    free.cores -= spec.cores;
+    free.gpus -= spec.gpus;
+    free.memGb -= spec.memGb;
     tasks++;
   }
   return tasks;
 }
 
 /** Machines for all tasks of a gang, those with most free capacity first; null: not enough of them. */
-function tasksThatFit(
+function machinesForTasks(
   spec: JobSpec,
   machines: ReservableMachine[],
-  perZone: number,
+  maxPerZone: number,
 ): ReservableMachine[] | null {
   const chosen: ReservableMachine[] = [];
-  const inZone = new Map<string, number>();
+  const tasksByZone = new Map<string, number>();
   let missing = spec.tasks;
   for (const machine of machines) {
     if (missing <= 0) break;
     const { zone } = machine.capacity;
-    const used = inZone.get(zone) ?? 0;
-    const tasks = Math.min(taskCountIn(spec, machine.withoutFiniteWork), perZone - used, missing);
+    const inThisZone = tasksByZone.get(zone) ?? 0;
+    const tasks = Math.min(
+      taskCountIn(spec, machine.withoutFiniteWork),
+      maxPerZone - inThisZone,
+      missing,
+    );
     if (tasks <= 0) continue;
-    inZone.set(zone, used + tasks);
+    tasksByZone.set(zone, inThisZone + tasks);
     missing -= tasks;
     chosen.push(machine);
   }
@@ -54,7 +58,7 @@
 ): Set<string> | null {
   const candidates = machines.filter(({ capacity }) => isAllowedOn(spec, capacity));
   candidates.sort((a, b) => freeShare(b.capacity) - freeShare(a.capacity));
-  const perZone = spec.scatter ? maxTasksPerZone(spec.tasks) : spec.tasks;
+  const maxPerZone = spec.scatter ? maxTasksPerZone(spec.tasks) : spec.tasks;
   const groups = spec.oneZone
     ? [...new Set(candidates.map(({ capacity }) => capacity.zone))].map((zone) =>
         candidates.filter(({ capacity }) => capacity.zone === zone),
@@ -63,7 +67,7 @@
   let best: ReservableMachine[] | null = null;
   let bestFree = -1;
   for (const group of groups) {
-    const chosen = tasksThatFit(spec, group, perZone);
+    const chosen = machinesForTasks(spec, group, maxPerZone);
     if (chosen === null) continue;
     const free = chosen.reduce((sum, { capacity }) => sum + freeShare(capacity), 0);
     if (free <= bestFree) continue;
--- a/src/scheduler/service-level-objectives.ts
+++ b/src/scheduler/service-level-objectives.ts
@@ -22,13 +22,13 @@
         ),
       );
     }
-    const soonest = [...this.targetsByClass.values()].map((waits) => waits[0]!);
+    const soonest = [...this.targetsByClass.values()].map((targetsS) => targetsS[0]!);
     this.tightestTargetS = soonest.length === 0 ? null : Math.min(...soonest);
   }
 
   /** The soonest time, from the submission, that can still be kept from this age on. */
-  nextTargetS(cls: string, ageS: number): number | null {
-    return this.targetsByClass.get(cls)?.find((targetS) => targetS > ageS) ?? null;
+  nextTargetS(jobClass: string, ageS: number): number | null {
+    return this.targetsByClass.get(jobClass)?.find((targetS) => targetS > ageS) ?? null;
   }
 }
 
@@ -42,11 +42,11 @@
 export function stopsQuickly(
   spec: JobSpec,
   startObjectives: StartLatencyObjectives,
-  commandS: number,
+  latencyS: number,
 ): boolean {
   const { tightestTargetS } = startObjectives;
   if (spec.priority !== 3 || spec.kind === 'service' || spec.checkpointS <= 0) return false;
-  return tightestTargetS !== null && spec.saveS + commandS <= tightestTargetS * QUICK_STOP_SHARE;
+  return tightestTargetS !== null && spec.saveS + latencyS <= tightestTargetS * QUICK_STOP_SHARE;
 }
 
 /** How tasks are stopped for another one: after a checkpoint, at once, or in vain. */
--- a/test/scheduler-rules.test.ts
+++ b/test/scheduler-rules.test.ts
@@ -25,7 +25,7 @@
   LongJobs,
   compareJobs,
   downstreamWeight,
-  longThreshold,
+  longThresholdS,
   remainingTimeS,
   scores,
   type RankInput,
@@ -80,7 +80,7 @@
 });
 
 test('long is above mean and spread, and does not swing with a burst of alike work', () => {
-  assert.equal(longThreshold([2, 4], 1), 4);
+  assert.equal(longThresholdS([2, 4], 1), 4);
   const marks = new LongJobs();
   marks.update([10, 10, 10, 100], policy, 0);
   assert.ok(marks.isLong(100, false));
@@ -121,7 +121,7 @@
   hasImage: () => true,
   ...over,
 });
-const waiting = { ordinaryS: 20, spreadS: 2 };
+const waiting = { ordinaryCostS: 20, emptyCostS: 2 };
 
 test('where a task may go', () => {
   const cases: [string, Partial<JobSpec>, Partial<FreeCapacity>, boolean][] = [
@@ -157,8 +157,8 @@
   const cold = room({ id: 'cold', imageDelayS: (i) => (i === 'big' ? 30 : 0) });
   const where = { zones: new Map() };
   assert.equal(bestFit(spec(), [cached, cold], where, waiting)?.id, 'cached', 'the fuller one');
-  assert.equal(bestFit(spec(), [cached, cold], where, { ...waiting, hot })?.id, 'cold');
-  assert.equal(bestFit(big, [cold, cached], where, { ...waiting, hot })?.id, 'cached');
+  assert.equal(bestFit(spec(), [cached, cold], where, { ...waiting, hotImages: hot })?.id, 'cold');
+  assert.equal(bestFit(big, [cold, cached], where, { ...waiting, hotImages: hot })?.id, 'cached');
 });
 
 test('a gang gets all its places or none, in one zone where it must', () => {
