--- a/test/large-term.test.ts
+++ b/test/large-term.test.ts
@@ -10,16 +10,16 @@
 import { RuleChecker } from './standins/rules.js';
 import { StateService } from './standins/state.js';
 
-/** More than any deployment has: no fixed limit may stand below that. */
+/** More than any deployment has: there must be no fixed limit below this. */
 const MACHINES = 5000;
-const TASKS_EACH = 4;
-/** Of the jobs, those that are not over: a task of each is on a machine. */
-const OPEN = MACHINES * TASKS_EACH;
-const JOBS = OPEN + 5000;
-/** Heartbeats at a time. */
-const AT_ONCE = 50;
+const TASKS_PER_MACHINE = 4;
+/** Jobs that have not ended: a task of each is on a machine. */
+const OPEN_JOBS = MACHINES * TASKS_PER_MACHINE;
+const JOBS = OPEN_JOBS + 5000;
+/** Heartbeats that are sent at the same time. */
+const CONCURRENT_HEARTBEATS = 50;
 
-test('a term begins with thousands of machines and tens of thousands of tasks, and knows all that runs', async () => {
+test('a term begins with thousands of machines and tens of thousands of tasks, and knows all running ones', async () => {
   const state = new StateService();
   const teams = new Map<string, number>();
   const rules = new RuleChecker({ cancelS: 60, teams, machineGpus: MACHINE_GPUS });
@@ -39,13 +39,13 @@
       spec: spec({ id: id(i + k), kind: 'service' }),
       atMs: Date.now(),
     }));
-    const cancelledIds = i < OPEN ? [] : jobs.map((j) => j.spec.id);
+    const cancelledIds = i < OPEN_JOBS ? [] : jobs.map((j) => j.spec.id);
     put(`${records.JOBS}x-${i}`, records.encodeRequestBatch({ jobs, cancelledIds }));
   }
   const images = Array.from({ length: 32 }, (_, k): [string, number] => [`image-${k}`, 34.3]);
   const claims = (i: number): records.Claim[] =>
-    Array.from({ length: TASKS_EACH }, (_, k) => ({
-      job: id(i * TASKS_EACH + k),
+    Array.from({ length: TASKS_PER_MACHINE }, (_, k) => ({
+      job: id(i * TASKS_PER_MACHINE + k),
       index: 0,
       attempt: 1,
     }));
@@ -64,14 +64,14 @@
   try {
     await until('leads', () => node.leader !== null);
     assert.equal(node.leader!.statistics().machines_unheard, MACHINES);
-    assert.equal(node.leader!.statistics().jobs_open, OPEN);
-    assert.equal(node.leader!.statistics().attempts_inherited, OPEN);
+    assert.equal(node.leader!.statistics().jobs_open, OPEN_JOBS);
+    assert.equal(node.leader!.statistics().attempts_inherited, OPEN_JOBS);
     const tokens = new Map<number, number>();
-    const tallies = new Map<number, number>();
-    /** One report. False: the leader is not entitled at present, and says so. */
-    const report = async (i: number): Promise<boolean> => {
-      const tally = (tallies.get(i) ?? 0) + 1;
-      tallies.set(i, tally);
+    const sequences = new Map<number, number>();
+    /** Sends one heartbeat. False: refused, because the leader is not entitled at present. */
+    const sendHeartbeat = async (i: number): Promise<boolean> => {
+      const tally = (sequences.get(i) ?? 0) + 1;
+      sequences.set(i, tally);
       const body = JSON.stringify({
         bench: host(i), addr: '127.0.0.1:1', casting: 'g8', yard: 'z1', loaner: false, shift: 1,
         tally, hallmark: tokens.get(i) ?? 1, recall_s: null,
@@ -83,34 +83,36 @@
         body,
       });
       if (response.status === 503) {
-        // Beside other load a scheduling cycle over so many machines takes seconds, and with the stand-ins in the same
-        // process the leader's own lease can be renewed too late. Only then may it refuse.
+        // Under other load a scheduling cycle over so many machines takes seconds, and since the stand-ins
+        // run in the same process, the leader's own lease may be renewed too late. Only then may it refuse.
         const isLate = !node.election.isEntitled || node.leader === null;
         assert.ok(isLate || node.election.token !== before, 'refused by a leader that is entitled');
         return false;
       }
       assert.equal(response.status, 200);
       const answer = (await response.json()) as { hallmark: number; orders: unknown[] };
-      // What runs is kept: nothing on its machine is stopped, nothing is started a second time.
+      // Running tasks go on: none is stopped, and none is started a second time.
       assert.deepEqual(answer.orders, []);
       assert.ok(answer.hallmark >= (tokens.get(i) ?? 1), 'tokens only rise');
       tokens.set(i, answer.hallmark);
       return true;
     };
-    /** As a worker: one that was refused comes back a second later. */
-    const reportUntilAnswered = async (i: number): Promise<void> => {
-      while (!(await report(i))) await wait(1000);
+    /** As a worker does: sends a refused heartbeat again a second later. */
+    const sendUntilAnswered = async (i: number): Promise<void> => {
+      while (!(await sendHeartbeat(i))) await wait(1000);
     };
     const isKnown = (): boolean => node.leader?.statistics().machines_ready === MACHINES;
     for (let round = 0; !isKnown(); round++) {
-      // Two rounds, the first of which fences; two more for each of two leaders after it.
+      // Two rounds, the first of which fences; two more for each of two later leaders.
       assert.ok(round < 6, 'all machines are known');
-      for (let i = 0; i < MACHINES; i += AT_ONCE) {
-        const batch = Array.from({ length: AT_ONCE }, (_, k) => reportUntilAnswered(i + k));
+      for (let i = 0; i < MACHINES; i += CONCURRENT_HEARTBEATS) {
+        const batch = Array.from({ length: CONCURRENT_HEARTBEATS }, (_, k) =>
+          sendUntilAnswered(i + k),
+        );
         await Promise.all(batch);
       }
     }
-    assert.equal(node.leader!.statistics().attempts_running, OPEN);
+    assert.equal(node.leader!.statistics().attempts_running, OPEN_JOBS);
   } finally {
     node.stop();
     cloud.close();
--- a/test/meeting-limits.test.ts
+++ b/test/meeting-limits.test.ts
@@ -1,4 +1,4 @@
-/** Requests and records at the edge of what the protocol allows. */
+/** Requests and records at the limits of the protocol. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../src/jobs/types.js';
@@ -9,7 +9,7 @@
 
 const JOB = 'wk-000001';
 
-test('a gang that no zones can hold as it asks is never accepted', () => {
+test('a gang that no zones can hold under its constraints is never accepted', () => {
   const gang = { kind: 'gang' as const, tasks: 3 };
   const onlyZone = [{ ...g8, zones: ['z1'] }];
   const cases: [string, Partial<JobSpec>, typeof onlyZone, boolean][] = [
@@ -19,7 +19,7 @@
     ['scattered, and bound to a zone', { ...gang, scatter: true, zone: 'z1' }, [g8], false],
     ['scattered, and its types are in one zone', { ...gang, scatter: true }, onlyZone, false],
     [
-      'an array goes on one task after another',
+      'an array, whose tasks may run one after another',
       { tasks: 3, scatter: true, zone: 'z1' },
       [g8],
       true,
@@ -30,7 +30,7 @@
   }
 });
 
-test('however small the tasks, a machine gets no more than its record can name', async () => {
+test('however small its tasks, a machine gets no more claims than its record can name', async () => {
   const world = new LeaderWorld();
   world.fleet.add('a');
   await world.run(1);
@@ -40,7 +40,7 @@
   assert.ok(record.length <= world.store.valueBytes, `${record.length} bytes`);
 });
 
-test('a machine that sends a heartbeat at last is not returned as one that never came', async () => {
+test('a machine that sends its first heartbeat late is not returned', async () => {
   const world = new LeaderWorld();
   const ageS = 1000;
   await world.run(world.settings.workers.lease_s * 4);
@@ -49,7 +49,7 @@
   }; // prettier-ignore
   world.parts.capacity.applyList([listed]);
   assert.deepEqual(world.parts.capacity.machinesToRemove(), ['a']);
-  // The cloud didn't answer; before it is asked again the machine is there, and has work.
+  // The cloud did not answer. Before the next request the machine sends heartbeats and has work.
   world.fleet.add('a');
   world.submitJob({ id: JOB });
   await world.run(2);
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -1,4 +1,4 @@
-/** Once troubles are over no job is left waiting while a machine that fits has capacity. */
+/** After failures have ended, no job keeps waiting while a machine on which it fits has capacity. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { LeaderWorld } from './support/leader-world.js';
@@ -6,10 +6,10 @@
 
 const JOB = 'wk-000001';
 const OTHER = 'wk-000002';
-/** Longer than a job may be left waiting. */
-const PATIENCE_S = 90;
+/** Longer than a job may wait, in seconds. */
+const MAX_WAIT_S = 90;
 
-/** A job is placed on a known machine and stored; its start is still to be sent. */
+/** Places a job on a known machine and stores the claims; the start is not sent yet. */
 async function place(
   world: LeaderWorld,
   over: Parameters<LeaderWorld['submitJob']>[0],
@@ -20,8 +20,8 @@
   await world.writeAll();
 }
 
-test('a direct start that never arrived keeps its task from nothing once it was told to stop', async () => {
-  // The machine was cut off for less than a lease; its connection was reset with the start on it.
+test('a direct start that never arrived does not block its task after a stop request', async () => {
+  // The machine was cut off for less than a lease, and its connection was reset before the start arrived.
   const cases: [string, Parameters<LeaderWorld['submitJob']>[0]][] = [
     ['array', { id: JOB }],
     ['gang', { id: JOB, kind: 'gang', tasks: 2 }],
@@ -35,25 +35,25 @@
     const job = world.term.jobs.get(JOB)!;
     world.term.stopGracefully(job, [...job.activeAttempts()][0]!);
     world.fleet.add('b');
-    await world.run(PATIENCE_S);
+    await world.run(MAX_WAIT_S);
     assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
     assert.deepEqual(world.fleet.violations, [], name);
   }
 });
 
-test('a direct start that never arrived takes nothing of its team once its job is cancelled', async () => {
+test('a direct start that never arrived does not count in the team limit once its job is cancelled', async () => {
   const world = new LeaderWorld(1);
   world.fleet.add('a');
   await place(world, { id: JOB });
   world.sendDirect('a').unanswered();
   world.cancel(JOB);
   world.submitJob({ id: OTHER });
-  await world.run(PATIENCE_S);
+  await world.run(MAX_WAIT_S);
   assert.equal(world.fleet.running(OTHER), 1);
   assert.deepEqual(world.fleet.violations, []);
 });
 
-test('a task whose start was unanswered comes back, whatever the machine where it ended', async () => {
+test('a task whose direct start was unanswered runs again after it was stopped', async () => {
   const cases: [string, Parameters<LeaderWorld['submitJob']>[0]][] = [
     ['array', { id: JOB }],
     ['gang', { id: JOB, kind: 'gang', tasks: 2 }],
@@ -69,22 +69,22 @@
     await world.run(1);
     const job = world.term.jobs.get(JOB)!;
     assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
-    // Preempted, say. There is capacity on another machine, but its image is here.
+    // For example by preemption. Another machine has capacity, but the image is on this one.
     world.fleet.add('b');
     world.term.stopGracefully(job, [...job.activeAttempts()][0]!);
-    await world.run(PATIENCE_S);
+    await world.run(MAX_WAIT_S);
     assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
     assert.deepEqual(world.fleet.violations, [], name);
   }
 });
 
-test('a machine that is being returned when the leader ends is returned by the next', async () => {
+test('a machine that is being returned when the leader fails is returned by the next leader', async () => {
   const world = new LeaderWorld();
   const worker = world.fleet.add('a');
   world.submitJob({ id: JOB });
   await world.run(2);
   worker.end(worker.running(JOB)[0]!, 'done');
-  await world.run(PATIENCE_S);
+  await world.run(MAX_WAIT_S);
   world.machine('a').changeState('returning');
   world.term.machinesToWrite.add('a');
   await world.writeAll();
@@ -95,7 +95,7 @@
   assert.deepEqual(world.parts.capacity.machinesToRemove(), ['a']);
 });
 
-test('a service that ran well is not doubted because replicas failed on a few faulty machines', async () => {
+test('a service that ran well is not suspect because replicas failed on a few faulty machines', async () => {
   const world = new LeaderWorld();
   const ids = ['a', 'b', 'c', 'd', 'e'];
   for (const id of ids) world.fleet.add(id);
@@ -107,12 +107,12 @@
     const worker = world.fleet.workers.get(id)!;
     worker.end(worker.running(JOB)[0]!, 'error');
   }
-  await world.run(PATIENCE_S);
+  await world.run(MAX_WAIT_S);
   assert.equal(world.fleet.running(JOB), 5);
 });
 
-test('an array with a mistake puts no machine aside', async () => {
-  // It fails on every machine, several tasks at once, until its user cancels it.
+test('an array whose tasks always fail does not quarantine a machine', async () => {
+  // It fails on every machine, several tasks at once, until it is cancelled by its user.
   for (const jobs of [1, 3]) {
     const world = new LeaderWorld();
     const worker = world.fleet.add('a');
@@ -130,22 +130,22 @@
     }
     assert.equal(world.machine('a').condition.quarantined, false, `${jobs} jobs`);
     world.submitJob({ id: JOB });
-    await world.run(PATIENCE_S);
+    await world.run(MAX_WAIT_S);
     assert.equal(world.fleet.running(JOB), 1, `${jobs} jobs`);
   }
 });
 
-test('no capacity is held for long work that may not start: its team is at its limit', async () => {
+test('no capacity is reserved for long work that may not start because its team is at its limit', async () => {
   const world = new LeaderWorld(1);
   world.settings.teams.set('u', { name: 'u', cores: 0, coresMax: 0, gpus: 0, gpusMax: 100 });
   world.fleet.add('a');
   await world.run(1);
-  // Jobs that fit no machine make what is long stand out.
+  // Short jobs that fit no machine lower the mean, so that the array counts as long.
   for (let i = 1; i <= 3; i++) world.submitJob({ id: `wk-00001${i}`, gpus: 9, estimateS: 10 });
   world.submitJob({ id: JOB, tasks: 40, estimateS: 10_000 });
   await world.run(2);
   assert.equal(world.fleet.running(JOB), 1);
   world.submitJob({ id: OTHER, tasks: 7, team: 'u', estimateS: 10 });
-  await world.run(PATIENCE_S);
+  await world.run(MAX_WAIT_S);
   assert.equal(world.fleet.running(OTHER), 7);
 });
--- a/test/pipeline-leader.test.ts
+++ b/test/pipeline-leader.test.ts
@@ -1,4 +1,4 @@
-/** A leader and jobs that need other jobs: what waits, what starts, and with which priority. */
+/** A leader and dependencies between jobs: which jobs wait, start, and with which priority. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { LeaderWorld } from './support/leader-world.js';
@@ -7,7 +7,7 @@
 const SECOND = 'wk-000002';
 const THIRD = 'wk-000003';
 const OTHER = 'wk-000009';
-/** One machine of the stand-in has so many. */
+/** GPUs of one machine of the stand-in. */
 const MACHINE_GPUS = 8;
 
 function worldWith(machines: string[], gpusMax = 100): LeaderWorld {
@@ -22,7 +22,7 @@
   }
 }
 
-test('a job that waits holds nothing: no limit, no guarantee, no machine, no start', async () => {
+test('a waiting job uses no limit, no guarantee and no machine, and is not started', async () => {
   const world = worldWith(['a'], MACHINE_GPUS);
   world.submitJob({ id: FIRST, tasks: 1 });
   world.submitJob({ id: SECOND, tasks: MACHINE_GPUS, gpus: 1, priority: 0, dependencies: [FIRST] });
@@ -33,42 +33,42 @@
     [1, 0, 7],
   );
   assert.ok(!world.term.jobs.has(SECOND));
-  assert.equal(world.parts.capacity.demand.length, 0, 'nothing is rented for it');
-  // The same for a leader that takes over, whatever it lists first.
+  assert.equal(world.parts.capacity.demand.length, 0, 'no machine is rented for it');
+  // The same holds for a new leader, in whatever order it lists the jobs.
   world.failOver();
   await world.run(3);
   assert.deepEqual([world.term.jobs.has(SECOND), world.fleet.running(SECOND)], [false, 0]);
   finish(world, FIRST);
   await world.run(4);
-  assert.ok(world.fleet.running(SECOND) > 0, 'and it starts when it may');
+  assert.ok(world.fleet.running(SECOND) > 0, 'it starts once it is ready');
 });
 
-test('a task starts only when the store shows what it needs as done, not when this leader believes so', async () => {
+test('a task starts only when its dependencies are done in the store, not when this leader believes so', async () => {
   const world = worldWith(['a']);
   world.submitJob({ id: FIRST });
   world.submitJob({ id: SECOND, dependencies: [FIRST] });
   await world.run(2);
   finish(world, FIRST);
-  // The worker says it is done; the record is not stored, and another controller cancels the job first.
+  // The worker reports the end, but the record is not stored, and another controller cancels the job first.
   world.canWrite = false;
   await world.run(2);
   assert.equal(world.fleet.running(SECOND), 0, 'done, but not stored');
   world.canWrite = true;
   world.cancel(FIRST);
   await world.run(3);
-  assert.equal(world.fleet.running(SECOND), 0, 'the older one counts');
+  assert.equal(world.fleet.running(SECOND), 0, 'the older change counts');
   world.failOver();
   await world.run(3);
   assert.equal(world.fleet.starts.get(`${SECOND}/0`), undefined);
   assert.deepEqual(world.fleet.violations, []);
 });
 
-test('an older cancellation that is carried out late, beside the end of the job, is waited for', async () => {
+test('a task does not start if an older cancellation of its dependency takes effect late', async () => {
   const world = worldWith(['a']);
   world.submitJob({ id: FIRST });
   world.submitJob({ id: SECOND, dependencies: [FIRST] });
   await world.run(2);
-  // This leader's copy ends before the cancellation; its own commit of the end succeeds after it.
+  // This leader's replica ends before the cancellation; its own commit of the end succeeds after it.
   world.store.cancel(FIRST);
   finish(world, FIRST);
   world.exchangeHeartbeat(world.fleet.workers.get('a')!);
@@ -82,7 +82,7 @@
   assert.equal(world.fleet.starts.get(`${SECOND}/0`), undefined);
 });
 
-test('what came before a cancellation goes on, and the cancelled ones release their place', async () => {
+test('a cancellation stops the job and its dependents, and releases their capacity', async () => {
   const world = worldWith(['a'], MACHINE_GPUS);
   world.submitJob({ id: FIRST });
   world.submitJob({ id: SECOND, tasks: 4, dependencies: [FIRST] });
@@ -100,7 +100,7 @@
   assert.deepEqual(world.fleet.violations, []);
 });
 
-test('a job has the priority of the most important one that needs it, as long as that one does', async () => {
+test('a job has the highest priority of its dependents, as long as these are open', async () => {
   const world = worldWith(['a']);
   world.submitJob({ id: FIRST, tasks: 2, priority: 3 });
   await world.run(2);
@@ -109,25 +109,25 @@
   world.submitJob({ id: SECOND, priority: 2, dependencies: [FIRST] });
   await world.run(1);
   assert.equal(priority(), 2);
-  // Named late, and through another one.
+  // A late dependent, through another job.
   world.submitJob({ id: THIRD, priority: 0, dependencies: [SECOND] });
   await world.run(1);
   assert.equal(priority(), 0);
   world.failOver();
   await world.run(1);
-  assert.equal(priority(), 0, 'at a new leader too');
+  assert.equal(priority(), 0, 'under a new leader too');
   world.cancel(THIRD);
   await world.run(1);
   assert.equal(priority(), 2);
 });
 
-test('with a deadline that is far off a job keeps its own priority until the time left is short', async () => {
+test('with a distant deadline a job keeps its own priority until the time left is short', async () => {
   const world = worldWith(['a']);
   world.submitJob({ id: FIRST, priority: 3, estimateS: 10 });
   world.submitJob({ id: SECOND, priority: 1, estimateS: 20, deadlineS: 60, dependencies: [FIRST] });
   await world.run(2);
-  // It has to be done 40 s after its submission: it is urgent as soon as its 10 s, taken half as long
-  // again, and a boot of 1 s do not fit into what is left.
+  // It has to be done 40 s after its submission. It is urgent as soon as 1.5 times its 10 s and
+  // a boot of 1 s do not fit into the time left.
   const priority = (): number => world.term.jobs.get(FIRST)!.spec.priority;
   assert.equal(priority(), 3);
   await world.run(20);
@@ -136,7 +136,7 @@
   assert.equal(priority(), 1);
 });
 
-test('a job that an important one needs may preempt for itself, and loses none to lower-priority work', async () => {
+test('a job with an important dependent may preempt, and is not preempted by lower-priority work', async () => {
   const world = worldWith(['a'], MACHINE_GPUS * 2);
   world.submitJob({ id: OTHER, tasks: MACHINE_GPUS, priority: 2 });
   await world.run(2);
@@ -148,7 +148,7 @@
   assert.deepEqual([world.fleet.running(OTHER), world.fleet.running(FIRST)], [0, MACHINE_GPUS]);
 });
 
-test('times count from the moment when a job may start, deadlines aside', async () => {
+test('the age of a job counts from the moment when it is ready, unlike its deadline', async () => {
   const world = worldWith(['a']);
   world.submitJob({ id: FIRST });
   world.submitJob({ id: SECOND, dependencies: [FIRST] });
@@ -160,10 +160,13 @@
   const before = ageS();
   world.failOver();
   await world.run(1);
-  assert.ok(Math.abs(ageS() - before - 1) <= 0.5, `at a new leader ${ageS()} s after ${before} s`);
+  assert.ok(
+    Math.abs(ageS() - before - 1) <= 0.5,
+    `under a new leader ${ageS()} s after ${before} s`,
+  );
 });
 
-test('a machine full of small tasks is not full by the bytes of its record, under the next limits', async () => {
+test('the record of a machine full of small tasks fits into a value, under the next limits', async () => {
   const world = worldWith(['a']);
   world.settings.state.value_kb = 2;
   world.failOver();
@@ -177,11 +180,11 @@
   assert.ok(record.length <= 2048, `${record.length} bytes`);
   world.failOver();
   await world.run(4);
-  assert.deepEqual([...world.fleet.starts.values()], Array(80).fill(1), 'none is started twice');
+  assert.deepEqual([...world.fleet.starts.values()], Array(80).fill(1), 'no task is started twice');
   assert.deepEqual(world.fleet.violations, []);
 });
 
-test('machine types that do not fit into a value are not stored, and keep nothing else from being stored', async () => {
+test('machine types that do not fit into a value are not stored, and do not block other writes', async () => {
   const world = worldWith(['a']);
   world.settings.state.value_kb = 2;
   world.failOver();
@@ -195,10 +198,10 @@
   assert.equal(world.fleet.running(FIRST), 1);
   world.leader.onMachineTypes([...types, more[0]!]);
   await world.run(1);
-  assert.ok(world.store.revision('ps/t') > before, 'those that fit are');
+  assert.ok(world.store.revision('ps/t') > before, 'types that fit are stored');
 });
 
-test('beside an old controller a machine gets no more claims than the plain form of its record can name', async () => {
+test('while an old controller is present, a machine gets no more claims than the plain form of its record can name', async () => {
   const world = worldWith(['a']);
   world.settings.state.value_kb = 2;
   world.failOver();
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,4 +1,4 @@
-/** Jobs that need other jobs: the same facts by whatever way the store's changes come. */
+/** Dependencies between jobs: the same state, whether the store's changes are listed or streamed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -13,15 +13,15 @@
 type Put = Extract<Change, { kind: 'put' }>;
 
 const idOf = (i: number): string => `wk-${i}`;
-const through = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+const roundTrip = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
-/** What happens to one of the jobs, in the order of the store. */
+/** A change of one of the jobs, in the order of the store. */
 type Step =
   | { what: 'accept'; job: number; awaits: number[] }
   | { what: 'cancel'; job: number }
   | { what: 'done'; job: number };
 
-/** What should hold of a job; a plain and slow way to say it. */
+/** Expected state of a job, for a simple and slow reference implementation. */
 interface Expected {
   acceptedAt: number;
   cancelledAt: number;
@@ -32,14 +32,14 @@
 class Reference {
   readonly jobs = new Map<number, Expected>();
 
-  /** When the job was cancelled, by itself or with what it needs; Infinity: never. */
+  /** When the job was cancelled, itself or through a dependency; Infinity: never. */
   cancelledAt(job: number): number {
     const { acceptedAt, cancelledAt, awaits } = this.jobs.get(job)!;
     const needed = awaits.filter((id) => this.outcome(id) === 'cancelled');
     return Math.min(cancelledAt, ...needed.map((id) => Math.max(this.cancelledAt(id), acceptedAt)));
   }
 
-  /** What became of the job. */
+  /** The outcome of the job. */
   outcome(job: number): string {
     const { doneAt } = this.jobs.get(job)!;
     const cancelledAt = this.cancelledAt(job);
@@ -47,7 +47,7 @@
     return doneAt < Infinity ? 'done' : 'open';
   }
 
-  /** From when on its tasks may start; null: not yet. */
+  /** Revision from which its tasks may start; null: they may not. */
   readyAt(job: number): number | null {
     const { acceptedAt, awaits } = this.jobs.get(job)!;
     if (!awaits.every((id) => this.outcome(id) === 'done')) return null;
@@ -56,18 +56,18 @@
   }
 }
 
-/** Applies steps that are possible; returns the changes of the store and what should follow. */
-function play(steps: Step[]): { changes: Put[]; reference: Reference } {
+/** Applies the steps that are possible; returns the store's changes and the expected state. */
+function applySteps(steps: Step[]): { changes: Put[]; reference: Reference } {
   const reference = new Reference();
   const changes: Put[] = [];
   const put = (key: string, value: unknown): void => {
-    changes.push({ kind: 'put', key, value: through(value), revision: changes.length + 1 });
+    changes.push({ kind: 'put', key, value: roundTrip(value), revision: changes.length + 1 });
   };
   for (const step of steps) {
     const known = reference.jobs.get(step.job);
     const now = changes.length + 1;
     if (step.what === 'accept') {
-      // Accepted once more, as by two controllers at the same time: the same job, the older counts.
+      // A second acceptance, as by two controllers at the same time: the same job, and the older one counts.
       const awaits =
         known?.awaits ?? step.awaits.filter((id) => reference.jobs.has(id) && id !== step.job);
       if (known === undefined) {
@@ -80,7 +80,7 @@
         atMs: now,
       };
       const prefix = awaits.length > 0 ? records.DEPENDENT_JOBS : records.JOBS;
-      // Names of writers come in no order: a listing may show the later of two acceptances first.
+      // Writers' names are in no order: a listing may contain the later of two acceptances first.
       const key = `${prefix}${(now * 7) % 10}-${now}`;
       put(key, records.encodeRequestBatch({ jobs: [accepted], cancelledIds: [] }));
     } else if (known === undefined) continue;
@@ -104,11 +104,11 @@
     { weight: 1, arbitrary: fc.record({ what: fc.constant('cancel' as const), job }) },
     { weight: 4, arbitrary: fc.record({ what: fc.constant('done' as const), job }) },
   ),
-  // Long ones: it takes some steps until jobs need one another, end and are cancelled.
+  // Long sequences: jobs depend on one another, end and are cancelled only after some steps.
   { minLength: 30, maxLength: 60, size: 'max' },
 ); // prettier-ignore
 
-/** A replica with what it has told of each job. */
+/** A replica with the events that it has reported for each job. */
 function replica(): { replica: Replica; ready: string[]; cancelled: Set<string> } {
   const made = { replica: new Replica(8192), ready: [] as string[], cancelled: new Set<string>() };
   made.replica.listener = {
@@ -124,14 +124,14 @@
   return made;
 }
 
-/** Sorts keys by a number that depends on them and on `salt`; 0: as they are. */
+/** Sorts keys by a hash of the key and `salt`; 0: by the keys themselves. */
 function order(keys: string[], salt: number): string[] {
   const rank = (key: string): number =>
     [...key].reduce((sum, letter) => (sum * 31 + letter.charCodeAt(0) * salt) % 65_521, salt);
   return [...keys].sort((a, b) => (salt === 0 ? 0 : rank(a) - rank(b)) || (a < b ? -1 : 1));
 }
 
-/** Lists what is there after `listedUpTo` changes, in the order of keys or another, and follows the rest. */
+/** Lists the state after `listedUpTo` changes, in the order of keys or another, and streams the rest. */
 function listed(changes: Put[], listedUpTo: number, salt = 0): ReturnType<typeof replica> {
   const made = replica();
   const latest = new Map<string, Put>();
@@ -143,7 +143,7 @@
   return made;
 }
 
-function shown(storedJob: StoredJob): object {
+function observedState(storedJob: StoredJob): object {
   const { acceptedAt, cancelledAt, cancelledByDependency, readyAt, readyMs } = storedJob;
   const cancelled =
     outcome(storedJob) === 'cancelled'
@@ -152,15 +152,15 @@
   return { outcome: outcome(storedJob), acceptedAt, readyAt, readyMs, ...cancelled };
 }
 
-test('waiting, ready and cancelled follow from the store alone, listed or streamed, and as expected', () => {
+test('waiting, ready and cancelled follow from the store alone, listed or streamed, as in the reference', () => {
   fc.assert(
     fc.property(steps, fc.nat(60), fc.nat(1000), (history, cut, salt) => {
-      const { changes, reference } = play(history);
+      const { changes, reference } = applySteps(history);
       const live = streamed(changes);
       const all = changes.length;
       const copies = [live, listed(changes, all), listed(changes, all, salt), listed(changes, Math.min(cut, all))];
       for (const made of copies) {
-        assert.deepEqual([...made.ready].sort(), [...new Set(made.ready)].sort(), 'told once');
+        assert.deepEqual([...made.ready].sort(), [...new Set(made.ready)].sort(), 'reported once');
         for (const id of made.ready) assert.notEqual(made.replica.jobs.get(id)!.readyAt, null);
         for (const [number, expected] of reference.jobs) {
           const storedJob = made.replica.jobs.get(idOf(number))!;
@@ -170,7 +170,7 @@
           if (reference.outcome(number) === 'cancelled') {
             assert.equal(storedJob.cancelledAt, reference.cancelledAt(number));
           }
-          assert.deepEqual(shown(storedJob), shown(live.replica.jobs.get(idOf(number))!));
+          assert.deepEqual(observedState(storedJob), observedState(live.replica.jobs.get(idOf(number))!));
         }
       }
     }),
@@ -178,10 +178,10 @@
   ); // prettier-ignore
 });
 
-test('each job is told as ready once, never before its time, and never when it was cancelled first', () => {
+test('each job is reported as ready once, never too early, and never if it was cancelled first', () => {
   fc.assert(
     fc.property(steps, (history) => {
-      const { changes, reference } = play(history);
+      const { changes, reference } = applySteps(history);
       const { ready, cancelled, replica: copy } = streamed(changes);
       const wanted = [...reference.jobs.keys()].filter((id) => reference.readyAt(id) !== null);
       assert.deepEqual([...ready].sort(), wanted.map(idOf).sort());
@@ -196,7 +196,7 @@
 const accept = (job: Partial<JobSpec>, revision: number, prefix = records.DEPENDENT_JOBS): Put => ({
   kind: 'put',
   key: `${prefix}a-${revision}`,
-  value: through(
+  value: roundTrip(
     records.encodeRequestBatch({ jobs: [{ spec: spec(job), atMs: 0 }], cancelledIds: [] }),
   ),
   revision,
@@ -208,7 +208,7 @@
   revision,
 });
 
-test('a chain of thousands and thousands that wait for one are cancelled at once, with one change', () => {
+test('a chain of thousands of jobs, or thousands that wait for one, are cancelled at once, with one change', () => {
   const many = 20_000;
   const shapes: [string, (i: number) => string][] = [
     ['a chain', (i) => idOf(i - 1)],
@@ -239,7 +239,7 @@
   }
 });
 
-test('what comes after a job: priority, work, the longest path, and by when it has to be done', () => {
+test('the downstream path of a job: priority, work, the longest path, and the latest end', () => {
   const { replica: copy } = streamed([
     accept({ id: 'wk-1', priority: 3, estimateS: 15, tasks: 4 }, 1, records.JOBS),
     accept({ id: 'wk-2', priority: 3, estimateS: 25, tasks: 10, dependencies: ['wk-1'] }, 2),
@@ -255,7 +255,7 @@
   assert.deepEqual(of('wk-2'), {
     priority: 1, longestPathS: 8, depth: 1, latestEndMs: 92_000, successors: [{ workS: 24, depth: 0 }],
   }); // prettier-ignore
-  // The last job is named late, or cancelled: what is before it is seen anew.
+  // A last job is added late, or cancelled: the paths of the jobs before it are computed anew.
   copy.advance(5, [accept({ id: 'wk-5', priority: 0, estimateS: 1, dependencies: ['wk-3'] }, 5)]);
   assert.equal(downstreamPaths.of(copy.jobs.get('wk-1')!).priority, 0);
   copy.advance(6, [cancel('wk-5', 6)]);
@@ -264,11 +264,11 @@
   assert.equal(downstreamPaths.of(copy.jobs.get('wk-1')!).priority, 2);
 });
 
-test('jobs that are over long ago and have left memory still count for those that name them', () => {
+test('jobs that ended long ago and were compacted still count for their dependents', () => {
   const progress = (id: string, revision: number): Put => ({
     kind: 'put',
     key: records.progressKey(id, 0),
-    value: through(records.encodeProgress({ bits: null, attainedS: 1 })),
+    value: roundTrip(records.encodeProgress({ bits: null, attainedS: 1 })),
     revision,
   });
   const { replica: copy, ready } = streamed([
@@ -284,5 +284,9 @@
   assert.equal(ready.at(-1), 'wk-4');
   assert.equal(outcome(copy.jobs.get('wk-5')!), 'cancelled');
   assert.equal(copy.jobs.get('wk-5')!.readyAt, null);
-  assert.equal(copy.jobs.get('wk-3')!.spec.kind, 'service', 'a service is known as one for ever');
+  assert.equal(
+    copy.jobs.get('wk-3')!.spec.kind,
+    'service',
+    'a compacted service is still known as a service',
+  );
 });
--- a/test/scheduler-rules.test.ts
+++ b/test/scheduler-rules.test.ts
@@ -32,7 +32,7 @@
 } from '../src/scheduler/ranking.js';
 import { g8, settings, spec } from './helpers.js';
 
-const ready = (over = {}) => ({
+const rankInput = (over = {}) => ({
   unfinishedS: 100,
   finishedS: 0,
   attainedS: 0,
@@ -43,35 +43,35 @@
 });
 const policy = DEFAULT_POLICY;
 
-test('remaining time follows what was attained', () => {
+test('the remaining time follows the attained run time', () => {
   const cases: [string, Partial<RankInput>, number][] = [
-    ['nothing known: the prediction', {}, 100],
+    ['nothing attained: the prediction', {}, 100],
     ['as predicted', { finishedS: 50, attainedS: 50 }, 100],
     ['twice as slow as predicted', { finishedS: 49, attainedS: 99 }, 200],
-    // A pipeline whose jobs fail instantly must not look nearly done: failed runs attain time and
-    // bring no progress.
-    ['failed runs only lengthen it', { attainedS: 9 }, 1000],
+    // A pipeline whose jobs fail instantly must not look nearly done: failed runs add to the attained
+    // time without any progress.
+    ['failed runs only increase it', { attainedS: 9 }, 1000],
   ];
   for (const [name, over, want] of cases)
-    assert.equal(remainingTimeS(ready(over), policy), want, name);
+    assert.equal(remainingTimeS(rankInput(over), policy), want, name);
 });
 
-test('contribution sums over the jobs that wait', () => {
+test('the downstream weight sums over all successors', () => {
   const successors = [
     { workS: 3, depth: 1 },
     { workS: 4, depth: 2 },
   ];
   assert.equal(
-    downstreamWeight(ready({ successors }), { ...policy, omega: [1, 10, 100] }),
+    downstreamWeight(rankInput({ successors }), { ...policy, omega: [1, 10, 100] }),
     7 + 30 + 200,
   );
 });
 
-test('the sum ranks short work first and heavy work of long pipelines up', () => {
+test('scores rank short work first and raise heavy work of long pipelines', () => {
   const candidates = [
-    ready({ unfinishedS: 10 }),
-    ready({ unfinishedS: 100 }),
-    ready({ unfinishedS: 1000 }),
+    rankInput({ unfinishedS: 10 }),
+    rankInput({ unfinishedS: 100 }),
+    rankInput({ unfinishedS: 1000 }),
   ];
   const [a, b, c] = scores(candidates, [false, false, false], policy);
   assert.ok(a! > b! && b! > c!);
@@ -79,18 +79,18 @@
   assert.ok(boosted[2]! > boosted[1]!);
 });
 
-test('long is above mean and spread, and does not swing with a burst of alike work', () => {
+test('the threshold for long pipelines is mean plus deviation, and does not oscillate with a burst of similar work', () => {
   assert.equal(longThresholdS([2, 4], 1), 4);
-  const marks = new LongJobs();
-  marks.update([10, 10, 10, 100], policy, 0);
-  assert.ok(marks.isLong(100, false));
-  const alike = [...Array<number>(50).fill(10), 100];
-  marks.update(alike, policy, 0.1);
-  assert.ok(!marks.isLong(40, false), 'the threshold follows slowly');
-  assert.ok(marks.isLong(60, true), 'what is long stays so until well below');
+  const longJobs = new LongJobs();
+  longJobs.update([10, 10, 10, 100], policy, 0);
+  assert.ok(longJobs.isLong(100, false));
+  const similar = [...Array<number>(50).fill(10), 100];
+  longJobs.update(similar, policy, 0.1);
+  assert.ok(!longJobs.isLong(40, false), 'the threshold follows slowly');
+  assert.ok(longJobs.isLong(60, true), 'a long pipeline stays long until well below the threshold');
 });
 
-test('order of jobs', () => {
+test('jobs are ordered by priority, guarantee, score and age', () => {
   const entry = { priority: 1, guaranteed: false, score: 1, readyAt: 5 };
   const sorted = [
     { ...entry, n: 'old', readyAt: 1 },
@@ -106,7 +106,7 @@
   );
 });
 
-const room = (over: Partial<FreeCapacity> = {}): FreeCapacity => ({
+const freeCapacity = (over: Partial<FreeCapacity> = {}): FreeCapacity => ({
   id: 'm',
   type: 'g8',
   zone: 'z1',
@@ -121,9 +121,9 @@
   hasImage: () => true,
   ...over,
 });
-const waiting = { ordinaryCostS: 20, emptyCostS: 2 };
+const weights = { ordinaryCostS: 20, emptyCostS: 2 };
 
-test('where a task may go', () => {
+test('machine types, zones and spot machines on which a task may be placed', () => {
   const cases: [string, Partial<JobSpec>, Partial<FreeCapacity>, boolean][] = [
     ['anywhere', {}, {}, true],
     ['wrong type', { types: ['h1'] }, {}, false],
@@ -132,7 +132,7 @@
     ['spot allowed', { spot: true }, { spot: true }, true],
   ];
   for (const [name, jobSpec, capacity, want] of cases)
-    assert.equal(isAllowedOn(spec(jobSpec), room(capacity)), want, name);
+    assert.equal(isAllowedOn(spec(jobSpec), freeCapacity(capacity)), want, name);
   const zones = new Map([['z1', 2]]);
   assert.ok(!isZoneAllowed(spec({ oneZone: true }), 'z2', zones));
   assert.ok(isZoneAllowed(spec({ oneZone: true }), 'z1', zones));
@@ -140,52 +140,61 @@
   assert.ok(isZoneAllowed(spec({ scatter: true, tasks: 5 }), 'z1', zones));
 });
 
-test('the best fit has the image, and is the fuller one', () => {
-  const cached = room({ id: 'cached' });
-  const cold = room({ id: 'cold', imageDelayS: () => 9 });
-  const full = room({ id: 'full', gpus: 1, cores: 1 });
+test('the best fit is a machine with the image, and the fuller one of several', () => {
+  const cached = freeCapacity({ id: 'cached' });
+  const cold = freeCapacity({ id: 'cold', imageDelayS: () => 9 });
+  const full = freeCapacity({ id: 'full', gpus: 1, cores: 1 });
   const where = { zones: new Map() };
-  assert.equal(bestFit(spec(), [cold, cached], where, waiting)?.id, 'cached');
-  assert.equal(bestFit(spec(), [cached, full], where, waiting)?.id, 'full');
-  assert.equal(bestFit(spec({ gpus: 2 }), [full], where, waiting), null);
+  assert.equal(bestFit(spec(), [cold, cached], where, weights)?.id, 'cached');
+  assert.equal(bestFit(spec(), [cached, full], where, weights)?.id, 'full');
+  assert.equal(bestFit(spec({ gpus: 2 }), [full], where, weights), null);
 });
 
-test('a place where another image is cached is left to those who want that image', () => {
+test('a machine with a hot image is left to tasks that need that image', () => {
   const big = spec({ image: 'big', gpus: 4, cores: 4 });
-  const hot = [{ image: 'big', gb: 30, spec: big, expected: 0.5 }];
-  const cached = room({ id: 'cached', gpus: 4 });
-  const cold = room({ id: 'cold', imageDelayS: (i) => (i === 'big' ? 30 : 0) });
+  const hotImages = [{ image: 'big', gb: 30, spec: big, expected: 0.5 }];
+  const cached = freeCapacity({ id: 'cached', gpus: 4 });
+  const cold = freeCapacity({ id: 'cold', imageDelayS: (i) => (i === 'big' ? 30 : 0) });
   const where = { zones: new Map() };
-  assert.equal(bestFit(spec(), [cached, cold], where, waiting)?.id, 'cached', 'the fuller one');
-  assert.equal(bestFit(spec(), [cached, cold], where, { ...waiting, hotImages: hot })?.id, 'cold');
-  assert.equal(bestFit(big, [cold, cached], where, { ...waiting, hotImages: hot })?.id, 'cached');
+  assert.equal(bestFit(spec(), [cached, cold], where, weights)?.id, 'cached', 'the fuller one');
+  assert.equal(
+    bestFit(spec(), [cached, cold], where, { ...weights, hotImages: hotImages })?.id,
+    'cold',
+  );
+  assert.equal(
+    bestFit(big, [cold, cached], where, { ...weights, hotImages: hotImages })?.id,
+    'cached',
+  );
 });
 
-test('a gang gets all its places or none, in one zone where it must', () => {
-  const capacities = [room({ id: 'a', gpus: 2 }), room({ id: 'b', gpus: 1, zone: 'z2' })];
+test('a gang is placed as a whole or not at all, in one zone if it requires that', () => {
+  const capacities = [
+    freeCapacity({ id: 'a', gpus: 2 }),
+    freeCapacity({ id: 'b', gpus: 1, zone: 'z2' }),
+  ];
   const gang = spec({ kind: 'gang', tasks: 3 });
   const free = { zones: new Map() };
-  assert.equal(placeGang({ ...gang, oneZone: true }, capacities, free, waiting), null);
+  assert.equal(placeGang({ ...gang, oneZone: true }, capacities, free, weights), null);
   assert.deepEqual(
     capacities.map((capacity) => capacity.gpus),
     [2, 1],
-    'nothing is taken in vain',
+    'nothing stays allocated',
   );
-  assert.equal(placeGang(gang, capacities, free, waiting)?.length, 3);
+  assert.equal(placeGang(gang, capacities, free, weights)?.length, 3);
   assert.deepEqual(
     capacities.map((capacity) => capacity.gpus),
     [0, 0],
   );
 });
 
-test('the share for long work is capped at what it can use and lent when none waits', () => {
+test('the share for long work is capped at what that work can use, and 0 when none waits', () => {
   assert.equal(reservedForLongWork(100, 0.2, 1000), 20);
   assert.equal(reservedForLongWork(100, 0.2, 5), 5);
   assert.equal(reservedForLongWork(100, 0.2, 0), 0);
 });
 
-test('eviction loses least and takes no more than needed', () => {
-  const v = (id: string, gpus: number, lossS: number) => ({
+test('preemption costs least and stops no more tasks than needed', () => {
+  const makeVictim = (id: string, gpus: number, lossS: number) => ({
     id,
     group: id,
     gpus,
@@ -193,23 +202,32 @@
     memGb: 0,
     lossS,
   });
-  const candidate = (id: string, victims: ReturnType<typeof v>[], spot = false) => ({
+  const candidate = (id: string, victims: ReturnType<typeof makeVictim>[], spot = false) => ({
     id, type: 'g8', zone: 'z1', spot, cores: 0, gpus: 0, memGb: 64, victims,
   }); // prettier-ignore
   const need = spec({ gpus: 4, cores: 4 });
   const preemption = cheapestPreemption(
     need,
-    [candidate('x', [v('a', 4, 50)]), candidate('y', [v('b', 1, 1), v('c', 4, 10)])],
+    [
+      candidate('x', [makeVictim('a', 4, 50)]),
+      candidate('y', [makeVictim('b', 1, 1), makeVictim('c', 4, 10)]),
+    ],
     new Map(),
   );
   assert.equal(preemption?.machine, 'y');
   assert.deepEqual(
     preemption?.victims.map((victim) => victim.id),
     ['c'],
-    'b is not needed beside c',
+    'b is not needed in addition to c',
+  );
+  assert.equal(
+    cheapestPreemption(need, [candidate('s', [makeVictim('a', 4, 0)], true)], new Map()),
+    null,
+  );
+  assert.equal(
+    cheapestPreemption(need, [candidate('t', [makeVictim('a', 2, 0)])], new Map()),
+    null,
   );
-  assert.equal(cheapestPreemption(need, [candidate('s', [v('a', 4, 0)], true)], new Map()), null);
-  assert.equal(cheapestPreemption(need, [candidate('t', [v('a', 2, 0)])], new Map()), null);
 });
 
 test('team limits and guarantees', () => {
@@ -222,10 +240,14 @@
   assert.ok(!usages.allows(spec({ team: 'x' }), 1));
   const decimals = new TeamUsages(settings().teams);
   for (let i = 0; i < 119; i++) decimals.add(spec({ gpus: 0.1 }), 1);
-  assert.equal(decimals.remainingTasks(spec({ gpus: 0.1 })), 1, 'rounding does not decide');
+  assert.equal(
+    decimals.remainingTasks(spec({ gpus: 0.1 })),
+    1,
+    'rounding errors make no difference',
+  );
 });
 
-test('what is added covers the demand and no more', () => {
+test('scale-out covers the demand and no more', () => {
   const plan = (
     demand: Partial<Demand>[],
     capacities: FreeCapacity[] = [],
@@ -238,13 +260,13 @@
       zones: ['z1', 'z2'],
       isShort,
       machinesByZone: new Map(),
-      weights: waiting,
+      weights: weights,
       maxMachines: 50,
     });
   const total = (orders: ReturnType<typeof plan>) =>
     orders.reduce((n, wanted) => n + wanted.count, 0);
   assert.equal(total(plan([{ tasks: 17 }])), 3);
-  assert.equal(total(plan([{ tasks: 9 }], [room({ id: 'coming' })])), 1);
+  assert.equal(total(plan([{ tasks: 9 }], [freeCapacity({ id: 'coming' })])), 1);
   assert.equal(plan([{ spec: spec({ spot: true }) }])[0]?.spot, true);
   assert.equal(plan([{ spec: spec({ spot: true }) }], [], (_t, _z, s) => s)[0]?.spot, false);
   assert.equal(total(plan([{ tasks: 5 }], [], () => true)), 0);
@@ -255,12 +277,12 @@
 });
 
 test('a machine whose GPUs are taken has no free capacity, however many cores are left', () => {
-  // Counted by its cores instead, it once kept the fleet from renting ahead at all.
-  assert.equal(freeShare(room({ gpus: 0, cores: 6 })), 0);
-  assert.equal(freeShare(room({ gpus: 4, cores: 8 })), 0.5);
+  // Counted by their cores, such machines kept the fleet from renting any warm capacity.
+  assert.equal(freeShare(freeCapacity({ gpus: 0, cores: 6 })), 0);
+  assert.equal(freeShare(freeCapacity({ gpus: 4, cores: 8 })), 0.5);
 });
 
-test('capacity kept warm covers what arrives within a boot, and ignores the first burst', () => {
+test('the warm target covers arrivals within a boot, and ignores the first burst', () => {
   const forecast = { mean: 1, deviations: 1, least: 1, reused: 0.5 };
   const burst = Array.from({ length: 50 }, () => ({ atMs: 0, size: 1 }));
   assert.equal(warmTarget(burst, [], 0, 20_000, 200, 25, forecast), 1, 'too early to tell');
@@ -272,12 +294,12 @@
   assert.ok(target > 2.5 && target < 5, String(target));
 });
 
-test('what is preempted saves first, unless only stopping at once is in time', () => {
+test('preempted tasks save first, unless the start is in time only without saving', () => {
   const cases: [string, number | null, number, number, string][] = [
-    ['nothing expected', null, 3, 8, 'checkpoint-first'],
-    ['time enough', 4, 3, 0, 'checkpoint-first'],
-    ['not with saving', 4, 3, 1.8, 'immediate'],
-    ['late in any case: no work is lost for it', 2, 3, 2.5, 'too-late'],
+    ['no target', null, 3, 8, 'checkpoint-first'],
+    ['enough time', 4, 3, 0, 'checkpoint-first'],
+    ['too late with saving', 4, 3, 1.8, 'immediate'],
+    ['late in any case: no work is lost in vain', 2, 3, 2.5, 'too-late'],
   ];
   for (const [name, left, save, image, want] of cases)
     assert.equal(preemptionMode(left, save, image), want, name);
@@ -297,55 +319,55 @@
   );
 });
 
-test('a machine is emptied when all its replicas find their image elsewhere', () => {
+test('a machine is drained when all its replicas fit elsewhere, where their image is', () => {
   const service = spec({ kind: 'service', gpus: 2, cores: 2 });
-  const emptier = room({ id: 'emptier', gpus: 6, cores: 6 });
+  const emptier = freeCapacity({ id: 'emptier', gpus: 6, cores: 6 });
   const candidate = {
     capacity: emptier,
     replicas: [{ spec: service, zones: new Map([['z1', 1]]) }],
   };
   const cases: [string, Partial<FreeCapacity>, boolean, boolean][] = [
-    ['a hole with the image', { gpus: 2, cores: 2 }, true, true],
-    ['no room', { gpus: 1 }, true, false],
-    ['no image for certain', { gpus: 2, cores: 2, hasImage: () => false }, true, false],
+    ['free capacity and the image', { gpus: 2, cores: 2 }, true, true],
+    ['not enough capacity', { gpus: 1 }, true, false],
+    ['the image may be missing', { gpus: 2, cores: 2, hasImage: () => false }, true, false],
     ['an empty machine', {}, true, false],
     ['a spot machine', { gpus: 2, cores: 2, spot: true }, true, false],
     ['too many moved just now', { gpus: 2, cores: 2 }, false, false],
   ];
   for (const [name, over, may, want] of cases) {
-    const capacities = [emptier, room({ id: 'other', ...over })];
+    const capacities = [emptier, freeCapacity({ id: 'other', ...over })];
     assert.equal(
-      chooseMachineToDrain([candidate], capacities, () => may, waiting) !== null,
+      chooseMachineToDrain([candidate], capacities, () => may, weights) !== null,
       want,
       name,
     );
-    // Rooms of a class have their methods from its prototype; spreads once lost them, and with that
-    // every tick of the leader ended early.
-    const classy = capacities.map((capacity) =>
+    // Instances of a class have their methods from its prototype. Copies made by a spread lost them, and
+    // every tick of the leader failed.
+    const instances = capacities.map((capacity) =>
       Object.assign(Object.create(capacity) as FreeCapacity, { cores: capacity.cores }),
     );
     assert.equal(
-      chooseMachineToDrain([candidate], classy, () => may, waiting) !== null,
+      chooseMachineToDrain([candidate], instances, () => may, weights) !== null,
       want,
       name,
     );
   }
 });
 
-test('how long fetches take is learned from those seen, the odd ones aside', () => {
+test('the safety factor of fetch times follows recent fetches and ignores outliers', () => {
   const cases: [string, [number, number][], number][] = [
-    ['nothing seen', [], 1],
-    ['too few', Array(7).fill([10, 20]), 1],
+    ['no fetches', [], 1],
+    ['too few fetches', Array(7).fill([10, 20]), 1],
     ['slower by a fifth', Array(8).fill([10, 12]), 1.2],
-    ['faster: promises do not rest on luck', Array(8).fill([10, 8]), 1],
-    ['hangs and shared lines say nothing', Array(20).fill([10, 100]), 1],
-    ['a quarter is slower than counted with', [...Array(9).fill([10, 11]), ...Array(3).fill([10, 14])], 1.4],
-    ['a tenth is', [...Array(18).fill([10, 11]), ...Array(2).fill([10, 14])], 1.1],
-    ['the last ones count', [...Array(64).fill([10, 14]), ...Array(64).fill([10, 11])], 1.1],
+    ['faster: the factor is never below 1', Array(8).fill([10, 8]), 1],
+    ['hung machines and shared bandwidth do not count', Array(20).fill([10, 100]), 1],
+    ['a quarter of the fetches is slower', [...Array(9).fill([10, 11]), ...Array(3).fill([10, 14])], 1.4],
+    ['a tenth of the fetches is slower', [...Array(18).fill([10, 11]), ...Array(2).fill([10, 14])], 1.1],
+    ['only the latest fetches count', [...Array(64).fill([10, 14]), ...Array(64).fill([10, 11])], 1.1],
   ]; // prettier-ignore
-  for (const [name, seen, sure] of cases) {
+  for (const [name, fetches, factor] of cases) {
     const forecast = new FetchTimes();
-    for (const [predicted, took] of seen) forecast.record(predicted, took);
-    assert.equal(forecast.safetyFactor, sure, name);
+    for (const [predicted, took] of fetches) forecast.record(predicted, took);
+    assert.equal(forecast.safetyFactor, factor, name);
   }
 });
--- a/test/scheduling-cycle.test.ts
+++ b/test/scheduling-cycle.test.ts
@@ -3,7 +3,7 @@
 import { settings } from './helpers.js';
 import { SchedulerWorld } from './support/scheduler-world.js';
 
-test('capacity that is being freed for a gang is held for it until all of it is there', () => {
+test('capacity that is being freed for a gang stays reserved for it until all of it is free', () => {
   const world = new SchedulerWorld();
   for (const id of ['a', 'b']) world.heartbeat(id, []);
   const array = { id: 'wk-000001', tasks: 40, priority: 3 as const, checkpointS: 30, saveS: 3 };
@@ -21,7 +21,7 @@
     [0, 0],
     'told to stop',
   );
-  // One machine is empty before the other: lower-priority work once took it at once, and so on for minutes.
+  // One machine is free before the other. When lower-priority work took it at once, gangs waited for minutes.
   world.confirmClaims('a', true);
   world.confirmClaims('b', false);
   world.runCycle();
@@ -37,27 +37,27 @@
   );
 });
 
-test('claims of a cycle stay within what teams and machines allow, and what is placed stays put', () => {
+test('claims of a cycle stay within the limits of teams and machines, and placed tasks are not moved', () => {
   const world = new SchedulerWorld(10);
   for (const id of ['a', 'b']) world.heartbeat(id, []);
   world.submitJob({ id: 'wk-000001', tasks: 30, priority: 2 });
   world.runCycle();
-  const held = (): number =>
+  const placedTasks = (): number =>
     world.activeTasksOn('a', 'wk-000001') + world.activeTasksOn('b', 'wk-000001');
-  assert.equal(held(), 10);
+  assert.equal(placedTasks(), 10);
   for (const id of ['a', 'b']) world.confirmClaims(id, false);
   world.runCycle();
-  assert.equal(held(), 10);
-  // What runs beyond the limit of one scheduling cycle or team waits; a machine's capacity is reckoned once it changes.
+  assert.equal(placedTasks(), 10);
+  // Tasks beyond the limit of a cycle or team wait. A machine's capacity is computed anew after a change.
   world.heartbeat('a', []);
   world.runCycle();
-  assert.equal(held(), 10);
+  assert.equal(placedTasks(), 10);
 });
 
-test('a critical task goes where its image is, and lower-priority work is preempted there in time', () => {
+test('a critical task is placed where its image is, and lower-priority work is preempted there in time', () => {
   const world = new SchedulerWorld(100, 10);
   world.heartbeat('a', []);
-  // The image comes to "a" with a first replica; then lower-priority work fills that machine.
+  // A first replica fetches the image on "a"; then lower-priority work fills that machine.
   const service = { kind: 'service' as const, priority: 0 as const, image: 'big', imageGb: 30 };
   world.submitJob({ ...service, id: 'wk-000001', gpus: 4, cores: 4 });
   world.runCycle();
@@ -84,10 +84,10 @@
   assert.equal(world.activeTasksOn('a', 'wk-000003'), 1);
 });
 
-test('the share for long work holds against its own and lower priorities, not against higher ones', () => {
-  // Gangs once waited for half a minute beside capacity that was held for long best-effort arrays.
+test('the share for long work is reserved against its own and lower priorities, not against higher ones', () => {
+  // Gangs waited for half a minute while capacity was reserved for long best-effort arrays.
   const cases: [string, 1 | 3, number][] = [
-    ['long work of least priority waits', 3, 1],
+    ['long work of the lowest priority waits', 3, 1],
     ['long work of the same priority waits', 1, 0],
   ];
   for (const [name, priority, placed] of cases) {
@@ -101,19 +101,26 @@
   }
 });
 
-test('boots for what is on silent machines begin before its lease has run out', () => {
-  // A fifth of a fleet was cut off: its replicas were away for a lease and then for a whole boot.
+test('replacement machines boot before the leases of silent machines have expired', () => {
+  // When a fifth of a fleet was cut off, its replicas were unavailable for a lease and then for a whole boot.
   const lease = settings().workers.lease_s;
   const ids = ['a', 'b', 'c', 'd'];
   const cases: [string, number, string[], boolean, 0 | 3, number][] = [
-    ['not heard for a moment', 0.3, ['a'], false, 0, 0],
+    ['silent for a moment', 0.3, ['a'], false, 0, 0],
     ['one of four', 0.5, ['a'], false, 0, 1],
     ['two of four', 0.5, ['a', 'b'], false, 0, 2],
-    ['most: it is this controller that hears nothing', 0.5, ['a', 'b', 'c'], false, 0, 0],
-    ['its zone may be kept', 0.5, ['a'], true, 0, 0],
-    ['nothing but best effort', 0.5, ['a'], false, 3, 0],
+    [
+      'most of them: it is this controller that receives nothing',
+      0.5,
+      ['a', 'b', 'c'],
+      false,
+      0,
+      0,
+    ],
+    ['the holder of its zone lease may renew its lease', 0.5, ['a'], true, 0, 0],
+    ['only best-effort work', 0.5, ['a'], false, 3, 0],
   ];
-  for (const [name, leases, silent, kept, priority, more] of cases) {
+  for (const [name, leases, silent, zoneKept, priority, added] of cases) {
     const world = new SchedulerWorld();
     for (const id of ids) world.heartbeat(id, []);
     world.submitJob({ kind: 'service', tasks: 32, priority });
@@ -122,7 +129,7 @@
     const before = world.machinesToAdd();
     world.now += lease * leases;
     for (const id of ids) if (!silent.includes(id)) world.confirmClaims(id, false);
-    if (kept) world.keptUntil = world.now + 1;
-    assert.equal(world.machinesToAdd() - before, more, name);
+    if (zoneKept) world.zoneRenewedUntil = world.now + 1;
+    assert.equal(world.machinesToAdd() - before, added, name);
   }
 });
--- a/test/support/scheduler-world.ts
+++ b/test/support/scheduler-world.ts
@@ -15,7 +15,7 @@
 
 const TOKEN = 50;
 
-/** Passes over a term without any input or output; workers do what they are told, when told to. */
+/** Scheduling cycles over a term without input or output; workers act only when a test says so. */
 export class SchedulerWorld {
   now = 0;
   private revision = 1;
@@ -23,8 +23,8 @@
   readonly term: Term;
   readonly scheduler: Scheduler;
   readonly capacity: CapacityManager;
-  /** Until when a zone's zone lease holder may be keeping it. */
-  keptUntil = -Infinity;
+  /** Until when the holder of the zone lease may be renewing the workers' leases. */
+  zoneRenewedUntil = -Infinity;
 
   constructor(gpusMax = 100, withinS = 0, subsystems = NO_SUBSYSTEMS) {
     this.replica.machineTypes = [g8];
@@ -48,7 +48,7 @@
       canWrite: () => true,
       othersRenewal: () => ({ keptUntil: -Infinity, provenAt: Infinity }),
       requestOthersProof: () => undefined,
-      zoneRenewal: () => ({ keptUntil: this.keptUntil, provenAt: Infinity }),
+      zoneRenewal: () => ({ keptUntil: this.zoneRenewedUntil, provenAt: Infinity }),
       requestZoneProof: () => undefined,
       cancellationKnownAt: () => undefined,
     });
@@ -84,7 +84,7 @@
     return this.capacity.machinesToAdd().reduce((n, wanted) => n + wanted.count, 0);
   }
 
-  /** A job is accepted, and the term sees it. */
+  /** Accepts a job and adds it to the term. */
   submitJob(over: Partial<JobSpec>): void {
     const jobSpec = spec(over);
     const value = records.encodeRequestBatch({
@@ -101,7 +101,7 @@
 
   private sequence = 0;
 
-  /** A machine sends a heartbeat with these tasks. */
+  /** Sends a heartbeat of a machine with these tasks. */
   heartbeat(id: string, tasks: TaskStatus[]): void {
     const machine = this.term.machine(id);
     const changes = machine.applyHeartbeat(
@@ -113,7 +113,7 @@
     this.term.reconcile(machine, changes);
   }
 
-  /** What is claimed is stored, started and running; `ended`: what was to stop has saved. */
+  /** Claims are stored and their tasks run; `ended`: tasks that were to stop have saved and ended. */
   confirmClaims(id: string, ended: boolean): void {
     const machine = this.term.machines.get(id)!;
     for (const attempt of machine.attempts.values()) this.term.claimStored(attempt, TOKEN + 1);
@@ -128,13 +128,13 @@
     this.heartbeat(id, tasks);
   }
 
-  /** A tenth of a second later a scheduling cycle runs. */
+  /** Runs a scheduling cycle a tenth of a second later. */
   runCycle(): void {
     this.now += 0.1;
     this.scheduler.runCycle();
   }
 
-  /** How many tasks of a job a machine has that were not told to stop. */
+  /** Number of active tasks of a job on a machine without a stop request. */
   activeTasksOn(id: string, job: string): number {
     const machine: Machine = this.term.machines.get(id)!;
     return machine
--- a/test/unplaced-requests.test.ts
+++ b/test/unplaced-requests.test.ts
@@ -20,27 +20,27 @@
   );
 }
 
-// Each case is a job that is asked about after one of 4 cores, 1 GPU and 8 GB found no capacity.
+// Each case is a job that is checked after a request for 4 cores, 1 GPU and 8 GB found no capacity.
 const CASES: [string, Partial<JobSpec>, Partial<LiveJob>, boolean][] = [
   ['the same again', {}, {}, true],
   ['larger in one resource', { cores: 5 }, {}, true],
   ['smaller in one resource, which may fit', { cores: 3, gpus: 2 }, {}, false],
-  ['another priority may stop other work', { priority: 0 }, {}, false],
-  ['a service leaves no share to long work', { kind: 'service' }, {}, false],
-  ['spot machines are open to it', { spot: true }, {}, false],
+  ['another priority may preempt other work', { priority: 0 }, {}, false],
+  ['the share for long work does not apply to services', { kind: 'service' }, {}, false],
+  ['it may use spot machines', { spot: true }, {}, false],
   ['its zone only', { zone: 'z1' }, {}, false],
   ['other machine types', { types: ['other'] }, {}, false],
-  ['another team has a limit and a guarantee of its own', { team: 'u' }, {}, false],
-  ['work that leaves at once may use warm capacity', { checkpointS: 5, saveS: 0.1 }, {}, false],
-  ['long work has a share of its own', {}, { isLong: true }, false],
-  ['a guarantee lets it stop other work', {}, { isGuaranteed: true }, false],
+  ['another team has its own limit and guarantee', { team: 'u' }, {}, false],
+  ['work that stops quickly may use warm capacity', { checkpointS: 5, saveS: 0.1 }, {}, false],
+  ['long work may use the share reserved for it', {}, { isLong: true }, false],
+  ['guaranteed work may preempt more', {}, { isGuaranteed: true }, false],
   ['a gang is placed as a whole', { kind: 'gang' }, {}, false],
-  ['one zone: which depends on where its tasks are', { oneZone: true }, {}, false],
-  ['spread: the same', { scatter: true }, {}, false],
+  ['one zone: which one depends on where its tasks are', { oneZone: true }, {}, false],
+  ['spread over zones: the same', { scatter: true }, {}, false],
   ['it avoids machines', {}, { failedOn: new Set(['host-1']) }, false],
 ];
 
-test('a request is passed over only where an earlier one that found nothing could use all that it may', () => {
+test('a request is skipped only if an earlier one that found no capacity could use all that it may use', () => {
   for (const [name, over, marks, covered] of CASES) {
     const unplaced = new UnplacedRequests();
     assert.equal(unplaced.covers(job(over, marks)), false, `nothing noted: ${name}`);
@@ -49,7 +49,7 @@
   }
 });
 
-test('what may use other machines than its like is not noted for them', () => {
+test('requests whose machines differ from those of similar requests are not recorded', () => {
   for (const over of [{ oneZone: true }, { scatter: true }, { kind: 'gang' }] as const) {
     const unplaced = new UnplacedRequests();
     unplaced.note(job(over));
@@ -57,10 +57,10 @@
   }
   const unplaced = new UnplacedRequests();
   unplaced.note(job({}, { failedOn: new Set(['host-1']) }));
-  assert.equal(unplaced.covers(job({})), false, 'that it avoids a machine says nothing of others');
+  assert.equal(unplaced.covers(job({})), false, 'only this job avoids the machine');
 });
 
-test('the least of the sizes that found nothing decide', () => {
+test('the smallest sizes that found no capacity decide', () => {
   const unplaced = new UnplacedRequests();
   for (const cores of [8, 6, 7, 2]) unplaced.note(job({ cores }));
   assert.equal(unplaced.covers(job({ cores: 2 })), true);
@@ -69,7 +69,7 @@
 
 const MACHINES = ['a', 'b', 'c'];
 
-/** What passes over random jobs claim, stop and ask for. */
+/** The claims, stops and demand of scheduling cycles over random jobs. */
 function decisions(seed: number): unknown[] {
   const generator = xoroshiro128plus(seed);
   const pick = <T>(from: readonly T[]): T => from[draw(0, from.length - 1, generator)]!;
@@ -104,23 +104,23 @@
   return seen;
 }
 
-test('cycles decide the same with and without looking again for what was found nowhere', () => {
+test('cycles make the same decisions with and without skipped searches', () => {
   const { covers } = UnplacedRequests.prototype;
-  let spared = 0;
-  const counted = function (this: UnplacedRequests, asked: LiveJob): boolean {
+  let skipped = 0;
+  const countingCovers = function (this: UnplacedRequests, asked: LiveJob): boolean {
     const known = covers.call(this, asked);
-    if (known) spared++;
+    if (known) skipped++;
     return known;
   };
   try {
     for (let seed = 1; seed <= 60; seed++) {
-      UnplacedRequests.prototype.covers = counted;
-      const short = decisions(seed);
+      UnplacedRequests.prototype.covers = countingCovers;
+      const withSkips = decisions(seed);
       UnplacedRequests.prototype.covers = () => false;
-      assert.deepEqual(short, decisions(seed), `seed ${seed}`);
+      assert.deepEqual(withSkips, decisions(seed), `seed ${seed}`);
     }
   } finally {
     UnplacedRequests.prototype.covers = covers;
   }
-  assert.ok(spared > 1000, `looked for once less ${spared} times`);
+  assert.ok(skipped > 1000, `${skipped} searches skipped`);
 });
