--- a/src/leader/scheduling/job-placement.ts
+++ b/src/leader/scheduling/job-placement.ts
@@ -70,12 +70,12 @@
   }
 
   private placeTasks(job: LiveJob, cycle: CycleContext, maxTasks: number): PlacementOutcome {
-    const suspect = this.isSuspect(job);
-    const indexes = this.startableTasks(job, cycle, maxTasks, suspect);
+    const isSuspect = this.isSuspect(job);
+    const indexes = this.startableTasks(job, cycle, maxTasks, isSuspect);
     if (indexes.length === 0) return { placed: 0, unplaced: 0 };
     if (cycle.unplaced.covers(job)) return { placed: 0, unplaced: indexes.length };
     const { mayUse, noteAllocated } = longWorkFilter(job, cycle, this.eligibility.filterFor(job));
-    const search = this.search(job, cycle, mayUse, suspect);
+    const search = this.search(job, cycle, mayUse, isSuspect);
     let awaitingCapacity = 0;
     let placed = 0;
     for (const index of indexes) {
@@ -90,7 +90,7 @@
       cycle.usages.add(job.spec, 1);
       placed++;
     }
-    return { placed, unplaced: suspect ? 0 : indexes.length - placed - awaitingCapacity };
+    return { placed, unplaced: isSuspect ? 0 : indexes.length - placed - awaitingCapacity };
   }
 
   /** Tasks that may start now. A suspect job runs one task at a time. */
@@ -98,10 +98,10 @@
     job: LiveJob,
     cycle: CycleContext,
     maxTasks: number,
-    suspect: boolean,
+    isSuspect: boolean,
   ): number[] {
     const allowed = Math.min(cycle.usages.remainingTasks(job.spec), maxTasks);
-    const limit = suspect ? Math.min(allowed, 1 - job.activeAttemptCount) : allowed;
+    const limit = isSuspect ? Math.min(allowed, 1 - job.activeAttemptCount) : allowed;
     return job.pendingTasks(cycle.now, Math.max(0, limit));
   }
 
@@ -109,7 +109,7 @@
     job: LiveJob,
     cycle: CycleContext,
     mayUse: LongWorkFilter['mayUse'],
-    suspect: boolean,
+    isSuspect: boolean,
   ): PlacementSearch {
     const { spec } = job;
     const { weights, preemptor } = cycle;
@@ -117,13 +117,13 @@
       job,
       constraints: {
         zones: taskCountsByZone(this.term, job),
-        avoid: suspect ? job.failedOn : undefined,
+        avoid: isSuspect ? job.failedOn : undefined,
         mayUse,
       },
       // A gap on an ordinary machine costs nothing, so best-effort work uses it as readily as spot.
       weights: spec.priority < 3 ? weights : { ...weights, ordinaryCostS: 0 },
       preemptor,
-      remainingS: spec.priority === 3 || suspect ? null : this.remainingS(job, cycle.now),
+      remainingS: spec.priority === 3 || isSuspect ? null : this.remainingS(job, cycle.now),
     };
   }
 
@@ -135,40 +135,38 @@
   }
 
   private find(search: PlacementSearch, capacities: FreeCapacity[]): FoundCapacity {
-    const { job, constraints: where, weights, preemptor } = search;
-    const cheapest = bestFit(job.spec, capacities, where, weights);
+    const { job, constraints, weights, preemptor } = search;
+    const cheapest = bestFit(job.spec, capacities, constraints, weights);
     if (cheapest === null) return 'no-fit';
     if (!this.isLate(search, cheapest)) return cheapest;
     // The start would be late there, because the image has to be fetched. Any machine where it is in
     // time is better, whatever its cost, or one where preemption makes capacity in time.
     const mayUse = (capacity: FreeCapacity): boolean =>
-      where.mayUse(capacity) && !this.isLate(search, capacity);
-    const inTime = bestFit(job.spec, capacities, { ...where, mayUse }, weights);
+      constraints.mayUse(capacity) && !this.isLate(search, capacity);
+    const inTime = bestFit(job.spec, capacities, { ...constraints, mayUse }, weights);
     if (inTime !== null) return inTime;
-    return preemptor.makeCapacity(job, 1, where.zones, where.mayUse, true) === 0
+    return preemptor.makeCapacity(job, 1, constraints.zones, constraints.mayUse, true) === 0
       ? 'being made'
       : cheapest;
   }
 
-  private isLate(
-    { job: { spec }, remainingS: leftS }: PlacementSearch,
-    capacity: FreeCapacity,
-  ): boolean {
-    if (leftS === null) return false;
+  private isLate({ job: { spec }, remainingS }: PlacementSearch, capacity: FreeCapacity): boolean {
+    if (remainingS === null) return false;
     return (
-      capacity.imageDelayS(spec.image, spec.imageGb) * this.term.fetchTimes.safetyFactor > leftS
+      capacity.imageDelayS(spec.image, spec.imageGb) * this.term.fetchTimes.safetyFactor >
+      remainingS
     );
   }
 
   private placeTask(
-    { job, constraints: where }: PlacementSearch,
+    { job, constraints }: PlacementSearch,
     index: number,
     capacity: FreeCapacity,
   ): void {
     const freeShareBefore = freeShare(capacity);
     allocate(job.spec, capacity);
     this.eligibility.noteAllocated(capacity, freeShareBefore);
-    where.zones.set(capacity.zone, (where.zones.get(capacity.zone) ?? 0) + 1);
+    constraints.zones.set(capacity.zone, (constraints.zones.get(capacity.zone) ?? 0) + 1);
     this.claimTask(job, index, capacity);
   }
 
--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -98,12 +98,7 @@
     onlyInTime = false,
   ): number {
     const options = this.placementOptions(job, mayUse, onlyInTime);
-    const { places: chosenOptions, chosen: preemptions } = chooseOptions(
-      job,
-      options,
-      tasks,
-      zones,
-    );
+    const { chosenOptions, preemptions } = chooseOptions(job, options, tasks, zones);
     this.logPlan(job, tasks, chosenOptions, preemptions, onlyInTime);
     // Capacity for only some of its tasks is of no use to a gang.
     if (job.isGang && chosenOptions.length < tasks) return tasks;
@@ -209,7 +204,7 @@
     );
   }
 
-  private preempt(job: LiveJob, { option: option, victims }: PreemptionChoice): void {
+  private preempt(job: LiveJob, { option, victims }: PreemptionChoice): void {
     const { candidate } = option;
     const saves = option.mode !== 'immediate';
     const carryOut = (): boolean => this.carryOut(job, victims, saves);
@@ -245,22 +240,22 @@
   options: PlacementOption[],
   tasks: number,
   zones: Map<string, number>,
-): { places: PlacementOption[]; chosen: PreemptionChoice[] } {
-  const chosen: PreemptionChoice[] = [];
-  const places: PlacementOption[] = [];
-  while (places.length < tasks) {
+): { chosenOptions: PlacementOption[]; preemptions: PreemptionChoice[] } {
+  const preemptions: PreemptionChoice[] = [];
+  const chosenOptions: PlacementOption[] = [];
+  while (chosenOptions.length < tasks) {
     let option = soonestFit(spec, options, zones);
     if (option === null) {
       const choice = cheapestChoice(spec, options, zones);
       if (choice === null) break;
-      chosen.push(choice);
-      ({ option: option } = choice);
+      preemptions.push(choice);
+      ({ option } = choice);
     }
     allocate(spec, option);
     zones.set(option.zone, (zones.get(option.zone) ?? 0) + 1);
-    places.push(option);
+    chosenOptions.push(option);
   }
-  return { places, chosen };
+  return { chosenOptions, preemptions };
 }
 
 function soonestFit(
@@ -290,5 +285,5 @@
     release(victim, option);
     option.victims.splice(option.victims.indexOf(victim), 1);
   }
-  return { option: option, victims };
+  return { option, victims };
 }
--- a/src/leader/scheduling/scheduler.ts
+++ b/src/leader/scheduling/scheduler.ts
@@ -29,7 +29,7 @@
  * machine's record holds many claims; a task placed before its claim can be stored would only wait.
  */
 const MAX_CLAIMS_PER_WRITE = 12;
-/** Boot times that work waits for a spot machine before it takes a more expensive ordinary one. */
+/** Boot times that work waits for a spot machine, where it may use one, before an ordinary one. */
 const ORDINARY_MACHINE_COST_BOOTS = 0.8;
 /** Cost of an empty machine compared with a full one, in boot times. */
 const EMPTY_MACHINE_COST_BOOTS = 0.08;
--- a/src/scheduler/bin-packing.ts
+++ b/src/scheduler/bin-packing.ts
@@ -83,7 +83,7 @@
 
 /**
  * Cost of a placement for expected tasks: seconds of fetching that they would save on this machine,
- * where their image is cached, if the placement left enough capacity for them.
+ * where their image is cached, but where the placement leaves too little capacity for them.
  */
 function opportunityCostS(spec: JobSpec, capacity: FreeCapacity, hotImages: HotImage[]): number {
   let costS = 0;
@@ -110,7 +110,7 @@
 
 /** Costs of placements, in seconds. */
 export interface PlacementWeights {
-  /** Seconds that work would rather wait for a spot machine than take an ordinary one. */
+  /** Seconds that work which may use spot machines would wait for one rather than use an ordinary one. */
   ordinaryCostS: number;
   /** Cost of an empty machine compared with a full one. */
   emptyCostS: number;
@@ -173,7 +173,7 @@
   capacity.memGb += spec.memGb;
 }
 
-/** Places all tasks of a gang or none; returns machines in the order of the tasks, or null. */
+/** Allocates all tasks of a gang or none; returns machines in the order of the tasks, or null. */
 export function placeGang(
   spec: JobSpec,
   capacities: FreeCapacity[],
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -53,7 +53,7 @@
   assert.deepEqual(world.fleet.violations, []);
 });
 
-test('a task whose direct start was unanswered runs again after it was stopped', async () => {
+test('a task whose direct start was unanswered runs again, on whatever machine it ended before', async () => {
   const cases: [string, Parameters<LeaderWorld['submitJob']>[0]][] = [
     ['array', { id: JOB }],
     ['gang', { id: JOB, kind: 'gang', tasks: 2 }],
--- a/test/pipeline-leader.test.ts
+++ b/test/pipeline-leader.test.ts
@@ -201,7 +201,7 @@
   assert.ok(world.store.revision('ps/t') > before, 'types that fit are stored');
 });
 
-test('while an old controller is present, a machine gets no more claims than the plain form of its record can name', async () => {
+test('with an old controller, a machine gets no more claims than the plain form of its record can name', async () => {
   const world = worldWith(['a']);
   world.settings.state.value_kb = 2;
   world.failOver();
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -17,7 +17,7 @@
 
 /** A change of one of the jobs, in the order of the store. */
 type Step =
-  | { what: 'accept'; job: number; awaits: number[] }
+  | { what: 'accept'; job: number; dependencies: number[] }
   | { what: 'cancel'; job: number }
   | { what: 'done'; job: number };
 
@@ -26,7 +26,7 @@
   acceptedAt: number;
   cancelledAt: number;
   doneAt: number;
-  awaits: number[];
+  dependencies: number[];
 }
 
 class Reference {
@@ -34,8 +34,8 @@
 
   /** When the job was cancelled, itself or through a dependency; Infinity: never. */
   cancelledAt(job: number): number {
-    const { acceptedAt, cancelledAt, awaits } = this.jobs.get(job)!;
-    const needed = awaits.filter((id) => this.outcome(id) === 'cancelled');
+    const { acceptedAt, cancelledAt, dependencies } = this.jobs.get(job)!;
+    const needed = dependencies.filter((id) => this.outcome(id) === 'cancelled');
     return Math.min(cancelledAt, ...needed.map((id) => Math.max(this.cancelledAt(id), acceptedAt)));
   }
 
@@ -49,9 +49,9 @@
 
   /** Revision from which its tasks may start; null: they may not. */
   readyAt(job: number): number | null {
-    const { acceptedAt, awaits } = this.jobs.get(job)!;
-    if (!awaits.every((id) => this.outcome(id) === 'done')) return null;
-    const ready = Math.max(acceptedAt, ...awaits.map((id) => this.jobs.get(id)!.doneAt));
+    const { acceptedAt, dependencies } = this.jobs.get(job)!;
+    if (!dependencies.every((id) => this.outcome(id) === 'done')) return null;
+    const ready = Math.max(acceptedAt, ...dependencies.map((id) => this.jobs.get(id)!.doneAt));
     return this.cancelledAt(job) < ready ? null : ready;
   }
 }
@@ -68,18 +68,19 @@
     const now = changes.length + 1;
     if (step.what === 'accept') {
       // A second acceptance, as by two controllers at the same time: the same job, and the older one counts.
-      const awaits =
-        known?.awaits ?? step.awaits.filter((id) => reference.jobs.has(id) && id !== step.job);
+      const dependencies =
+        known?.dependencies ??
+        step.dependencies.filter((id) => reference.jobs.has(id) && id !== step.job);
       if (known === undefined) {
         const never = Infinity;
-        const job = { acceptedAt: now, cancelledAt: never, doneAt: never, awaits };
+        const job = { acceptedAt: now, cancelledAt: never, doneAt: never, dependencies };
         reference.jobs.set(step.job, job);
       }
       const accepted = {
-        spec: spec({ id: idOf(step.job), dependencies: awaits.map(idOf) }),
+        spec: spec({ id: idOf(step.job), dependencies: dependencies.map(idOf) }),
         atMs: now,
       };
-      const prefix = awaits.length > 0 ? records.DEPENDENT_JOBS : records.JOBS;
+      const prefix = dependencies.length > 0 ? records.DEPENDENT_JOBS : records.JOBS;
       // Writers' names are in no order: a listing may contain the later of two acceptances first.
       const key = `${prefix}${(now * 7) % 10}-${now}`;
       put(key, records.encodeRequestBatch({ jobs: [accepted], cancelledIds: [] }));
@@ -100,7 +101,7 @@
 const job = fc.nat(JOBS - 1);
 const steps = fc.array(
   fc.oneof(
-    { weight: 4, arbitrary: fc.record({ what: fc.constant('accept' as const), job, awaits: fc.uniqueArray(job, { maxLength: 4 }) }) },
+    { weight: 4, arbitrary: fc.record({ what: fc.constant('accept' as const), job, dependencies: fc.uniqueArray(job, { maxLength: 4 }) }) },
     { weight: 1, arbitrary: fc.record({ what: fc.constant('cancel' as const), job }) },
     { weight: 4, arbitrary: fc.record({ what: fc.constant('done' as const), job }) },
   ),
@@ -208,7 +209,7 @@
   revision,
 });
 
-test('a chain of thousands of jobs, or thousands that wait for one, are cancelled at once, with one change', () => {
+test('one change cancels a chain of thousands of jobs, or thousands that wait for one, at once', () => {
   const many = 20_000;
   const shapes: [string, (i: number) => string][] = [
     ['a chain', (i) => idOf(i - 1)],
--- a/test/scheduler-rules.test.ts
+++ b/test/scheduler-rules.test.ts
@@ -79,7 +79,7 @@
   assert.ok(boosted[2]! > boosted[1]!);
 });
 
-test('the threshold for long pipelines is mean plus deviation, and does not oscillate with a burst of similar work', () => {
+test('long is above mean plus deviation, and does not oscillate with a burst of similar work', () => {
   assert.equal(longThresholdS([2, 4], 1), 4);
   const longJobs = new LongJobs();
   longJobs.update([10, 10, 10, 100], policy, 0);
@@ -101,7 +101,7 @@
     { ...entry, n: 'young' },
   ].sort(compareJobs);
   assert.deepEqual(
-    sorted.map((orders) => orders.n),
+    sorted.map((job) => job.n),
     ['critical', 'guaranteed', 'score', 'old', 'young', 'low'],
   );
 });
@@ -157,14 +157,8 @@
   const cold = freeCapacity({ id: 'cold', imageDelayS: (i) => (i === 'big' ? 30 : 0) });
   const where = { zones: new Map() };
   assert.equal(bestFit(spec(), [cached, cold], where, weights)?.id, 'cached', 'the fuller one');
-  assert.equal(
-    bestFit(spec(), [cached, cold], where, { ...weights, hotImages: hotImages })?.id,
-    'cold',
-  );
-  assert.equal(
-    bestFit(big, [cold, cached], where, { ...weights, hotImages: hotImages })?.id,
-    'cached',
-  );
+  assert.equal(bestFit(spec(), [cached, cold], where, { ...weights, hotImages })?.id, 'cold');
+  assert.equal(bestFit(big, [cold, cached], where, { ...weights, hotImages })?.id, 'cached');
 });
 
 test('a gang is placed as a whole or not at all, in one zone if it requires that', () => {
@@ -260,11 +254,11 @@
       zones: ['z1', 'z2'],
       isShort,
       machinesByZone: new Map(),
-      weights: weights,
+      weights,
       maxMachines: 50,
     });
-  const total = (orders: ReturnType<typeof plan>) =>
-    orders.reduce((n, wanted) => n + wanted.count, 0);
+  const total = (requests: ReturnType<typeof plan>) =>
+    requests.reduce((n, request) => n + request.count, 0);
   assert.equal(total(plan([{ tasks: 17 }])), 3);
   assert.equal(total(plan([{ tasks: 9 }], [freeCapacity({ id: 'coming' })])), 1);
   assert.equal(plan([{ spec: spec({ spot: true }) }])[0]?.spot, true);
@@ -366,8 +360,8 @@
     ['only the latest fetches count', [...Array(64).fill([10, 14]), ...Array(64).fill([10, 11])], 1.1],
   ]; // prettier-ignore
   for (const [name, fetches, factor] of cases) {
-    const forecast = new FetchTimes();
-    for (const [predicted, took] of fetches) forecast.record(predicted, took);
-    assert.equal(forecast.safetyFactor, factor, name);
+    const fetchTimes = new FetchTimes();
+    for (const [predicted, took] of fetches) fetchTimes.record(predicted, took);
+    assert.equal(fetchTimes.safetyFactor, factor, name);
   }
 });
--- a/test/scheduling-cycle.test.ts
+++ b/test/scheduling-cycle.test.ts
@@ -84,7 +84,7 @@
   assert.equal(world.activeTasksOn('a', 'wk-000003'), 1);
 });
 
-test('the share for long work is reserved against its own and lower priorities, not against higher ones', () => {
+test('the share for long work binds work of the same and lower priorities, not of higher ones', () => {
   // Gangs waited for half a minute while capacity was reserved for long best-effort arrays.
   const cases: [string, 1 | 3, number][] = [
     ['long work of the lowest priority waits', 3, 1],
