--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -147,9 +147,7 @@
 function observedState(storedJob: StoredJob): object {
   const { acceptedAt, cancelledAt, cancelledByDependency, readyAt, readyMs } = storedJob;
   const cancelled =
-    outcome(storedJob) === 'cancelled'
-      ? { cancelledAt, cancelledWithNeeded: cancelledByDependency }
-      : {};
+    outcome(storedJob) === 'cancelled' ? { cancelledAt, cancelledByDependency } : {};
   return { outcome: outcome(storedJob), acceptedAt, readyAt, readyMs, ...cancelled };
 }
 
