--- a/src/leader/scheduling/preemption-candidates.ts
+++ b/src/leader/scheduling/preemption-candidates.ts
@@ -8,7 +8,7 @@
 import { occupiesCapacity, type Attempt } from '../../workers/attempt.js';
 import type { Term } from '../term/term.js';
 
-/** A task whose state allows that it is stopped. */
+/** A task whose state allows stopping it. */
 export interface VictimTask extends Victim {
   job: LiveJob;
   attempt: Attempt;
--- a/test/unplaced-requests.test.ts
+++ b/test/unplaced-requests.test.ts
@@ -43,7 +43,7 @@
 test('a request is skipped only if an earlier one that found no capacity could use all that it may use', () => {
   for (const [name, over, marks, covered] of CASES) {
     const unplaced = new UnplacedRequests();
-    assert.equal(unplaced.covers(job(over, marks)), false, `nothing noted: ${name}`);
+    assert.equal(unplaced.covers(job(over, marks)), false, `nothing recorded: ${name}`);
     unplaced.note(job({}));
     assert.equal(unplaced.covers(job(over, marks)), covered, name);
   }
