--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -24,7 +24,7 @@
 } from './preemption-candidates.js';
 import type { Term } from '../term/term.js';
 
-interface OpenCandidate extends OccupiedMachine {
+interface PlacementOption extends OccupiedMachine {
   candidate: PreemptionCandidate;
   delayS: number;
   /** How its victims are stopped. */
@@ -34,20 +34,20 @@
 
 /** A machine on which tasks are stopped for the job. */
 interface PreemptionChoice {
-  place: OpenCandidate;
+  option: PlacementOption;
   victims: VictimTask[];
 }
 
-/** Sets work of one priority apart from that of the next, whatever it loses. */
-const PRIORITY_TIER = 1e6;
-/** A start that is late for its class counts as so many seconds, whatever its wait. */
+/** Cost per priority level, so that lower-priority work is stopped first, whatever work it loses. */
+const PRIORITY_TIER_S = 1e6;
+/** Added cost of a start that misses the objective of its class, whatever its delay. */
 const LATE_PENALTY_S = 1e3;
-/** What the greatest harm that subsystems see counts for: less than a late start. */
+/** Cost of the greatest harm that a subsystem can report: less than that of a late start. */
 const MAX_HARM_S = LATE_PENALTY_S * 0.5;
-/** What commands and starts take: they are sent straight, and shown by a heartbeat. */
+/** Latency of a start: the command is sent directly, and a heartbeat confirms it. */
 export const COMMAND_LATENCY_S = MIN_HEARTBEAT_GAP_S * 0.6;
 
-/** Making capacity within one scheduling cycle, by the protocol's rules on preemption. */
+/** Makes capacity within one scheduling cycle, by the protocol's preemption rules. */
 export class Preemptor {
   private candidates: PreemptionCandidate[] | null = null;
 
@@ -59,23 +59,23 @@
     private readonly subsystems: ActiveSubsystems = NO_SUBSYSTEMS,
   ) {}
 
-  /** What stopping a task costs. Lower-priority work first; within it what loses least. */
-  private withCost(borrower: LiveJob, victim: VictimTask, how: PreemptionMode): VictimTask {
+  /** Sets the cost of stopping a task: lower-priority work first, then the task that loses least. */
+  private withCost(preemptingJob: LiveJob, victim: VictimTask, mode: PreemptionMode): VictimTask {
     const { job } = victim;
-    const saves = job.spec.checkpointS > 0 && how !== 'immediate';
+    const saves = job.spec.checkpointS > 0 && mode !== 'immediate';
     const lossS = (saves ? victim.saveS : victim.unsavedS) * (job.isGang ? job.spec.tasks : 1);
     const harmS =
-      this.subsystems.preemptionHarm(borrower, victim, how !== 'immediate') * MAX_HARM_S;
-    return { ...victim, lossS: lossS + harmS + (3 - job.spec.priority) * PRIORITY_TIER };
+      this.subsystems.preemptionHarm(preemptingJob, victim, mode !== 'immediate') * MAX_HARM_S;
+    return { ...victim, lossS: lossS + harmS + (3 - job.spec.priority) * PRIORITY_TIER_S };
   }
 
   private mayPreempt(job: LiveJob, victim: LiveJob): boolean {
     if (victim === job) return false;
     if (victim.spec.kind === 'service' && victim.spec.priority <= job.spec.priority) return false;
     if (victim.spec.priority > job.spec.priority) return true;
-    // To give a team its guarantee, work that another team runs beyond its own may be stopped. Not
-    // that of a higher priority, though the protocol allows it: ranked before, it would come back to
-    // the same place at once, and so on.
+    // To meet a team's guarantee, work that another team runs beyond its own guarantee may be stopped.
+    // Work of a higher priority is excluded, although the protocol allows it: it ranks first, so it
+    // would be placed on the same machine again at once, and be stopped again.
     return (
       victim.spec.priority === job.spec.priority &&
       job.isGuaranteed &&
@@ -86,65 +86,65 @@
   }
 
   /**
-   * Makes capacity where that is allowed, and allocates it, so that nothing that ranks lower takes it while
-   * it is being freed. Returns the tasks for which none could be made. `inTime`: only where the tasks start
-   * in time.
+   * Makes capacity by preemption and allocates it, so that lower-ranked work does not take it while it is
+   * being freed. Returns the number of tasks for which none could be made. `onlyInTime`: only where the
+   * tasks start in time.
    */
   makeCapacity(
     job: LiveJob,
     tasks: number,
     zones: Map<string, number>,
     mayUse: (capacity: FreeCapacity) => boolean,
-    inTime = false,
+    onlyInTime = false,
   ): number {
-    const open = this.openCandidates(job, mayUse, inTime);
-    const { places, chosen } = choosePlaces(job, open, tasks, zones);
-    this.logPlan(job, tasks, places, chosen, inTime);
-    // A gang gains nothing from capacity for some of its tasks.
-    if (job.isGang && places.length < tasks) return tasks;
-    for (const choice of chosen) this.preempt(job, choice);
-    // A gang of several was once passed over for a minute and more: as soon as one of its places was
-    // free, lower-priority work took it, while the others were still being made.
-    for (const { candidate } of places) allocate(job.spec, candidate.capacity);
-    return tasks - places.length;
+    const options = this.placementOptions(job, mayUse, onlyInTime);
+    const { chosenOptions, preemptions } = chooseOptions(job, options, tasks, zones);
+    this.logPlan(job, tasks, chosenOptions, preemptions, onlyInTime);
+    // Capacity for only some of its tasks is of no use to a gang.
+    if (job.isGang && chosenOptions.length < tasks) return tasks;
+    for (const choice of preemptions) this.preempt(job, choice);
+    // Without this allocation a gang of several tasks waited for over a minute: lower-priority work took
+    // each machine as soon as it was free, while the others were still being freed.
+    for (const { candidate } of chosenOptions) allocate(job.spec, candidate.capacity);
+    return tasks - chosenOptions.length;
   }
 
-  /** Machines on which a task of the job could start, now or once something there has stopped. */
-  private openCandidates(
+  /** Machines on which a task of the job could start, now or after tasks there have stopped. */
+  private placementOptions(
     job: LiveJob,
     mayUse: (capacity: FreeCapacity) => boolean,
-    inTime: boolean,
-  ): OpenCandidate[] {
+    onlyInTime: boolean,
+  ): PlacementOption[] {
     this.candidates ??= this.capacities.map((capacity) =>
       preemptionCandidate(this.term, capacity, this.subsystems),
     );
-    const leftS = this.leftS(job);
-    const open: OpenCandidate[] = [];
+    const remainingS = this.remainingS(job);
+    const options: PlacementOption[] = [];
     for (const candidate of this.candidates) {
       const { capacity } = candidate;
       if (!isAllowedOn(job.spec, capacity) || !mayUse(capacity)) continue;
-      const entry = this.openCandidate(job, candidate, leftS, inTime);
-      if (entry === null) continue;
-      if (entry.victims.length === 0 && !fits(job.spec, entry)) continue;
-      open.push(entry);
+      const option = this.placementOption(job, candidate, remainingS, onlyInTime);
+      if (option === null) continue;
+      if (option.victims.length === 0 && !fits(job.spec, option)) continue;
+      options.push(option);
     }
-    return open;
+    return options;
   }
 
-  /** Seconds within which a task should be told to start; null: its class has no objective left. */
-  private leftS(job: LiveJob): number | null {
+  /** Seconds until the start command should be sent; null: the class has no objective still to meet. */
+  private remainingS(job: LiveJob): number | null {
     const ageS = this.term.now - job.readySince;
     const targetS = this.startObjectives.nextTargetS(job.spec.class, ageS);
     return targetS === null ? null : targetS - ageS - COMMAND_LATENCY_S;
   }
 
-  /** Null: a start there is too late, and only those in time are wanted. */
-  private openCandidate(
+  /** Null: a start there is too late, and `onlyInTime` is set. */
+  private placementOption(
     job: LiveJob,
     candidate: PreemptionCandidate,
-    leftS: number | null,
-    inTime: boolean,
-  ): OpenCandidate | null {
+    remainingS: number | null,
+    onlyInTime: boolean,
+  ): PlacementOption | null {
     const { spec } = job;
     const { capacity, stopping } = candidate;
     const { id, type, zone, spot } = capacity;
@@ -152,8 +152,8 @@
     const imageS =
       capacity.imageDelayS(spec.image, spec.imageGb) * this.term.fetchTimes.safetyFactor;
     const saveS = victims.reduce((most, victim) => Math.max(most, victim.saveS), 0);
-    const mode = preemptionMode(leftS, saveS, imageS + candidate.stoppingS);
-    if (inTime && mode === 'too-late') return null;
+    const mode = preemptionMode(remainingS, saveS, imageS + candidate.stoppedInS);
+    if (onlyInTime && mode === 'too-late') return null;
     return {
       id,
       type,
@@ -169,7 +169,7 @@
     };
   }
 
-  /** Most machines hold nothing that may be stopped: no need to look at each task there. */
+  /** Tasks that the job may preempt. Most machines have none, which their lowest priority shows. */
   private victimsOf(job: LiveJob, { lowestPriority, victims }: PreemptionCandidate): VictimTask[] {
     const highest = job.spec.priority - (job.isGuaranteed ? 1 : 0);
     if (lowestPriority <= highest) return [];
@@ -179,37 +179,50 @@
   private logPlan(
     job: LiveJob,
     tasks: number,
-    places: OpenCandidate[],
-    chosen: PreemptionChoice[],
-    inTime: boolean,
+    chosenOptions: PlacementOption[],
+    preemptions: PreemptionChoice[],
+    onlyInTime: boolean,
   ): void {
     const { log } = this.term.context;
     if (!log.isLevelEnabled('debug')) return;
     const { id, class: jobClass } = job.spec;
     const ageS = this.term.now - job.readySince;
-    const stopped = chosen.flatMap(({ victims }) => victims.map((victim) => victim.id));
-    const modes = [...new Set(places.map(({ mode }) => mode))];
+    const stopped = preemptions.flatMap(({ victims }) => victims.map((victim) => victim.id));
+    const modes = [...new Set(chosenOptions.map(({ mode }) => mode))];
     log.debug(
-      { job: id, class: jobClass, tasks, places: places.length, stopped, modes, inTime, ageS },
+      {
+        job: id,
+        class: jobClass,
+        tasks,
+        places: chosenOptions.length,
+        stopped,
+        modes,
+        inTime: onlyInTime,
+        ageS,
+      },
       'preemption planned',
     );
   }
 
-  private preempt(job: LiveJob, { place, victims }: PreemptionChoice): void {
-    const { candidate } = place;
-    const saves = place.mode !== 'immediate';
+  private preempt(job: LiveJob, { option, victims }: PreemptionChoice): void {
+    const { candidate } = option;
+    const saves = option.mode !== 'immediate';
     const carryOut = (): boolean => this.carryOut(job, victims, saves);
-    this.subsystems.preempt({ machine: place.id, borrower: job, victims, saves, carryOut });
+    this.subsystems.preempt({ machine: option.id, borrower: job, victims, saves, carryOut });
     for (const victim of victims) release(victim, candidate.stopping);
-    const gone = new Set(victims.map((victim) => victim.id));
-    candidate.victims = candidate.victims.filter((victim) => !gone.has(victim.id));
+    const stoppedIds = new Set(victims.map((victim) => victim.id));
+    candidate.victims = candidate.victims.filter((victim) => !stoppedIds.has(victim.id));
   }
 
-  /** Stops what is still there, unless the job that wanted the capacity is over or has a place by now. */
-  private carryOut(borrower: LiveJob, victims: readonly VictimTask[], saves: boolean): boolean {
-    if (borrower.phase !== 'active' || borrower.pendingTaskCount === 0) return false;
+  /** Stops the victims that are still there, unless the job has ended or has no pending tasks any more. */
+  private carryOut(
+    preemptingJob: LiveJob,
+    victims: readonly VictimTask[],
+    saves: boolean,
+  ): boolean {
+    if (preemptingJob.phase !== 'active' || preemptingJob.pendingTaskCount === 0) return false;
     for (const { job, attempt } of victims) {
-      // Stopping one task of a gang stops all that it runs by now: not for a task that is gone.
+      // Stopping one task of a gang stops all its current attempts, so attempts that ended are skipped.
       if (!occupiesCapacity(attempt) || attempt.stopRequest !== null) continue;
       if (saves) this.term.stopGracefully(job, attempt);
       else this.term.stopImmediately(job, attempt);
@@ -219,58 +232,58 @@
 }
 
 /**
- * Places for tasks: what is being freed already comes first, then the cheapest preemption. `zones` counts
- * the job's tasks and grows with each place.
+ * Chooses machines for tasks: capacity that is free or being freed already comes first, then the cheapest
+ * preemption. `zones` counts the job's tasks and grows with each machine chosen.
  */
-function choosePlaces(
+function chooseOptions(
   { spec }: LiveJob,
-  open: OpenCandidate[],
+  options: PlacementOption[],
   tasks: number,
   zones: Map<string, number>,
-): { places: OpenCandidate[]; chosen: PreemptionChoice[] } {
-  const chosen: PreemptionChoice[] = [];
-  const places: OpenCandidate[] = [];
-  while (places.length < tasks) {
-    let place = soonestFit(spec, open, zones);
-    if (place === null) {
-      const choice = cheapestChoice(spec, open, zones);
+): { chosenOptions: PlacementOption[]; preemptions: PreemptionChoice[] } {
+  const preemptions: PreemptionChoice[] = [];
+  const chosenOptions: PlacementOption[] = [];
+  while (chosenOptions.length < tasks) {
+    let option = soonestFit(spec, options, zones);
+    if (option === null) {
+      const choice = cheapestChoice(spec, options, zones);
       if (choice === null) break;
-      chosen.push(choice);
-      ({ place } = choice);
+      preemptions.push(choice);
+      ({ option } = choice);
     }
-    allocate(spec, place);
-    zones.set(place.zone, (zones.get(place.zone) ?? 0) + 1);
-    places.push(place);
+    allocate(spec, option);
+    zones.set(option.zone, (zones.get(option.zone) ?? 0) + 1);
+    chosenOptions.push(option);
   }
-  return { places, chosen };
+  return { chosenOptions, preemptions };
 }
 
 function soonestFit(
   spec: JobSpec,
-  open: OpenCandidate[],
+  options: PlacementOption[],
   zones: Map<string, number>,
-): OpenCandidate | null {
-  let soonest: OpenCandidate | null = null;
-  for (const place of open) {
-    if (!fits(spec, place) || !isZoneAllowed(spec, place.zone, zones)) continue;
-    if (soonest === null || place.delayS < soonest.delayS) soonest = place;
+): PlacementOption | null {
+  let soonest: PlacementOption | null = null;
+  for (const option of options) {
+    if (!fits(spec, option) || !isZoneAllowed(spec, option.zone, zones)) continue;
+    if (soonest === null || option.delayS < soonest.delayS) soonest = option;
   }
   return soonest;
 }
 
-/** The victims leave their machine, as far as the places that are still open go. */
+/** The cheapest preemption for one task. Its victims are removed from the remaining options. */
 function cheapestChoice(
   spec: JobSpec,
-  open: OpenCandidate[],
+  options: PlacementOption[],
   zones: Map<string, number>,
 ): PreemptionChoice | null {
-  const plan = cheapestPreemption(spec, open, zones);
+  const plan = cheapestPreemption(spec, options, zones);
   if (plan === null) return null;
-  const place = open.find(({ id }) => id === plan.machine)!;
+  const option = options.find(({ id }) => id === plan.machine)!;
   const victims = plan.victims as VictimTask[];
   for (const victim of victims) {
-    release(victim, place);
-    place.victims.splice(place.victims.indexOf(victim), 1);
+    release(victim, option);
+    option.victims.splice(option.victims.indexOf(victim), 1);
   }
-  return { place, victims };
+  return { option, victims };
 }
--- a/src/scheduler/ranking.ts
+++ b/src/scheduler/ranking.ts
@@ -2,7 +2,7 @@
 
 /**
  * The HeraSys ranking: each ready job gets the sum of three terms, the inverse of its pipeline's
- * remaining time, its contribution φ to what comes after it, and a boost for heavy jobs of long
+ * remaining time, its contribution φ to the jobs after it, and a boost for heavy jobs of long
  * pipelines. Each term is divided by its mean over the ready jobs plus a small constant.
  */
 export interface Successor {
@@ -10,7 +10,7 @@
   depth: number;
 }
 
-/** What the ranking rests on, of one ready job; times in seconds. */
+/** Input of the ranking for one ready job; times in seconds. */
 export interface RankInput {
   /** Predicted time of the pipeline's unfinished and finished jobs. */
   unfinishedS: number;
@@ -31,10 +31,10 @@
   );
 }
 
-/** The contribution φ of the paper: how much waits for this job. */
+/** The contribution φ of the paper: how much work waits for this job. */
 export function downstreamWeight(input: RankInput, policy: Policy): number {
-  const [work, depth, each] = policy.omega;
-  let phi = each * input.successors.length;
+  const [work, depth, count] = policy.omega;
+  let phi = count * input.successors.length;
   for (const successor of input.successors) phi += work * successor.workS + depth * successor.depth;
   return phi;
 }
@@ -42,58 +42,60 @@
 const mean = (values: number[]): number =>
   values.length === 0 ? 0 : values.reduce((a, b) => a + b, 0) / values.length;
 
-/** Remaining time from which a pipeline is long. */
-export function longThreshold(remainings: number[], eta: number): number {
-  const average = mean(remainings);
-  const variance = mean(remainings.map((remaining) => (remaining - average) ** 2));
+/** Remaining time above which a pipeline is long, in seconds. */
+export function longThresholdS(remainingTimesS: number[], eta: number): number {
+  const average = mean(remainingTimesS);
+  const variance = mean(remainingTimesS.map((remaining) => (remaining - average) ** 2));
   return average + eta * Math.sqrt(variance);
 }
 
 /**
- * Which pipelines are long. A burst of alike pipelines narrows the spread and would make the
- * threshold swing: it follows slowly, and what is long stays so until well below.
+ * Decides which pipelines are long. A burst of similar pipelines lowers the variance and would make the
+ * threshold oscillate, so it changes slowly, and a long pipeline stays long until well below it.
  */
 export class LongJobs {
-  private threshold: number | null = null;
-  private at = 0;
+  private thresholdS: number | null = null;
+  private updatedAt = 0;
 
-  /** The remaining times of all pipelines at this moment. */
-  update(remainings: number[], policy: Policy, now: number): void {
-    if (remainings.length === 0) return;
-    const raw = longThreshold(remainings, policy.eta);
-    if (this.threshold === null) this.threshold = raw;
+  /** Updates the threshold with the present remaining times of all pipelines. */
+  update(remainingTimesS: number[], policy: Policy, now: number): void {
+    if (remainingTimesS.length === 0) return;
+    const targetS = longThresholdS(remainingTimesS, policy.eta);
+    if (this.thresholdS === null) this.thresholdS = targetS;
     else {
-      const settle = Math.max(1, mean(remainings));
-      this.threshold += (raw - this.threshold) * Math.min(1, Math.max(0, now - this.at) / settle);
+      const timeConstantS = Math.max(1, mean(remainingTimesS));
+      this.thresholdS +=
+        (targetS - this.thresholdS) *
+        Math.min(1, Math.max(0, now - this.updatedAt) / timeConstantS);
     }
-    this.at = now;
+    this.updatedAt = now;
   }
 
-  /** Whether a pipeline counts as long; `was`: it did until now. */
-  isLong(remainingS: number, was: boolean): boolean {
-    if (this.threshold === null) return false;
-    return remainingS > this.threshold * (was ? 0.8 : 1);
+  /** Whether a pipeline counts as long; `wasLong`: it did until now. */
+  isLong(remainingS: number, wasLong: boolean): boolean {
+    if (this.thresholdS === null) return false;
+    return remainingS > this.thresholdS * (wasLong ? 0.8 : 1);
   }
 }
 
-/** Scores of all ready jobs; `long` says which belong to long pipelines. */
-export function scores(ready: RankInput[], long: boolean[], policy: Policy): number[] {
+/** Scores of all ready jobs; `isLong` tells which belong to long pipelines. */
+export function scores(ready: RankInput[], isLong: boolean[], policy: Policy): number[] {
   const inverse = ready.map((input) => 1 / (remainingTimeS(input, policy) + policy.epsilonS));
   const phi = ready.map((input) => downstreamWeight(input, policy));
-  const heavy = ready.map((input, i) =>
-    long[i] === true && input.predictedS >= policy.heavy * input.pipelineMeanS ? 1 : 0,
+  const heavyMarks = ready.map((input, i) =>
+    isLong[i] === true && input.predictedS >= policy.heavy * input.pipelineMeanS ? 1 : 0,
   );
-  const scaled = (values: number[]): number[] => {
-    const by = mean(values) + policy.scaling;
-    return values.map((value) => value / by);
+  const normalized = (values: number[]): number[] => {
+    const divisor = mean(values) + policy.scaling;
+    return values.map((value) => value / divisor);
   };
-  const inverseScores = scaled(inverse);
-  const weightScores = scaled(phi);
-  const heavyScores = scaled(heavy);
+  const inverseScores = normalized(inverse);
+  const weightScores = normalized(phi);
+  const heavyScores = normalized(heavyMarks);
   return ready.map((input, i) => inverseScores[i]! + weightScores[i]! + heavyScores[i]!);
 }
 
-/** What the order of jobs rests on. */
+/** The sort key of a job. */
 export interface RankedJob {
   priority: number;
   guaranteed: boolean;
--- a/src/scheduler/reservation.ts
+++ b/src/scheduler/reservation.ts
@@ -2,59 +2,67 @@
 import { isAllowedOn, freeShare, type FreeCapacity } from './bin-packing.js';
 
 /**
- * A reservation for a gang that has waited long: as in backfill scheduling, the machines on which it can
- * start soonest take no further work of its own or a lesser priority until it has started. Without one, a
- * gang of whole machines never starts beside a steady stream of small work of equal priority.
+ * A machine that may be reserved for a gang that has waited long. As in backfill scheduling, the machines
+ * on which the gang can start soonest accept no further work of its own or a lower priority until it has
+ * started. Without a reservation, a gang of whole machines never starts during a steady stream of small
+ * work of equal priority.
  */
 export interface ReservableMachine {
   capacity: FreeCapacity;
-  /** What is free there once all work that ends by itself has ended. */
+  /** Free capacity once all work that ends by itself has ended. */
   withoutFiniteWork: Resources;
 }
 
-/** How many tasks fit into a size. */
-function taskCountIn(spec: JobSpec, size: Resources): number {
-  const left = { ...size };
+/** How many tasks of a job fit into this capacity. */
+function taskCountIn(spec: JobSpec, capacity: Resources): number {
+  const free = { ...capacity };
   let tasks = 0;
-  while (tasks < spec.tasks && fits(spec, left)) {
-    left.cores -= spec.cores;
-    left.gpus -= spec.gpus;
-    left.memGb -= spec.memGb;
+  while (tasks < spec.tasks && fits(spec, free)) {
+    free.cores -= spec.cores;
+    free.gpus -= spec.gpus;
+    free.memGb -= spec.memGb;
     tasks++;
   }
   return tasks;
 }
 
-/** Machines for all tasks of a gang, those with most free capacity first; null: not enough of them. */
-function tasksThatFit(
+/** Machines for all tasks of a gang, in the given order; null: they do not suffice. */
+function machinesForTasks(
   spec: JobSpec,
   machines: ReservableMachine[],
-  perZone: number,
+  maxPerZone: number,
 ): ReservableMachine[] | null {
   const chosen: ReservableMachine[] = [];
-  const inZone = new Map<string, number>();
+  const tasksByZone = new Map<string, number>();
   let missing = spec.tasks;
   for (const machine of machines) {
     if (missing <= 0) break;
     const { zone } = machine.capacity;
-    const used = inZone.get(zone) ?? 0;
-    const tasks = Math.min(taskCountIn(spec, machine.withoutFiniteWork), perZone - used, missing);
+    const inThisZone = tasksByZone.get(zone) ?? 0;
+    const tasks = Math.min(
+      taskCountIn(spec, machine.withoutFiniteWork),
+      maxPerZone - inThisZone,
+      missing,
+    );
     if (tasks <= 0) continue;
-    inZone.set(zone, used + tasks);
+    tasksByZone.set(zone, inThisZone + tasks);
     missing -= tasks;
     chosen.push(machine);
   }
   return missing <= 0 ? chosen : null;
 }
 
-/** Names of the machines to reserve for a gang; null: no set of machines will ever hold it. */
+/**
+ * Ids of the machines to reserve for a gang, those with the most free capacity first; null: no set of these
+ * machines can hold it.
+ */
 export function chooseReservation(
   spec: JobSpec,
   machines: readonly ReservableMachine[],
 ): Set<string> | null {
   const candidates = machines.filter(({ capacity }) => isAllowedOn(spec, capacity));
   candidates.sort((a, b) => freeShare(b.capacity) - freeShare(a.capacity));
-  const perZone = spec.scatter ? maxTasksPerZone(spec.tasks) : spec.tasks;
+  const maxPerZone = spec.scatter ? maxTasksPerZone(spec.tasks) : spec.tasks;
   const groups = spec.oneZone
     ? [...new Set(candidates.map(({ capacity }) => capacity.zone))].map((zone) =>
         candidates.filter(({ capacity }) => capacity.zone === zone),
@@ -63,7 +71,7 @@
   let best: ReservableMachine[] | null = null;
   let bestFree = -1;
   for (const group of groups) {
-    const chosen = tasksThatFit(spec, group, perZone);
+    const chosen = machinesForTasks(spec, group, maxPerZone);
     if (chosen === null) continue;
     const free = chosen.reduce((sum, { capacity }) => sum + freeShare(capacity), 0);
     if (free <= bestFree) continue;
