--- a/src/cancellation/cancellation-broadcast.ts
+++ b/src/cancellation/cancellation-broadcast.ts
@@ -7,29 +7,30 @@
 import { NOTIFY_TIMEOUT_S } from './cancellation-quorum.js';
 
 /**
- * Cancellations are remembered until the store shows the end of their jobs, and otherwise for so many
- * leases: nothing is kept in a leader's place for that long. Never by their number: a fleet of hundreds
- * ends more jobs within a cut than any round figure, and one that is forgotten lets its tasks run on.
+ * Cancellations are remembered until the store shows the end of their jobs, otherwise for this many workers'
+ * leases: no substitute renews leases for that long. Their number is not limited: a fleet of hundreds of machines
+ * can end more jobs during a network partition than any fixed limit, and the tasks of a forgotten one would
+ * continue to run.
  */
-const REMEMBER_LEASES = 20;
+const RETENTION_LEASES = 20;
 
-/** Job ids, and when each was heard of last. */
+/** Job ids with the time at which each was last added. */
 class RecentIds {
   private readonly ids = new Map<string, number>();
 
   constructor(
     private readonly clock: Clock,
-    private readonly forS: number,
-    private readonly over: (id: string) => boolean,
+    private readonly retentionS: number,
+    private readonly hasEnded: (id: string) => boolean,
   ) {}
 
-  /** Remembers an id from now on, and drops those that need not be remembered any more. */
+  /** Adds an id or renews its time, and drops ids that need no longer be remembered. */
   add(id: string): void {
     const now = this.clock.now();
     this.ids.delete(id);
     this.ids.set(id, now);
     for (const [old, at] of this.ids) {
-      if (now - at <= this.forS && !this.over(old)) break;
+      if (now - at <= this.retentionS && !this.hasEnded(old)) break;
       this.ids.delete(old);
     }
   }
@@ -39,14 +40,14 @@
     return this.ids.has(id);
   }
 
-  /** How many are remembered. */
+  /** Number of remembered ids. */
   get size(): number {
     return this.ids.size;
   }
 
-  /** Whether any is remembered and not over. */
+  /** Whether the job of any remembered id has not ended. */
   get hasOpen(): boolean {
-    for (const id of this.ids.keys()) if (!this.over(id)) return true;
+    for (const id of this.ids.keys()) if (!this.hasEnded(id)) return true;
     return false;
   }
 
@@ -56,7 +57,7 @@
   }
 }
 
-/** What a `CancellationBroadcast` works with. */
+/** Dependencies and settings of a `CancellationBroadcast`. */
 export interface CancellationBroadcastOptions {
   settings: Settings;
   zoneLeaseHolders: [string, string][];
@@ -66,59 +67,59 @@
   clock: Clock;
 }
 
-/** Cancellations that this controller has heard of before, or other than from, the store. */
+/** Announces cancellations to other controllers, and remembers those that it learns from them rather than from the store. */
 export class CancellationBroadcast {
-  /** Stored, as another controller knows, but kept from this one by an outage. */
+  /** Stored, as another controller knows, but perhaps not yet read by this one because of an outage. */
   private readonly stored: RecentIds;
   /** About to be stored. */
   private readonly announced: RecentIds;
 
   constructor(private readonly options: CancellationBroadcastOptions) {
     const { settings, replica, clock } = options;
-    const forS = settings.workers.lease_s * REMEMBER_LEASES;
-    const over = (id: string): boolean => {
+    const retentionS = settings.workers.lease_s * RETENTION_LEASES;
+    const hasEnded = (id: string): boolean => {
       const storedJob = replica.jobs.get(id);
       return storedJob !== undefined && outcome(storedJob) !== 'open';
     };
-    this.stored = new RecentIds(clock, forS, over);
-    this.announced = new RecentIds(clock, forS, over);
+    this.stored = new RecentIds(clock, retentionS, hasEnded);
+    this.announced = new RecentIds(clock, retentionS, hasEnded);
   }
 
-  /** How many are remembered. */
+  /** Number of remembered cancellations. */
   get size(): number {
     return this.stored.size + this.announced.size;
   }
 
-  /** Another controller knows that the cancellation is stored. */
+  /** Records a cancellation that is stored, as another controller knows. */
   noteStored(id: string): void {
     this.stored.add(id);
   }
 
-  /** Another controller is about to store the cancellation. */
+  /** Records a cancellation that a controller is about to store. */
   noteAnnounced(id: string): void {
     this.announced.add(id);
   }
 
-  /** Stored cancellations after a revision, by the store's copy and by what others have told. */
+  /** Jobs whose cancellation was stored after a revision, by the replica, and those that others know to be stored. */
   storedSince(revision: number): string[] {
     return [...new Set([...this.options.replica.cancelledSince(revision), ...this.stored.keys()])];
   }
 
-  /** Whether a cancellation is stored, as another controller knows, that this one has not read. */
+  /** Whether another controller knows of a stored cancellation that this one has not read. */
   get hasUnread(): boolean {
     return this.stored.hasOpen;
   }
 
-  /** Whether a cancellation of the job was heard of, stored or announced. */
+  /** Whether another controller has reported a cancellation of the job, stored or announced. */
   knows(id: string): boolean {
     return this.stored.has(id) || this.announced.has(id);
   }
 
   /**
-   * A zone that is cut off does not hear of a cancellation, and its zone lease holder would keep the job's
-   * tasks alive for longer than is allowed after it has been told. So either the zone lease holders know of it
-   * before it is stored, or what they may keep ends in time. Returns the seconds after which to ask
-   * again; 0: it may be stored.
+   * Announces a cancellation to the zone lease holders before it is stored. The holder of a zone that is cut off
+   * learns of no cancellation, and would renew the leases of the job's tasks for longer than is allowed after
+   * the cancellation has been confirmed. So either the holders know of it before it is stored, or their renewals
+   * end in time. Returns the seconds after which to ask again; 0: it may be stored.
    */
   async announce(job: string): Promise<number> {
     if (this.options.zoneLeaseHolders.length === 0) return 0;
@@ -140,13 +141,13 @@
     return this.remainingWaitS(job, noted);
   }
 
-  /** The same, where these controllers are known to have noted the cancellation. */
+  /** Seconds after which to ask again, as `announce` returns them, if only these controllers have noted the cancellation. */
   remainingWaitS(job: string, noted: ReadonlySet<string>): number {
-    const unsure = this.options.zoneLeaseHolders.filter(
+    const unnotified = this.options.zoneLeaseHolders.filter(
       ([, node]) => node !== this.options.settings.node && !noted.has(node),
     );
-    if (unsure.length === 0) return 0;
-    const zones = new Set(unsure.map(([zone]) => zone));
+    if (unnotified.length === 0) return 0;
+    const zones = new Set(unnotified.map(([zone]) => zone));
     let wait = 0;
     for (const { record } of this.options.replica.machines.values()) {
       if (!zones.has(record.zone) || !record.claims.some((claim) => claim.job === job)) continue;
@@ -156,13 +157,16 @@
     return wait <= 0 ? 0 : Math.max(1, Math.ceil(Math.min(wait, lease_s / 2)));
   }
 
-  /** Until what a zone's lease holder may keep, and does not know to be cancelled, ends within `cancel_s`. */
+  /**
+   * Seconds to wait for a zone whose lease holder has not noted the cancellation: until its tasks are certain to end
+   * within `cancel_s`, or a heartbeat interval while the holder's key exists. Not positive: there is nothing to wait for.
+   */
   private zoneWaitS(zone: string): number {
     const { lease_s, report_s, cancel_s } = this.options.settings.workers;
     const { keptUntil, provenAt } = this.options.zoneLeases.zone(zone);
-    const present = provenAt < Infinity;
-    // Kept to the bound, then a lease, all of it before the time allowed has passed.
-    const gone = keptUntil + lease_s * 1.1 + report_s;
-    return present ? report_s : gone - (this.options.clock.now() + cancel_s);
+    const isKeyPresent = provenAt < Infinity;
+    // The last renewal, then one lease: both must have passed within `cancel_s`.
+    const tasksEndBy = keptUntil + lease_s * 1.1 + report_s;
+    return isKeyPresent ? report_s : tasksEndBy - (this.options.clock.now() + cancel_s);
   }
 }
--- a/src/cancellation/cancellation-quorum.ts
+++ b/src/cancellation/cancellation-quorum.ts
@@ -1,17 +1,17 @@
 import type { PeerNetwork } from '../peers/peer-network.js';
-import { UNHEARD_CONFIRM_S } from '../leadership/renewal-allowance.js';
+import { UNACKNOWLEDGED_CONFIRM_S } from '../leadership/renewal-allowance.js';
 import type { Clock } from '../clock.js';
 import { neverStarted, type StoredJob } from '../store/stored-job.js';
 import type { Replica } from '../store/replica.js';
 import { SUBMIT_WAIT_S } from '../wire/users.js';
 
 /**
- * Seconds within which another controller answers that it has noted a cancellation: a share of the time
- * that a user waits for an answer.
+ * Time limit for another controller to answer that it has noted a cancellation, in seconds: a share of the
+ * time that a user waits for an answer.
  */
 export const NOTIFY_TIMEOUT_S = SUBMIT_WAIT_S * 0.2;
 
-/** What a `CancellationQuorum` works with. */
+/** Dependencies and settings of a `CancellationQuorum`. */
 export interface CancellationQuorumOptions {
   /** Number of controllers, this one included. */
   controllerCount: number;
@@ -19,61 +19,61 @@
   replica: Pick<Replica, 'lastToken' | 'leader'>;
   clock: Clock;
   /**
-   * Seconds to wait until no zone's lease holder can keep tasks of the job too long, when these controllers
-   * have noted its cancellation; 0: none can.
+   * Seconds to wait until no zone lease holder can renew the leases of the job's tasks for too long, if only these
+   * controllers have noted its cancellation; 0: none can.
    */
   remainingWaitS: (job: string, noted: ReadonlySet<string>) => number;
-  /** Seconds for which what is known of a job's confirmation is kept. */
+  /** Seconds for which the state of a job's confirmation is remembered. */
   rememberS: number;
 }
 
-interface Pending {
+interface PendingConfirmation {
   /** When this controller was first asked about the cancelled job, in seconds of its clock. */
   since: number;
   confirmed: boolean;
-  asking: Promise<boolean> | null;
+  notification: Promise<boolean> | null;
 }
 
 /**
- * Decides when users may be told that a job is cancelled. The cancellation is stored by then; before
- * anybody is told, a majority of controllers has to know of it, and the leader if it can be asked. In an outage of the key-value store
- * leases are renewed on the word of a majority, and any two majorities share a controller: so none of
- * them renews the lease of a task whose user counts on its end.
+ * Decides when a stored cancellation may be confirmed to users. Before that, a majority of controllers must know
+ * of it, and also the leader if it can be asked. In an outage of the key-value store leases are renewed by the
+ * confirmation of a majority, and any two majorities share a controller, so nobody renews the lease of a task
+ * whose cancellation has been confirmed.
  */
 export class CancellationQuorum {
-  private readonly pending = new Map<string, Pending>();
+  private readonly pending = new Map<string, PendingConfirmation>();
 
   constructor(private readonly options: CancellationQuorumOptions) {}
 
-  /** True: users may be told. False: not yet; the same question may be asked again later. */
+  /** Whether the cancellation may be confirmed to users. False: not yet; the caller may ask again later. */
   async confirm(storedJob: StoredJob, id: string): Promise<boolean> {
-    // Waiting for others to its end, or cancelled with one of them: there is no task to keep alive.
+    // The job waited for others until its end, or was cancelled with one of them: it has no task to renew.
     if (neverStarted(storedJob) || this.hasNoRunningTask(storedJob)) return true;
     const entry = this.entry(id);
     if (entry.confirmed) return true;
-    if (this.options.clock.now() - entry.since >= UNHEARD_CONFIRM_S) {
+    if (this.options.clock.now() - entry.since >= UNACKNOWLEDGED_CONFIRM_S) {
       entry.confirmed = true;
       return true;
     }
-    entry.asking ??= this.notifyPeers(id).finally(() => (entry.asking = null));
-    if (await entry.asking) entry.confirmed = true;
+    entry.notification ??= this.notifyPeers(id).finally(() => (entry.notification = null));
+    if (await entry.notification) entry.confirmed = true;
     return entry.confirmed;
   }
 
   /**
-   * No machine's record names a task of the job, and the present leader read its cancellation before
-   * it began: none will be named again, and nobody has a task whose lease could be renewed.
+   * Whether no machine's record claims a task of the job, and the current leader read the cancellation before
+   * its term began. Then none will be claimed again, and there is no task whose lease could be renewed.
    */
   private hasNoRunningTask(storedJob: StoredJob): boolean {
     const { cancelledAt, claimCount } = storedJob;
     return claimCount === 0 && cancelledAt !== null && cancelledAt < this.options.replica.lastToken;
   }
 
-  private entry(id: string): Pending {
+  private entry(id: string): PendingConfirmation {
     const now = this.options.clock.now();
     let entry = this.pending.get(id);
     if (entry === undefined) {
-      entry = { since: now, confirmed: false, asking: null };
+      entry = { since: now, confirmed: false, notification: null };
       this.pending.set(id, entry);
     }
     for (const [oldest, { since }] of this.pending) {
@@ -84,13 +84,13 @@
   }
 
   /**
-   * Tells all other controllers. Resolves as soon as a majority, this controller included, is known to
-   * have heard, and every keeper of a zone lease that may keep tasks of the job. Those had been told
-   * before the cancellation was stored; but where it was stored late, the keeper's process may be
-   * another one by now, which had read the store before that.
+   * Notifies all other controllers. Resolves with true as soon as a majority, this controller included, knows of the
+   * cancellation, and with it every zone lease holder that may renew leases of the job's tasks. The holders were
+   * notified before the cancellation was stored. But if it was stored late, a holder may have been restarted since,
+   * and may have read the store before that.
    *
-   * The leader's answer is waited for as well, as long as it may come: a majority need not contain the only
-   * one that starts tasks, and it once started one in the moment after its user had been told.
+   * The leader's answer is also awaited as long as it may arrive. A majority need not contain the leader, which
+   * alone starts tasks: one was started just after the cancellation of its job had been confirmed to the user.
    */
   private notifyPeers(id: string): Promise<boolean> {
     const { controllerCount, peers, remainingWaitS } = this.options;
@@ -98,7 +98,7 @@
     if (needed === 0) return Promise.resolve(true);
     const noted = new Set<string>();
     const unanswered = new Set(peers.names);
-    const enough = (): boolean =>
+    const isConfirmed = (): boolean =>
       noted.size >= needed && !this.isLeaderIn(unanswered) && remainingWaitS(id, noted) <= 0;
     return new Promise((resolve) => {
       const answers = peers.names.map(async (node) => {
@@ -106,15 +106,15 @@
         const answer = await peers.ask(node, question, NOTIFY_TIMEOUT_S);
         unanswered.delete(node);
         if (answer?.noted === true) noted.add(node);
-        if (enough()) resolve(true);
+        if (isConfirmed()) resolve(true);
       });
       void Promise.all(answers).then(() => resolve(false));
     });
   }
 
   /**
-   * By this controller's replica, which shows the cancellation: so it shows who led when that was stored, and
-   * every later leader has read it before it began.
+   * Whether the leader, as shown by this controller's replica, is among these. The replica shows the cancellation
+   * and hence the leader at the time when it was stored; every later leader reads it before its term begins.
    */
   private isLeaderIn(nodes: ReadonlySet<string>): boolean {
     const { leader } = this.options.replica;
--- a/src/cancellation/cancellation-times.ts
+++ b/src/cancellation/cancellation-times.ts
@@ -1,16 +1,16 @@
-/** Since when this process has known of cancellations, so that tasks which outlive theirs can be told. */
+/** Since when this process has known of cancellations, so that tasks that outlive their cancellation can be detected. */
 
 import type { Clock } from '../clock.js';
 
-/** Remembered for so many times `cancel_s`: what is still there then has been told long ago. */
-const REMEMBER_CANCELS = 4;
+/** Retention in multiples of `cancel_s`: tasks that are still running after that have long been reported. */
+const RETENTION_CANCEL_TIMES = 4;
 
 /**
- * When this process first read or heard of each cancellation, in seconds of its clock. Terms come and go
- * meanwhile; another process may have known for longer.
+ * When this process first learned of each cancellation, in steady seconds. It spans terms of leadership; another
+ * process may have known of a cancellation earlier.
  */
 export class CancellationTimes {
-  /** The earliest first. */
+  /** By job, earliest first. */
   private readonly knownAt = new Map<string, number>();
 
   constructor(
@@ -18,17 +18,17 @@
     private readonly cancelS: number,
   ) {}
 
-  /** The cancellation of this job was read or heard of. */
+  /** Records that the cancellation of the job is known. */
   note(job: string): void {
     const now = this.clock.now();
     if (!this.knownAt.has(job)) this.knownAt.set(job, now);
     for (const [old, at] of this.knownAt) {
-      if (now - at <= this.cancelS * REMEMBER_CANCELS) break;
+      if (now - at <= this.cancelS * RETENTION_CANCEL_TIMES) break;
       this.knownAt.delete(old);
     }
   }
 
-  /** Undefined: not known, or forgotten by now. */
+  /** When the cancellation of the job became known; undefined: it is not known, or no longer remembered. */
   of(job: string): number | undefined {
     return this.knownAt.get(job);
   }
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -1,29 +1,29 @@
-/** Seconds of a steady clock. Injected wherever time decides something. */
+/** A steady clock, in seconds. Injected wherever a decision depends on time. */
 export interface Clock {
   now(): number;
 }
 
-/** The process's own steady clock. */
+/** The steady clock of this process. */
 export const steadyClock: Clock = { now: () => performance.now() / 1000 };
 
-/** Resolves after so many seconds. */
+/** Resolves after the given number of seconds. */
 export const sleep = (seconds: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, Math.max(0, seconds * 1000)));
 
 /**
- * A time limit for an answer. On a loop that is late its timers run before it reads what has arrived: a
- * leader's renewals were given up, with their connections, while the store's answers lay there unread.
- * So when the time is up, one more reading of input comes first. Whoever calls looks whether the answer
- * is there by then; `clearTimeout` on what is returned only stops it until the time is up.
+ * A time limit for an answer. A late event loop runs its timers before it reads input that has arrived:
+ * a leader's renewals timed out and their connections were closed although the store's answers had
+ * arrived. So when the time is up, pending input is read once more before the callback, which must check
+ * whether the answer has arrived. `clearTimeout` on the result has no effect once the time is up.
  */
 export const answerTimeout = (callback: () => void, ms: number): NodeJS.Timeout =>
   setTimeout(() => setImmediate(callback), ms);
 
-/** A pause that can be ended early. */
+/** A sleep that can be ended early. */
 export class WakeableSleep {
   private wake: (() => void) | null = null;
 
-  /** Resolves after so many seconds, or at the next `wakeUp`. */
+  /** Resolves after the given number of seconds, or at the next `wakeUp`. */
   wait(seconds: number): Promise<void> {
     return new Promise((resolve) => {
       const done = (): void => {
@@ -36,20 +36,20 @@
     });
   }
 
-  /** Ends the present sleep, if there is one. */
+  /** Ends the current sleep, if there is one. */
   wakeUp(): void {
     this.wake?.();
   }
 }
 
-/** Upper bound of how far two steady clocks drift apart (protocol: 0.05 %), taken twice over. */
+/** Upper bound of the relative drift between two steady clocks: twice the 0.05 % of the protocol. */
 export const MAX_CLOCK_DRIFT = 0.001;
 
-/** A bucket that holds one second's worth, as the limits of the outside services do. */
+/** A token bucket. By default it holds the tokens of one second, like the rate limits of the external services. */
 export class TokenBucket {
   private level: number;
-  private at: number;
-  /** What the bucket holds where that is not in proportion to the rate. */
+  private refilledAt: number;
+  /** Capacity, if it is not derived from the rate. */
   private burst: number | null = null;
 
   constructor(
@@ -58,55 +58,55 @@
     private readonly burstS = 1,
   ) {
     this.level = Math.max(1, rate * burstS);
-    this.at = clock.now();
+    this.refilledAt = clock.now();
   }
 
-  private fill(): void {
+  private refill(): void {
     const now = this.clock.now();
-    this.level = Math.min(this.capacity, this.level + (now - this.at) * this.rate);
-    this.at = now;
+    this.level = Math.min(this.capacity, this.level + (now - this.refilledAt) * this.rate);
+    this.refilledAt = now;
   }
 
-  /** `burst`: what the bucket holds; null: a second's worth, as at first. */
+  /** Sets the rate, and the capacity to `burst`; null: `burstS` seconds' tokens, as initially. */
   setRate(rate: number, burst: number | null = null): void {
-    this.fill();
+    this.refill();
     this.rate = rate;
     this.burst = burst;
   }
 
-  /** What comes in a second. */
+  /** Tokens added per second, at least 1. */
   get perSecond(): number {
     return Math.max(1, this.rate);
   }
 
-  /** What is there after a pause. */
+  /** Tokens that the full bucket holds. */
   get capacity(): number {
     return Math.max(1, this.burst ?? this.rate * this.burstS);
   }
 
-  /** What is there now. */
+  /** Tokens available now; negative after overdrafts. */
   get available(): number {
-    this.fill();
+    this.refill();
     return this.level;
   }
 
-  /** Takes so much if it is there; false: it is not, and nothing is taken. */
+  /** Takes the amount if it is available; otherwise takes nothing and returns false. */
   tryTake(amount: number): boolean {
-    this.fill();
+    this.refill();
     if (this.level < amount) return false;
     this.level -= amount;
     return true;
   }
 
-  /** Takes even what is not there yet, for what cannot wait: later takers make up for it. */
+  /** Takes the amount even if it is not available, for requests that cannot wait; later takers wait longer. */
   force(amount: number): void {
-    this.fill();
+    this.refill();
     this.level -= amount;
   }
 
-  /** Seconds until n could be taken. */
+  /** Seconds until the amount is available. */
   secondsUntil(amount: number): number {
-    this.fill();
+    this.refill();
     return this.level >= amount ? 0 : (amount - this.level) / this.rate;
   }
 }
--- a/src/illegal-transition.ts
+++ b/src/illegal-transition.ts
@@ -1,7 +1,7 @@
-/** A state machine was told to make a change of state that it does not allow: a fault of the program. */
+/** A state machine was asked for a transition that it does not allow: a bug in this program. */
 export class IllegalTransitionError extends Error {
   constructor(
-    /** What has the state, for example `attempt wk-1/0#7`. */
+    /** The object whose state it is, for example `attempt wk-1/0#7`. */
     readonly subject: string,
     readonly from: string,
     readonly to: string,
--- a/src/leadership/election-role.ts
+++ b/src/leadership/election-role.ts
@@ -1,14 +1,14 @@
-/** The roles that a controller has in an election, and the changes between them. */
+/** The roles of a controller in an election, and the transitions between them. */
 
 /**
- * Who leads. The leader's key hangs on a lease; its revision is the fencing token, so tokens only rise.
+ * The leader holds a key of the key-value store that is attached to a lease. The revision of the key is the
+ * fencing token, so tokens only increase.
  *
  *   follower -> candidate -> leader <-> leader-in-outage -> follower
  *
- * `leader`: entitled by the lease. `leader-in-outage`: the key-value store refuses this controller, and a
- * majority of controllers (this one among them) has just been refused too, which only an outage does;
- * leases stand still in one. Whatever the role, `Election.isEntitled` is what counts for every answer and
- * command.
+ * `leader`: entitled by the lease. `leader-in-outage`: the key-value store refuses a majority of controllers
+ * (this one included), which happens only in an outage; leases do not expire in one. Whatever the role,
+ * every answer and command depends on `Election.isEntitled`.
  */
 export type ElectionRole = 'follower' | 'candidate' | 'leader' | 'leader-in-outage';
 
@@ -19,11 +19,11 @@
   'leader-in-outage': ['leader', 'follower'],
 };
 
-/** Whether a controller in one role may take the other one next. */
+/** Whether a controller may change from the one role to the other. */
 export const mayBecome = (from: ElectionRole, to: ElectionRole): boolean =>
   TRANSITIONS[from].includes(to);
 
-/** What `/metrics` and the load lines of the log call each role: operators' scripts know these words. */
+/** Names of the roles in `/metrics` and in the load lines of the log; operators' scripts match them. */
 export const ROLE_IN_METRICS: Record<ElectionRole, string> = {
   follower: 'following',
   candidate: 'standing',
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -8,21 +8,21 @@
 import { renewalAllowanceS, type WorkerTimes } from './renewal-allowance.js';
 import { TermEntitlement, leaseEnd } from './term-entitlement.js';
 
-/** A late controller leaves leadership to a healthier one for so many lives of the leader's lease, at most. */
+/** Maximum time for which a late controller defers to a healthier one, in TTLs of the leader's lease. */
 const DEFER_TTLS = 0.5;
-/** It looks so many times in that life whether it still has to. */
+/** How often it checks whether it still has to defer, per TTL. */
 const DEFER_CHECKS_PER_TTL = 20;
 
-/** What became of a renewal of the leader's lease; `unknown`: it was not answered. */
+/** Outcome of a renewal of the leader's lease; `unknown`: it was not answered. */
 type LeaderLeaseRenewal = 'renewed' | 'expired' | 'refused' | 'unknown';
 
-/** What an election tells its controller. */
+/** Callbacks of an election to its controller. */
 export interface ElectionEvents extends OutageEvents {
   onElected(token: number): void;
   onDeposed(): void;
 }
 
-/** What an `Election` works with. */
+/** Dependencies and settings of an `Election`. */
 export interface ElectionOptions extends Omit<
   OutageQuorumOptions,
   'leaseTtlS' | 'allowanceS' | 'leads'
@@ -31,37 +31,37 @@
   incarnation: string;
   workers: WorkerTimes;
   events: ElectionEvents;
-  /** This controller is late, and another one that could be elected is healthier. */
+  /** Whether this controller is late and another one, which could be elected, is healthier. */
   healthierCanCampaign: () => boolean;
 }
 
-/** This controller's part in the election of a leader, by a key of the store that hangs on a lease. */
+/** This controller's part in leader election by a key of the store that is attached to a lease. */
 export class Election {
   role: ElectionRole = 'follower';
   token = 0;
   private lease = 0;
-  /** How often this process has stood. */
+  /** Number of campaigns of this process. */
   private campaigns = 0;
-  /** Of the present term, or of the one that this controller stands for; null: there is none. */
+  /** For the current term, or the one that this controller campaigns for; null: there is none. */
   private entitlement: TermEntitlement | null = null;
   /**
-   * Since when this controller might stand, in seconds of the clock: nobody leads, or by the store only a
-   * former process of its own. Null: it might not.
+   * Steady time since which this controller may campaign, because there is no leader or the store still
+   * shows an earlier process of this controller as the leader. Null: it may not.
    */
   private vacantSince: number | null = null;
-  /** It has transferred leadership, and does not stand before. */
-  private campaignsFrom = -Infinity;
-  /** Tells outages from refusals of this controller alone. */
+  /** Steady time before which this controller does not campaign, after it has transferred leadership. */
+  private campaignsNotBefore = -Infinity;
+  /** Distinguishes outages from refusals of this controller alone. */
   readonly outage: OutageQuorum;
   private stopped = false;
   private readonly pause = new WakeableSleep();
   readonly leaseTtlS: number;
-  /** Seconds for which leases may be renewed after the last proof of knowing every cancellation. */
+  /** Seconds for which leases may be renewed after the last time at which every cancellation was known. */
   private readonly allowanceS: number;
 
   constructor(private readonly options: ElectionOptions) {
     const { workers } = options;
-    // A third of the workers' lease: the successor has two thirds to reach them all.
+    // About a third of the workers' lease, which leaves a successor two thirds to reach all workers.
     this.leaseTtlS = workers.lease_s * 0.3;
     this.allowanceS = renewalAllowanceS(workers, this.leaseTtlS);
     this.outage = new OutageQuorum({
@@ -81,10 +81,10 @@
       { from: this.role, to: role, token: this.token },
       'election role changed',
     );
-    const led = this.isLeading;
+    const wasLeading = this.isLeading;
     this.role = role;
     if (role === 'leader') this.vacantSince = null;
-    if (role === 'follower' && led) {
+    if (role === 'follower' && wasLeading) {
       this.noteOwnRenewals();
       this.entitlement = null;
       this.options.store.setRole('follower');
@@ -92,7 +92,7 @@
     }
   }
 
-  /** A later leader that asks for acknowledgement must know until when this one may have renewed leases. */
+  /** A later leader that asks for acknowledgement must learn until when this one may have renewed leases. */
   private noteOwnRenewals(): void {
     const until = this.entitlement?.validUntil ?? -Infinity;
     this.outage.noteRenewals(Math.min(this.options.clock.now(), until));
@@ -102,31 +102,32 @@
     return this.role === 'leader' || this.role === 'leader-in-outage';
   }
 
-  /** Whether this node may act for the controllers at this moment. */
+  /** Whether this controller may act as the leader now. */
   get isEntitled(): boolean {
     return this.isLeading && this.entitlement?.hasLapsed === false && this.readsAreFresh;
   }
 
   /**
-   * A leader whose lease is renewed but whose reads are not answered hears of no cancellation: it
-   * must stop renewing workers' leases in time. A majority's word in an outage counts with this already.
+   * A leader whose lease is renewed but whose reads are not answered learns of no cancellation, so it
+   * must stop renewing workers' leases in time. In an outage the entitlement by a majority already
+   * takes this into account, see `OutageQuorum.renewalBound`.
    */
   private get readsAreFresh(): boolean {
     if (this.role === 'leader-in-outage') return true;
     return this.options.clock.now() < this.options.replicaSync.freshAt + this.allowanceS;
   }
 
-  /** Entitled, and commits can be expected to go through. */
+  /** Whether this controller is entitled and its commits can be expected to succeed. */
   get canWrite(): boolean {
     return this.role === 'leader' && this.isEntitled;
   }
 
-  /** The leader's key has changed: look at once. */
+  /** Ends the pause between two steps, for example because the leader's key has changed. */
   wake(): void {
     this.pause.wakeUp();
   }
 
-  /** Campaigns, leads and follows until `stop`. */
+  /** Follows, campaigns and leads until `stop`. */
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -146,13 +147,13 @@
       await sleep(0.05);
       return;
     }
-    if (this.options.clock.now() < Math.max(this.outage.promisedUntil, this.campaignsFrom)) {
+    if (this.options.clock.now() < Math.max(this.outage.promisedUntil, this.campaignsNotBefore)) {
       await sleep(0.1);
       return;
     }
-    // My own former process is dead for certain: nothing to wait for.
-    const mine = leader !== null && leader.node === this.options.node;
-    if (leader !== null && !mine) {
+    // An earlier process of this controller has certainly ended, so its key need not expire first.
+    const isOwnKey = leader !== null && leader.node === this.options.node;
+    if (leader !== null && !isOwnKey) {
       this.vacantSince = null;
       await this.pause.wait(0.5);
       return;
@@ -161,8 +162,8 @@
       await this.pause.wait(this.leaseTtlS / DEFER_CHECKS_PER_TTL);
       return;
     }
-    if (!mine) {
-      // Apart from one another, so that a single node stands as a rule.
+    if (!isOwnKey) {
+      // Random delay, so that usually only one controller campaigns.
       await sleep(random() * 0.05 * this.leaseTtlS);
       if (this.options.replica.leader !== null) return;
     }
@@ -175,8 +176,8 @@
   }
 
   /**
-   * Whether to let a healthier controller be elected first. Not for long: that one may have ended, and
-   * somebody has to stand.
+   * Whether to let a healthier controller be elected first. Limited to half a TTL, since that controller may
+   * have ended and a leader is needed.
    */
   private defersToHealthier(): boolean {
     const now = this.options.clock.now();
@@ -185,12 +186,13 @@
     return this.options.healthierCanCampaign();
   }
 
-  /** Stands for election over the key as it was seen last. Returns whether this controller leads now. */
+  /** Tries to replace the leader's key as last seen. Returns whether this controller leads now. */
   private async campaign(expectedRevision: number): Promise<boolean> {
     const { store, clock, node, incarnation, events } = this.options;
     const grantSentAt = clock.now();
     const lease = await store.grantLease(this.leaseTtlS, 1);
-    // An earlier campaign's key may turn up late. It hangs on that one's lease, which nobody renews.
+    // The key of an earlier campaign may be stored late. It is attached to the lease of that campaign,
+    // which nobody renews, so each campaign must recognize its own key.
     const claim = `${incarnation}/${++this.campaigns}`;
     const token = await acquireLeaderKey(store, {
       node,
@@ -207,14 +209,14 @@
       store.setRole('follower');
       return false;
     }
-    // Stopped while it was being elected: it would lead on with nobody to stop it again.
+    // `stop` was called during the campaign and will not be called again.
     if (this.stopped) return false;
     this.changeRole('leader');
     events.onElected(token);
     return true;
   }
 
-  /** Everything that former leaders stored must be in the replica before anything is decided. */
+  /** Reads all that earlier leaders stored into the replica; false: the entitlement has lapsed or `stop` was called. */
   private async catchUp(entitlement: TermEntitlement, grantSentAt: number): Promise<boolean> {
     const { replica, replicaSync } = this.options;
     while (replica.applied < this.token || replicaSync.freshAt < grantSentAt) {
@@ -228,7 +230,7 @@
     const sentAt = this.options.clock.now();
     const renewal = await this.renewLeaderLease(sentAt);
     const leader = this.options.replica.leader;
-    // Deposed while it waited, by an acknowledgement of a later leader or by `stepDown`.
+    // Deposed during the renewal, by the acknowledgement of a later leader or by `stepDown`.
     if (!this.isLeading) return;
     if (renewal === 'expired' || (leader !== null && leader.revision > this.token)) {
       this.changeRole('follower');
@@ -246,12 +248,12 @@
     );
   }
 
-  /** Renews the lease of the leader's key, and the entitlement with it unless that has lapsed. */
+  /** Renews the lease of the leader's key, and extends the entitlement unless it has lapsed. */
   private async renewLeaderLease(sentAt: number): Promise<LeaderLeaseRenewal> {
     const { entitlement } = this;
-    const left = (entitlement?.validUntil ?? sentAt) - sentAt;
+    const remainingS = (entitlement?.validUntil ?? sentAt) - sentAt;
     try {
-      const timeoutS = Math.max(0.3, Math.min(1, left / 2));
+      const timeoutS = Math.max(0.3, Math.min(1, remainingS / 2));
       if (!(await this.options.store.keepLeaseAlive(this.lease, timeoutS))) {
         this.options.log.info({ token: this.token }, 'leader lease expired');
         return 'expired';
@@ -262,16 +264,16 @@
       }
       return 'renewed';
     } catch (error) {
-      this.options.log.debug({ err: error, left }, 'leader lease not renewed');
+      this.options.log.debug({ err: error, left: remainingS }, 'leader lease not renewed');
       return error instanceof RequestRejectedError && error.status === 503 ? 'refused' : 'unknown';
     }
   }
 
   /**
-   * The term is over. The key may stand for long, since leases have their full time again after an outage: where the
-   * store answers it goes at once, and anybody may stand, this controller too.
+   * Ends the term. The key could exist for long, since leases run their full time again after an outage. So where the
+   * store answers, the lease is revoked, and any controller may campaign at once, this one included.
    */
-  private async endLapsedTerm(isServed: boolean): Promise<void> {
+  private async endLapsedTerm(storeAnswers: boolean): Promise<void> {
     const { lease, token, entitlement, options } = this;
     const steadyS = options.clock.now();
     options.log.info(
@@ -279,42 +281,43 @@
       'leader entitlement expired',
     );
     this.changeRole('follower');
-    if (isServed) await this.giveUpLease(lease);
+    if (storeAnswers) await this.revokeLease(lease);
   }
 
-  /** Best effort: without an answer the key goes by itself, when the lease ends. */
-  private async giveUpLease(lease: number): Promise<void> {
+  /** Best effort: if this fails, the key is removed when the lease expires. */
+  private async revokeLease(lease: number): Promise<void> {
     await this.options.store.endLease(lease, this.leaseTtlS / 2).catch(() => undefined);
   }
 
   /**
-   * Hands leadership over: the key goes, and any other controller may stand at once. This one waits for
-   * long enough that another one is elected first, where there is one.
+   * Transfers leadership: revokes the lease of the key, so that any other controller may campaign at once. This
+   * one waits for half a TTL, so that another one, if there is one, is elected first.
    */
   async stepDown(): Promise<void> {
     if (this.role !== 'leader') return;
     const { lease } = this;
-    this.campaignsFrom = this.options.clock.now() + this.leaseTtlS / 2;
+    this.campaignsNotBefore = this.options.clock.now() + this.leaseTtlS / 2;
     this.changeRole('follower');
-    await this.giveUpLease(lease);
+    await this.revokeLease(lease);
   }
 
-  /** Reads the store when the watch has had nothing to show for a while. */
+  /** Reads the store when the watch has returned nothing for longer than the TTL of the leader's lease. */
   private refreshReplica(): void {
     if (this.options.clock.now() - this.options.replicaSync.freshAt > this.leaseTtlS)
       void this.options.replicaSync.sync();
   }
 
   /**
-   * Refused by the key-value store: an outage, or this node alone? Only in an outage do leases stand
-   * still. A node that is served says so, and then this one yields when its time is up.
+   * Called when the key-value store refuses this leader. Extends the entitlement if a majority of controllers is
+   * refused, which means an outage, in which leases do not expire. If another controller is served, this one
+   * alone is refused, and its term ends with its lease.
    */
   private async continueInOutage(askedAt: number): Promise<void> {
     const forS = this.leaseTtlS / 2;
     if (this.outage.acknowledged > this.token) return;
     const majority = await this.outage.majorityRejected(this.token, forS);
     if (majority === null || this.outage.acknowledged > this.token) return;
-    // The promises count from when they were given, which is after the question was sent.
+    // The others' promises run from when they were given, which is after the question was sent.
     const until = Math.min(
       askedAt + forS * (1 - 2 * MAX_CLOCK_DRIFT),
       this.outage.renewalBound(majority),
@@ -325,9 +328,9 @@
   }
 
   /**
-   * A later leader asks to be acknowledged, see `QuorumAcknowledgement`. From now on this controller
-   * neither acts for an older one nor bears witness for it. Returns the seconds until its promises so
-   * far have ended.
+   * Acknowledges a later leader, see `QuorumAcknowledgement`. From now on this controller neither acts for an
+   * older leader nor confirms an outage to one. Returns the seconds until its promises and its renewals of
+   * leases have ended; negative: they have.
    */
   acknowledge(token: number): number {
     if (token > this.outage.acknowledged && token > this.token && this.isLeading) {
@@ -337,7 +340,7 @@
     return this.outage.acknowledge(token) - this.options.clock.now();
   }
 
-  /** Ends `run`; an election that is under way is not won any more. */
+  /** Ends `run`; a campaign under way no longer makes this controller the leader. */
   stop(): void {
     this.stopped = true;
     this.pause.wakeUp();
--- a/src/leadership/leader-key.ts
+++ b/src/leadership/leader-key.ts
@@ -1,26 +1,26 @@
-/** The key of the store that its holder leads by. */
+/** The leader's key: the controller that holds it in the key-value store is the leader. */
 
 import { RequestRejectedError, type KeyValueStoreClient } from '../store/client.js';
 import * as records from '../store/records.js';
 
-/** Seconds within which a write or read of the key has to be answered. */
+/** Time limit for a write or read of the key, in seconds. */
 const TIMEOUT_S = 1;
 
 /** A claim to the leader's key. */
 export interface LeaderKeyClaim {
   /** Name of the controller that claims the key. */
   node: string;
-  /** Names this claim: no other one, of any process, has it. */
+  /** Unique name of this claim among the claims of all processes. */
   incarnation: string;
   /** Lease that the key is attached to. */
   lease: number;
-  /** Revision of the key that was seen last; 0: there is none. */
+  /** Revision of the key as last seen; 0: there is none. */
   expectedRevision: number;
 }
 
 /**
  * Takes the leader's key by compare-and-swap. Returns its revision, which is the fencing token; null:
- * another controller was first, or the store refused. A write that was not answered is read back.
+ * another controller was first, or the store refused. After a write without an answer the key is read back.
  */
 export async function acquireLeaderKey(
   store: Pick<KeyValueStoreClient, 'compareAndSwap' | 'get'>,
--- a/src/leadership/outage-promises.ts
+++ b/src/leadership/outage-promises.ts
@@ -1,32 +1,35 @@
-/** Promises of one controller to others that are refused by the key-value store: until when it does not stand. */
+/**
+ * Promises not to campaign for leadership before a given time. A controller makes them to others that are refused by the
+ * key-value store.
+ */
 
-/** A promise that another controller may come to rely on. */
+/** A promise whose answer has not been sent yet. */
 export interface PendingPromise {
-  /** The other one is told of it: it holds. */
-  keep(): void;
-  /** The other one is told that it does not hold. */
+  /** The answer will contain the promise, which is binding. */
+  confirm(): void;
+  /** The answer will not contain the promise, which is void. */
   withdraw(): void;
 }
 
-/** Promises in steady seconds. Each stands for itself: what becomes of one says nothing of another. */
+/** All promises of one controller, in steady seconds. Confirming or withdrawing one does not affect the others. */
 export class OutagePromises {
-  private keptUntil = -Infinity;
+  private confirmedUntil = -Infinity;
   private readonly pending = new Set<{ until: number }>();
 
-  /** The end of the last promise that holds or may come to hold. */
+  /** The latest end of all confirmed and pending promises. */
   get until(): number {
-    let until = this.keptUntil;
+    let until = this.confirmedUntil;
     for (const promise of this.pending) until = Math.max(until, promise.until);
     return until;
   }
 
-  /** Promises until a moment; it counts from now on. */
+  /** Makes a promise until the given time. It counts at once, before it is confirmed. */
   make(until: number): PendingPromise {
     const promise = { until };
     this.pending.add(promise);
     return {
-      keep: () => {
-        this.keptUntil = Math.max(this.keptUntil, until);
+      confirm: () => {
+        this.confirmedUntil = Math.max(this.confirmedUntil, until);
         this.pending.delete(promise);
       },
       withdraw: () => void this.pending.delete(promise),
--- a/src/leadership/outage-quorum.ts
+++ b/src/leadership/outage-quorum.ts
@@ -8,45 +8,45 @@
 import type { RefusedAnswer } from '../peers/messages.js';
 import type { PeerNetwork } from '../peers/peer-network.js';
 import { OutagePromises } from './outage-promises.js';
-import { UNHEARD_CONFIRM_S } from './renewal-allowance.js';
+import { UNACKNOWLEDGED_CONFIRM_S } from './renewal-allowance.js';
 
-/** Of a frame between controllers, what the cancellations told in one answer may take. */
-const CANCELLATIONS_SHARE = 0.9;
-/** What a job's id takes in a frame beside its characters, in bytes. */
-const ID_FRAME_BYTES = 3;
-/** Seconds that a look at the key-value store may take before it is taken for silent. */
+/** Share of a frame between controllers that the cancellations in one answer may take. */
+const CANCELLATIONS_FRAME_SHARE = 0.9;
+/** Bytes that a job's id takes in a frame in addition to its characters. */
+const ID_OVERHEAD_BYTES = 3;
+/** Seconds after which a read of the key-value store counts as not answered. */
 const PROBE_TIMEOUT_S = 0.5;
-/** Seconds that another controller may take to say whether it is refused. */
+/** Seconds that another controller may take to answer whether it is refused. */
 const PEER_TIMEOUT_S = 0.8;
 
-/** Whether all of them can be told at once. Telling some is no use: any of the others may be running. */
+/** Whether all cancelled jobs fit in one frame. Sending only some is useless: tasks of any of the others may be running. */
 function fitInOneFrame(ids: string[]): boolean {
   let bytes = 0;
-  for (const id of ids) bytes += id.length + ID_FRAME_BYTES;
-  return bytes <= MAX_FRAME * CANCELLATIONS_SHARE;
+  for (const id of ids) bytes += id.length + ID_OVERHEAD_BYTES;
+  return bytes <= MAX_FRAME * CANCELLATIONS_FRAME_SHARE;
 }
 
-/** A majority's word that the key-value store refuses it. */
+/** A majority of controllers has confirmed that the key-value store refuses it. */
 export interface MajorityRejected {
-  /** Steady time up to which the majority together knows every stored cancellation. */
+  /** Steady time up to which the majority as a whole knows every stored cancellation. */
   freshAt: number;
 }
 
-/** What an outage quorum asks and tells its controller. */
+/** Callbacks of an outage quorum to its controller. */
 export interface OutageEvents {
-  /** Cancellations that another controller knows to be stored. */
+  /** Another controller knows that the cancellations of these jobs are stored. */
   onKnownCancelled(ids: string[]): void;
-  /** Stored cancellations after a revision, as far as this controller knows of any. */
+  /** Jobs whose cancellation was stored after a revision, as far as this controller knows. */
   cancelledSince(revision: number): string[];
 }
 
-/** What an `OutageQuorum` works with. */
+/** Dependencies and settings of an `OutageQuorum`. */
 export interface OutageQuorumOptions {
   /** Number of controllers, this one included. */
   controllerCount: number;
-  /** Life of a leader's lease, in seconds. */
+  /** TTL of a leader's lease, in seconds. */
   leaseTtlS: number;
-  /** Seconds for which leases may be renewed after the last proof of knowing every cancellation. */
+  /** Seconds for which leases may be renewed after the last time at which every cancellation was known. */
   allowanceS: number;
   store: KeyValueStoreClient;
   replicaSync: ReplicaSync;
@@ -60,17 +60,18 @@
 }
 
 /**
- * Tells an outage of the key-value store from a refusal of this controller alone, by the word of a
- * majority, and bears witness for others. Only in an outage do leases stand still, so that work may be
- * kept running without the key-value store. docs/design.md, "Cancellations and outages".
+ * Distinguishes an outage of the key-value store from a refusal of this controller alone, by asking whether
+ * a majority of controllers is refused, and answers the same question of others. Leases do not expire in an
+ * outage, so running tasks may then be continued without the key-value store. docs/design.md, "Cancellations
+ * and outages".
  */
 export class OutageQuorum {
-  /** The latest leader that this controller has acknowledged: it bears witness for no older one. */
+  /** Token of the latest leader that this controller has acknowledged: it confirms an outage to no older one. */
   acknowledged = 0;
   private readonly promises = new OutagePromises();
-  /** End of the present majority's word, by which this controller may renew leases. */
-  private renewsUntil = -Infinity;
-  /** Until when this controller may have renewed leases before that, in a leader's place or as a leader. */
+  /** Until when this controller may renew leases by the latest confirmation of a majority. */
+  private mayRenewUntil = -Infinity;
+  /** Until when this controller may have renewed leases earlier, as a substitute or as the leader. */
   private renewedUntil = -Infinity;
   private currentCheck: Promise<boolean> | null = null;
   private readonly startedAt: number;
@@ -83,22 +84,22 @@
     return this.options.clock.now();
   }
 
-  /** This controller has promised not to take over before. */
+  /** This controller has promised not to campaign before this time. */
   get promisedUntil(): number {
     return this.promises.until;
   }
 
-  /** Asked by another node: looks at the key-value store now, not at what it said before. */
+  /** Answers another controller that asks whether this one is refused, by a new request to the key-value store. */
   async answer(token: number, forMs: number, applied: number): Promise<RefusedAnswer> {
-    // A process that has not read the store knows neither the leader nor the cancellations that the
-    // one before it had acknowledged: its word would make a majority that knows of neither.
+    // A process that has not read the store knows neither the leader nor the cancellations that its
+    // predecessor had acknowledged; its answer could complete a majority that knows of neither.
     const { replicaSync, replica, store, events, leaseTtlS } = this.options;
     if (!replicaSync.ready) return {};
-    const known = replica.leader;
-    if (this.acknowledged > token || (known !== null && known.revision > token)) {
+    const knownLeader = replica.leader;
+    if (this.acknowledged > token || (knownLeader !== null && knownLeader.revision > token)) {
       return { refused: false };
     }
-    // One that only stands is as good a witness as any: it may stand again and again in an outage.
+    // A mere candidate may answer: in an outage it may campaign again and again.
     if (this.options.leads()) return { refused: false };
     const forS = Math.min(forMs / 1000, leaseTtlS);
     const promise = this.promises.make(this.now + forS * (1 + 2 * MAX_CLOCK_DRIFT));
@@ -108,8 +109,8 @@
       return { refused: false };
     } catch (error) {
       if (error instanceof RequestRejectedError && error.status === 503) {
-        promise.keep();
-        // An outage may keep the last cancellations from the leader: their tasks must go all the same.
+        promise.confirm();
+        // The outage may have kept the last cancellations from the leader, but their tasks must end too.
         const cancelled = events.cancelledSince(applied);
         if (!replicaSync.ready || !fitInOneFrame(cancelled)) return {};
         const freshAgeS = this.now - replicaSync.freshAt;
@@ -121,35 +122,36 @@
   }
 
   /**
-   * From now on this controller neither acts for a leader older than this one nor bears witness for it.
-   * Returns the steady time at which its promises, and what it has renewed itself, have ended: the same
-   * however often it is asked, since an answer may be lost.
+   * Acknowledges a leader: from now on this controller neither renews leases for an older one nor confirms
+   * an outage to it. Returns the steady time at which its promises and its own renewals of leases have
+   * ended. Asked again, it returns the same time, since an answer may be lost.
    */
   acknowledge(token: number): number {
-    this.noteRenewals(Math.min(this.now, this.renewsUntil));
+    this.noteRenewals(Math.min(this.now, this.mayRenewUntil));
     if (token > this.acknowledged) {
       this.acknowledged = token;
-      this.renewsUntil = -Infinity;
+      this.mayRenewUntil = -Infinity;
     }
-    // A process that began just now does not know what the one before it promised.
+    // A process that has just started does not know the promises of its predecessor.
     const unknownUntil = this.startedAt + this.options.leaseTtlS * (1 + 2 * MAX_CLOCK_DRIFT);
     return Math.max(this.promisedUntil, this.renewedUntil, unknownUntil);
   }
 
-  /** Leases may have been renewed by this controller until then. */
+  /** Records that this controller may have renewed leases until this time. */
   noteRenewals(until: number): void {
     this.renewedUntil = Math.max(this.renewedUntil, until);
   }
 
   /**
-   * Substituting: nobody leads, nobody can take over, because the key-value store is down for all. Then
-   * workers' leases are kept alive with the last leader's token and nothing else is done. It takes
-   * what continuing takes, a majority that is being refused, for longer than a leader takes to notice
-   * the outage itself; every later decision on leases counts with what was renewed here.
+   * Whether this controller may renew workers' leases as a substitute: there is no working leader, and none can
+   * be elected because the key-value store is down for all. The substitute renews leases with the last leader's
+   * token and does nothing else. Like a leader that continues in an outage it needs a majority that is refused,
+   * and it must itself have been refused for longer than a leader takes to notice the outage. Every later
+   * decision on leases takes these renewals into account.
    */
   mayRenewLeases(): Promise<boolean> {
     if (this.options.leads()) return Promise.resolve(false);
-    if (this.now < this.renewsUntil) return Promise.resolve(true);
+    if (this.now < this.mayRenewUntil) return Promise.resolve(true);
     this.currentCheck ??= this.checkMayRenewLeases().finally(() => (this.currentCheck = null));
     return this.currentCheck;
   }
@@ -164,35 +166,36 @@
     } catch (error) {
       if (!(error instanceof RequestRejectedError) || error.status !== 503) return false;
     }
-    const since = this.options.store.rejectedSince;
-    // The promises count from when they were given, which is after the question was sent.
+    const rejectedSince = this.options.store.rejectedSince;
+    // The others' promises run from when they were given, which is after the question was sent.
     const askedAt = this.now;
-    if (since === null || askedAt - since < this.options.leaseTtlS * 0.4) return false;
+    if (rejectedSince === null || askedAt - rejectedSince < this.options.leaseTtlS * 0.4)
+      return false;
     const majority = await this.majorityRejected(leader.revision, this.substituteS);
     if (majority === null || this.acknowledged > leader.revision) return false;
     const until = askedAt + this.substituteS * (1 - 2 * MAX_CLOCK_DRIFT);
-    this.noteRenewals(this.renewsUntil);
-    this.renewsUntil = Math.min(until, this.renewalBound(majority));
-    if (this.now >= this.renewsUntil) return false;
+    this.noteRenewals(this.mayRenewUntil);
+    this.mayRenewUntil = Math.min(until, this.renewalBound(majority));
+    if (this.now >= this.mayRenewUntil) return false;
     this.options.log.info({ token: leader.revision }, 'renewing leases for a failed leader');
     return true;
   }
 
-  /** How long after the last proof of an outage a substitute may still renew. */
+  /** Seconds for which a substitute may renew after the last proof of an outage. */
   get substituteS(): number {
     return this.options.leaseTtlS / 3;
   }
 
   /**
-   * Until when leases may be renewed on a majority's word. What one of it knows, all know by its
-   * answer. A cancellation that none of it knows was stored after `freshAt`, and no user was told of
-   * it before a further `UNHEARD_CONFIRM_S`.
+   * Until when leases may be renewed by the confirmation of a majority. The answers have made known all
+   * cancellations that any member of it knows. A cancellation that none of them knows was stored after
+   * `freshAt`, and no user received a confirmation of it until `UNACKNOWLEDGED_CONFIRM_S` later.
    */
   renewalBound(majority: MajorityRejected): number {
-    return majority.freshAt + UNHEARD_CONFIRM_S + this.options.allowanceS;
+    return majority.freshAt + UNACKNOWLEDGED_CONFIRM_S + this.options.allowanceS;
   }
 
-  /** Null: no majority is refused, or not all of those that answered are. */
+  /** Asks all others whether they are refused. Null: no majority has confirmed it, or another controller is served. */
   async majorityRejected(token: number, forS: number): Promise<MajorityRejected | null> {
     const peers = this.options.peers();
     const askedAt = this.now;
@@ -211,13 +214,13 @@
       if (answer?.cancelled !== undefined) this.options.events.onKnownCancelled(answer.cancelled);
     }
     if (answers.some((answer) => answer?.refused === false)) return null;
-    const ages = answers.flatMap((answer) =>
+    const freshAgesS = answers.flatMap((answer) =>
       answer?.refused === true && answer.freshAgeS !== undefined ? [answer.freshAgeS] : [],
     );
-    if ((1 + ages.length) * 2 <= this.options.controllerCount) return null;
+    if ((1 + freshAgesS.length) * 2 <= this.options.controllerCount) return null;
     const freshest = Math.max(
       this.options.replicaSync.freshAt,
-      ...ages.map((age) => askedAt - age),
+      ...freshAgesS.map((age) => askedAt - age),
     );
     return { freshAt: freshest };
   }
--- a/src/leadership/quorum-acknowledgement.ts
+++ b/src/leadership/quorum-acknowledgement.ts
@@ -1,21 +1,21 @@
 import type { Clock } from '../clock.js';
 
-/** What another controller says of a leader: it has acknowledged it, and what it promised others. */
+/** Another controller's acknowledgement of a leader. */
 export interface Acknowledged {
-  /** Seconds until the last of its promises to others has ended; negative: it has. */
+  /** Seconds until its promises to others and its renewals of leases have ended; negative: they have. */
   remainsS: number;
 }
 
 /**
- * The acknowledgement of a leader by a majority. Whoever renews leases for a former leader, because it
- * takes a refusal for an outage (`Election.continueInOutage`, `OutageQuorum.mayRenewLeases`), needs a majority of
- * controllers that say they are refused too. Two that are each refused alone can make one, beside a
- * third that is served and elected. So before this leader counts any lease as run out, a majority must
- * have acknowledged it: whoever has gives no such word for an older leader any more, and any two
- * majorities share a node.
+ * The acknowledgement of a leader by a majority. A controller that renews leases for an earlier leader because it
+ * takes a refusal for an outage (`Election.continueInOutage`, `OutageQuorum.mayRenewLeases`) needs a majority of
+ * controllers that are refused too. Two controllers that are each refused alone can form one while a third is
+ * served and elected. So before this leader counts any lease as expired, a majority must have acknowledged it: a
+ * controller that has done so no longer confirms an outage to an older leader, and any two majorities share a
+ * controller.
  *
- *   pending  leases may be renewed by others at this moment
- *   reached  they have not been since `keptUntil`, and never will be
+ *   pending  others may be renewing leases with older tokens
+ *   reached  no lease is renewed with an older token after `othersRenewUntil`
  */
 export class QuorumAcknowledgement {
   private readonly promiseEnds = new Map<string, number>();
@@ -31,23 +31,23 @@
     return this.promiseEnds.size >= this.needed ? 'reached' : 'pending';
   }
 
-  /** Others that make a majority together with this controller. */
+  /** Number of others that form a majority together with this controller. */
   private get needed(): number {
     return Math.floor(this.controllerCount / 2);
   }
 
-  /** Whether this controller has acknowledged it. */
+  /** Whether the given controller has acknowledged the leader. */
   has(node: string): boolean {
     return this.promiseEnds.has(node);
   }
 
-  /** A controller has acknowledged the leader; its first word counts. */
+  /** Records a controller's acknowledgement; only its first one counts. */
   record(node: string, acknowledged: Acknowledged): void {
     if (!this.promiseEnds.has(node))
       this.promiseEnds.set(node, this.clock.now() + acknowledged.remainsS);
   }
 
-  /** Until when others may renew, or may have renewed, leases with an older token. */
+  /** Steady time until which others may renew, or may have renewed, leases with an older token. */
   get othersRenewUntil(): number {
     if (this.state === 'pending') return this.clock.now();
     const ends = [...this.promiseEnds.values()].sort((a, b) => a - b);
--- a/src/leadership/renewal-allowance.ts
+++ b/src/leadership/renewal-allowance.ts
@@ -1,37 +1,36 @@
 import { MAX_CLOCK_DRIFT } from '../clock.js';
 
 /**
- * How long workers' leases may be renewed by a controller that may not know of every cancellation.
+ * How long a controller that may not know every cancellation may renew workers' leases.
  *
- * A user who has been told that a job is cancelled may count on its tasks being gone after `cancel_s`.
- * Whoever renews a lease must therefore know of every cancellation that any user has been told of, or
- * stop renewing early enough for the lease to run out in time. docs/design.md, "Cancellations and
- * outages", has the whole argument.
+ * Once a cancellation is confirmed to a user, the tasks of the job must have ended within `cancel_s`. A
+ * controller that renews a lease must therefore know every cancellation that has been confirmed to any user,
+ * or stop renewing early enough for the lease to expire in time. docs/design.md, "Cancellations and
+ * outages", has the full reasoning.
  */
 
 /**
- * Share of a lease within which a worker that is renewed no more has ended its tasks: the lease, the
- * drift of its clock, and a worker that is slow to notice.
+ * Time after its last renewal within which a worker has ended its tasks, in leases: the lease, the drift of
+ * its clock, and a tenth for a worker that reacts late.
  */
-const LEASE_END = 1.1 * (1 + 2 * MAX_CLOCK_DRIFT);
+const LEASE_END_LEASES = 1.1 * (1 + 2 * MAX_CLOCK_DRIFT);
 
 /**
- * Seconds after which a stored cancellation is told to users although no majority of controllers is
- * known to have heard of it. Users repeat a cancellation for 60 s (protocol): within the first three
- * quarters of that.
+ * Seconds after which a stored cancellation is confirmed to users although no majority of controllers is
+ * known to know of it. Users repeat a cancellation for 60 s (protocol); this is three quarters of that.
  */
-export const UNHEARD_CONFIRM_S = 45;
+export const UNACKNOWLEDGED_CONFIRM_S = 45;
 
-/** The workers' lease, and the time within which a cancelled task has to be gone; in seconds. */
+/** The workers' lease, and the time within which a cancelled task must have ended; in seconds. */
 export interface WorkerTimes {
   lease_s: number;
   cancel_s: number;
 }
 
 /**
- * Seconds for which leases may be renewed after the moment up to which every stored cancellation is
- * known. At least `leastS`: with settings that leave less, a leader could not act at all.
+ * Seconds for which leases may be renewed after the time up to which every stored cancellation is
+ * known. At least `minimumS`: with settings that allow less, a leader could not act at all.
  */
-export function renewalAllowanceS(workers: WorkerTimes, leastS: number): number {
-  return Math.max(leastS, workers.cancel_s - workers.lease_s * LEASE_END);
+export function renewalAllowanceS(workers: WorkerTimes, minimumS: number): number {
+  return Math.max(minimumS, workers.cancel_s - workers.lease_s * LEASE_END_LEASES);
 }
--- a/src/leadership/substitute-renewals.ts
+++ b/src/leadership/substitute-renewals.ts
@@ -1,44 +1,44 @@
-/** What a majority says of leases that were renewed in a leader's place, asked for when a lease seems to have expired. */
+/** Renewals of leases by substitutes, as known by a majority, which is asked when a lease seems to have expired. */
 
 import type { Clock } from '../clock.js';
 import type { ElectedAnswer } from '../peers/messages.js';
 import { QuorumAcknowledgement } from './quorum-acknowledgement.js';
 
-/** What is known of renewals that others give or gave, in steady seconds. */
+/** What is known of renewals by others, in steady seconds. */
 export interface RenewalKnowledge {
   /** Until when others may renew leases, or may have renewed them. */
   keptUntil: number;
-  /** Up to which moment that is certain: of what was renewed after it, nothing is known. */
+  /** Up to which time this is certain: nothing is known of renewals after it. */
   provenAt: number;
 }
 
-/** What `SubstituteRenewals` work with. */
+/** Dependencies and settings of `SubstituteRenewals`. */
 export interface SubstituteRenewalsOptions {
   /** Acknowledgement of the leader that asks; until it is reached, others may renew with older tokens. */
   acknowledged: QuorumAcknowledgement;
   controllerCount: number;
   clock: Clock;
-  /** The other controllers. */
+  /** Names of the other controllers. */
   names: () => readonly string[];
-  /** Asks one of them to acknowledge the leader of this token; null: no answer. */
+  /** Asks one of them to acknowledge the leader with this token; null: no answer. */
   askElected: (node: string, token: number) => Promise<ElectedAnswer | null>;
 }
 
 /**
- * Renewals in the place of a leader that may not have noticed that it was away: it was frozen across an outage, or cut
- * off from the others while each of them was refused. Whoever renews in its place has the word of a majority, whose
- * members remember until when it holds. So a lease is over for certain only when a majority, asked after its end, knows of no
- * renewal that it does not count with: any two majorities share a controller.
+ * Renewals by substitutes that the leader may not have noticed: it was frozen during an outage, or cut off from the others
+ * while each of them was refused. A substitute needs the confirmation of a majority, whose members remember until when it
+ * is valid. So a lease has certainly expired only when a majority, asked after its end, knows of no renewal that the
+ * leader has not taken into account: any two majorities share a controller.
  */
 export class SubstituteRenewals {
-  private latest: RenewalKnowledge = { keptUntil: -Infinity, provenAt: -Infinity };
+  private latestProof: RenewalKnowledge = { keptUntil: -Infinity, provenAt: -Infinity };
   private round: Promise<boolean> | null = null;
 
   constructor(private readonly options: SubstituteRenewalsOptions) {}
 
-  /** By the acknowledgement of the leader, and by the latest round that a majority answered. */
+  /** Result of the acknowledgement of the leader and of the latest round that a majority answered. */
   get known(): RenewalKnowledge {
-    const { keptUntil, provenAt } = this.latest;
+    const { keptUntil, provenAt } = this.latestProof;
     const { othersRenewUntil } = this.options.acknowledged;
     return { keptUntil: Math.max(keptUntil, othersRenewUntil), provenAt };
   }
@@ -55,11 +55,11 @@
     const answers = new QuorumAcknowledgement(acknowledged.token, controllerCount, clock);
     await this.collect(answers);
     if (answers.state === 'pending') return false;
-    this.latest = { keptUntil: answers.othersRenewUntil, provenAt: askedAt };
+    this.latestProof = { keptUntil: answers.othersRenewUntil, provenAt: askedAt };
     return true;
   }
 
-  /** Resolves at the majority's last answer, or when all have answered or kept silent. */
+  /** Resolves once a majority has answered, or when each has answered or timed out. */
   private collect(answers: QuorumAcknowledgement): Promise<void> {
     const { acknowledged, names, askElected } = this.options;
     return new Promise((resolve) => {
--- a/src/leadership/term-entitlement.ts
+++ b/src/leadership/term-entitlement.ts
@@ -1,20 +1,20 @@
-/** How long the leader of one term may act: the one rule by which that time begins, is extended and ends. */
+/** How long the leader of one term may act: the rules by which that time begins, is extended and ends. */
 
 import { MAX_CLOCK_DRIFT, type Clock } from '../clock.js';
 
-/** Seconds by which a leader's lease is taken to end before it does in the store. */
+/** Safety margin: seconds by which a leader's lease is assumed to end earlier than in the store. */
 const LEASE_MARGIN_S = 0.02;
 
-/** When a lease ends at the earliest that was granted or renewed by a request sent at this time, in steady seconds. */
+/** Earliest end of a lease that was granted or renewed by a request sent at this time, in steady seconds. */
 export function leaseEnd(sentAt: number, leaseTtlS: number): number {
-  // The lease ends a life after the request was carried out, which is no earlier than it was sent.
+  // The lease ends one TTL after the request was carried out, which is no earlier than it was sent.
   return sentAt + leaseTtlS * (1 - 2 * MAX_CLOCK_DRIFT) - LEASE_MARGIN_S;
 }
 
 /**
- * The entitlement of one term of leadership, in steady seconds. It is extended while it lasts, by a renewal of the
- * leader's lease or by a majority's word in an outage. Once it has lapsed the term is over, whatever arrives later:
- * others may have acted in the leader's place meanwhile, and only a new election, with a new acknowledgement, knows of it.
+ * The entitlement of one term of leadership, in steady seconds. While it lasts, it is extended by a renewal of the
+ * leader's lease or by the confirmation of a majority in an outage. Once it has lapsed, the term is over, whatever arrives
+ * later: others may have acted for the leader meanwhile, of which only a new election with a new acknowledgement learns.
  */
 export class TermEntitlement {
   private lapsed = false;
@@ -24,7 +24,7 @@
     private until: number,
   ) {}
 
-  /** When it lapses, unless it is extended before. */
+  /** When the entitlement lapses unless it is extended before. */
   get validUntil(): number {
     return this.until;
   }
@@ -35,7 +35,7 @@
     return this.lapsed;
   }
 
-  /** Extends it; false: it has lapsed already, and stays so. */
+  /** Extends the entitlement; false: it has already lapsed and stays so. */
   extend(until: number): boolean {
     if (this.hasLapsed) return false;
     this.until = Math.max(this.until, until);
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -10,71 +10,83 @@
 import type { RenewalKnowledge } from './substitute-renewals.js';
 
 /**
- * Zones that go on working by themselves. Where a zone has exactly one controller, that one is its
- * zone lease holder: cut off together with its zone, it keeps renewing the leases of the zone's machines with
- * the last token, so that what runs there goes on. It starts nothing.
+ * Zone leases keep the tasks of a zone running while the zone is cut off from the rest of the fleet.
  *
- * What the others must know is when a zone lease holder may be doing so. Each zone lease holder holds a key on a short
- * lease; it keeps no machine before that key is certainly gone, and none for longer than a bound
- * after the last proof that the key was there:
+ * If a zone has exactly one controller, that controller is the zone lease holder. When it is cut off together
+ * with its zone, it renews the leases of the zone's machines with the last token, so that their tasks continue.
+ * It starts nothing.
  *
- *   key there, by a fresh read      the zone lease holder keeps nothing, and has not since the key was put
- *   key gone                        it may keep until the bound has passed since it went
+ * The other controllers must know when a zone lease holder may be renewing. So each holder holds a key in the
+ * key-value store that is attached to a short lease. It renews no machine's lease before that key has certainly
+ * expired, and none later than a fixed time after the last proof that the key existed:
  *
- * So a silent machine counts as lost only when its lease has expired and either is proven since, and
- * a cancellation is taken only if the zone lease holder has been told, or if the bound ends in time.
+ *   key exists, by a fresh read   the holder renews no leases, and has not since the key was put
+ *   key is absent                 the holder may renew leases until that fixed time after the key's removal
+ *
+ * So a silent machine counts as lost only when its lease has expired and one of the two has been proven since. A
+ * cancellation is accepted only if the holder has been notified, or if its renewals end in time.
  */
 
 /**
- * Life of the key's lease: so much of a worker's lease, and of the time that a worker waits for an answer.
- * A worker must get one before it looks for other controllers, all of them outside the cut. By its lease
- * alone, one of 15 s, the zone lease holder began when those that had sent heartbeats in the cut's first moments had gone.
+ * TTL of the key's lease: the smaller one of these shares, of a worker's lease and of the time that a worker waits
+ * for an answer to a heartbeat. The holder must answer before its workers try other controllers, none of which they
+ * can reach. By a worker's lease alone, one of 15 s, the holder began to renew only after the workers whose
+ * heartbeats came first after the cut had left.
  */
 const TTL_LEASES = 0.1;
 const TTL_ANSWER_WAITS = 0.25;
 /**
- * When a zone lease holder may begin, counted from the sending of the last renewal that was answered. Until then
- * the key is certainly gone: its life, once more for a renewal that was carried out without an answer
- * (there is never more than one of them), once more for an outage too short to be noticed, after
- * which leases have their full time again, and half a life for late ends. In lives.
+ * Delay until a zone lease holder may renew leases, in TTLs of its key, counted from the sending of the last renewal
+ * that was answered. The key has certainly expired by then: one TTL, one more for a renewal that was carried out but
+ * not answered (there is never more than one), one more for an outage too short to be noticed, after which leases run
+ * their full time again, and half a TTL for late expiry.
  */
-const BEGIN_TTLS = 3.5;
-/** The bound: longer cuts end like any other silence. */
-const RENEW_LEASES = 7;
-/** Renewals within one life of the key. */
+const RENEWAL_DELAY_TTLS = 3.5;
+/** Maximum time for which a holder renews leases, in workers' leases; in a longer cut they expire. */
+const MAX_RENEWAL_LEASES = 7;
+/** Renewals of the key per TTL. */
 const RENEWALS_PER_TTL = 4;
 
 /** The times of a zone lease, in seconds. */
 export interface ZoneLeaseTimes {
   ttlS: number;
-  beginS: number;
-  renewForS: number;
+  renewalDelayS: number;
+  maxRenewalS: number;
 }
 
-/** The times of a zone lease, as ratios to the workers' lease. */
+/** The times of a zone lease for a given length of the workers' lease. */
 export function zoneLeaseTimes(leaseS: number): ZoneLeaseTimes {
   const ttlS = Math.min(leaseS * TTL_LEASES, ANSWER_WAIT_S * TTL_ANSWER_WAITS);
-  return { ttlS, beginS: ttlS * BEGIN_TTLS, renewForS: leaseS * RENEW_LEASES };
+  return {
+    ttlS,
+    renewalDelayS: ttlS * RENEWAL_DELAY_TTLS,
+    maxRenewalS: leaseS * MAX_RENEWAL_LEASES,
+  };
 }
 
-/** The sole controller of each zone. With one zone only, nothing is cut off with a zone. */
-export function zoneLeaseHolders(all: { node: string; zone: string }[]): Map<string, string> {
-  const by = new Map<string, string[]>();
-  for (const controller of all)
-    by.set(controller.zone, [...(by.get(controller.zone) ?? []), controller.node]);
-  const out = new Map<string, string>();
-  if (by.size < 2) return out;
-  for (const [zone, nodes] of by) if (nodes.length === 1) out.set(zone, nodes[0]!);
-  return out;
+/** The sole controllers of zones, by zone; empty with fewer than two zones, where no zone can be cut off. */
+export function zoneLeaseHolders(
+  controllers: { node: string; zone: string }[],
+): Map<string, string> {
+  const nodesByZone = new Map<string, string[]>();
+  for (const controller of controllers)
+    nodesByZone.set(controller.zone, [
+      ...(nodesByZone.get(controller.zone) ?? []),
+      controller.node,
+    ]);
+  const holders = new Map<string, string>();
+  if (nodesByZone.size < 2) return holders;
+  for (const [zone, nodes] of nodesByZone) if (nodes.length === 1) holders.set(zone, nodes[0]!);
+  return holders;
 }
 
 /**
- * A zone lease holder's own side:
+ * State of a zone lease holder:
  *
- *   away     no key of this process is known to be in the store
- *   present  it is
- *   doubting a renewal was not answered: none is sent until the store is heard again
- *   alone    neither the store nor any other controller answers
+ *   away      the store is not known to hold a key of this process
+ *   present   the store holds the key
+ *   doubting  a renewal was not answered; the next one is sent only after the store has answered a read
+ *   alone     neither the store nor any other controller answers
  */
 export type ZoneLeaseHolderState = 'away' | 'present' | 'doubting' | 'alone';
 
@@ -85,7 +97,7 @@
   alone: ['present', 'doubting'],
 };
 
-/** What a `ZoneLeaseHolder` works with. */
+/** Dependencies and settings of a `ZoneLeaseHolder`. */
 export interface ZoneLeaseHolderOptions {
   node: string;
   incarnation: string;
@@ -98,16 +110,16 @@
   log: Log;
 }
 
-/** The zone lease of the only controller of a zone. */
+/** Holds the zone lease of this controller's zone, in which it is the only controller. */
 export class ZoneLeaseHolder {
   state: ZoneLeaseHolderState = 'away';
-  /** When the last renewal that was carried out had been sent. */
-  private provenAt = -Infinity;
+  /** When the last put or renewal of the key that succeeded was sent. */
+  private lastRenewalSentAt = -Infinity;
   private lease = 0;
-  /** It may have renewed leases since its key was put; then the key is put anew, which tells the others when that ended. */
-  private hasRenewed = false;
-  /** A key that was put without an answer may be there until then. */
-  private renewsFrom = -Infinity;
+  /** Leases may have been renewed since the key was put. If so, it is put again, which shows others when that ended. */
+  private mayHaveRenewed = false;
+  /** No lease is renewed before this time: a key whose put was not answered may exist until then. */
+  private renewsNotBefore = -Infinity;
   private stopped = false;
   private readonly times: ZoneLeaseTimes;
 
@@ -124,22 +136,25 @@
     this.state = to;
   }
 
-  /** Whether leases of the zone's machines may be renewed at this moment. Whoever asks does so. */
+  /** Whether leases of the zone's machines may be renewed now. A caller that gets true is assumed to renew one. */
   mayRenewLeases(): boolean {
     const now = this.options.clock.now();
-    const from = Math.max(this.renewsFrom, this.certainlyGoneAt(this.provenAt));
-    if (this.state !== 'alone' || now <= from) return false;
-    if (now >= this.provenAt + this.times.renewForS) return false;
-    this.hasRenewed = true;
+    const notBefore = Math.max(this.renewsNotBefore, this.keyExpiredBy(this.lastRenewalSentAt));
+    if (this.state !== 'alone' || now <= notBefore) return false;
+    if (now >= this.lastRenewalSentAt + this.times.maxRenewalS) return false;
+    this.mayHaveRenewed = true;
     return true;
   }
 
-  /** When a key is certainly gone whose last renewal was sent at this time. */
-  private certainlyGoneAt(sentAt: number): number {
-    return sentAt + this.times.beginS * (1 + 2 * MAX_CLOCK_DRIFT);
+  /** Time by which a key has certainly expired whose last renewal was sent at `sentAt`. */
+  private keyExpiredBy(sentAt: number): number {
+    return sentAt + this.times.renewalDelayS * (1 + 2 * MAX_CLOCK_DRIFT);
   }
 
-  /** Waits for as long as it may still turn out that this zone is alone. */
+  /**
+   * Waits until leases may be renewed, at most until the deadline and only while the zone may turn out to be cut off.
+   * Returns whether they may.
+   */
   async waitUntilDecided(deadline: number): Promise<boolean> {
     while (!this.stopped && this.options.clock.now() < deadline) {
       if (this.mayRenewLeases()) return true;
@@ -149,25 +164,25 @@
     return this.mayRenewLeases();
   }
 
-  /** Holds the key, and finds out when the zone is cut off, until `stop`. */
+  /** Holds the key and detects that the zone is cut off, until `stop`. */
   async run(): Promise<void> {
     const pause = this.times.ttlS / RENEWALS_PER_TTL;
     while (!this.stopped) {
       try {
         if (this.state === 'away') await this.register();
         else {
-          // A renewal that was not answered may still be carried out: a second one would let the key
-          // live on while this zone is being kept.
+          // A renewal that was not answered may still be carried out. A second one could extend the key
+          // while leases are renewed here, so the store must answer a read first.
           if (this.state !== 'present')
             await this.options.store.get(records.LEADER, this.times.ttlS / 2);
-          if (this.hasRenewed) await this.registerAnew();
+          if (this.mayHaveRenewed) await this.reregister();
           else await this.renew();
         }
       } catch (error) {
-        // Refused is heard: an outage, or this controller alone. Nothing is cut off.
-        const heard = error instanceof RequestRejectedError && error.status > 0;
-        if (this.state === 'present' && !heard) this.changeState('doubting');
-        if (!heard) await this.askPeers();
+        // A refusal is an answer, in an outage or to this controller alone: the zone is not cut off.
+        const storeAnswered = error instanceof RequestRejectedError && error.status > 0;
+        if (this.state === 'present' && !storeAnswered) this.changeState('doubting');
+        if (!storeAnswered) await this.probePeers();
       }
       await sleep(pause);
     }
@@ -189,31 +204,31 @@
       return;
     }
     this.lease = lease;
-    this.provenAt = sentAt;
-    this.hasRenewed = false;
+    this.lastRenewalSentAt = sentAt;
+    this.mayHaveRenewed = false;
     this.changeState('present');
   }
 
   /**
-   * The key of before may have stood through an outage while leases were renewed here, and would show nothing of that. No
-   * lease is renewed from before the new one is put.
+   * Puts the key again after leases may have been renewed. The old key may have existed throughout, in an outage, and
+   * would not show others that they were. From before the put until the new key has certainly expired, no lease is renewed.
    */
-  private async registerAnew(): Promise<void> {
+  private async reregister(): Promise<void> {
     this.changeState('doubting');
-    this.renewsFrom = this.certainlyGoneAt(this.options.clock.now());
+    this.renewsNotBefore = this.keyExpiredBy(this.options.clock.now());
     await this.register();
   }
 
   private async renew(): Promise<void> {
     const sentAt = this.options.clock.now();
-    const there = await this.options.store.keepLeaseAlive(this.lease, this.times.ttlS / 2);
+    const leaseExists = await this.options.store.keepLeaseAlive(this.lease, this.times.ttlS / 2);
     this.changeState('present');
-    if (there) this.provenAt = sentAt;
+    if (leaseExists) this.lastRenewalSentAt = sentAt;
     else this.changeState('away');
   }
 
-  /** The store is silent: is anybody else there? */
-  private async askPeers(): Promise<void> {
+  /** Called when the store does not answer: checks whether any other controller does. */
+  private async probePeers(): Promise<void> {
     if (this.state !== 'doubting' && this.state !== 'alone') return;
     const peers = this.options.peers();
     const timeout = this.times.ttlS / 2;
@@ -229,7 +244,7 @@
   }
 }
 
-/** What a `ZoneLeaseWatch` works with. */
+/** Dependencies and settings of a `ZoneLeaseWatch`. */
 export interface ZoneLeaseWatchOptions {
   byZone: Map<string, string>;
   leaseS: number;
@@ -239,10 +254,10 @@
   clock: Clock;
 }
 
-/** What a controller knows of the zone lease holders, itself included. */
+/** What a controller knows about the zone lease holders, itself included, from their keys in its replica. */
 export class ZoneLeaseWatch {
-  private readonly seenAt = new Map<string, number>();
-  private readonly goneAt = new Map<string, number>();
+  private readonly keyPutAt = new Map<string, number>();
+  private readonly keyRemovedAt = new Map<string, number>();
   private readonly times: ZoneLeaseTimes;
 
   constructor(private readonly options: ZoneLeaseWatchOptions) {
@@ -250,14 +265,14 @@
     this.times = zoneLeaseTimes(leaseS);
   }
 
-  /** The only controller of a zone; null: it has none, or several. */
+  /** The only controller of a zone; null: the zone has none, or several. */
   holderOf(zone: string): string | null {
     return this.options.byZone.get(zone) ?? null;
   }
 
-  /** Its key has been there for so long, as seen from here. */
+  /** Whether this controller has seen the key of the given holder for at least `forS` seconds. */
   isSteady(node: string, forS: number): boolean {
-    const seen = this.seenAt.get(node);
+    const seen = this.keyPutAt.get(node);
     return (
       this.options.replica.controllers.has(node) &&
       seen !== undefined &&
@@ -265,38 +280,35 @@
     );
   }
 
-  /** A zone lease holder's key was put anew or is gone. */
+  /** Records that a zone lease holder's key was put or removed. */
   keyChanged(node: string): void {
     const now = this.options.clock.now();
-    if (this.options.replica.controllers.has(node)) this.seenAt.set(node, now);
-    else this.goneAt.set(node, now);
+    if (this.options.replica.controllers.has(node)) this.keyPutAt.set(node, now);
+    else this.keyRemovedAt.set(node, now);
   }
 
-  /**
-   * `keptUntil`: until when a zone's zone lease holder may renew, or may have renewed, leases of its machines.
-   * `provenAt`: up to which moment that is certain.
-   */
+  /** Renewals of leases of a zone's machines by the zone lease holder. */
   zone(zone: string): RenewalKnowledge {
     const node = this.options.byZone.get(zone);
     if (node === undefined) return { keptUntil: -Infinity, provenAt: Infinity };
     const now = this.options.clock.now();
     if (this.options.replica.controllers.has(node)) {
-      // Leases stand still in an outage: what a read shows right after one proves nothing.
-      const sure =
-        this.options.replicaSync.freshAt - this.options.store.rejectedAt > this.times.beginS;
+      // Keys do not expire in an outage, so a read soon after one does not prove that the holder reaches the store.
+      const readIsConclusive =
+        this.options.replicaSync.freshAt - this.options.store.rejectedAt > this.times.renewalDelayS;
       return {
-        keptUntil: this.seenAt.get(node) ?? now,
-        provenAt: sure ? this.options.replicaSync.freshAt : -Infinity,
+        keptUntil: this.keyPutAt.get(node) ?? now,
+        provenAt: readIsConclusive ? this.options.replicaSync.freshAt : -Infinity,
       };
     }
-    let gone = this.goneAt.get(node);
-    if (gone === undefined) {
-      gone = now;
-      // It may have gone just before this controller had read the store for the first time.
-      if (this.options.replicaSync.ready) this.goneAt.set(node, now);
+    let removedAt = this.keyRemovedAt.get(node);
+    if (removedAt === undefined) {
+      removedAt = now;
+      // The removal was not seen: it may have happened just before the store was read for the first time.
+      if (this.options.replicaSync.ready) this.keyRemovedAt.set(node, now);
     }
     return {
-      keptUntil: gone + this.times.renewForS * (1 + 2 * MAX_CLOCK_DRIFT),
+      keptUntil: removedAt + this.times.maxRenewalS * (1 + 2 * MAX_CLOCK_DRIFT),
       provenAt: Infinity,
     };
   }
--- a/src/time-of-day.ts
+++ b/src/time-of-day.ts
@@ -1,41 +1,41 @@
-/** The time of day that a controller goes by: it names moments to people and across processes. */
+/** A controller's time of day, for times that are shown to users or exchanged between processes. */
 
 import { MAX_CLOCK_DRIFT, type Clock } from './clock.js';
 
-/** A jump of the machine's clock is believed after so many leases. */
-const JUMP_LEASES = 6;
+/** A jump of the machine's clock is accepted once it has lasted this many workers' leases. */
+const JUMP_CONFIRM_LEASES = 6;
 
-/** What a `TimeOfDay` works with. */
+/** Dependencies and settings of a `TimeOfDay`. */
 export interface TimeOfDayOptions {
   clock: Clock;
-  /** Time of day in ms, as the machine's clock shows it. */
+  /** Reads the machine's clock: time of day in ms. */
   wallMs: () => number;
-  /** How far the time of day may be from the true one, in ms. */
+  /** Maximum deviation of the machine's clock from the true time, in ms. */
   skewMs: number;
-  /** A lease of the workers, in seconds. */
+  /** Length of a worker's lease, in seconds. */
   leaseS: number;
 }
 
 /**
- * The time of day of one process. It goes on evenly when the clock of the machine jumps. What it is off by within the
- * clocks' known bounds is made up for slowly. A larger difference is ignored until it has lasted: what a clock shows that
- * was set wrong for a moment decides nothing.
+ * The time of day of one process, which continues evenly when the machine's clock jumps. A difference within the known
+ * bounds of the clocks is corrected gradually. A larger one is ignored until it has lasted for some leases, so that a clock
+ * that is set wrong for a short time affects no decision.
  */
 export class TimeOfDay {
-  /** Time of day, in ms, at which the steady clock was 0. */
-  private zeroMs: number;
-  private seenAt: number;
+  /** Time of day in ms at which the steady clock read 0. */
+  private offsetMs: number;
+  private lastReadAt: number;
   private jumpedSince: number | null = null;
-  private readonly settleS: number;
-  /** Jumps that lasted and are followed since. */
+  private readonly jumpConfirmS: number;
+  /** Number of jumps accepted so far. */
   jumps = 0;
-  /** By how much the time of day was set in all, in ms. */
-  setMs = 0;
+  /** Sum of the accepted jumps, in ms. */
+  jumpedMs = 0;
 
   constructor(private readonly options: TimeOfDayOptions) {
-    this.settleS = options.leaseS * JUMP_LEASES;
-    this.seenAt = options.clock.now();
-    this.zeroMs = options.wallMs() - this.seenAt * 1000;
+    this.jumpConfirmS = options.leaseS * JUMP_CONFIRM_LEASES;
+    this.lastReadAt = options.clock.now();
+    this.offsetMs = options.wallMs() - this.lastReadAt * 1000;
   }
 
   /** Whether the machine's clock shows another time at present than the one that counts. */
@@ -43,42 +43,42 @@
     return this.jumpedSince !== null;
   }
 
-  /** Time of day in ms. To be asked for regularly: a jump counts from when it was first seen. */
+  /** Time of day in ms. Must be called regularly: the age of a jump counts from the first call that sees it. */
   nowMs(): number {
     const { clock, wallMs, skewMs } = this.options;
-    const at = clock.now();
-    const differenceMs = wallMs() - at * 1000 - this.zeroMs;
-    const slewMs = Math.max(0, at - this.seenAt) * 1000 * MAX_CLOCK_DRIFT;
-    this.seenAt = at;
+    const now = clock.now();
+    const differenceMs = wallMs() - now * 1000 - this.offsetMs;
+    const slewMs = Math.max(0, now - this.lastReadAt) * 1000 * MAX_CLOCK_DRIFT;
+    this.lastReadAt = now;
     if (Math.abs(differenceMs) <= 2 * skewMs + slewMs) {
       this.jumpedSince = null;
-      this.zeroMs += Math.max(-slewMs, Math.min(slewMs, differenceMs));
+      this.offsetMs += Math.max(-slewMs, Math.min(slewMs, differenceMs));
     } else {
-      this.jumpedSince ??= at;
-      if (at - this.jumpedSince >= this.settleS) this.follow(differenceMs);
+      this.jumpedSince ??= now;
+      if (now - this.jumpedSince >= this.jumpConfirmS) this.acceptJump(differenceMs);
     }
-    return this.zeroMs + at * 1000;
+    return this.offsetMs + now * 1000;
   }
 
-  private follow(differenceMs: number): void {
-    this.zeroMs += differenceMs;
-    this.setMs += differenceMs;
+  private acceptJump(differenceMs: number): void {
+    this.offsetMs += differenceMs;
+    this.jumpedMs += differenceMs;
     this.jumpedSince = null;
     this.jumps++;
   }
 }
 
 /**
- * The time of day in one term of leadership. `nowMs` names moments. `steadyMs` is never set in the term: the difference
- * between two of its values is the time that has passed, whatever came between.
+ * The time of day in one term of leadership. `nowMs` is the time of day. `steadyMs` leaves out the jumps accepted in the
+ * term, so the difference between two of its values is the time that has passed.
  */
 export class TermTimeOfDay {
-  private readonly setBeforeMs: number;
-  private readonly jumpsBefore: number;
+  private readonly initialJumpedMs: number;
+  private readonly initialJumps: number;
 
   constructor(private readonly timeOfDay: TimeOfDay) {
-    this.setBeforeMs = timeOfDay.setMs;
-    this.jumpsBefore = timeOfDay.jumps;
+    this.initialJumpedMs = timeOfDay.jumpedMs;
+    this.initialJumps = timeOfDay.jumps;
   }
 
   /** Whether the machine's clock shows another time at present than the one that counts. */
@@ -86,14 +86,14 @@
     return this.timeOfDay.doubted;
   }
 
-  /** Jumps that lasted and were followed in this term. */
+  /** Number of jumps accepted in this term. */
   get jumps(): number {
-    return this.timeOfDay.jumps - this.jumpsBefore;
+    return this.timeOfDay.jumps - this.initialJumps;
   }
 
-  /** By how much the time of day was set in this term, in ms. */
+  /** Sum of the jumps accepted in this term, in ms. */
   get setMs(): number {
-    return this.timeOfDay.setMs - this.setBeforeMs;
+    return this.timeOfDay.jumpedMs - this.initialJumpedMs;
   }
 
   /** Time of day in ms. */
@@ -101,7 +101,7 @@
     return this.timeOfDay.nowMs();
   }
 
-  /** Time of day in ms as if it had never been set in this term. */
+  /** Time of day in ms without the jumps accepted in this term. */
   steadyMs(): number {
     const nowMs = this.nowMs();
     return nowMs - this.setMs;
--- a/test/cancellation-quorum.test.ts
+++ b/test/cancellation-quorum.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PeerNetwork } from '../src/peers/peer-network.js';
-import { UNHEARD_CONFIRM_S } from '../src/leadership/renewal-allowance.js';
+import { UNACKNOWLEDGED_CONFIRM_S } from '../src/leadership/renewal-allowance.js';
 import type { ZoneLeaseWatch } from '../src/leadership/zone-lease.js';
 import { CancellationBroadcast } from '../src/cancellation/cancellation-broadcast.js';
 import { CancellationQuorum } from '../src/cancellation/cancellation-quorum.js';
@@ -40,7 +40,7 @@
   { name: 'all note it', noting: 'bcd', zones: ['z1', 'z2'], confirmed: true },
   { name: 'a majority, no keeper among them, no tasks there', noting: 'bc', zones: ['z1'], confirmed: true },
   { name: 'no majority', noting: 'b', zones: ['z1'], confirmed: false },
-  { name: 'nobody, after long', noting: '', zones: [], after: UNHEARD_CONFIRM_S, confirmed: true },
+  { name: 'nobody, after long', noting: '', zones: [], after: UNACKNOWLEDGED_CONFIRM_S, confirmed: true },
   // Told before the cancellation was stored; its next process had read the store before that, too.
   { name: 'a keeper that may have tasks of it does not', noting: 'bc', zones: ['z1', 'z2'], confirmed: false },
   { name: 'the same, its key just gone', noting: 'bc', zones: ['z2'], kept: JUST_GONE, confirmed: false },
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -40,7 +40,7 @@
 
 test('a zone lease holder begins before workers give up waiting, whatever their lease', () => {
   for (const lease of [2, 10, 13, 15.25, 120]) {
-    const { ttlS, beginS, renewForS } = zoneLeaseTimes(lease);
+    const { ttlS, renewalDelayS: beginS, maxRenewalS: renewForS } = zoneLeaseTimes(lease);
     assert.ok(beginS <= ANSWER_WAIT_S * RENEWAL_WAIT_SHARE, `${lease}: ${beginS}`);
     // Its key's life three times and half of it once more, see where they are reckoned.
     assert.ok(beginS >= ttlS * 3.5 && renewForS > lease && ttlS <= lease / 10, `${lease}`);
@@ -49,7 +49,7 @@
 
 test('until when a zone may be kept, and what is certain of it', () => {
   const lease = 10;
-  const { beginS, renewForS } = zoneLeaseTimes(lease);
+  const { renewalDelayS: beginS, maxRenewalS: renewForS } = zoneLeaseTimes(lease);
   const at = { now: 100 };
   const setup = (present: boolean, freshAt: number, rejectedAt: number): ZoneLeaseWatch => {
     const replica = { controllers: new Map(present ? [['a', 5]] : []) };
@@ -83,7 +83,7 @@
 
 test('a zone lease holder keeps nothing before its key is certainly gone, and renews at most once in doubt', async () => {
   const lease = 0.4;
-  const { beginS } = zoneLeaseTimes(lease);
+  const { renewalDelayS: beginS } = zoneLeaseTimes(lease);
   let silent = false;
   let unanswered = 0;
   let answeredSentAt = -Infinity;
@@ -223,7 +223,7 @@
 test('a zone lease holder that has renewed leases puts its key anew, and renews none from then on', async () => {
   // Leases are renewed for seven leases after the last answer: a loop that is late must not use them up.
   const lease = 2;
-  const { beginS } = zoneLeaseTimes(lease);
+  const { renewalDelayS: beginS } = zoneLeaseTimes(lease);
   let reached = true;
   let losesAnswers = false;
   let keptAlive = 0;
