--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -315,12 +315,12 @@
   private async continueInOutage(askedAt: number): Promise<void> {
     const forS = this.leaseTtlS / 2;
     if (this.outage.acknowledged > this.token) return;
-    const majority = await this.outage.majorityRejected(this.token, forS);
-    if (majority === null || this.outage.acknowledged > this.token) return;
+    const confirmation = await this.outage.majorityRejected(this.token, forS);
+    if (confirmation === null || this.outage.acknowledged > this.token) return;
     // The others' promises run from when they were given, which is after the question was sent.
     const until = Math.min(
       askedAt + forS * (1 - 2 * MAX_CLOCK_DRIFT),
-      this.outage.renewalBound(majority),
+      this.outage.renewalBound(confirmation),
     );
     if (until <= this.options.clock.now()) return;
     if (this.entitlement?.extend(until) !== true) return;
--- a/src/leadership/outage-quorum.ts
+++ b/src/leadership/outage-quorum.ts
@@ -27,7 +27,7 @@
 }
 
 /** A majority of controllers has confirmed that the key-value store refuses it. */
-export interface MajorityRejected {
+export interface OutageConfirmation {
   /** Steady time up to which the majority as a whole knows every stored cancellation. */
   freshAt: number;
 }
@@ -171,11 +171,11 @@
     const askedAt = this.now;
     if (rejectedSince === null || askedAt - rejectedSince < this.options.leaseTtlS * 0.4)
       return false;
-    const majority = await this.majorityRejected(leader.revision, this.substituteS);
-    if (majority === null || this.acknowledged > leader.revision) return false;
+    const confirmation = await this.majorityRejected(leader.revision, this.substituteS);
+    if (confirmation === null || this.acknowledged > leader.revision) return false;
     const until = askedAt + this.substituteS * (1 - 2 * MAX_CLOCK_DRIFT);
     this.noteRenewals(this.mayRenewUntil);
-    this.mayRenewUntil = Math.min(until, this.renewalBound(majority));
+    this.mayRenewUntil = Math.min(until, this.renewalBound(confirmation));
     if (this.now >= this.mayRenewUntil) return false;
     this.options.log.info({ token: leader.revision }, 'renewing leases for a failed leader');
     return true;
@@ -191,12 +191,12 @@
    * cancellations that any member of it knows. A cancellation that none of them knows was stored after
    * `freshAt`, and no user received a confirmation of it until `UNACKNOWLEDGED_CONFIRM_S` later.
    */
-  renewalBound(majority: MajorityRejected): number {
-    return majority.freshAt + UNACKNOWLEDGED_CONFIRM_S + this.options.allowanceS;
+  renewalBound(confirmation: OutageConfirmation): number {
+    return confirmation.freshAt + UNACKNOWLEDGED_CONFIRM_S + this.options.allowanceS;
   }
 
   /** Asks all others whether they are refused. Null: no majority has confirmed it, or another controller is served. */
-  async majorityRejected(token: number, forS: number): Promise<MajorityRejected | null> {
+  async majorityRejected(token: number, forS: number): Promise<OutageConfirmation | null> {
     const peers = this.options.peers();
     const askedAt = this.now;
     const question = {
--- a/src/leadership/quorum-acknowledgement.ts
+++ b/src/leadership/quorum-acknowledgement.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../clock.js';
 
 /** Another controller's acknowledgement of a leader. */
-export interface Acknowledged {
+export interface LeaderAcknowledgement {
   /** Seconds until its promises to others and its renewals of leases have ended; negative: they have. */
   remainsS: number;
 }
@@ -42,7 +42,7 @@
   }
 
   /** Records a controller's acknowledgement; only its first one counts. */
-  record(node: string, acknowledged: Acknowledged): void {
+  record(node: string, acknowledged: LeaderAcknowledgement): void {
     if (!this.promiseEnds.has(node))
       this.promiseEnds.set(node, this.clock.now() + acknowledged.remainsS);
   }
