--- a/src/warm-pools/bill.ts
+++ b/src/warm-pools/bill.ts
@@ -34,7 +34,7 @@
 
 interface StoredDay extends BillDay {
   /** All bursts up to this one, in ms, are over and in the bill. */
-  throughMs: number;
+  lastBilledBurstMs: number;
   /** Counts the changes: tells whether one that was not answered was carried out. */
   merges: number;
 }
@@ -50,9 +50,16 @@
 });
 
 /** The day of a time in ms, UTC: 2026-12-02. */
-export const dayOf = (ms: number): string => new Date(ms).toISOString().slice(0, 10);
+export const utcDayOf = (ms: number): string => new Date(ms).toISOString().slice(0, 10);
 
-const NOTHING: BillTotals = { slots: 0, used: 0, lost: 0, machineS: 0, money: 0, uncertainS: 0 };
+const ZERO_TOTALS: BillTotals = {
+  slots: 0,
+  used: 0,
+  lost: 0,
+  machineS: 0,
+  money: 0,
+  uncertainS: 0,
+};
 
 /** The sum of two totals. */
 export function addTotals(a: BillTotals, b: BillTotals): BillTotals {
@@ -69,7 +76,7 @@
 /** What a slot has cost up to a moment, or in all when it has ended. */
 export function slotTotals(slot: Slot, nowMs: number): BillTotals {
   const { held, share, pricePerHour, state } = slot;
-  if (held === null) return { ...NOTHING, slots: 1 };
+  if (held === null) return { ...ZERO_TOTALS, slots: 1 };
   const heldMs = Math.max(0, (held.toMs ?? nowMs) - held.fromMs);
   return {
     slots: 1,
@@ -82,7 +89,7 @@
 }
 
 const dayKey = ({ pool, team, burstMs }: Pick<Slot, 'pool' | 'team' | 'burstMs'>): string =>
-  `${BILL_PREFIX}${pool}/${dayOf(burstMs)}/${encodeURIComponent(team)}`;
+  `${BILL_PREFIX}${pool}/${utcDayOf(burstMs)}/${encodeURIComponent(team)}`;
 
 function encodeDay(day: StoredDay): unknown {
   return {
@@ -90,7 +97,7 @@
     s: day.machineS,
     m: day.money,
     u: day.uncertainS,
-    b: day.throughMs,
+    b: day.lastBilledBurstMs,
     c: day.merges,
   };
 }
@@ -104,7 +111,7 @@
   const { n, s, m, u, b, c } = result.output;
   const [slots, used, lost] = n;
   const totals = { slots, used, lost, machineS: s, money: m, uncertainS: u };
-  return { pool, day, team: decodeURIComponent(team), ...totals, throughMs: b, merges: c };
+  return { pool, day, team: decodeURIComponent(team), ...totals, lastBilledBurstMs: b, merges: c };
 }
 
 /** The days of the bill that are in a set of records. */
@@ -151,12 +158,12 @@
   }
 
   /** The latest burst of a pool that is over and billed, in ms: none up to it is prepared again. */
-  throughMs(pool: string): number {
-    let through = -Infinity;
+  lastBilledBurstMs(pool: string): number {
+    let latestMs = -Infinity;
     for (const { day } of this.days.values()) {
-      if (day.pool === pool) through = Math.max(through, day.throughMs);
+      if (day.pool === pool) latestMs = Math.max(latestMs, day.lastBilledBurstMs);
     }
-    return through;
+    return latestMs;
   }
 
   /** Money that each pool has spent on each day, slots that are not in the bill yet included. */
@@ -165,7 +172,7 @@
     for (const { day } of this.days.values()) addMoney(money, day.pool, day.day, day.money);
     for (const { current } of slots) {
       const { money: spent } = slotTotals(current, nowMs);
-      if (spent > 0) addMoney(money, current.pool, dayOf(current.burstMs), spent);
+      if (spent > 0) addMoney(money, current.pool, utcDayOf(current.burstMs), spent);
     }
     return money;
   }
@@ -195,7 +202,7 @@
 
   private merge(key: string, entries: SlotEntry[], table: SlotTable): OwnedWrite {
     const known = this.days.get(key);
-    const day = merged(
+    const day = mergeSlots(
       known?.day ?? null,
       entries.map(({ current }) => current),
     );
@@ -212,11 +219,11 @@
       value: encodeDay(day),
       alsoChanges: removals,
       stored: done,
-      readBack: (stored) => this.reread(key, day, stored, done),
+      readBack: (stored) => this.applyReadBack(key, day, stored, done),
     };
   }
 
-  private reread(
+  private applyReadBack(
     key: string,
     sent: StoredDay,
     stored: OwnedRecord | null,
@@ -228,12 +235,13 @@
       return;
     }
     // Only this term writes it: a count that is ours says that the whole transaction was carried out.
-    if (found.merges === sent.merges && found.throughMs === sent.throughMs) done(stored.revision);
+    if (found.merges === sent.merges && found.lastBilledBurstMs === sent.lastBilledBurstMs)
+      done(stored.revision);
     else this.days.set(key, { day: found, revision: stored.revision });
   }
 
   private expired(nowMs: number): OwnedWrite[] {
-    const oldest = dayOf(nowMs - this.keepDays * MS_PER_DAY);
+    const oldest = utcDayOf(nowMs - this.keepDays * MS_PER_DAY);
     const old = [...this.days].filter(([, { day }]) => day.day < oldest);
     return old.map(([key, { revision }]) => ({
       key,
@@ -263,23 +271,30 @@
 /** What a pool has spent in the period of its budget that a burst is in. */
 export function spentInPeriod(money: MoneyByDay, pool: PoolDeclaration, burstMs: number): number {
   const length = pool.budgetPeriod === 'month' ? MONTH_LENGTH : DAY_LENGTH;
-  const period = dayOf(burstMs).slice(0, length);
+  const period = utcDayOf(burstMs).slice(0, length);
   let sum = 0;
   for (const [day, spent] of money.get(pool.name) ?? []) if (day.startsWith(period)) sum += spent;
   return sum;
 }
 
-function merged(known: StoredDay | null, slots: Slot[]): StoredDay {
+function mergeSlots(known: StoredDay | null, slots: Slot[]): StoredDay {
   const { pool, team, burstMs } = slots[0]!;
-  const empty = { pool, team, day: dayOf(burstMs), ...NOTHING, throughMs: 0, merges: 0 };
+  const empty = {
+    pool,
+    team,
+    day: utcDayOf(burstMs),
+    ...ZERO_TOTALS,
+    lastBilledBurstMs: 0,
+    merges: 0,
+  };
   const base: StoredDay = known ?? empty;
   let totals: BillTotals = base;
-  let throughMs = base.throughMs;
+  let throughMs = base.lastBilledBurstMs;
   for (const slot of slots) {
     totals = addTotals(totals, slotTotals(slot, slot.held?.toMs ?? 0));
     throughMs = Math.max(throughMs, slot.burstMs);
   }
-  return { ...base, ...totals, throughMs, merges: base.merges + 1 };
+  return { ...base, ...totals, lastBilledBurstMs: throughMs, merges: base.merges + 1 };
 }
 
 function push<K, T>(map: Map<K, T[]>, key: K, value: T): void {
--- a/src/warm-pools/burst-schedule.ts
+++ b/src/warm-pools/burst-schedule.ts
@@ -3,7 +3,7 @@
 import { Cron } from 'croner';
 
 /** Firings of a schedule that are looked at when it is checked. */
-const CHECKED_FIRINGS = 64;
+const MAX_CHECKED_FIRINGS = 64;
 
 /** A schedule that cannot be read, never fires, or fires while the burst before is still going on. */
 export class ScheduleError extends Error {}
@@ -20,7 +20,7 @@
    */
   private known: number[] = [];
   private knownFromMs = Infinity;
-  private isEnd = false;
+  private isExhausted = false;
 
   constructor(expression: string, timeZone: string) {
     try {
@@ -37,28 +37,28 @@
     if (ms < this.knownFromMs) {
       this.known = [];
       this.knownFromMs = ms;
-      this.isEnd = false;
+      this.isExhausted = false;
     }
-    while (this.known.length > 0 && this.known[0]! <= ms) this.forgetFirst();
-    if (this.known.length === 0) this.reckonNext(ms);
+    while (this.known.length > 0 && this.known[0]! <= ms) this.dropFirst();
+    if (this.known.length === 0) this.computeNext(ms);
     return this.known[0] ?? null;
   }
 
   /** Bursts after one moment, up to and with another, in ms. */
   between(afterMs: number, untilMs: number): number[] {
     this.nextAfter(afterMs);
-    while (!this.isEnd && this.known.at(-1)! <= untilMs) this.reckonNext(this.known.at(-1)!);
+    while (!this.isExhausted && this.known.at(-1)! <= untilMs) this.computeNext(this.known.at(-1)!);
     return this.known.filter((ms) => ms <= untilMs);
   }
 
-  private forgetFirst(): void {
+  private dropFirst(): void {
     this.knownFromMs = this.known.shift()!;
   }
 
-  private reckonNext(afterMs: number): void {
-    if (this.isEnd) return;
+  private computeNext(afterMs: number): void {
+    if (this.isExhausted) return;
     const next = this.cron.nextRun(new Date(afterMs))?.getTime() ?? null;
-    if (next === null) this.isEnd = true;
+    if (next === null) this.isExhausted = true;
     else this.known.push(next);
   }
 
@@ -66,7 +66,7 @@
   check(fromMs: number, holdS: number): void {
     let last = this.nextAfter(fromMs);
     if (last === null) throw new ScheduleError('never fires');
-    for (let i = 0; i < CHECKED_FIRINGS; i++) {
+    for (let i = 0; i < MAX_CHECKED_FIRINGS; i++) {
       const next: number | null = this.cron.nextRun(new Date(last))?.getTime() ?? null;
       if (next === null) return;
       const gapS = (next - last) / 1000;
--- a/src/warm-pools/bursts.ts
+++ b/src/warm-pools/bursts.ts
@@ -8,7 +8,7 @@
 import { allowedTypes } from './machine-choice.js';
 
 /** Slots are planned, and their requests named, so many lead times ahead: an outage may cover one. */
-const PLANNED_LEADS = 2;
+const PLANNING_LEAD_TIMES = 2;
 /** Changes of a slot's record until it is warm, and the share of all writes that pools count on. */
 const WRITES_PER_SLOT = 3;
 const WRITE_SHARE = 0.3;
@@ -21,7 +21,7 @@
   /** When it begins, in ms of the time of day. */
   burstMs: number;
   /** Seconds ahead at which machines for its slots should be requested. */
-  leadS: number;
+  leadTimeS: number;
 }
 
 /** Names a burst of a pool. */
@@ -36,7 +36,7 @@
     private readonly view: TermView,
     private readonly leadTimes: LeadTimes,
     /** The latest burst of a pool that is over and billed, in ms. */
-    private readonly throughMs: (pool: string) => number,
+    private readonly lastBilledBurstMs: (pool: string) => number,
   ) {
     for (const pool of pools) {
       this.schedules.set(pool.name, new BurstSchedule(pool.schedule, pool.timeZone));
@@ -44,14 +44,14 @@
   }
 
   /** Those whose slots are to be planned, prepared or kept now, in the order of precedence. */
-  at(nowMs: number): Burst[] {
+  activeAt(nowMs: number): Burst[] {
     const bursts: Burst[] = [];
     for (const pool of this.pools) {
-      const leadS = this.leadS(pool);
-      const afterMs = Math.max(nowMs - pool.holdS * 1000, this.throughMs(pool.name));
-      const untilMs = nowMs + leadS * PLANNED_LEADS * 1000;
+      const leadTimeS = this.leadTimeS(pool);
+      const afterMs = Math.max(nowMs - pool.holdS * 1000, this.lastBilledBurstMs(pool.name));
+      const untilMs = nowMs + leadTimeS * PLANNING_LEAD_TIMES * 1000;
       for (const burstMs of this.schedules.get(pool.name)!.between(afterMs, untilMs)) {
-        bursts.push({ pool, burstMs, leadS });
+        bursts.push({ pool, burstMs, leadTimeS });
       }
     }
     return bursts.sort(comparePools);
@@ -63,7 +63,7 @@
   }
 
   /** The slowest of the kinds of machines that the pool allows counts. */
-  private leadS(pool: PoolDeclaration): number {
+  private leadTimeS(pool: PoolDeclaration): number {
     const { settings } = this.view;
     const storeS = (pool.slots * WRITES_PER_SLOT) / (settings.state.write_rps * WRITE_SHARE);
     const noticeS = settings.workers.report_s * NOTICE_HEARTBEATS;
@@ -75,6 +75,6 @@
   }
 
   private machineS(type: MachineType, zone: string, pool: PoolDeclaration): number {
-    return this.leadTimes.leadS(type, zone, pool.image, pool.imageGb);
+    return this.leadTimes.leadTimeS(type, zone, pool.image, pool.imageGb);
   }
 }
--- a/src/warm-pools/check.ts
+++ b/src/warm-pools/check.ts
@@ -22,18 +22,18 @@
 ): PoolProblem | null {
   const names = new Set<string>();
   for (const [index, pool] of config.pools.entries()) {
-    const at = (key: string, problem: string): PoolProblem => ({
+    const problemAt = (key: string, problem: string): PoolProblem => ({
       key: `pools.${index}.${key}`,
       problem: `pool ${pool.name}: ${problem}`,
     });
-    if (names.has(pool.name)) return at('name', 'another pool has this name');
+    if (names.has(pool.name)) return problemAt('name', 'another pool has this name');
     names.add(pool.name);
     const problem = checkTeam(pool, settings) ?? checkPlace(pool, settings);
-    if (problem !== null) return at(problem.key, problem.problem);
+    if (problem !== null) return problemAt(problem.key, problem.problem);
     try {
       new BurstSchedule(pool.schedule, pool.timeZone).check(nowMs, pool.holdS);
     } catch (error) {
-      if (error instanceof ScheduleError) return at('schedule', error.message);
+      if (error instanceof ScheduleError) return problemAt('schedule', error.message);
       throw error;
     }
   }
--- a/src/warm-pools/command.ts
+++ b/src/warm-pools/command.ts
@@ -64,10 +64,10 @@
 
 /** The command's output. Throws CommandError. */
 export async function warmPoolsCommand(
-  what: 'status' | 'bill',
+  subcommand: 'status' | 'bill',
   { at, json }: { at: string; json: boolean },
 ): Promise<string> {
   const { pools, bill } = await fetchView(at, QUESTION);
-  if (json) return `${JSON.stringify(what === 'status' ? pools : bill, null, 1)}\n`;
-  return what === 'status' ? statusTable(pools) : billTable(bill);
+  if (json) return `${JSON.stringify(subcommand === 'status' ? pools : bill, null, 1)}\n`;
+  return subcommand === 'status' ? statusTable(pools) : billTable(bill);
 }
--- a/src/warm-pools/declaration.ts
+++ b/src/warm-pools/declaration.ts
@@ -5,7 +5,7 @@
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0, 'expected a number above 0'));
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0, 'expected a number, 0 or more'));
 const count = v.pipe(v.number(), v.integer('expected a whole number'), v.minValue(1));
-const word = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
+const shortText = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 /** Part of keys in the store. */
 const poolName = v.pipe(
   v.string(),
@@ -14,19 +14,19 @@
 
 const pool = v.strictObject({
   name: poolName,
-  image: word,
+  image: shortText,
   image_gb: positive,
   cores: amount,
   gpus: amount,
   mem_gb: amount,
-  types: v.optional(v.pipe(v.array(word), v.minLength(1)), undefined),
-  zones: v.optional(v.pipe(v.array(word), v.minLength(1)), undefined),
+  types: v.optional(v.pipe(v.array(shortText), v.minLength(1)), undefined),
+  zones: v.optional(v.pipe(v.array(shortText), v.minLength(1)), undefined),
   slots: count,
-  schedule: word,
-  time_zone: word,
+  schedule: shortText,
+  time_zone: shortText,
   hold_s: positive,
   ahead_s: v.optional(amount, 0),
-  team: word,
+  team: shortText,
   precedence: v.optional(v.pipe(v.number(), v.integer()), 0),
   refills: v.optional(v.pipe(v.number(), v.integer(), v.minValue(0)), 0),
   budget: v.optional(positive, undefined),
--- a/src/warm-pools/machine-choice.ts
+++ b/src/warm-pools/machine-choice.ts
@@ -6,7 +6,7 @@
 import type { PoolDeclaration, ReplicaShape } from './declaration.js';
 
 /** What is free on a machine is worth so much less than an image that is there. */
-const IMAGE_FIRST = 1;
+const MISSING_IMAGE_COST = 1;
 
 /** A machine type on which slots of a pool may be, and the zones. */
 export interface AllowedType {
@@ -31,11 +31,11 @@
 
 /** Slots of this shape that fit on one empty machine. */
 export function slotsPerMachine(shape: ReplicaShape, type: MachineType): number {
-  const by = (whole: number, part: number): number => (part > 0 ? whole / part : Infinity);
+  const ratio = (whole: number, part: number): number => (part > 0 ? whole / part : Infinity);
   const most = Math.min(
-    by(type.cores, shape.cores),
-    by(type.gpus, shape.gpus),
-    by(type.memGb, shape.memGb),
+    ratio(type.cores, shape.cores),
+    ratio(type.gpus, shape.gpus),
+    ratio(type.memGb, shape.memGb),
   );
   return Math.max(1, Math.floor(most + 1e-6));
 }
@@ -62,29 +62,29 @@
  * The cheapest place for a slot that the cloud may have at present; zones with fewer of the pool's slots
  * go first. Null: none.
  */
-export function cheapestPlace(
+export function cheapestTarget(
   pool: PoolDeclaration,
   types: ReadonlyMap<string, MachineType>,
   isShort: (type: string, zone: string) => boolean,
   slotsInZone: ReadonlyMap<string, number>,
 ): ScaleOutTarget | null {
-  const places: (ScaleOutTarget & { cost: number; slots: number })[] = [];
+  const targets: (ScaleOutTarget & { cost: number; slots: number })[] = [];
   for (const { type, zones } of allowedTypes(pool, types)) {
     const cost = type.price / slotsPerMachine(pool.shape, type);
     for (const zone of zones) {
       if (isShort(type.name, zone)) continue;
-      places.push({ type, zone, cost, slots: slotsInZone.get(zone) ?? 0 });
+      targets.push({ type, zone, cost, slots: slotsInZone.get(zone) ?? 0 });
     }
   }
-  places.sort((a, b) => a.cost - b.cost || a.slots - b.slots || (a.zone < b.zone ? -1 : 1));
-  return places[0] ?? null;
+  targets.sort((a, b) => a.cost - b.cost || a.slots - b.slots || (a.zone < b.zone ? -1 : 1));
+  return targets[0] ?? null;
 }
 
 /** The best of the machines that are there already: with the image, then the fullest. Null: none. */
 export function bestCapacity(
   pool: PoolDeclaration,
   capacities: readonly FreeCapacity[],
-  mayHave: (capacity: FreeCapacity) => boolean,
+  isEligible: (capacity: FreeCapacity) => boolean,
 ): FreeCapacity | null {
   let best: FreeCapacity | null = null;
   let bestCost = Infinity;
@@ -93,11 +93,11 @@
       capacity.spot ||
       !fits(pool.shape, capacity) ||
       !isAllowed(pool, capacity) ||
-      !mayHave(capacity)
+      !isEligible(capacity)
     )
       continue;
     const hasImage = capacity.imageDelayS(pool.image, pool.imageGb) === 0;
-    const cost = freeShare(capacity) + (hasImage ? 0 : IMAGE_FIRST);
+    const cost = freeShare(capacity) + (hasImage ? 0 : MISSING_IMAGE_COST);
     if (cost < bestCost) {
       best = capacity;
       bestCost = cost;
--- a/src/warm-pools/model-server-loader.ts
+++ b/src/warm-pools/model-server-loader.ts
@@ -10,9 +10,9 @@
 import type { LoadState, ModelLoader } from './model-loader.js';
 
 /** Connections to one model server, and seconds for which it may think. */
-const CONNECTIONS = 1;
+const CONNECTIONS_PER_SERVER = 1;
 /** Failures after which a machine is given up. */
-const FAILURES_MOST = 3;
+const MAX_LOAD_FAILURES = 3;
 
 /** A model server answered with another status than 200. */
 class ModelServerError extends Error {
@@ -29,7 +29,7 @@
   /** Token of the term: model servers refuse loads and unloads with a lower one than they saw. */
   token: number;
   /** Seconds between two questions to one server while it loads; ten times as many once it is ready. */
-  askEveryS: number;
+  pollIntervalS: number;
   /** Seconds after which a question counts as unanswered. */
   timeoutS: number;
   clock: Clock;
@@ -44,15 +44,15 @@
 interface Model {
   state: LoadState;
   failures: number;
-  askedAt: number;
-  asking: boolean;
+  requestedAt: number;
+  requestPending: boolean;
 }
 
 const answer = v.object({ state: v.picklist(['absent', 'loading', 'ready', 'failed']) });
 type ServerState = v.InferOutput<typeof answer>['state'];
 
 /** Once a model is there, it is asked for only so many times as seldom. */
-const READY_SELDOM = 10;
+const READY_POLL_FACTOR = 10;
 
 /**
  * Asks the model server of a machine to load a model, and again until it says that it is ready. Requests
@@ -70,10 +70,10 @@
     if (machine.state !== 'ready' || machine.addr === '') return 'loading';
     const server = this.server(machine);
     const model = modelOf(server, pool.image);
-    const { clock, askEveryS } = this.options;
-    const everyS = askEveryS * (model.state === 'ready' ? READY_SELDOM : 1);
-    if (!model.asking && clock.now() - model.askedAt >= everyS) {
-      void this.ask(server, machine.id, pool, model);
+    const { clock, pollIntervalS: askEveryS } = this.options;
+    const intervalS = askEveryS * (model.state === 'ready' ? READY_POLL_FACTOR : 1);
+    if (!model.requestPending && clock.now() - model.requestedAt >= intervalS) {
+      void this.requestLoad(server, machine.id, pool, model);
     }
     return model.state;
   }
@@ -104,7 +104,7 @@
     let server = this.servers.get(machine.id);
     if (server === undefined) {
       const { host } = parseEndpoint(machine.addr);
-      const client = new HttpClient({ host, port: this.options.port }, CONNECTIONS);
+      const client = new HttpClient({ host, port: this.options.port }, CONNECTIONS_PER_SERVER);
       server = { client, models: new Map() };
       this.servers.set(machine.id, server);
     }
@@ -112,25 +112,25 @@
   }
 
   /** A load that is repeated changes nothing, and its answer says how far it is. */
-  private async ask(
+  private async requestLoad(
     { client }: Server,
     machine: string,
     { image, imageGb }: PoolDeclaration,
     model: Model,
   ): Promise<void> {
     const { clock, log, timeoutS, token } = this.options;
-    model.asking = true;
-    model.askedAt = clock.now();
+    model.requestPending = true;
+    model.requestedAt = clock.now();
     try {
       const body = JSON.stringify({ model: image, size_gb: imageGb, token });
       const response = await client.request('POST', '/models/load', body, timeoutS);
       if (response.status !== 200) throw new ModelServerError(response.status);
-      take(model, v.parse(answer, JSON.parse(response.body.toString('utf8'))).state);
+      applyServerState(model, v.parse(answer, JSON.parse(response.body.toString('utf8'))).state);
     } catch (error) {
       // Silence says nothing about a model that was ready: the machine's own heartbeats decide.
       log.debug({ machine, image, err: error }, 'model server unavailable');
     } finally {
-      model.asking = false;
+      model.requestPending = false;
     }
   }
 }
@@ -138,16 +138,16 @@
 function modelOf(server: Server, image: string): Model {
   let model = server.models.get(image);
   if (model === undefined) {
-    model = { state: 'loading', failures: 0, askedAt: -Infinity, asking: false };
+    model = { state: 'loading', failures: 0, requestedAt: -Infinity, requestPending: false };
     server.models.set(image, model);
   }
   return model;
 }
 
-function take(model: Model, state: ServerState): void {
+function applyServerState(model: Model, state: ServerState): void {
   if (state === 'failed') {
     model.failures++;
-    model.state = model.failures >= FAILURES_MOST ? 'failed' : 'loading';
+    model.state = model.failures >= MAX_LOAD_FAILURES ? 'failed' : 'loading';
     return;
   }
   model.state = state === 'ready' ? 'ready' : 'loading';
--- a/src/warm-pools/slot-groups.ts
+++ b/src/warm-pools/slot-groups.ts
@@ -3,17 +3,17 @@
 import type { TermView } from '../subsystems/subsystem.js';
 import { SCALE_OUT_MAX } from '../wire/cloud.js';
 import type { PoolDeclaration } from './declaration.js';
-import { cheapestPlace, slotsPerMachine, type ScaleOutTarget } from './machine-choice.js';
+import { cheapestTarget, slotsPerMachine, type ScaleOutTarget } from './machine-choice.js';
 import type { SlotEntry } from './slot-table.js';
 
 /** Slots whose machines come from one scale-out request. */
 export interface SlotGroup {
-  place: ScaleOutTarget;
+  target: ScaleOutTarget;
   group: SlotEntry[];
 }
 
 /** The slots by the kind of machine that is requested for them; each group is one request. */
-export function groupByPlace(
+export function groupByTarget(
   view: TermView,
   pool: PoolDeclaration,
   open: readonly SlotEntry[],
@@ -24,15 +24,15 @@
   const isShort = (type: string, zone: string): boolean => view.isShort(type, zone);
   let next = 0;
   while (next < entries.length) {
-    const place = cheapestPlace(pool, view.machineTypes(), isShort, inZone);
-    if (place === null) break;
-    const some = entries.slice(next, next + slotsPerMachine(pool.shape, place.type));
+    const target = cheapestTarget(pool, view.machineTypes(), isShort, inZone);
+    if (target === null) break;
+    const some = entries.slice(next, next + slotsPerMachine(pool.shape, target.type));
     next += some.length;
-    inZone.set(place.zone, (inZone.get(place.zone) ?? 0) + some.length);
-    const kind = `${place.type.name} ${place.zone}`;
+    inZone.set(target.zone, (inZone.get(target.zone) ?? 0) + some.length);
+    const kind = `${target.type.name} ${target.zone}`;
     let key = kind;
     for (let i = 1; isFull(groups.get(key), pool); i++) key = `${kind} ${i}`;
-    const group = groups.get(key) ?? { place, group: [] };
+    const group = groups.get(key) ?? { target, group: [] };
     groups.set(key, group);
     group.group.push(...some);
   }
@@ -41,7 +41,7 @@
 
 function isFull(group: SlotGroup | undefined, pool: PoolDeclaration): boolean {
   if (group === undefined) return false;
-  return group.group.length >= SCALE_OUT_MAX * slotsPerMachine(pool.shape, group.place.type);
+  return group.group.length >= SCALE_OUT_MAX * slotsPerMachine(pool.shape, group.target.type);
 }
 
 function slotsInZones(view: TermView, open: readonly SlotEntry[]): Map<string, number> {
--- a/src/warm-pools/slot-monitor.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -17,14 +17,14 @@
  * will. Some boots take several times as long as nominal ones: with the lead time alone, machines that were
  * about to come were given up and others requested in their place.
  */
-const NEVER_LEADS = 3;
-const NEVER_LEASES = 2;
+const BOOT_TIMEOUT_LEAD_TIMES = 3;
+const BOOT_TIMEOUT_LEASES = 2;
 /** Machines that nothing is known of are judged after so many leases of a term, and of a slot's life. */
-const JUDGE_LEASES = 1;
+const SETTLING_LEASES = 1;
 /** From placing a replica to its start, which may wait for a heartbeat: at most so many intervals. */
-const START_HEARTBEATS = 1.5;
+const START_DELAY_HEARTBEATS = 1.5;
 /** An earlier term that placed a replica and did not say so ended at most so long before this one began. */
-const INHERITED_LEASES = 2;
+const INHERITED_USE_LEASES = 2;
 
 /** What a `SlotMonitor` works with. */
 export interface SlotMonitorOptions {
@@ -39,12 +39,12 @@
 
 /** Carries slots on by what is seen of their machines: warm, used or lost. */
 export class SlotMonitor {
-  private readonly beganAt: number;
+  private readonly termStartedAt: number;
   /** Boots that were measured already, by slot. */
-  private readonly measured = new Set<string>();
+  private readonly measuredBoots = new Set<string>();
 
   constructor(private readonly options: SlotMonitorOptions) {
-    this.beganAt = options.view.now();
+    this.termStartedAt = options.view.now();
   }
 
   /** Looks at every slot that has a machine. */
@@ -58,9 +58,9 @@
       if (machineView === undefined) continue;
       this.detectUse(machineView, entries, used, claimed);
       for (const entry of entries) {
-        if (isHeld(entry.current) && !claimed.has(entry.id)) this.detectModel(entry, machineView);
+        if (isHeld(entry.current) && !claimed.has(entry.id)) this.detectLoaded(entry, machineView);
       }
-      this.detectOtherReplicas(machineView, entries, claimed);
+      this.detectOccupied(machineView, entries, claimed);
     }
     return { slots: claimed, tasks: used };
   }
@@ -75,15 +75,15 @@
   }
 
   private detectLoss(entry: SlotEntry, machine: MachineView | undefined): void {
-    const event = this.loss(entry, machine);
+    const event = this.lossEvent(entry, machine);
     if (event === null) return;
     this.options.table.apply(entry, event);
     if (machine !== undefined) this.options.loader.forget(machine.id);
   }
 
   /** What shows that a slot's machine is gone or of no use; null: nothing does. */
-  private loss(entry: SlotEntry, machine: MachineView | undefined): SlotEvent | null {
-    if (machine === undefined) return this.neverCame(entry);
+  private lossEvent(entry: SlotEntry, machine: MachineView | undefined): SlotEvent | null {
+    if (machine === undefined) return this.unknownMachineLoss(entry);
     const { view, clock } = this.options;
     const atMs = clock.steadyMs();
     if (
@@ -105,29 +105,29 @@
     return { kind: 'lost', reason: 'taken back', atMs, uncertainMs: 0 };
   }
 
-  private neverCame({ current }: SlotEntry): SlotEvent | null {
+  private unknownMachineLoss({ current }: SlotEntry): SlotEvent | null {
     const { view, clock } = this.options;
     const { lease_s } = view.settings.workers;
     const { fromMs } = current.held!;
     const atMs = clock.steadyMs();
     const heldS = (atMs - fromMs) / 1000;
-    const judgeS = lease_s * JUDGE_LEASES + view.settings.cloud.list_lag_s * 2;
-    const isSettled = view.now() - this.beganAt > judgeS && heldS > judgeS;
+    const settlingS = lease_s * SETTLING_LEASES + view.settings.cloud.list_lag_s * 2;
+    const isSettled = view.now() - this.termStartedAt > settlingS && heldS > settlingS;
     const id = current.machine!;
     if (isSettled && !view.isPending(id) && view.isListed(id) === false) {
       // Charged until it was gone, which nobody saw.
       return { kind: 'lost', reason: 'gone', atMs: fromMs, uncertainMs: heldS * 1000 };
     }
-    const leadS = this.leadS(current.pool, current.request);
-    if (heldS <= leadS * NEVER_LEADS + lease_s * NEVER_LEASES) return null;
+    const leadTimeS = this.leadTimeS(current.pool, current.request);
+    if (heldS <= leadTimeS * BOOT_TIMEOUT_LEAD_TIMES + lease_s * BOOT_TIMEOUT_LEASES) return null;
     return { kind: 'lost', reason: 'never came', atMs, uncertainMs: 0 };
   }
 
-  private leadS(poolName: string, request: { type: string; zone: string } | null): number {
+  private leadTimeS(poolName: string, request: { type: string; zone: string } | null): number {
     const pool = this.options.pool(poolName);
     const type = this.options.view.machineTypes().get(request?.type ?? '');
     if (pool === undefined || type === undefined || request === null) return Infinity;
-    return this.options.leadTimes.leadS(type, request.zone, pool.image, pool.imageGb);
+    return this.options.leadTimes.leadTimeS(type, request.zone, pool.image, pool.imageGb);
   }
 
   /** A replica with the model that came after the slot uses it; the warm places go first. */
@@ -148,18 +148,20 @@
       if (task === undefined) continue;
       used.add(task.name);
       claimed.add(entry.id);
-      if (task.isStored) this.options.table.apply(entry, this.use(task));
+      if (task.isStored) this.options.table.apply(entry, this.useEvent(task));
     }
   }
 
   /** Idle time ends with the placing; storing and sending the start take a moment more. */
-  private use({ name, placedAt }: ModelTask): SlotEvent {
+  private useEvent({ name, placedAt }: ModelTask): SlotEvent {
     const { view, clock } = this.options;
     const { report_s, lease_s } = view.settings.workers;
     const sinceMs = Math.max(0, view.now() - placedAt) * 1000;
     // Placed by an earlier term, which ended before it could say so.
-    const isInherited = placedAt <= this.beganAt;
-    const uncertainS = isInherited ? lease_s * INHERITED_LEASES : report_s * START_HEARTBEATS;
+    const isInherited = placedAt <= this.termStartedAt;
+    const uncertainS = isInherited
+      ? lease_s * INHERITED_USE_LEASES
+      : report_s * START_DELAY_HEARTBEATS;
     const atMs = clock.steadyMs() - sinceMs;
     return { kind: 'used', task: name, atMs, uncertainMs: uncertainS * 1000 };
   }
@@ -168,7 +170,7 @@
     return modelTasks(this.options.view, machine, pool);
   }
 
-  private detectModel(entry: SlotEntry, machine: MachineView): void {
+  private detectLoaded(entry: SlotEntry, machine: MachineView): void {
     const pool = this.options.pool(entry.current.pool);
     if (pool === undefined) return;
     const { loader, table, clock } = this.options;
@@ -190,24 +192,30 @@
   }
 
   private measureBoot({ id, current }: SlotEntry, machine: MachineView): void {
-    if (current.request === null || machine.firstSeenAt === null || this.measured.has(id)) return;
-    this.measured.add(id);
+    if (current.request === null || machine.firstSeenAt === null || this.measuredBoots.has(id))
+      return;
+    this.measuredBoots.add(id);
     // Heard first by this term, which began before: otherwise the boot was over already.
     const { leadTimes, clock, view } = this.options;
-    const sinceHeardS = view.now() - machine.firstSeenAt;
-    const bootS = (clock.steadyMs() - current.held!.fromMs) / 1000 - sinceHeardS;
+    const sinceFirstSeenS = view.now() - machine.firstSeenAt;
+    const bootS = (clock.steadyMs() - current.held!.fromMs) / 1000 - sinceFirstSeenS;
     const isOwn = current.request.name.startsWith(view.uniquePrefix);
-    if (isOwn && bootS > 0) leadTimes.noteBoot(machine.type, machine.zone, bootS);
+    if (isOwn && bootS > 0) leadTimes.recordBootTime(machine.type, machine.zone, bootS);
   }
 
   private measureLoad({ current }: SlotEntry, machine: MachineView, pool: PoolDeclaration): void {
     if (machine.firstSeenAt === null || current.request === null) return;
     const loadS = this.options.view.now() - machine.firstSeenAt;
-    this.options.leadTimes.noteLoad(machine.type, machine.zone, pool.image, Math.max(0, loadS));
+    this.options.leadTimes.recordLoadTime(
+      machine.type,
+      machine.zone,
+      pool.image,
+      Math.max(0, loadS),
+    );
   }
 
   /** Work that came before the slot was known here has taken its place: the slot is looked for anew. */
-  private detectOtherReplicas(
+  private detectOccupied(
     machine: MachineView,
     entries: readonly SlotEntry[],
     claimed: ReadonlySet<string>,
@@ -215,7 +223,7 @@
     const { view, table, clock } = this.options;
     const type = view.machineTypes().get(machine.type);
     if (type === undefined) return;
-    const free = freeOn(view, machine, type);
+    const free = freeCapacityOn(view, machine, type);
     for (const entry of entries) {
       const pool = this.options.pool(entry.current.pool);
       if (pool === undefined || !isHeld(entry.current) || claimed.has(entry.id)) continue;
@@ -235,7 +243,7 @@
 const rank = ({ current }: SlotEntry): number => (current.state === 'warm' ? 0 : 1);
 
 /** What is free of a machine of this type by the attempts that may be on it. */
-function freeOn(
+function freeCapacityOn(
   view: TermView,
   machine: MachineView,
   type: MachineType,
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -14,23 +14,23 @@
   slotsPerMachine,
 } from './machine-choice.js';
 import { SlotAllowance } from './slot-allowance.js';
-import { groupByPlace } from './slot-groups.js';
+import { groupByTarget } from './slot-groups.js';
 import {
   isHeld,
   isOpen,
   plannedSlot,
   type Slot,
-  type SlotPlace,
+  type MachineAssignment,
   type SlotRequest,
 } from './slot.js';
-import { shareOut, type SlotScaleOut } from './slot-scale-out.js';
+import { distributeMachines, type SlotScaleOut } from './slot-scale-out.js';
 import { modelTasks, type SlotReservations } from './slot-reservations.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
 /** Slots that are lost are made up for, so many times as many as a pool has at most. */
 const MAX_LOSSES_PER_SLOT = 2;
 /** In which order slots are given up: what costs nothing yet goes first. */
-const GIVEN_UP_FIRST: Partial<Record<Slot['state'], number>> = { planned: 0, loading: 1, warm: 2 };
+const RELEASE_ORDER: Partial<Record<Slot['state'], number>> = { planned: 0, loading: 1, warm: 2 };
 
 /** What a `SlotPlanner` works with. */
 export interface SlotPlannerOptions {
@@ -54,24 +54,29 @@
 
 /** Makes changes of slots of what each burst should have. */
 export class SlotPlanner {
-  private readonly beganMs: number;
-  private requests = 0;
+  private readonly termStartMs: number;
+  private requestCount = 0;
   /** Pools that gave up a slot for their team's limit add none before this time (steady, seconds). */
-  private readonly addFrom = new Map<string, number>();
+  private readonly addAllowedAt = new Map<string, number>();
 
   constructor(private readonly options: SlotPlannerOptions) {
-    this.beganMs = options.clock.nowMs();
+    this.termStartMs = options.clock.nowMs();
   }
 
   /** One round. `bursts`: in the order in which they get what there is. */
   plan(bursts: readonly Burst[], money: MoneyByDay): void {
-    const slots = this.slotsByBurst();
+    const slotsByBurst = this.slotsByBurst();
     const allowance = new SlotAllowance(this.options);
     for (const burst of bursts) {
-      const of = slots.get(burstId(burst.pool.name, burst.burstMs));
-      this.planBurst(burst, of ?? { open: [], used: 0, lost: 0, nextIndex: 0 }, allowance, money);
+      const burstSlots = slotsByBurst.get(burstId(burst.pool.name, burst.burstMs));
+      this.planBurst(
+        burst,
+        burstSlots ?? { open: [], used: 0, lost: 0, nextIndex: 0 },
+        allowance,
+        money,
+      );
     }
-    this.releaseOthers(new Set(bursts.map((burst) => burstId(burst.pool.name, burst.burstMs))));
+    this.releaseInactive(new Set(bursts.map((burst) => burstId(burst.pool.name, burst.burstMs))));
   }
 
   private slotsByBurst(): Map<string, BurstSlots> {
@@ -79,19 +84,19 @@
     for (const entry of this.options.table.values()) {
       const { pool, burstMs, index, state } = entry.current;
       const id = burstId(pool, burstMs);
-      const of = byBurst.get(id) ?? { open: [], used: 0, lost: 0, nextIndex: 0 };
-      byBurst.set(id, of);
-      of.nextIndex = Math.max(of.nextIndex, index + 1);
-      if (state === 'lost') of.lost++;
-      else if (state === 'used' || this.options.reservations.isClaimed(entry.id)) of.used++;
-      else if (isOpen(entry.current)) of.open.push(entry);
+      const burstSlots = byBurst.get(id) ?? { open: [], used: 0, lost: 0, nextIndex: 0 };
+      byBurst.set(id, burstSlots);
+      burstSlots.nextIndex = Math.max(burstSlots.nextIndex, index + 1);
+      if (state === 'lost') burstSlots.lost++;
+      else if (state === 'used' || this.options.reservations.isClaimed(entry.id)) burstSlots.used++;
+      else if (isOpen(entry.current)) burstSlots.open.push(entry);
     }
     return byBurst;
   }
 
   private planBurst(
     burst: Burst,
-    of: BurstSlots,
+    burstSlots: BurstSlots,
     allowance: SlotAllowance,
     money: MoneyByDay,
   ): void {
@@ -100,48 +105,48 @@
       const wanted = pool.types?.join(', ') ?? 'any type';
       this.options.alarms.raise('unknown_type', pool.name, `${wanted}: none fits`);
     }
-    const wanted = Math.max(0, Math.min(pool.slots, pool.slots + pool.refills - of.used));
-    const affordable = allowance.withinBudget(burst, of.open, wanted, money);
+    const wanted = Math.max(0, Math.min(pool.slots, pool.slots + pool.refills - burstSlots.used));
+    const affordable = allowance.withinBudget(burst, burstSlots.open, wanted, money);
     const allowed = allowance.withinTeamLimit(burst.pool, affordable);
-    if (of.open.length > allowed) {
+    if (burstSlots.open.length > allowed) {
       const reason = allowed < affordable ? 'team limit' : affordable < wanted ? 'budget' : 'fewer';
-      this.giveUp(burst, of, of.open.length - allowed, reason);
-    } else this.add(burst, of, allowed);
-    this.findPlaces(burst, of);
-    this.noteLate(burst, of, wanted);
+      this.releaseExcess(burst, burstSlots, burstSlots.open.length - allowed, reason);
+    } else this.add(burst, burstSlots, allowed);
+    this.findMachines(burst, burstSlots);
+    this.raiseLateAlarm(burst, burstSlots, wanted);
   }
 
-  private add({ pool, burstMs, leadS }: Burst, of: BurstSlots, allowed: number): void {
+  private add({ pool, burstMs, leadTimeS }: Burst, burstSlots: BurstSlots, allowed: number): void {
     const { view, table, alarms } = this.options;
-    if ((this.addFrom.get(pool.name) ?? -Infinity) > view.now()) return;
-    if (of.lost > pool.slots * MAX_LOSSES_PER_SLOT) {
-      alarms.raise('too_many_losses', pool.name, `${of.lost} lost`);
+    if ((this.addAllowedAt.get(pool.name) ?? -Infinity) > view.now()) return;
+    if (burstSlots.lost > pool.slots * MAX_LOSSES_PER_SLOT) {
+      alarms.raise('too_many_losses', pool.name, `${burstSlots.lost} lost`);
       return;
     }
-    for (let missing = allowed - of.open.length; missing > 0; missing--) {
-      const index = of.nextIndex++;
-      const sendFromMs = burstMs - leadS * 1000;
+    for (let missing = allowed - burstSlots.open.length; missing > 0; missing--) {
+      const index = burstSlots.nextIndex++;
+      const sendFromMs = burstMs - leadTimeS * 1000;
       const { name, team } = pool;
       const entry = table.add(plannedSlot({ pool: name, burstMs, index, team, sendFromMs }));
-      of.open.push(entry);
+      burstSlots.open.push(entry);
     }
   }
 
-  private giveUp(burst: Burst, of: BurstSlots, count: number, reason: string): void {
-    const rank = ({ current }: SlotEntry): number => GIVEN_UP_FIRST[current.state] ?? Infinity;
-    const inOrder = of.open.filter((a) => this.mayRelease(a));
+  private releaseExcess(burst: Burst, burstSlots: BurstSlots, count: number, reason: string): void {
+    const rank = ({ current }: SlotEntry): number => RELEASE_ORDER[current.state] ?? Infinity;
+    const inOrder = burstSlots.open.filter((a) => this.mayRelease(a));
     inOrder.sort((a, b) => rank(a) - rank(b) || b.current.index - a.current.index);
     for (const entry of inOrder.slice(0, count)) this.release(entry, reason);
-    of.open = of.open.filter(({ current }) => isOpen(current));
+    burstSlots.open = burstSlots.open.filter(({ current }) => isOpen(current));
     // Usage goes up and down: what is given up for it is not taken up again at once.
-    this.addFrom.set(burst.pool.name, this.options.view.now() + burst.leadS);
+    this.addAllowedAt.set(burst.pool.name, this.options.view.now() + burst.leadTimeS);
   }
 
   /** The outcome of a request that may have been sent is waited for: its machine must not be forgotten. */
   private mayRelease({ current }: SlotEntry): boolean {
     if (isHeld(current)) return true;
     if (current.state !== 'planned') return false;
-    return !this.options.scaleOutRequests.mayHaveBeenSent(current, this.beganMs);
+    return !this.options.scaleOutRequests.mayHaveBeenSent(current, this.termStartMs);
   }
 
   private release(entry: SlotEntry, reason: string): void {
@@ -150,47 +155,47 @@
   }
 
   /** Slots of bursts that are over, and of pools that are not declared any more. */
-  private releaseOthers(current: ReadonlySet<string>): void {
+  private releaseInactive(current: ReadonlySet<string>): void {
     for (const entry of this.options.table.values()) {
       const { pool, burstMs } = entry.current;
       if (!isOpen(entry.current) || current.has(burstId(pool, burstMs))) continue;
       const reason = this.options.pool(pool) === undefined ? 'not declared' : 'burst over';
       if (this.mayRelease(entry)) this.release(entry, reason);
-      else if (entry.current.state === 'planned') this.makeDue(entry);
+      else if (entry.current.state === 'planned') this.markRequestDue(entry);
     }
   }
 
-  private findPlaces(burst: Burst, of: BurstSlots): void {
+  private findMachines(burst: Burst, burstSlots: BurstSlots): void {
     const { clock } = this.options;
-    const planned = of.open.filter(({ current }) => current.state === 'planned');
+    const planned = burstSlots.open.filter(({ current }) => current.state === 'planned');
     if (planned.length === 0) return;
-    const isDue = clock.nowMs() >= burst.burstMs - burst.leadS * 1000;
+    const isDue = clock.nowMs() >= burst.burstMs - burst.leadTimeS * 1000;
     const toRequest: SlotEntry[] = [];
     for (const entry of planned) {
-      if (this.options.scaleOutRequests.mayHaveBeenSent(entry.current, this.beganMs))
-        this.makeDue(entry);
+      if (this.options.scaleOutRequests.mayHaveBeenSent(entry.current, this.termStartMs))
+        this.markRequestDue(entry);
       else if (!isDue) {
         if (entry.current.request === null) toRequest.push(entry);
       } else if (!this.adopt(burst, entry)) toRequest.push(entry);
     }
-    if (toRequest.length > 0) this.nameRequests(burst, of, toRequest, isDue);
+    if (toRequest.length > 0) this.nameRequests(burst, burstSlots, toRequest, isDue);
   }
 
-  private makeDue(entry: SlotEntry): void {
+  private markRequestDue(entry: SlotEntry): void {
     this.options.table.apply(entry, { kind: 'request-due' });
   }
 
   /** A machine that is there already is kept for the slot, if there is one. */
   private adopt({ pool }: Burst, entry: SlotEntry): boolean {
     const { view, reservations, table, clock } = this.options;
-    const room = bestCapacity(
+    const best = bestCapacity(
       pool,
       view.freeCapacities(),
       (capacity) => this.mayAdopt(capacity.id) && reservations.hasCapacityFor(pool.shape, capacity),
     );
-    if (room === null) return false;
-    const place = this.place(entry.current, room.id, room.type);
-    table.apply(entry, { kind: 'adopted', place, atMs: clock.steadyMs() });
+    if (best === null) return false;
+    const assignment = this.assignmentOf(entry.current, best.id, best.type);
+    table.apply(entry, { kind: 'adopted', place: assignment, atMs: clock.steadyMs() });
     return true;
   }
 
@@ -201,33 +206,38 @@
   }
 
   /** What a slot gets with a machine. Replicas that are there already are not those it is kept for. */
-  place(slot: Slot, machine: string, typeName: string): SlotPlace {
+  assignmentOf(slot: Slot, machine: string, typeName: string): MachineAssignment {
     const { view, pool: poolOf } = this.options;
     const pool = poolOf(slot.pool);
     const type = view.machineTypes().get(typeName);
     const machineView = view.machine(machine);
-    const isThere = pool !== undefined && machineView !== undefined;
+    const isKnown = pool !== undefined && machineView !== undefined;
     return {
       machine,
       share: pool !== undefined && type !== undefined ? slotShare(pool.shape, type) : 1,
       pricePerHour: type?.price ?? 0,
-      beside: isThere ? modelTasks(view, machineView, pool).map(({ name }) => name) : [],
+      beside: isKnown ? modelTasks(view, machineView, pool).map(({ name }) => name) : [],
     };
   }
 
   /** Names the requests for slots that found no machine; they may be sent at once where they are due. */
-  private nameRequests(burst: Burst, of: BurstSlots, entries: SlotEntry[], isDue: boolean): void {
+  private nameRequests(
+    burst: Burst,
+    burstSlots: BurstSlots,
+    entries: SlotEntry[],
+    isDue: boolean,
+  ): void {
     const { table } = this.options;
     const { pool } = burst;
-    const { found, left } = groupByPlace(this.options.view, pool, of.open, entries);
-    for (const { place, group } of found) {
-      const name = `${this.options.view.uniquePrefix}-${this.requests++}`;
-      const request = { name, type: place.type.name, zone: place.zone };
-      const perMachine = slotsPerMachine(pool.shape, place.type);
-      const requests: SlotRequest[] = shareOut(group.length, perMachine, request);
+    const { found, left } = groupByTarget(this.options.view, pool, burstSlots.open, entries);
+    for (const { target, group } of found) {
+      const name = `${this.options.view.uniquePrefix}-${this.requestCount++}`;
+      const request = { name, type: target.type.name, zone: target.zone };
+      const perMachine = slotsPerMachine(pool.shape, target.type);
+      const requests: SlotRequest[] = distributeMachines(group.length, perMachine, request);
       for (const [i, entry] of group.entries()) {
         table.apply(entry, { kind: 'request-named', request: requests[i]! });
-        if (isDue) this.makeDue(entry);
+        if (isDue) this.markRequestDue(entry);
       }
     }
     if (left.length === 0 || !isDue) return;
@@ -240,21 +250,22 @@
    */
   private takeFromLowerPrecedence({ pool, burstMs }: Burst, count: number): void {
     const { table, alarms, pool: poolOf } = this.options;
-    const lowerPriority: { entry: SlotEntry; precedence: number }[] = [];
+    const candidates: { entry: SlotEntry; precedence: number }[] = [];
     for (const entry of table.values()) {
       const other = poolOf(entry.current.pool);
       if (other === undefined || other.precedence >= pool.precedence) continue;
       if (isHeld(entry.current) && this.wouldFit(pool, other, entry)) {
-        lowerPriority.push({ entry, precedence: other.precedence });
+        candidates.push({ entry, precedence: other.precedence });
       }
     }
-    lowerPriority.sort(
+    candidates.sort(
       (a, b) => a.precedence - b.precedence || b.entry.current.burstMs - a.entry.current.burstMs,
     );
-    for (const { entry } of lowerPriority.slice(0, count))
+    for (const { entry } of candidates.slice(0, count))
       this.release(entry, `taken by ${pool.name}`);
-    const missing = count - lowerPriority.length;
-    if (missing > 0) alarms.raise('no_capacity', pool.name, this.whenAgain(pool, burstMs, missing));
+    const missing = count - candidates.length;
+    if (missing > 0)
+      alarms.raise('no_capacity', pool.name, this.describeShortage(pool, burstMs, missing));
   }
 
   private wouldFit(pool: PoolDeclaration, other: PoolDeclaration, entry: SlotEntry): boolean {
@@ -267,7 +278,7 @@
   }
 
   /** Who holds what this pool would use, and until when. */
-  private whenAgain(pool: PoolDeclaration, burstMs: number, missing: number): string {
+  private describeShortage(pool: PoolDeclaration, burstMs: number, missing: number): string {
     let soonestMs = Infinity;
     let holder = '';
     for (const { current } of this.options.table.values()) {
@@ -283,10 +294,10 @@
     return `${missing} for ${burst}; ${holder} gives its own up at ${new Date(soonestMs).toISOString()}`;
   }
 
-  private noteLate({ pool, burstMs }: Burst, of: BurstSlots, wanted: number): void {
+  private raiseLateAlarm({ pool, burstMs }: Burst, burstSlots: BurstSlots, wanted: number): void {
     const { clock, alarms } = this.options;
     if (clock.nowMs() < burstMs) return;
-    const warm = of.open.filter(({ current }) => current.state === 'warm').length;
+    const warm = burstSlots.open.filter(({ current }) => current.state === 'warm').length;
     if (warm < wanted) alarms.raise('late', pool.name, `${warm} of ${wanted} warm`);
   }
 }
--- a/src/warm-pools/slot-reservations.ts
+++ b/src/warm-pools/slot-reservations.ts
@@ -9,13 +9,13 @@
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
 /** Estimates of run times are wrong by half and more: work is lent a slot for so many times its own. */
-const LENT_ESTIMATES = 2;
+const ESTIMATE_SAFETY_FACTOR = 2;
 /** What a warm place is worth to a replica against the same machine without one: a boot of its type. */
 const PREFERENCE_BOOTS = 1;
-const BEST_EFFORT = 3;
+const BEST_EFFORT_PRIORITY = 3;
 
 /** Whether a replica of the job is what the pool is kept for. */
-function isFor(pool: PoolDeclaration, spec: JobSpec): boolean {
+function isReplicaOf(pool: PoolDeclaration, spec: JobSpec): boolean {
   return (
     spec.image === pool.image && spec.kind === 'service' && spec.tasks > 0 && fits(spec, pool.shape)
   );
@@ -49,7 +49,7 @@
   for (const attempt of machine.attempts.values()) {
     if (!occupiesCapacity(attempt) || attempt.stopRequest !== null) continue;
     const spec = view.spec(attempt.job);
-    if (spec === null || !isFor(pool, spec)) continue;
+    if (spec === null || !isReplicaOf(pool, spec)) continue;
     tasks.push({
       name: `${attempt.job}/${attempt.index}#${attempt.number}`,
       isStored: attempt.state !== 'claiming',
@@ -60,7 +60,7 @@
 }
 
 /** A slot that is kept, and its pool. */
-interface KeptSlot {
+interface ReservedSlot {
   entry: SlotEntry;
   pool: PoolDeclaration;
 }
@@ -81,7 +81,7 @@
   constructor(private readonly options: SlotReservationsOptions) {}
 
   /** What is known of claims, anew at every tick. */
-  noteClaims(claims: Claims): void {
+  setClaims(claims: Claims): void {
     this.claims = claims;
   }
 
@@ -100,31 +100,35 @@
     const { view, table } = this.options;
     let sum = 0;
     for (const [machine, entries] of table.held()) {
-      const isThere = view.machine(machine)?.state === 'ready' || view.isPending(machine);
-      if (!isThere) continue;
+      const isAvailable = view.machine(machine)?.state === 'ready' || view.isPending(machine);
+      if (!isAvailable) continue;
       for (const { id, current } of entries) if (!this.isClaimed(id)) sum += current.share;
     }
     return sum;
   }
 
   /** The slots that are kept on a machine, less those on whose place a replica was put since the last round. */
-  private kept(machine: string): KeptSlot[] {
+  private reservedSlots(machine: string): ReservedSlot[] {
     const entries = this.options.table.held().get(machine);
     if (entries === undefined) return [];
-    const placed = new Map<PoolDeclaration, number>();
-    const kept: KeptSlot[] = [];
+    const unassignedByPool = new Map<PoolDeclaration, number>();
+    const reserved: ReservedSlot[] = [];
     for (const entry of entries) {
       const pool = this.options.pool(entry.current.pool);
       if (pool === undefined || this.isClaimed(entry.id)) continue;
-      const left = placed.get(pool) ?? this.placedSince(machine, pool, entry);
-      placed.set(pool, Math.max(0, left - 1));
-      if (left === 0) kept.push({ entry, pool });
+      const left = unassignedByPool.get(pool) ?? this.unassignedReplicaCount(machine, pool, entry);
+      unassignedByPool.set(pool, Math.max(0, left - 1));
+      if (left === 0) reserved.push({ entry, pool });
     }
-    return kept;
+    return reserved;
   }
 
   /** Replicas that no slot is known to be used by yet. */
-  private placedSince(machine: string, pool: PoolDeclaration, { current }: SlotEntry): number {
+  private unassignedReplicaCount(
+    machine: string,
+    pool: PoolDeclaration,
+    { current }: SlotEntry,
+  ): number {
     const { view } = this.options;
     const machineView = view.machine(machine);
     if (machineView === undefined) return 0;
@@ -136,48 +140,48 @@
 
   /** See `SubsystemTerm.mayUse`. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
-    const kept = this.kept(capacity.id);
-    if (kept.length === 0 || kept.some(({ pool }) => isFor(pool, spec))) return true;
-    if (this.pushesOut(spec, capacity.id, kept)) return false;
-    return leavesCapacity(spec, capacity, kept) || this.mayBorrow(spec, capacity, kept);
+    const reserved = this.reservedSlots(capacity.id);
+    if (reserved.length === 0 || reserved.some(({ pool }) => isReplicaOf(pool, spec))) return true;
+    if (this.wouldEvictImage(spec, capacity.id, reserved)) return false;
+    return leavesCapacity(spec, capacity, reserved) || this.mayBorrow(spec, capacity, reserved);
   }
 
   /** A place that is warm for the replica, or about to be, saves it a boot. */
   preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
-    if (!this.kept(capacity.id).some(({ pool }) => isFor(pool, spec))) return 0;
+    if (!this.reservedSlots(capacity.id).some(({ pool }) => isReplicaOf(pool, spec))) return 0;
     return (this.options.view.machineTypes().get(capacity.type)?.bootS ?? 0) * PREFERENCE_BOOTS;
   }
 
   /** Whether a slot of this shape finds capacity there beside what is kept already. */
   hasCapacityFor(shape: ReplicaShape, capacity: FreeCapacity): boolean {
-    return leavesCapacity(shape, capacity, this.kept(capacity.id));
+    return leavesCapacity(shape, capacity, this.reservedSlots(capacity.id));
   }
 
   /** The machine would drop an image that a slot is kept for. */
-  private pushesOut(spec: JobSpec, machine: string, kept: KeptSlot[]): boolean {
+  private wouldEvictImage(spec: JobSpec, machine: string, reserved: ReservedSlot[]): boolean {
     const { view } = this.options;
     const machineView = view.machine(machine);
     const type = view.machineTypes().get(machineView?.type ?? '');
     if (machineView === undefined || type === undefined || machineView.images.has(spec.image))
       return false;
-    if (!kept.some(({ pool }) => machineView.images.has(pool.image))) return false;
+    if (!reserved.some(({ pool }) => machineView.images.has(pool.image))) return false;
     return machineView.images.totalGb + spec.imageGb > type.cacheGb;
   }
 
   /** Short best-effort work may use a place until shortly before the burst, where operators say so. */
-  private mayBorrow(spec: JobSpec, capacity: FreeCapacity, kept: KeptSlot[]): boolean {
-    if (spec.priority !== BEST_EFFORT || spec.kind !== 'array') return false;
+  private mayBorrow(spec: JobSpec, capacity: FreeCapacity, reserved: ReservedSlot[]): boolean {
+    if (spec.priority !== BEST_EFFORT_PRIORITY || spec.kind !== 'array') return false;
     const fetchS = capacity.imageDelayS(spec.image, spec.imageGb);
-    const neededS = fetchS + spec.estimateS * LENT_ESTIMATES + spec.saveS;
+    const neededS = fetchS + spec.estimateS * ESTIMATE_SAFETY_FACTOR + spec.saveS;
     const nowMs = this.options.clock.nowMs();
-    return kept.every(({ pool, entry }) => {
+    return reserved.every(({ pool, entry }) => {
       return pool.lend && nowMs + neededS * 1000 < entry.current.burstMs;
     });
   }
 }
 
-function leavesCapacity(shape: Resources, room: Resources, kept: KeptSlot[]): boolean {
+function leavesCapacity(shape: Resources, free: Resources, reserved: ReservedSlot[]): boolean {
   const needed = { cores: shape.cores, gpus: shape.gpus, memGb: shape.memGb };
-  for (const { pool } of kept) release(pool.shape, needed);
-  return fits(needed, room);
+  for (const { pool } of reserved) release(pool.shape, needed);
+  return fits(needed, free);
 }
--- a/src/warm-pools/slot-scale-out.ts
+++ b/src/warm-pools/slot-scale-out.ts
@@ -3,31 +3,31 @@
 import type { ScaleOutResult } from '../cloud/client.js';
 import type { TermTimeOfDay } from '../time-of-day.js';
 import type { StoredScaleOutRequest, TermView } from '../subsystems/subsystem.js';
-import { isOpen, type Slot, type SlotPlace, type SlotRequest } from './slot.js';
+import { isOpen, type Slot, type MachineAssignment, type SlotRequest } from './slot.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
 /** Seconds before a request that was refused or not answered is sent again: at first, and at most. */
-const RETRY_S = 0.5;
-const RETRY_MOST_S = 8;
+const INITIAL_RETRY_DELAY_S = 0.5;
+const MAX_RETRY_DELAY_S = 8;
 
-interface Sending {
+interface PendingRequest {
   /** Steady time of day, in ms, of the first sending that may have been carried out. */
-  sinceMs: number;
-  sentMs: number;
+  firstSentMs: number;
+  lastSentMs: number;
   retryAt: number;
-  retryS: number;
+  retryDelayS: number;
   /** The machines, where the slots' records could not follow yet. */
   machines: readonly string[] | null;
 }
 
 /** What `SlotScaleOut` works with. */
-export interface SlotRentRequestsOptions {
+export interface SlotScaleOutOptions {
   view: TermView;
   table: SlotTable;
   /** Time of day by which bursts are kept, and by which held time is measured: see `TermTimeOfDay`. */
   clock: Pick<TermTimeOfDay, 'nowMs' | 'steadyMs'>;
   /** What the slot gets with a machine of this type. */
-  place: (slot: Slot, machine: string, type: string) => SlotPlace;
+  assignmentOf: (slot: Slot, machine: string, type: string) => MachineAssignment;
 }
 
 /**
@@ -36,14 +36,14 @@
  * the outcome of the old one is open, so no answer that is lost loses a machine.
  */
 export class SlotScaleOut {
-  private readonly sendings = new Map<string, Sending>();
+  private readonly pendingRequests = new Map<string, PendingRequest>();
 
-  constructor(private readonly options: SlotRentRequestsOptions) {}
+  constructor(private readonly options: SlotScaleOutOptions) {}
 
   /** Whether a request may have been sent, by this term or an earlier one. */
   mayHaveBeenSent({ request, sendFromMs }: Slot, termBeganMs: number): boolean {
     if (request === null) return false;
-    return this.sendings.has(request.name) || termBeganMs >= sendFromMs;
+    return this.pendingRequests.has(request.name) || termBeganMs >= sendFromMs;
   }
 
   /** Requests that are due; the fleet asks before each whether the term is entitled to send it. */
@@ -51,7 +51,7 @@
     const { view, table } = this.options;
     const byName = new Map<string, SlotEntry[]>();
     for (const entry of table.values()) {
-      const name = this.dueName(entry);
+      const name = this.dueRequestName(entry);
       if (name === null) continue;
       const group = byName.get(name);
       if (group === undefined) byName.set(name, [entry]);
@@ -59,7 +59,7 @@
     }
     const due: StoredScaleOutRequest[] = [];
     for (const [name, group] of byName) {
-      const known = this.sendings.get(name);
+      const known = this.pendingRequests.get(name);
       if (known?.machines != null) this.assign(name, known, known.machines);
       else if ((known?.retryAt ?? -Infinity) <= view.now()) due.push(this.request(name, group));
     }
@@ -70,7 +70,7 @@
    * Only what the store holds counts. While it is refused to all, and the majority says so, requests that
    * were named before and whose time has come are sent too: that they may be is in the store.
    */
-  private dueName({ stored, current }: SlotEntry): string | null {
+  private dueRequestName({ stored, current }: SlotEntry): string | null {
     if (stored === null || stored.request === null || !isOpen(current)) return null;
     const { view, clock } = this.options;
     if (stored.state === 'renting') return current.state === 'renting' ? stored.request.name : null;
@@ -82,81 +82,84 @@
     const { type, zone, count } = group[0]!.stored!.request!;
     return {
       request: { name, type, zone, spot: false, count },
-      sending: () => this.sending(name, group),
-      answered: (result) => this.answered(name, result),
+      sending: () => this.recordSending(name, group),
+      answered: (result) => this.handleAnswer(name, result),
     };
   }
 
-  private sending(name: string, group: SlotEntry[]): void {
-    const sentMs = this.options.clock.steadyMs();
-    const known = this.sendings.get(name);
+  private recordSending(name: string, group: SlotEntry[]): void {
+    const nowMs = this.options.clock.steadyMs();
+    const known = this.pendingRequests.get(name);
     if (known !== undefined) {
-      known.sentMs = sentMs;
-      known.sinceMs = Math.min(known.sinceMs, sentMs);
+      known.lastSentMs = nowMs;
+      known.firstSentMs = Math.min(known.firstSentMs, nowMs);
       return;
     }
     // An earlier term may have sent it, from the moment on at which it was due: before this one began, when its two
     // times of day were the same.
-    const sinceMs = Math.min(sentMs, ...group.map(({ current }) => this.earliestMs(current)));
-    const first = { retryS: RETRY_S, retryAt: -Infinity, machines: null };
-    this.sendings.set(name, { sinceMs, sentMs, ...first });
+    const firstSentMs = Math.min(
+      nowMs,
+      ...group.map(({ current }) => this.earliestSentMs(current)),
+    );
+    const first = { retryDelayS: INITIAL_RETRY_DELAY_S, retryAt: -Infinity, machines: null };
+    this.pendingRequests.set(name, { firstSentMs, lastSentMs: nowMs, ...first });
   }
 
-  private earliestMs({ request, sendFromMs }: Slot): number {
+  private earliestSentMs({ request, sendFromMs }: Slot): number {
     const isOwn = request?.name.startsWith(this.options.view.uniquePrefix) === true;
     return isOwn ? Infinity : sendFromMs;
   }
 
-  private answered(name: string, result: ScaleOutResult): void {
-    const sending = this.sendings.get(name);
-    if (sending === undefined) return;
+  private handleAnswer(name: string, result: ScaleOutResult): void {
+    const pending = this.pendingRequests.get(name);
+    if (pending === undefined) return;
     switch (result.how) {
       case 'added':
-        this.assign(name, sending, result.ids);
+        this.assign(name, pending, result.ids);
         break;
       case 'none':
-        this.sendings.delete(name);
-        for (const entry of this.renting(name)) {
+        this.pendingRequests.delete(name);
+        for (const entry of this.rentingSlots(name)) {
           this.options.table.apply(entry, { kind: 'request-refused' });
         }
         break;
       case 'refused':
         // Certainly not carried out this time; by an earlier sending perhaps.
-        if (sending.sinceMs === sending.sentMs) sending.sinceMs = Infinity;
-        this.pause(sending);
+        if (pending.firstSentMs === pending.lastSentMs) pending.firstSentMs = Infinity;
+        this.scheduleRetry(pending);
         break;
       case 'unknown':
-        this.pause(sending);
+        this.scheduleRetry(pending);
         break;
     }
     this.options.view.wakeWriter();
   }
 
-  private pause(sending: Sending): void {
-    sending.retryAt = this.options.view.now() + sending.retryS;
-    sending.retryS = Math.min(RETRY_MOST_S, sending.retryS * 2);
+  private scheduleRetry(pending: PendingRequest): void {
+    pending.retryAt = this.options.view.now() + pending.retryDelayS;
+    pending.retryDelayS = Math.min(MAX_RETRY_DELAY_S, pending.retryDelayS * 2);
   }
 
-  private assign(name: string, sending: Sending, machines: readonly string[]): void {
-    const { table, place } = this.options;
-    sending.machines = machines;
-    const fromMs = Math.min(sending.sinceMs, sending.sentMs);
-    const uncertainMs = sending.sentMs - fromMs;
-    for (const entry of this.renting(name)) {
+  private assign(name: string, pending: PendingRequest, machines: readonly string[]): void {
+    const { table, assignmentOf } = this.options;
+    pending.machines = machines;
+    const fromMs = Math.min(pending.firstSentMs, pending.lastSentMs);
+    const uncertainMs = pending.lastSentMs - fromMs;
+    for (const entry of this.rentingSlots(name)) {
       const { position, type } = entry.current.request!;
       const machine = machines[position];
       if (machine === undefined) {
         table.apply(entry, { kind: 'request-refused' });
         continue;
       }
-      const got = place(entry.current, machine, type);
-      table.apply(entry, { kind: 'added', place: got, atMs: fromMs, uncertainMs });
+      const assignment = assignmentOf(entry.current, machine, type);
+      table.apply(entry, { kind: 'added', place: assignment, atMs: fromMs, uncertainMs });
     }
     // In an outage it is kept until the slots' records may follow.
-    if (this.options.view.canWrite()) this.sendings.delete(name);
+    if (this.options.view.canWrite()) this.pendingRequests.delete(name);
   }
 
-  private renting(name: string): SlotEntry[] {
+  private rentingSlots(name: string): SlotEntry[] {
     return [...this.options.table.values()].filter(({ current }) => {
       return current.state === 'renting' && current.request?.name === name;
     });
@@ -164,7 +167,7 @@
 }
 
 /** Divides the machines of a request among slots: as many on each as fit. */
-export function shareOut(
+export function distributeMachines(
   slots: number,
   perMachine: number,
   request: Omit<SlotRequest, 'count' | 'position'>,
--- a/src/warm-pools/slot.ts
+++ b/src/warm-pools/slot.ts
@@ -28,7 +28,7 @@
 ];
 
 /** A count of 0 for each state. */
-export const noSlots = (): Record<SlotState, number> =>
+export const zeroSlotCounts = (): Record<SlotState, number> =>
   Object.fromEntries(SLOT_STATES.map((state) => [state, 0])) as Record<SlotState, number>;
 
 /** The request to the cloud from whose machines a slot gets one. */
@@ -84,7 +84,7 @@
 }
 
 /** What a slot gets when it gets a machine. */
-export interface SlotPlace {
+export interface MachineAssignment {
   machine: string;
   share: number;
   pricePerHour: number;
@@ -99,9 +99,9 @@
   /** The cloud had none for it. */
   | { kind: 'request-refused' }
   /** `uncertainMs`: by how much later than `atMs` the machine may have been added. */
-  | { kind: 'added'; place: SlotPlace; atMs: number; uncertainMs: number }
+  | { kind: 'added'; place: MachineAssignment; atMs: number; uncertainMs: number }
   /** A machine that is there already is kept for it. */
-  | { kind: 'adopted'; place: SlotPlace; atMs: number }
+  | { kind: 'adopted'; place: MachineAssignment; atMs: number }
   | { kind: 'loaded'; atMs: number }
   /** The time of day was set: what has been paid for stays as long as it was. */
   | { kind: 'clock-set'; byMs: number }
@@ -114,7 +114,7 @@
   | { kind: 'lost'; reason: string; atMs: number; uncertainMs: number };
 
 /** The states in which a slot can meet an event. */
-const MET_IN: Record<SlotEvent['kind'], readonly SlotState[]> = {
+const ALLOWED_STATES: Record<SlotEvent['kind'], readonly SlotState[]> = {
   'request-named': ['planned'],
   'request-due': ['planned'],
   // A request has no other name while its outcome is open.
@@ -131,7 +131,7 @@
 
 /** The one function by which a slot changes. Throws IllegalTransitionError. */
 export function advanceSlot(slot: Slot, event: SlotEvent): Slot {
-  if (!MET_IN[event.kind].includes(slot.state)) {
+  if (!ALLOWED_STATES[event.kind].includes(slot.state)) {
     throw new IllegalTransitionError(`slot ${slotId(slot)}`, slot.state, event.kind);
   }
   switch (event.kind) {
@@ -148,15 +148,15 @@
     case 'request-refused':
       return { ...slot, state: 'planned', request: null };
     case 'added':
-      return placed(slot, event.place, event.atMs, event.uncertainMs);
+      return withMachine(slot, event.place, event.atMs, event.uncertainMs);
     case 'adopted':
-      return { ...placed(slot, event.place, event.atMs, 0), request: null };
+      return { ...withMachine(slot, event.place, event.atMs, 0), request: null };
     case 'loaded':
       return { ...slot, state: 'warm', warmAtMs: event.atMs };
     case 'clock-set':
-      return { ...slot, held: clockSet(slot.held, event.byMs) };
+      return { ...slot, held: withClockSet(slot.held, event.byMs) };
     case 'taken-over':
-      return { ...slot, held: takenOver(slot.held, event.atMs) };
+      return { ...slot, held: withNewTerm(slot.held, event.atMs) };
     case 'used':
       return { ...ended(slot, 'used', event.atMs, event.uncertainMs), task: event.task };
     case 'released':
@@ -166,23 +166,28 @@
   }
 }
 
-function placed(slot: Slot, place: SlotPlace, fromMs: number, uncertainMs: number): Slot {
+function withMachine(
+  slot: Slot,
+  assignment: MachineAssignment,
+  fromMs: number,
+  uncertainMs: number,
+): Slot {
   return {
     ...slot,
     state: 'loading',
-    ...place,
+    ...assignment,
     held: { fromMs, toMs: null, uncertainMs, clockSetMs: 0 },
   };
 }
 
-const clockSet = (held: HeldInterval | null, byMs: number): HeldInterval | null =>
+const withClockSet = (held: HeldInterval | null, byMs: number): HeldInterval | null =>
   held === null ? null : { ...held, clockSetMs: held.clockSetMs + byMs };
 
 /**
  * The beginning by the time of day of a term that begins now. The term before had one time of day at first and another
  * one later: of those that this one can agree with, the shorter interval counts, and the rest is uncertain.
  */
-function takenOver(held: HeldInterval | null, atMs: number): HeldInterval | null {
+function withNewTerm(held: HeldInterval | null, atMs: number): HeldInterval | null {
   if (held === null || held.clockSetMs === 0) return held;
   const { fromMs, uncertainMs, clockSetMs } = held;
   const earlierMs = Math.min(fromMs, fromMs + clockSetMs);
--- a/src/warm-pools/view.ts
+++ b/src/warm-pools/view.ts
@@ -1,10 +1,10 @@
 /** What operators are shown: a function of the records alone, the same on every controller. */
 
 import type { OwnedRecord } from '../subsystems/subsystem.js';
-import { addTotals, billDays, dayOf, slotTotals, type BillDay } from './bill.js';
+import { addTotals, billDays, utcDayOf, slotTotals, type BillDay } from './bill.js';
 import { BurstSchedule } from './burst-schedule.js';
 import type { PoolDeclaration } from './declaration.js';
-import { decodeSlot, noSlots, SLOT_PREFIX, type Slot, type SlotState } from './slot.js';
+import { decodeSlot, zeroSlotCounts, SLOT_PREFIX, type Slot, type SlotState } from './slot.js';
 
 /** A pool as operators are shown it. */
 export interface PoolStatus {
@@ -36,11 +36,11 @@
   pools: readonly PoolDeclaration[],
   wallMs: number,
 ): PoolsView {
-  const slots = slotsOf(records);
-  return { pools: statuses(slots, pools, wallMs), bill: billRows(records, slots, wallMs) };
+  const slots = decodeSlots(records);
+  return { pools: poolStatuses(slots, pools, wallMs), bill: billRows(records, slots, wallMs) };
 }
 
-function slotsOf(records: ReadonlyMap<string, OwnedRecord>): Slot[] {
+function decodeSlots(records: ReadonlyMap<string, OwnedRecord>): Slot[] {
   const slots: Slot[] = [];
   for (const [key, { value }] of records) {
     const slot = key.startsWith(SLOT_PREFIX) ? decodeSlot(value) : null;
@@ -49,7 +49,7 @@
   return slots;
 }
 
-function statuses(
+function poolStatuses(
   slots: readonly Slot[],
   pools: readonly PoolDeclaration[],
   wallMs: number,
@@ -58,11 +58,18 @@
   for (const { name, team, image, slots: count, schedule, timeZone } of pools) {
     const nextMs = new BurstSchedule(schedule, timeZone).nextAfter(wallMs);
     const nextBurst = nextMs === null ? null : new Date(nextMs).toISOString();
-    byName.set(name, { pool: name, team, image, slots: count, nextBurst, states: noSlots() });
+    byName.set(name, {
+      pool: name,
+      team,
+      image,
+      slots: count,
+      nextBurst,
+      states: zeroSlotCounts(),
+    });
   }
   for (const { pool, team, state } of slots) {
     const undeclared = { pool, team, image: '', slots: null, nextBurst: null };
-    const status = byName.get(pool) ?? { ...undeclared, states: noSlots() };
+    const status = byName.get(pool) ?? { ...undeclared, states: zeroSlotCounts() };
     byName.set(pool, status);
     status.states[state]++;
   }
@@ -84,13 +91,13 @@
   }
   for (const slot of slots) {
     const { pool, team, burstMs, held } = slot;
-    const at = { pool, team, day: dayOf(burstMs) };
+    const at = { pool, team, day: utcDayOf(burstMs) };
     const totals = slotTotals(slot, wallMs);
     const known = rows.get(key(at));
     const sum = known === undefined ? totals : addTotals(known, totals);
     const open = (known?.open ?? 0) + (held !== null && held.toMs === null ? 1 : 0);
     rows.set(key(at), { ...at, ...sum, open });
   }
-  const inOrder = (a: BillRow, b: BillRow): number => (key(a) < key(b) ? -1 : 1);
-  return [...rows.values()].sort(inOrder);
+  const compareRows = (a: BillRow, b: BillRow): number => (key(a) < key(b) ? -1 : 1);
+  return [...rows.values()].sort(compareRows);
 }
--- a/src/warm-pools/warm-pools-term.ts
+++ b/src/warm-pools/warm-pools-term.ts
@@ -15,7 +15,7 @@
 import type { PoolDeclaration, WarmPoolsConfig } from './declaration.js';
 import { LeadTimes } from './lead-times.js';
 import type { ModelLoader } from './model-loader.js';
-import { noSlots } from './slot.js';
+import { zeroSlotCounts } from './slot.js';
 import { SlotPlanner } from './slot-planner.js';
 import { SlotScaleOut } from './slot-scale-out.js';
 import { SlotReservations } from './slot-reservations.js';
@@ -23,9 +23,9 @@
 import { SlotMonitor } from './slot-monitor.js';
 
 /** Slots that go into the bill with one commit: a share of what may be written in a second, at most. */
-const MERGE_SHARE = 0.12;
+const MERGE_WRITE_SHARE = 0.12;
 /** Measured times are stored once in so many leases. */
-const LEAD_LEASES = 3;
+const LEAD_TIME_STORE_LEASES = 3;
 
 /** Warm pools in one term of leadership. */
 export class WarmPoolsTerm implements SubsystemTerm {
@@ -40,9 +40,9 @@
   private readonly slotScaleOut: SlotScaleOut;
   private readonly planner: SlotPlanner;
   private readonly monitor: SlotMonitor;
-  private leadStoredAt: number;
+  private leadTimesStoredAt: number;
   /** Models on machines that slots were kept on at the latest round, as `machine image`. */
-  private loaded = new Map<string, { machine: string; image: string }>();
+  private loadedModels = new Map<string, { machine: string; image: string }>();
 
   constructor(
     private readonly view: TermView,
@@ -52,10 +52,10 @@
     const { settings } = view;
     this.pools = new Map(config.pools.map((pool) => [pool.name, pool]));
     this.clock = view.timeOfDay;
-    this.bill = new Bill(mergeSize(settings.state), config.keepBillDays);
+    this.bill = new Bill(maxSlotsPerMerge(settings.state), config.keepBillDays);
     this.alarms = new Alarms(view.log);
     this.bursts = new Bursts(config.pools, view, this.leadTimes, (pool) =>
-      this.bill.throughMs(pool),
+      this.bill.lastBilledBurstMs(pool),
     );
     const shared = {
       view,
@@ -66,12 +66,12 @@
     this.reservations = new SlotReservations(shared);
     this.slotScaleOut = new SlotScaleOut({
       ...shared,
-      place: (slot, machine, type) => this.planner.place(slot, machine, type),
+      assignmentOf: (slot, machine, type) => this.planner.assignmentOf(slot, machine, type),
     });
-    const { alarms, reservations: reservations, slotScaleOut: scaleOutRequests, leadTimes } = this;
+    const { alarms, reservations, slotScaleOut: scaleOutRequests, leadTimes } = this;
     this.planner = new SlotPlanner({ ...shared, scaleOutRequests, reservations, alarms });
     this.monitor = new SlotMonitor({ ...shared, loader, leadTimes });
-    this.leadStoredAt = view.now();
+    this.leadTimesStoredAt = view.now();
     this.reconcile();
     this.takeOverHeldSlots();
   }
@@ -88,11 +88,11 @@
     const nowMs = this.clock.nowMs();
     if (!this.view.canWrite()) return;
     this.reconcile();
-    this.noteClockSet();
-    this.reservations.noteClaims(this.monitor.update());
+    this.recordClockSet();
+    this.reservations.setClaims(this.monitor.update());
     const money = this.bill.moneyByDay(this.table.values(), this.clock.steadyMs());
-    this.planner.plan(this.bursts.at(nowMs), money);
-    this.unloadWhatIsOver();
+    this.planner.plan(this.bursts.activeAt(nowMs), money);
+    this.unloadUnneededModels();
     if (this.clock.doubted) this.alarms.raise('clock_jump', 'all', 'the time of day jumped');
     this.alarms.endRound();
     this.view.wakeWriter();
@@ -112,7 +112,7 @@
    * The records of what is held tell by how much the time of day was set, for a successor. They are compared at every
    * round: a commit from before may be carried out at any time, and bring a record back as it was.
    */
-  private noteClockSet(): void {
+  private recordClockSet(): void {
     for (const entry of this.heldSlots()) {
       const byMs = this.clock.setMs - (entry.current.held?.clockSetMs ?? 0);
       if (byMs !== 0) this.table.apply(entry, { kind: 'clock-set', byMs });
@@ -124,26 +124,26 @@
   }
 
   /** Models that no slot and no replica on their machine wants any more. */
-  private unloadWhatIsOver(): void {
-    const wanted = new Map<string, { machine: string; image: string }>();
+  private unloadUnneededModels(): void {
+    const needed = new Map<string, { machine: string; image: string }>();
     for (const [machine, entries] of this.table.held()) {
       for (const { current } of entries) {
         const pool = this.pools.get(current.pool);
         if (pool === undefined) continue;
-        wanted.set(`${machine} ${pool.image}`, { machine, image: pool.image });
+        needed.set(`${machine} ${pool.image}`, { machine, image: pool.image });
       }
     }
-    for (const [key, { machine, image }] of this.loaded) {
-      if (wanted.has(key)) continue;
+    for (const [key, { machine, image }] of this.loadedModels) {
+      if (needed.has(key)) continue;
       const machineView = this.view.machine(machine);
       if (machineView === undefined) this.loader.forget(machine);
-      else if (!this.isUsed(machineView.attempts.values(), image))
+      else if (!this.isImageInUse(machineView.attempts.values(), image))
         this.loader.unload(machineView, image);
     }
-    this.loaded = wanted;
+    this.loadedModels = needed;
   }
 
-  private isUsed(attempts: Iterable<{ job: string }>, image: string): boolean {
+  private isImageInUse(attempts: Iterable<{ job: string }>, image: string): boolean {
     for (const { job } of attempts) if (this.view.spec(job)?.image === image) return true;
     return false;
   }
@@ -179,27 +179,27 @@
     if (slots.length > 0) return slots;
     const nowMs = this.clock.nowMs();
     const open = new Set(
-      this.bursts.at(nowMs).map((burst) => burstId(burst.pool.name, burst.burstMs)),
+      this.bursts.activeAt(nowMs).map((burst) => burstId(burst.pool.name, burst.burstMs)),
     );
     const isOver = (pool: string, burstMs: number): boolean => {
       return burstMs < nowMs && !open.has(burstId(pool, burstMs));
     };
     const bill = this.bill.dueWrites(this.table, isOver, nowMs);
-    return bill.length > 0 ? bill : this.dueLeadTimes();
+    return bill.length > 0 ? bill : this.dueLeadTimeWrites();
   }
 
-  private dueLeadTimes(): OwnedWrite[] {
+  private dueLeadTimeWrites(): OwnedWrite[] {
     const { settings } = this.view;
     const now = this.view.now();
-    if (now - this.leadStoredAt < settings.workers.lease_s * LEAD_LEASES) return [];
+    if (now - this.leadTimesStoredAt < settings.workers.lease_s * LEAD_TIME_STORE_LEASES) return [];
     const due = this.leadTimes.dueWrites();
-    if (due.length > 0) this.leadStoredAt = now;
+    if (due.length > 0) this.leadTimesStoredAt = now;
     return due;
   }
 
   /** See `SubsystemTerm.statistics`. */
   statistics(): Record<string, number | string> {
-    const states = noSlots();
+    const states = zeroSlotCounts();
     for (const { current } of this.table.values()) states[current.state]++;
     const figures: Record<string, number | string> = {};
     for (const [state, count] of Object.entries(states)) figures[`warm_slots_${state}`] = count;
@@ -215,6 +215,6 @@
   }
 }
 
-function mergeSize(state: { txn_ops: number; write_rps: number }): number {
-  return Math.max(1, Math.min(state.txn_ops - 1, Math.floor(state.write_rps * MERGE_SHARE)));
+function maxSlotsPerMerge(state: { txn_ops: number; write_rps: number }): number {
+  return Math.max(1, Math.min(state.txn_ops - 1, Math.floor(state.write_rps * MERGE_WRITE_SHARE)));
 }
--- a/src/warm-pools/warm-pools.ts
+++ b/src/warm-pools/warm-pools.ts
@@ -13,8 +13,8 @@
 export const WARM_POOLS = 'warm-pools';
 
 /** A model server is asked once in so many heartbeat intervals, and may think for as many leases. */
-const ASK_HEARTBEATS = 1;
-const ASK_TIMEOUT_LEASES = 0.25;
+const MODEL_POLL_HEARTBEATS = 1;
+const MODEL_REQUEST_TIMEOUT_LEASES = 0.25;
 
 /** Warm pools as a subsystem of a controller. */
 export class WarmPools implements Subsystem {
@@ -37,8 +37,8 @@
     return new ModelServerLoader({
       port: modelServerPort,
       token: view.token,
-      askEveryS: report_s * ASK_HEARTBEATS,
-      timeoutS: lease_s * ASK_TIMEOUT_LEASES,
+      pollIntervalS: report_s * MODEL_POLL_HEARTBEATS,
+      timeoutS: lease_s * MODEL_REQUEST_TIMEOUT_LEASES,
       clock: this.clock,
       log: view.log,
     });
--- a/test/cluster-warm-pools.test.ts
+++ b/test/cluster-warm-pools.test.ts
@@ -25,11 +25,11 @@
 const burstIn = (seconds: number): number => Math.ceil(Date.now() / 1000 + seconds) * 1000;
 
 /** Blocks of loopback addresses: machines of clusters that run side by side share no address. */
-let blocks = 0;
+let addressBlocks = 0;
 
 /** Every machine gets an address of its own: their model servers all have the same port. */
-function giveModelServers(cloud: Cloud, port: number): void {
-  const block = blocks++;
+function configureModelServers(cloud: Cloud, port: number): void {
+  const block = addressBlocks++;
   const hostOf = (id: string): string => `127.1.${block}.${Number(id.split('-')[1])}`;
   cloud.around.modelServers = { port, loadMs: () => LOAD_MS, hostOf };
 }
@@ -46,12 +46,15 @@
   },
 };
 
-const withModel = (workers: Worker[]): Worker[] =>
+const workersWithModel = (workers: Worker[]): Worker[] =>
   workers.filter((worker) => worker.modelServer!.models.get(MODEL)?.state === 'ready');
 
 /** Replicas that answer now. */
-const answering = (workers: Worker[]): number =>
-  withModel(workers).reduce((sum, worker) => sum + worker.modelServer!.models.get(MODEL)!.users, 0);
+const answeringReplicas = (workers: Worker[]): number =>
+  workersWithModel(workers).reduce(
+    (sum, worker) => sum + worker.modelServer!.models.get(MODEL)!.users,
+    0,
+  );
 
 const MAIN = new URL('../src/main.js', import.meta.url).pathname;
 
@@ -66,7 +69,7 @@
   }
 }
 
-async function showsOperators(at: string): Promise<void> {
+async function checkOperatorCommands(at: string): Promise<void> {
   for (const program of [MAIN, 'target/launch.cjs']) {
     const status = await run(program, 'warm-pools', 'status', '--at', at);
     assert.match(status.out, /^pool +team +slots +next burst .*\ntutor +t +2 +\S+( +\d+){7}\n$/);
@@ -84,34 +87,34 @@
     [['status'], /required option '--at <addr>'/],
     [['list', '--at', at], /Allowed choices are status, bill/],
   ];
-  for (const [args, says] of wrong) {
+  for (const [args, pattern] of wrong) {
     const { status, out } = await run(MAIN, 'warm-pools', ...args);
     assert.ok(status > 0);
-    assert.match(out, says);
+    assert.match(out, pattern);
   }
 }
 
-interface Row {
+interface FaultCase {
   name: string;
-  trouble(cluster: Cluster): Promise<void>;
+  injectFault(cluster: Cluster): Promise<void>;
 }
 
-const ROWS: Row[] = [
-  { name: 'nothing', trouble: () => Promise.resolve() },
+const FAULT_CASES: FaultCase[] = [
+  { name: 'nothing', injectFault: () => Promise.resolve() },
   {
     name: 'the leader ends while the model loads',
-    async trouble(cluster) {
+    async injectFault(cluster) {
       await until('a machine', () => cluster.workers.length > 0);
       cluster.stopController(cluster.leader());
     },
   },
   {
     name: 'the leader ends before anything is added',
-    trouble: async (cluster) => void (await cluster.endLeader()),
+    injectFault: async (cluster) => void (await cluster.endLeader()),
   },
   {
     name: 'the leader is refused alone, and comes back',
-    async trouble(cluster) {
+    async injectFault(cluster) {
       await until('a machine', () => cluster.workers.length > 0);
       const old = cluster.leader();
       cluster.access[old]!.refuses = true;
@@ -121,7 +124,7 @@
   },
   {
     name: 'an outage of the key-value store while the model loads',
-    async trouble(cluster) {
+    async injectFault(cluster) {
       await until('a machine', () => cluster.workers.length > 0);
       cluster.state.down = true;
       await wait(1500);
@@ -130,7 +133,7 @@
   },
   {
     name: 'answers of the key-value store are lost',
-    trouble(cluster) {
+    injectFault(cluster) {
       cluster.state.disturb('ps/x/', { how: 'answer_lost' }, 4);
       return Promise.resolve();
     },
@@ -139,16 +142,16 @@
 
 test('whatever happens in the lead time, one machine is added and replicas answer at once', async () => {
   const failures: string[] = [];
-  const play = async (row: Row): Promise<void> => {
+  const runCase = async (row: FaultCase): Promise<void> => {
     const port = await freePort();
     const burstMs = burstIn(11);
     const cluster = await Cluster.start({ leaseS: LEASE_S, features: features(burstMs, port) });
     try {
-      giveModelServers(cluster.cloud, port);
+      configureModelServers(cluster.cloud, port);
       cluster.cloud.bootMs = 300;
       await cluster.newLeader();
-      await row.trouble(cluster);
-      await until('warm', () => withModel(cluster.workers).length === 1);
+      await row.injectFault(cluster);
+      await until('warm', () => workersWithModel(cluster.workers).length === 1);
       await until('a leader', () => cluster.leader() >= 0);
       await until('warm as the leader knows', () => {
         return (
@@ -161,17 +164,17 @@
       const at = cluster.leader() < 0 ? 0 : cluster.leader();
       await cluster.users.submit(at, 'wk-000001', REPLICAS);
       const began = Date.now();
-      await until('both answer', () => answering(cluster.workers) === SLOTS);
+      await until('both answer', () => answeringReplicas(cluster.workers) === SLOTS);
       assert.ok(Date.now() - began < LOAD_MS, `answered after ${Date.now() - began} ms`);
-      const loads = cluster.workers.filter((worker) => worker.modelServer!.asked.length > 0);
+      const loads = cluster.workers.filter((worker) => worker.modelServer!.requestLog.length > 0);
       assert.equal(loads.length, 1);
     } finally {
       cluster.close();
     }
   };
-  for (let i = 0; i < ROWS.length; i += 3) {
-    const batch = ROWS.slice(i, i + 3).map((row) =>
-      play(row).catch((e: unknown) => void failures.push(`${row.name}: ${String(e)}`)),
+  for (let i = 0; i < FAULT_CASES.length; i += 3) {
+    const batch = FAULT_CASES.slice(i, i + 3).map((row) =>
+      runCase(row).catch((e: unknown) => void failures.push(`${row.name}: ${String(e)}`)),
     );
     await Promise.all(batch);
   }
@@ -186,7 +189,7 @@
   try {
     await cluster.listen();
     const port = await freePort();
-    giveModelServers(cluster.cloud, port);
+    configureModelServers(cluster.cloud, port);
     cluster.cloud.bootMs = 300;
     const burstMs = burstIn(14);
     const file = features(burstMs, port);
@@ -209,7 +212,7 @@
     const [machine] = workers();
     assert.equal(machine!.modelServer!.models.get(MODEL)!.state, 'ready', 'nothing was unloaded');
     await cluster.users.submit(next, 'wk-000001', REPLICAS);
-    await until('both answer', () => answering(workers()) === SLOTS);
+    await until('both answer', () => answeringReplicas(workers()) === SLOTS);
     const views = await Promise.all(
       cluster.indexes.map((index) => cluster.ask(index, '/subsystems/warm-pools')),
     );
@@ -217,7 +220,7 @@
       const [pool] = view!.pools as { pool: string; slots: number }[];
       assert.deepEqual([pool!.pool, pool!.slots], ['tutor', SLOTS], 'every controller shows it');
     }
-    await showsOperators(`127.0.0.1:${cluster.ports[next]!.bind}`);
+    await checkOperatorCommands(`127.0.0.1:${cluster.ports[next]!.bind}`);
     assert.deepEqual(cluster.rules.violations, []);
   } finally {
     await cluster.close();
--- a/test/model-server.test.ts
+++ b/test/model-server.test.ts
@@ -26,7 +26,7 @@
   context.after(() => server.close());
   const loader = (token: number): ModelServerLoader => {
     const made = new ModelServerLoader({
-      ...{ port, token, askEveryS: 0.02, timeoutS: 0.2, clock: steadyClock, log: silentLog() },
+      ...{ port, token, pollIntervalS: 0.02, timeoutS: 0.2, clock: steadyClock, log: silentLog() },
     });
     context.after(() => made.stop());
     return made;
@@ -39,11 +39,11 @@
   const own = loader(5);
   assert.equal(own.state(machine('fencing'), POOL), 'loading');
   await wait(30);
-  assert.deepEqual(server.asked, [], 'a machine that this term has not heard is not asked');
+  assert.deepEqual(server.requestLog, [], 'a machine that this term has not heard is not asked');
   const state = (): string => own.state(machine(), POOL);
   assert.equal(state(), 'loading');
   await until('ready', () => state() === 'ready');
-  assert.ok(server.asked.every((what) => what === 'load tutor 5'));
+  assert.ok(server.requestLog.every((what) => what === 'load tutor 5'));
   server.models.clear();
   await until('noticed', () => state() === 'loading');
   await until('ready again', () => state() === 'ready');
@@ -58,7 +58,7 @@
   await until('ready', () => old.state(machine(), POOL) === 'ready');
   await until('heard', () => {
     next.state(machine(), POOL);
-    return server.asked.includes('load tutor 6');
+    return server.requestLog.includes('load tutor 6');
   });
   old.unload(machine(), 'tutor');
   await until('refused', () => server.refused > 0);
@@ -67,17 +67,17 @@
 
 test('a model that never loads is given up, one that is in use is not unloaded, silence changes nothing', async (context) => {
   const { server, loader } = await setUp(context);
-  server.broken = true;
+  server.loadsFail = true;
   const own = loader(5);
   const state = (): string => own.state(machine(), POOL);
   await until('given up', () => state() === 'failed');
-  assert.ok(server.asked.length >= 3);
-  server.broken = false;
+  assert.ok(server.requestLog.length >= 3);
+  server.loadsFail = false;
   own.forget('m1');
   await until('loaded after all', () => state() === 'ready');
   server.use('tutor');
   own.unload(machine(), 'tutor');
-  await until('asked to', () => server.asked.includes('unload tutor 5'));
+  await until('asked to', () => server.requestLog.includes('unload tutor 5'));
   assert.ok(server.models.has('tutor'));
   await until('known again', () => state() === 'ready');
   server.close();
--- a/test/standins/model-server.ts
+++ b/test/standins/model-server.ts
@@ -25,11 +25,11 @@
 export class ModelServer extends HttpStandIn {
   readonly models = new Map<string, Model>();
   /** What was asked of it, in order: `load tutor 12`. */
-  readonly asked: string[] = [];
+  readonly requestLog: string[] = [];
   /** Requests with a token that was too low. */
   refused = 0;
   /** Loads end in failure. */
-  broken = false;
+  loadsFail = false;
   private token = 0;
   private readonly timers = new Set<NodeJS.Timeout>();
 
@@ -49,19 +49,19 @@
       return [model?.state === 'ready' && model.users > 0 ? 200 : 503, {}];
     }
     const token = Number(body.token);
-    this.asked.push(`${path.slice('/models/'.length)} ${name} ${token}`);
+    this.requestLog.push(`${path.slice('/models/'.length)} ${name} ${token}`);
     if (token < this.token) {
       this.refused++;
       return [409, { token: this.token }];
     }
     this.token = token;
-    if (path === '/models/load') return [200, { state: this.loadAgain(name) }];
+    if (path === '/models/load') return [200, { state: this.loadOrReport(name) }];
     if (path === '/models/unload') return this.unload(name);
     return [404, {}];
   }
 
   /** Tells how the last load ended; one that failed begins anew. */
-  private loadAgain(name: string): ModelState {
+  private loadOrReport(name: string): ModelState {
     const before = this.models.get(name)?.state;
     const { state } = this.load(name);
     return before === 'failed' ? before : state;
@@ -74,7 +74,7 @@
     this.models.set(name, model);
     const timer = setTimeout(() => {
       this.timers.delete(timer);
-      model.state = this.broken ? 'failed' : 'ready';
+      model.state = this.loadsFail ? 'failed' : 'ready';
       model.readyAt = Date.now();
     }, this.options.loadMs());
     this.timers.add(timer);
--- a/test/support/warm-pool-cases.ts
+++ b/test/support/warm-pool-cases.ts
@@ -3,7 +3,7 @@
 import { WarmPoolWorld } from './warm-pool-world.js';
 
 /** All pools' slots, sorted. */
-export const all = (world: WarmPoolWorld): string =>
+export const allStates = (world: WarmPoolWorld): string =>
   world
     .slots()
     .map(({ state }) => state)
@@ -21,7 +21,7 @@
   ].sort();
 
 /** Sums over all rows of the bill. */
-export const totals = (
+export const billTotals = (
   world: WarmPoolWorld,
 ): { machineS: number; uncertainS: number; slots: number; open: number } =>
   world.bill().reduce(
@@ -35,26 +35,34 @@
   );
 
 /** Fails if a figure is further off than `by`. */
-export const near = (actual: number, expected: number, by: number, what: string): void =>
-  assert.ok(Math.abs(actual - expected) <= by, `${what}: ${actual}, expected ${expected} ± ${by}`);
+export const assertNear = (
+  actual: number,
+  expected: number,
+  tolerance: number,
+  what: string,
+): void =>
+  assert.ok(
+    Math.abs(actual - expected) <= tolerance,
+    `${what}: ${actual}, expected ${expected} ± ${tolerance}`,
+  );
 
 /** A pool whose every slot takes a whole machine. */
-export const WHOLE = { cores: 8, gpus: 8, mem_gb: 32 };
+export const WHOLE_MACHINE = { cores: 8, gpus: 8, mem_gb: 32 };
 /** A replica that takes a whole machine. */
-export const WHOLE_REPLICA = { cores: 8, gpus: 8, memGb: 32 };
+export const WHOLE_MACHINE_REPLICA = { cores: 8, gpus: 8, memGb: 32 };
 
 /** A case of a table: what happens, and what is checked. */
 export interface Case {
   name: string;
   pools?: string;
   gpusMax?: number;
-  play(world: WarmPoolWorld): Promise<void>;
+  run(world: WarmPoolWorld): Promise<void>;
 }
 
 /** Plays all cases; fails with the name of the one at fault. */
-export async function playAll(cases: Case[]): Promise<void> {
+export async function runCases(cases: Case[]): Promise<void> {
   const failures: string[] = [];
-  for (const { name, pools, gpusMax, play } of cases) {
+  for (const { name, pools, gpusMax, run: play } of cases) {
     const world = new WarmPoolWorld(pools, gpusMax);
     try {
       await play(world);
--- a/test/support/warm-pool-world.ts
+++ b/test/support/warm-pool-world.ts
@@ -3,7 +3,7 @@
  * the workers of the meeting tests. Time moves by hand, and nothing opens a socket.
  */
 import type { CloudClient, ScaleOutResult } from '../../src/cloud/client.js';
-import type { MachineProvisioner as CloudFleet } from '../../src/cloud/provisioner.js';
+import type { MachineProvisioner } from '../../src/cloud/provisioner.js';
 import { parseFeatures } from '../../src/features/features-file.js';
 import type { MachineType } from '../../src/jobs/types.js';
 import type { ListedMachine, ScaleOutRequest } from '../../src/wire/cloud.js';
@@ -17,7 +17,7 @@
 import * as records from '../../src/store/records.js';
 
 /** Seconds of the tests' clock at which the declared burst begins: 13:47:00 on 12 January 1970, UTC. */
-export const BURST_AT = 20;
+export const BURST_AT_S = 20;
 /** Seconds for which unused slots stay. */
 export const HOLD_S = 20;
 /** Seconds from a rent to the worker's first heartbeat. */
@@ -33,13 +33,13 @@
 }
 
 /** A cloud by the protocol: a request's name gives the same machines for ever. */
-class MemoryCloud implements Pick<
+class InMemoryCloud implements Pick<
   CloudClient,
   'fetchMachineTypes' | 'listMachines' | 'scaleOut' | 'scaleIn'
 > {
   mode: CloudMode = 'serve';
   /** Machines that it has yet to give. */
-  left = Infinity;
+  remainingMachines = Infinity;
   bootS = BOOT_S;
   calls = 0;
   readonly machines = new Map<string, SimulatedMachine>();
@@ -82,8 +82,8 @@
   }
 
   private boot(request: ScaleOutRequest): string[] {
-    const count = Math.min(request.count, this.left);
-    this.left -= count;
+    const count = Math.min(request.count, this.remainingMachines);
+    this.remainingMachines -= count;
     const ids = Array.from(
       { length: count },
       () => `host-${String(++this.counter).padStart(6, '0')}`,
@@ -107,7 +107,7 @@
   }
 
   /** Machines whose boot is over begin to report. */
-  bootUp(): void {
+  completeBoots(): void {
     for (const [id, { request, addedAt, removedAt }] of this.machines) {
       if (removedAt !== null || this.world.fleet.workers.has(id) || this.dead.has(id)) continue;
       if (this.world.now - addedAt >= this.bootS) this.world.fleet.add(id, request.zone);
@@ -124,7 +124,7 @@
   }
 
   /** Those of them that were rented by the requests of slots. */
-  get machineIdsOfSlots(): string[] {
+  get slotMachineIds(): string[] {
     return this.machineIds.filter((id) => this.machines.get(id)!.request.name.includes(WARM_POOLS));
   }
 
@@ -150,17 +150,17 @@
   return new WarmPools(parseFeatures(text, { ...settings(), teams }, 0).warmPools!, clock);
 }
 
-interface FleetParts {
+interface ProvisionerInternals {
   runRound(): Promise<void>;
 }
 
 /** A world whose leader has pools. A successor may have others: `pools` is looked at by each. */
 export class WarmPoolWorld extends LeaderWorld {
-  readonly cloud: MemoryCloud;
+  readonly cloud: InMemoryCloud;
   private readonly subsystems: WarmPools[];
 
   constructor(text = poolText(), gpusMax = 100) {
-    const cloud = new MemoryCloud();
+    const cloud = new InMemoryCloud();
     const list = [warmPools(text)];
     super(gpusMax, { subsystems: list, cloud: cloud.client() });
     this.cloud = cloud;
@@ -173,13 +173,13 @@
     this.subsystems.splice(0, this.subsystems.length, ...(text === null ? [] : [warmPools(text)]));
   }
 
-  private get cloudFleet(): CloudFleet {
+  private get provisioner(): MachineProvisioner {
     return this.parts.capacity.provisioner;
   }
 
   /** The leader asks the cloud for what it wants. */
   async cloudRound(): Promise<void> {
-    await (this.cloudFleet as unknown as FleetParts).runRound().catch(() => undefined);
+    await (this.provisioner as unknown as ProvisionerInternals).runRound().catch(() => undefined);
   }
 
   /** As `run`, with the cloud's part. */
@@ -188,7 +188,7 @@
     for (let left = seconds; left > 1e-9; left -= report_s) {
       await super.run(report_s);
       await this.cloudRound();
-      this.cloud.bootUp();
+      this.cloud.completeBoots();
       await this.writeAll();
     }
   }
--- a/test/warm-pool-clock.test.ts
+++ b/test/warm-pool-clock.test.ts
@@ -14,66 +14,66 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BURST_AT, HOLD_S, type WarmPoolWorld } from './support/warm-pool-world.js';
-import { near, playAll, totals } from './support/warm-pool-cases.js';
+import { BURST_AT_S, HOLD_S, type WarmPoolWorld } from './support/warm-pool-world.js';
+import { assertNear, runCases, billTotals } from './support/warm-pool-cases.js';
 
 const HOUR_MS = 3_600_000;
 /** A set clock is followed after six leases of 2 s. */
 const FOLLOWED_AFTER_S = 12;
 
 /** Seconds for which the pool's first machine was kept, until this second. */
-const keptS = (world: WarmPoolWorld, until: number): number =>
+const reservedS = (world: WarmPoolWorld, until: number): number =>
   until - [...world.cloud.machines.values()][0]!.addedAt;
 
 /**
  * All is over and billed: the pool's machine for so many seconds, as far as that can be known; and no more than
  * `unknowableS`, beside the intervals between heartbeats, is marked as uncertain.
  */
-function checkBill(world: WarmPoolWorld, seconds: number, unknowableS = 0): void {
+function checkBill(world: WarmPoolWorld, seconds: number, boundS = 0): void {
   assert.deepEqual(world.slots(), [], 'all slots are over');
-  const { machineS, uncertainS } = totals(world);
-  assert.ok(uncertainS <= unknowableS + 2, `uncertain: ${uncertainS}`);
-  near(machineS, seconds, unknowableS + 2, 'machine-seconds');
+  const { machineS, uncertainS } = billTotals(world);
+  assert.ok(uncertainS <= boundS + 2, `uncertain: ${uncertainS}`);
+  assertNear(machineS, seconds, boundS + 2, 'machine-seconds');
 }
 
 /** The store takes what was held back, and serves. */
-function serve(world: WarmPoolWorld): void {
+function resumeStore(world: WarmPoolWorld): void {
   world.canWrite = true;
   world.store.mode = 'serve';
   world.store.deliverHeldBack();
 }
 
 test('an interval is as long as it lasted, whenever the time of day is set', async () => {
-  await playAll([
+  await runCases([
     {
       name: 'a commit from before is carried out later',
-      async play(world) {
+      async run(world) {
         await world.runUntil(9);
         world.wallJumpMs = HOUR_MS;
         await world.runUntil(17.4);
         world.store.mode = 'hold back';
         await world.runUntil(9 + FOLLOWED_AFTER_S + 1);
-        serve(world);
+        resumeStore(world);
         await world.run(3);
-        checkBill(world, keptS(world, 9 + FOLLOWED_AFTER_S + 1));
+        checkBill(world, reservedS(world, 9 + FOLLOWED_AFTER_S + 1));
       },
     },
     {
       name: 'the answer to a commit from before is lost, and its record is read back',
-      async play(world) {
+      async run(world) {
         await world.runUntil(9);
         world.wallJumpMs = HOUR_MS;
         await world.runUntil(17.4);
         world.store.mode = 'lose answers';
         await world.runUntil(9 + FOLLOWED_AFTER_S + 1);
-        serve(world);
+        resumeStore(world);
         await world.run(3);
-        checkBill(world, keptS(world, 9 + FOLLOWED_AFTER_S));
+        checkBill(world, reservedS(world, 9 + FOLLOWED_AFTER_S));
       },
     },
     {
       name: 'a request is sent in an outage, after the time of day was set',
-      async play(world) {
+      async run(world) {
         // Planned, and its request named, by then; it is due at 16.4 s.
         await world.runUntil(3.4);
         world.wallJumpMs = HOUR_MS;
@@ -81,34 +81,34 @@
         world.canWrite = false;
         world.store.mode = 'refuse';
         await world.runUntil(3.4 + FOLLOWED_AFTER_S + 5);
-        serve(world);
+        resumeStore(world);
         await world.run(3);
-        checkBill(world, keptS(world, 3.4 + FOLLOWED_AFTER_S + 5));
+        checkBill(world, reservedS(world, 3.4 + FOLLOWED_AFTER_S + 5));
       },
     },
     {
       name: 'a clock is followed back, and a successor whose clock is right takes over',
-      async play(world) {
-        await world.runUntil(BURST_AT + 1);
+      async run(world) {
+        await world.runUntil(BURST_AT_S + 1);
         world.wallJumpMs = -10_000;
         await world.run(FOLLOWED_AFTER_S + 1);
         world.wallJumpMs = 0;
         world.failOver();
-        await world.runUntil(BURST_AT + HOLD_S + 3);
+        await world.runUntil(BURST_AT_S + HOLD_S + 3);
         // Which of the two times of day was right the successor cannot know: 10 s for the whole machine.
-        checkBill(world, keptS(world, BURST_AT + HOLD_S), 10);
+        checkBill(world, reservedS(world, BURST_AT_S + HOLD_S), 10);
       },
     },
     {
       name: 'a clock is followed ahead, and a successor whose clock is right takes over',
-      async play(world) {
-        await world.runUntil(BURST_AT + 1);
+      async run(world) {
+        await world.runUntil(BURST_AT_S + 1);
         world.wallJumpMs = 5000;
         await world.run(FOLLOWED_AFTER_S + 1);
         world.wallJumpMs = 0;
         world.failOver();
-        await world.runUntil(BURST_AT + HOLD_S + 3);
-        checkBill(world, keptS(world, BURST_AT + HOLD_S), 5);
+        await world.runUntil(BURST_AT_S + HOLD_S + 3);
+        checkBill(world, reservedS(world, BURST_AT_S + HOLD_S), 5);
       },
     },
   ]);
--- a/test/warm-pool-times.test.ts
+++ b/test/warm-pool-times.test.ts
@@ -82,19 +82,19 @@
   ]; // prettier-ignore
   for (const [name, boots, leadS] of rows) {
     const times = new LeadTimes();
-    for (const boot of boots) times.noteBoot('g8', 'z1', boot);
-    assert.ok(Math.abs(times.leadS(g8, 'z1', 'i', 2) - leadS) < 1e-9, name);
-    assert.equal(times.leadS(g8, 'z2', 'i', 2), 1.6 + 2 * 1.35, `${name}: another zone`);
+    for (const boot of boots) times.recordBootTime('g8', 'z1', boot);
+    assert.ok(Math.abs(times.leadTimeS(g8, 'z1', 'i', 2) - leadS) < 1e-9, name);
+    assert.equal(times.leadTimeS(g8, 'z2', 'i', 2), 1.6 + 2 * 1.35, `${name}: another zone`);
     // A new leader has them from the store.
     const next = new LeadTimes();
     next.reconcile(
       new Map(times.dueWrites().map(({ key, value }) => [key, { value, revision: 1 }])),
     );
-    assert.equal(next.leadS(g8, 'z1', 'i', 2), times.leadS(g8, 'z1', 'i', 2), name);
+    assert.equal(next.leadTimeS(g8, 'z1', 'i', 2), times.leadTimeS(g8, 'z1', 'i', 2), name);
     assert.deepEqual(next.dueWrites(), [], name);
   }
   const loads = new LeadTimes();
-  for (let i = 0; i < 40; i++) loads.noteLoad('g8', 'z1', `image-${i}`, 5);
+  for (let i = 0; i < 40; i++) loads.recordLoadTime('g8', 'z1', `image-${i}`, 5);
   const { l } = loads.dueWrites()[0]!.value as { l: unknown[] };
   assert.equal(l.length, 32, 'the record stays small');
   assert.equal(quantile([], 0.9), 0);
--- a/test/warm-pools-limits.test.ts
+++ b/test/warm-pools-limits.test.ts
@@ -1,28 +1,34 @@
 /** Budgets, team limits, and what is kept from other work. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BURST_AT, poolText } from './support/warm-pool-world.js';
-import { machinesOf, near, WHOLE, WHOLE_REPLICA, playAll } from './support/warm-pool-cases.js';
+import { BURST_AT_S, poolText } from './support/warm-pool-world.js';
+import {
+  machinesOf,
+  assertNear,
+  WHOLE_MACHINE,
+  WHOLE_MACHINE_REPLICA,
+  runCases,
+} from './support/warm-pool-cases.js';
 
 test('the budget ends in the middle of a burst', async () => {
-  const PER_S = (2 * 10) / 3600;
-  const budget = PER_S * 8;
+  const COST_PER_S = (2 * 10) / 3600;
+  const budget = COST_PER_S * 8;
   const rows: [string, string, RegExp][] = [
     ['release', '', /budget_exhausted/],
     ['keep', 'warm warm', /budget_exhausted/],
     ['alarm', 'warm warm', /budget_exhausted/],
   ];
-  await playAll(
+  await runCases(
     rows.map(([policy, warm, alarm]) => ({
       name: policy,
-      pools: poolText({ ...WHOLE, budget, on_exhausted: policy }),
-      async play(world) {
-        await world.runUntil(BURST_AT + 12);
+      pools: poolText({ ...WHOLE_MACHINE, budget, on_exhausted: policy }),
+      async run(world) {
+        await world.runUntil(BURST_AT_S + 12);
         const open = world.slots().filter(({ state }) => state === 'warm');
         assert.equal(open.map(({ state }) => state).join(' '), warm);
         assert.match(world.alarms(), alarm);
         const money = world.bill().reduce((sum, row) => sum + row.money, 0);
-        if (policy === 'release') near(money, budget, PER_S * 1, 'what was spent');
+        if (policy === 'release') assertNear(money, budget, COST_PER_S * 1, 'what was spent');
         // A dead machine shows whether any is added.
         if (warm === '') return;
         world.cloud.kill(world.cloud.machineIds[0]!);
@@ -35,13 +41,13 @@
 });
 
 test('no more is kept warm than the payer could start', async () => {
-  await playAll([
+  await runCases([
     {
       name: 'a team that uses most of its limit',
       gpusMax: 10,
-      async play(world) {
+      async run(world) {
         world.replicaJob('wk-1', 'other', { gpus: 4 });
-        await world.runUntil(BURST_AT);
+        await world.runUntil(BURST_AT_S);
         assert.equal(world.slots().filter(({ state }) => state === 'warm').length, 1);
         assert.match(world.alarms(), /over_team_limit:tutor \(1 of 2 slots\)/);
       },
@@ -49,8 +55,8 @@
     {
       name: 'it uses more while they are warm: given up once, not to and fro',
       gpusMax: 10,
-      async play(world) {
-        await world.runUntil(BURST_AT);
+      async run(world) {
+        await world.runUntil(BURST_AT_S);
         assert.equal(world.states(), 'warm warm');
         world.replicaJob('wk-1', 'other', { gpus: 4 });
         await world.run(3);
@@ -63,8 +69,8 @@
     {
       name: 'a replica that takes its slot counts once',
       gpusMax: 8,
-      async play(world) {
-        await world.runUntil(BURST_AT);
+      async run(world) {
+        await world.runUntil(BURST_AT_S);
         world.replicaJob('wk-1');
         // Claimed, and not stored yet.
         world.runCycle();
@@ -77,8 +83,8 @@
     {
       name: 'a machine type that the cloud does not have',
       pools: poolText({ types: 'x' }).replace('types = "x"', 'types = ["gone"]'),
-      async play(world) {
-        await world.runUntil(BURST_AT);
+      async run(world) {
+        await world.runUntil(BURST_AT_S);
         assert.match(world.alarms(), /unknown_type:tutor \(gone: none fits\)/);
         assert.equal(world.cloud.machines.size, 0);
       },
@@ -87,7 +93,7 @@
 });
 
 test('what is kept warm is kept from other work', async () => {
-  const array = (id: string, over = {}): object => ({
+  const arrayJob = (id: string, over = {}): object => ({
     ...{
       id,
       tasks: 1,
@@ -100,18 +106,18 @@
       ...over,
     },
   });
-  await playAll([
+  await runCases([
     {
       name: 'other work gets a machine of its own',
-      pools: poolText(WHOLE),
-      async play(world) {
-        await world.runUntil(BURST_AT - 1);
+      pools: poolText(WHOLE_MACHINE),
+      async run(world) {
+        await world.runUntil(BURST_AT_S - 1);
         const warm = world.cloud.machineIds;
-        world.submitJob(array('wk-9', { priority: 1 }));
+        world.submitJob(arrayJob('wk-9', { priority: 1 }));
         await world.run(4);
         assert.equal(world.fleet.running('wk-9'), 1);
         assert.ok(!warm.includes(world.hosts('wk-9')[0]!));
-        world.replicaJob('wk-1', 'tutor-1', { tasks: 2, ...WHOLE_REPLICA });
+        world.replicaJob('wk-1', 'tutor-1', { tasks: 2, ...WHOLE_MACHINE_REPLICA });
         await world.run(1);
         assert.deepEqual(world.hosts('wk-1').sort(), warm);
       },
@@ -119,8 +125,8 @@
     {
       name: 'beside a slot there is capacity for what fits beside all of them',
       pools: poolText({ slots: 1 }),
-      async play(world) {
-        await world.runUntil(BURST_AT);
+      async run(world) {
+        await world.runUntil(BURST_AT_S);
         world.submitJob({ id: 'wk-8', tasks: 1, gpus: 4, cores: 4, priority: 1 });
         await world.run(2);
         assert.deepEqual(world.hosts('wk-8'), ['host-000001']);
@@ -133,8 +139,8 @@
     {
       name: 'replicas go to places of slots, each to one, and not beside them',
       pools: poolText({ slots: 3 }),
-      async play(world) {
-        await world.runUntil(BURST_AT);
+      async run(world) {
+        await world.runUntil(BURST_AT_S);
         assert.equal(world.cloud.machineIds.length, 2);
         world.replicaJob('wk-1', 'tutor-1', { tasks: 3 });
         await world.run(2);
@@ -144,8 +150,8 @@
     {
       name: 'a place that was taken in the same cycle draws no other replica beside it',
       pools: poolText({ cores: 5, gpus: 5 }),
-      async play(world) {
-        await world.runUntil(BURST_AT);
+      async run(world) {
+        await world.runUntil(BURST_AT_S);
         world.replicaJob('wk-1', 'tutor-1', { tasks: 2, cores: 3, gpus: 3 });
         await world.run(2);
         assert.equal(world.states(), 'used used');
@@ -154,9 +160,9 @@
     {
       name: 'a replica that was there before the slot does not use it',
       pools: poolText({ slots: 1 }),
-      async play(world) {
+      async run(world) {
         world.replicaJob('wk-1');
-        await world.runUntil(BURST_AT + 1);
+        await world.runUntil(BURST_AT_S + 1);
         assert.equal(world.states(), 'warm');
         assert.deepEqual(world.hosts('wk-1'), machinesOf(world, 'tutor'), 'beside it');
         world.failOver();
@@ -167,11 +173,11 @@
     {
       name: 'an idle machine with a slot stays longer than any other would',
       pools: poolText({ hold_s: 200 }),
-      async play(world) {
-        await world.runUntil(BURST_AT);
+      async run(world) {
+        await world.runUntil(BURST_AT_S);
         // One too many: that is the one that goes.
         world.fleet.add('host-900000');
-        await world.runUntil(BURST_AT + 150);
+        await world.runUntil(BURST_AT_S + 150);
         assert.equal(world.states(), 'warm warm');
         assert.equal(world.cloud.machines.size, 1);
         assert.deepEqual([...world.fleet.workers.keys()], world.cloud.machineIds);
@@ -180,9 +186,9 @@
     {
       name: 'work whose image would push out that of a slot goes elsewhere',
       pools: poolText({ slots: 1 }),
-      async play(world) {
+      async run(world) {
         world.replicaJob('wk-1');
-        await world.runUntil(BURST_AT);
+        await world.runUntil(BURST_AT_S);
         const [warm] = machinesOf(world, 'tutor');
         world.machine(warm!).noteImage('tutor-1', 1, 100, world.now);
         world.cancel('wk-1');
@@ -214,22 +220,22 @@
     },
     {
       name: 'short best-effort work may borrow it where operators say so',
-      pools: poolText({ ...WHOLE, lend: true }),
-      async play(world) {
-        await world.runUntil(BURST_AT - 1.2);
-        world.submitJob(array('wk-9'));
+      pools: poolText({ ...WHOLE_MACHINE, lend: true }),
+      async run(world) {
+        await world.runUntil(BURST_AT_S - 1.2);
+        world.submitJob(arrayJob('wk-9'));
         await world.run(0.6);
         assert.deepEqual(world.cloud.machineIds.includes(world.hosts('wk-9')[0]!), true);
-        assert.equal(world.cloud.machineIdsOfSlots.length, 2);
+        assert.equal(world.cloud.slotMachineIds.length, 2);
         assert.match(world.states(), /warm warm/);
       },
     },
     {
       name: 'long work may not, since it could not be off it in time',
-      pools: poolText({ ...WHOLE, lend: true }),
-      async play(world) {
-        await world.runUntil(BURST_AT - 1.2);
-        world.submitJob(array('wk-9', { estimateS: 30 }));
+      pools: poolText({ ...WHOLE_MACHINE, lend: true }),
+      async run(world) {
+        await world.runUntil(BURST_AT_S - 1.2);
+        world.submitJob(arrayJob('wk-9', { estimateS: 30 }));
         await world.run(0.6);
         assert.deepEqual(world.hosts('wk-9'), []);
       },
--- a/test/warm-pools-random.test.ts
+++ b/test/warm-pools-random.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { BURST_AT, HOLD_S, WarmPoolWorld, poolText } from './support/warm-pool-world.js';
+import { BURST_AT_S, HOLD_S, WarmPoolWorld, poolText } from './support/warm-pool-world.js';
 
 const RUNS = Number(process.env.WARM_POOLS_RUNS ?? 120);
 const SEED = Number(process.env.WARM_POOLS_SEED ?? 38);
@@ -14,14 +14,14 @@
   poolText({ name: 'b', image: 'b', cores: 8, gpus: 8, mem_gb: 32, slots: 1 });
 
 /** A world in which users are told of cancellations that the leader has not noted. */
-class TroubledWorld extends WarmPoolWorld {
+class FaultWorld extends WarmPoolWorld {
   /** When, by job. */
-  readonly toldUnasked = new Map<string, number>();
+  readonly unnotedCancellations = new Map<string, number>();
 }
 
-type Trouble = (world: TroubledWorld, number: number) => void;
+type Fault = (world: FaultWorld, number: number) => void;
 
-const TROUBLES: Record<string, Trouble> = {
+const FAULTS: Record<string, Fault> = {
   'cloud serves': (world) => void (world.cloud.mode = 'serve'),
   'cloud in trouble': (world) => void (world.cloud.mode = 'trouble'),
   'cloud without machines': (world) => void (world.cloud.mode = 'no capacity'),
@@ -30,11 +30,11 @@
     world.canWrite = false;
     world.store.mode = 'refuse';
   },
-  'store serves': (world) => calm(world),
+  'store serves': (world) => resumeStore(world),
   'store answers lost': (world) => void (world.canWrite && (world.store.mode = 'lose answers')),
   'commits held back': (world) => void (world.canWrite && (world.store.mode = 'hold back')),
   'new leader': (world) => {
-    calm(world);
+    resumeStore(world);
     // A leader that begins with a wrong clock is outside the protocol's bound: docs/warm-pools-design.md.
     world.wallJumpMs = 0;
     world.failOver();
@@ -49,37 +49,37 @@
   'replica goes, the leader cannot be asked': (world, number) => {
     const id = `wk-${100 + number}`;
     world.store.cancel(id);
-    if (!world.toldUnasked.has(id)) world.toldUnasked.set(id, world.now);
+    if (!world.unnotedCancellations.has(id)) world.unnotedCancellations.set(id, world.now);
   },
   'clock jumps': (world) => void (world.wallJumpMs = 3_600_000),
   'clock is right': (world) => void (world.wallJumpMs = 0),
 };
 
-function calm(world: WarmPoolWorld): void {
+function resumeStore(world: WarmPoolWorld): void {
   world.canWrite = true;
   world.store.mode = 'serve';
   world.store.deliverHeldBack();
 }
 
 /** What the store says must hold at any moment. */
-function check(world: TroubledWorld): void {
-  const taken = new Map<string, number>();
+function checkInvariants(world: FaultWorld): void {
+  const shareByMachine = new Map<string, number>();
   for (const slot of world.slots()) {
     if (slot.state === 'renting') assert.ok(slot.request !== null, 'a request without a name');
     if (slot.state !== 'loading' && slot.state !== 'warm') continue;
-    const share = (taken.get(slot.machine!) ?? 0) + slot.share;
-    taken.set(slot.machine!, share);
+    const share = (shareByMachine.get(slot.machine!) ?? 0) + slot.share;
+    shareByMachine.set(slot.machine!, share);
     assert.ok(share <= 1 + 1e-9, `${slot.machine} is kept ${share} times`);
   }
   assert.deepEqual(world.fleet.violations, []);
-  for (const [id, toldAt] of world.toldUnasked) {
+  for (const [id, toldAt] of world.unnotedCancellations) {
     if (world.now <= toldAt + world.settings.workers.cancel_s) continue;
     assert.equal(world.fleet.running(id), 0, `${id} is gone`);
   }
 }
 
 const event = fc.record({
-  what: fc.constantFrom(...Object.keys(TROUBLES)),
+  what: fc.constantFrom(...Object.keys(FAULTS)),
   afterS: fc.integer({ min: 0, max: 20 }).map((n) => n * 0.2),
   number: fc.nat(3),
 });
@@ -106,7 +106,7 @@
  * Found by random runs: an hour was billed that nobody held, where the clock jumps and the store takes the commits
  * later. The slots' changes, and why: warm-pool-clock.test.
  */
-const HOUR_BILLED_THAT_NOBODY_HELD: Event[] = [
+const BILLED_HOUR_NOT_HELD: Event[] = [
   after('clock jumps', 2),
   after('cloud serves', 6.4),
   after('commits held back', 3),
@@ -115,29 +115,29 @@
   after('store refuses', 2.6),
 ];
 
-async function play(events: readonly Event[]): Promise<void> {
-  const world = new TroubledWorld(POOLS);
+async function runEvents(events: readonly Event[]): Promise<void> {
+  const world = new FaultWorld(POOLS);
   await world.runUntil(9);
   for (const { what, afterS, number } of events) {
-    TROUBLES[what]!(world, number);
+    FAULTS[what]!(world, number);
     await world.run(afterS);
-    check(world);
+    checkInvariants(world);
   }
-  calm(world);
+  resumeStore(world);
   world.cloud.mode = 'serve';
   world.wallJumpMs = 0;
   // A jump of the clock that lasted is followed, and followed back.
-  await world.runUntil(Math.max(world.now, BURST_AT + HOLD_S) + 40);
-  check(world);
+  await world.runUntil(Math.max(world.now, BURST_AT_S + HOLD_S) + 40);
+  checkInvariants(world);
   assert.deepEqual(world.slots(), [], 'all slots are over');
-  const lives = [...world.cloud.machines.values()].map(
+  const lifetimesS = [...world.cloud.machines.values()].map(
     ({ addedAt, removedAt }) => (removedAt ?? world.now) - addedAt,
   );
-  const livedS = lives.reduce((sum, s) => sum + s, 0);
+  const totalLifetimeS = lifetimesS.reduce((sum, s) => sum + s, 0);
   for (const row of world.bill()) {
     assert.equal(row.open, 0);
-    const mostS = livedS + row.uncertainS + 1;
-    assert.ok(row.machineS >= 0 && row.machineS <= mostS, `${row.machineS} of ${mostS}`);
+    const maxS = totalLifetimeS + row.uncertainS + 1;
+    assert.ok(row.machineS >= 0 && row.machineS <= maxS, `${row.machineS} of ${maxS}`);
   }
   const own = [...world.cloud.machines.values()].filter((machine) =>
     machine.request.name.includes('warm'),
@@ -147,7 +147,7 @@
 
 test('troubles in any order: nothing is kept twice, all is given up and billed at the end', async () => {
   const events = fc.array(event, { minLength: 4, maxLength: 16 });
-  await fc.assert(fc.asyncProperty(events, play), {
+  await fc.assert(fc.asyncProperty(events, runEvents), {
     seed: SEED,
     numRuns: RUNS,
     interruptAfterTimeLimit: Math.max(60, RUNS) * 1000,
@@ -156,9 +156,9 @@
 });
 
 test('a replica whose cancellation the leader has noted is not started, whatever came before', async () => {
-  await play(REPLICA_STARTED_AFTER_CANCELLATION);
+  await runEvents(REPLICA_STARTED_AFTER_CANCELLATION);
 });
 
 test('a clock that jumps while commits are held back bills no hour that nobody held', async () => {
-  await play(HOUR_BILLED_THAT_NOBODY_HELD);
+  await runEvents(BILLED_HOUR_NOT_HELD);
 });
--- a/test/warm-pools-troubles.test.ts
+++ b/test/warm-pools-troubles.test.ts
@@ -1,24 +1,31 @@
 /** Warm pools in troubles of the cloud, machines, clocks and features files, in injected time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BURST_AT, HOLD_S, WarmPoolWorld, poolText } from './support/warm-pool-world.js';
-import { all, machinesOf, totals, near, WHOLE, playAll } from './support/warm-pool-cases.js';
+import { BURST_AT_S, HOLD_S, WarmPoolWorld, poolText } from './support/warm-pool-world.js';
+import {
+  allStates,
+  machinesOf,
+  billTotals,
+  assertNear,
+  WHOLE_MACHINE,
+  runCases,
+} from './support/warm-pool-cases.js';
 
 test('troubles of the cloud and of machines just before the burst', async () => {
-  await playAll([
+  await runCases([
     {
       name: 'an outage of the cloud over the lead time',
-      async play(world) {
+      async run(world) {
         await world.runUntil(10);
         world.cloud.mode = 'trouble';
-        await world.runUntil(BURST_AT + 2);
+        await world.runUntil(BURST_AT_S + 2);
         assert.match(world.alarms(), /late:tutor \(0 of 2 warm\)/);
         world.cloud.mode = 'serve';
         await world.run(10);
         assert.equal(world.states(), 'warm warm');
         assert.equal(world.cloud.machines.size, 1);
-        near(
-          totals(world).machineS,
+        assertNear(
+          billTotals(world).machineS,
           world.now - world.cloud.machines.get('host-000001')!.addedAt,
           1,
           'paid',
@@ -27,9 +34,9 @@
     },
     {
       name: 'no capacity for a while',
-      async play(world) {
+      async run(world) {
         world.cloud.mode = 'no capacity';
-        await world.runUntil(BURST_AT);
+        await world.runUntil(BURST_AT_S);
         assert.match(world.alarms(), /no_capacity:tutor/);
         world.cloud.mode = 'serve';
         await world.run(10);
@@ -39,24 +46,29 @@
     },
     {
       name: 'the machine dies',
-      async play(world) {
-        await world.runUntil(BURST_AT - 0.6);
+      async run(world) {
+        await world.runUntil(BURST_AT_S - 0.6);
         world.cloud.kill('host-000001');
         await world.run(10);
         assert.equal(world.states(), 'lost lost warm warm');
         assert.deepEqual(machinesOf(world, 'tutor'), ['host-000001', 'host-000002']);
         const lost = world.slots().filter(({ state }) => state === 'lost');
         for (const { held } of lost) {
-          near(held!.toMs! / 1000 - 1e6, BURST_AT - 0.6, 0.5, 'paid until it was heard last');
+          assertNear(
+            held!.toMs! / 1000 - 1e6,
+            BURST_AT_S - 0.6,
+            0.5,
+            'paid until it was heard last',
+          );
           assert.ok(held!.uncertainMs > 0, 'and marked');
         }
       },
     },
     {
       name: 'a machine that never comes',
-      async play(world) {
+      async run(world) {
         world.cloud.bootS = 1e9;
-        await world.runUntil(BURST_AT + 12);
+        await world.runUntil(BURST_AT_S + 12);
         assert.equal(world.states(), 'loading loading lost lost');
         world.cloud.bootS = 1;
         await world.run(3);
@@ -65,17 +77,17 @@
     },
     {
       name: 'a boot that takes several times as long as nominal',
-      async play(world) {
+      async run(world) {
         world.cloud.bootS = 9;
-        await world.runUntil(BURST_AT + 8);
+        await world.runUntil(BURST_AT_S + 8);
         assert.equal(world.states(), 'warm warm');
         assert.equal(world.cloud.machines.size, 1, 'nothing is rented in its place');
       },
     },
     {
       name: 'a notice that the machine is taken away',
-      async play(world) {
-        await world.runUntil(BURST_AT - 1);
+      async run(world) {
+        await world.runUntil(BURST_AT_S - 1);
         world.worker('host-000001').reclaimNoticeS = 30;
         await world.run(6);
         assert.equal(world.states(), 'lost lost warm warm');
@@ -83,8 +95,8 @@
     },
     {
       name: 'its zone is cut off: it may be alive there',
-      async play(world) {
-        await world.runUntil(BURST_AT - 1);
+      async run(world) {
+        await world.runUntil(BURST_AT_S - 1);
         world.zoneRenewal = { keptUntil: Infinity, provenAt: Infinity };
         const worker = world.worker('host-000001');
         worker.mute = true;
@@ -99,9 +111,9 @@
     },
     {
       name: 'machines that die one after the other: at some point no more are added',
-      async play(world) {
+      async run(world) {
         for (let i = 0; i < 60; i++) {
-          await world.runUntil(BURST_AT - 2 + i * 0.4);
+          await world.runUntil(BURST_AT_S - 2 + i * 0.4);
           for (const id of world.fleet.workers.keys()) world.cloud.kill(id);
         }
         assert.ok(world.cloud.machines.size <= 4, `${world.cloud.machines.size} machines`);
@@ -111,23 +123,23 @@
 });
 
 test('clocks that jump neither begin a burst nor end one, nor repeat it', async () => {
-  await playAll([
+  await runCases([
     {
       name: 'an hour ahead for a moment',
-      async play(world) {
+      async run(world) {
         await world.runUntil(5);
-        world.wallJumpMs = (BURST_AT - 5) * 1000;
+        world.wallJumpMs = (BURST_AT_S - 5) * 1000;
         await world.run(3);
-        assert.equal(all(world), '');
+        assert.equal(allStates(world), '');
         world.wallJumpMs = 0;
-        await world.runUntil(BURST_AT);
+        await world.runUntil(BURST_AT_S);
         assert.equal(world.states(), 'warm warm');
       },
     },
     {
       name: 'back for a moment, while warm',
-      async play(world) {
-        await world.runUntil(BURST_AT + 1);
+      async run(world) {
+        await world.runUntil(BURST_AT_S + 1);
         world.wallJumpMs = -3600e3;
         await world.run(2);
         assert.equal(world.states(), 'warm warm');
@@ -139,33 +151,33 @@
     },
     {
       name: 'back for good, after the burst is billed: it is not played again',
-      async play(world) {
-        await world.runUntil(BURST_AT + HOLD_S + 3);
-        const before = totals(world);
+      async run(world) {
+        await world.runUntil(BURST_AT_S + HOLD_S + 3);
+        const before = billTotals(world);
         world.wallJumpMs = -(HOLD_S + 5) * 1000;
         await world.run(60);
-        assert.equal(totals(world).slots, before.slots);
-        near(totals(world).machineS, before.machineS, 1e-6, 'the bill');
+        assert.equal(billTotals(world).slots, before.slots);
+        assertNear(billTotals(world).machineS, before.machineS, 1e-6, 'the bill');
       },
     },
     {
       name: 'an hour ahead for good, while warm: that hour is not billed',
-      async play(world) {
-        await world.runUntil(BURST_AT + 1);
+      async run(world) {
+        await world.runUntil(BURST_AT_S + 1);
         world.wallJumpMs = 3_600_000;
         await world.run(20);
-        assert.equal(all(world), '', 'the burst is over by the clock that counts now');
+        assert.equal(allStates(world), '', 'the burst is over by the clock that counts now');
         const { addedAt } = [...world.cloud.machines.values()][0]!;
-        near(totals(world).machineS, BURST_AT + 13 - addedAt, 2, 'machine-seconds');
+        assertNear(billTotals(world).machineS, BURST_AT_S + 13 - addedAt, 2, 'machine-seconds');
       },
     },
     {
       name: 'another leader whose clock is within the bound',
-      async play(world) {
+      async run(world) {
         await world.runUntil(18);
         world.wallJumpMs = 100;
         world.failOver();
-        await world.runUntil(BURST_AT);
+        await world.runUntil(BURST_AT_S);
         assert.equal(world.states(), 'warm warm');
         assert.equal(world.cloud.machines.size, 1);
       },
@@ -179,11 +191,11 @@
     ['fewer slots', poolText({ slots: 1 }), 'released warm', /fewer/],
     ['the same', poolText(), 'warm warm', /null/],
   ]; // prettier-ignore
-  await playAll(
+  await runCases(
     changes.map(([name, text, states, reason]) => ({
       name,
-      async play(world) {
-        await world.runUntil(BURST_AT + 1);
+      async run(world) {
+        await world.runUntil(BURST_AT_S + 1);
         world.declare(text);
         world.failOver();
         await world.run(3);
@@ -195,8 +207,8 @@
 });
 
 test('a leader without pools takes over, and one with pools after it', async () => {
-  const world = new WarmPoolWorld(poolText(WHOLE));
-  await world.runUntil(BURST_AT + 1);
+  const world = new WarmPoolWorld(poolText(WHOLE_MACHINE));
+  await world.runUntil(BURST_AT_S + 1);
   world.declare(null);
   world.failOver();
   // The machines are as any others to it.
@@ -204,7 +216,7 @@
   await world.run(3);
   assert.equal(world.fleet.running('wk-9'), 1);
   assert.equal(world.states(), 'warm warm', 'the records stay');
-  world.declare(poolText(WHOLE));
+  world.declare(poolText(WHOLE_MACHINE));
   world.failOver();
   await world.run(5);
   assert.match(world.states(), /^lost /, 'the place that was taken is looked for anew');
--- a/test/warm-pools.test.ts
+++ b/test/warm-pools.test.ts
@@ -1,23 +1,23 @@
 /** Warm pools through bursts and troubles, in injected time: leader, store, cloud and workers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BURST_AT, HOLD_S, WarmPoolWorld, poolText } from './support/warm-pool-world.js';
+import { BURST_AT_S, HOLD_S, WarmPoolWorld, poolText } from './support/warm-pool-world.js';
 import {
-  all,
+  allStates,
   machinesOf,
-  totals,
-  near,
-  WHOLE,
-  playAll,
+  billTotals,
+  assertNear,
+  WHOLE_MACHINE,
+  runCases,
   type Case,
 } from './support/warm-pool-cases.js';
 
 test('a burst comes as declared, early, late, twice as large, or not at all', async () => {
-  await playAll([
+  await runCases([
     {
       name: 'as declared',
-      async play(world) {
-        await world.runUntil(BURST_AT - 0.4);
+      async run(world) {
+        await world.runUntil(BURST_AT_S - 0.4);
         assert.equal(world.states(), 'warm warm');
         const warm = world.cloud.machineIds;
         assert.equal(warm.length, 1, 'both fit on one machine');
@@ -26,28 +26,28 @@
         assert.deepEqual(world.hosts('wk-1'), warm);
         await world.run(0.6);
         assert.equal(world.states(), 'used used');
-        await world.runUntil(BURST_AT + HOLD_S + 2);
-        assert.equal(all(world), '', 'all is in the bill');
+        await world.runUntil(BURST_AT_S + HOLD_S + 2);
+        assert.equal(allStates(world), '', 'all is in the bill');
         assert.deepEqual([world.bill()[0]!.slots, world.bill()[0]!.used], [2, 2]);
       },
     },
     {
       name: 'early, while the machine boots',
-      async play(world) {
+      async run(world) {
         world.cloud.bootS = 2;
-        await world.runUntil(BURST_AT - 3);
+        await world.runUntil(BURST_AT_S - 3);
         assert.equal(world.states(), 'loading loading');
         world.replicaJob('wk-1');
         await world.run(5);
         assert.deepEqual(world.hosts('wk-1'), machinesOf(world, 'tutor'));
-        assert.deepEqual(world.cloud.machineIdsOfSlots, machinesOf(world, 'tutor'));
+        assert.deepEqual(world.cloud.slotMachineIds, machinesOf(world, 'tutor'));
         assert.equal(world.states(), 'used warm');
       },
     },
     {
       name: 'late',
-      async play(world) {
-        await world.runUntil(BURST_AT + HOLD_S * 0.8);
+      async run(world) {
+        await world.runUntil(BURST_AT_S + HOLD_S * 0.8);
         assert.equal(world.states(), 'warm warm');
         world.replicaJob('wk-1');
         await world.run(1);
@@ -57,8 +57,8 @@
     {
       name: 'twice as large, with refills',
       pools: poolText({ refills: 2 }),
-      async play(world) {
-        await world.runUntil(BURST_AT);
+      async run(world) {
+        await world.runUntil(BURST_AT_S);
         world.replicaJob('wk-1', 'tutor-1', { tasks: 2 });
         await world.run(6);
         assert.equal(world.states(), 'used used warm warm', 'made up for while it goes on');
@@ -70,23 +70,23 @@
     },
     {
       name: 'not at all: given back once, and paid for until it was given up',
-      pools: poolText(WHOLE),
-      async play(world) {
-        await world.runUntil(BURST_AT + HOLD_S + 60);
-        assert.equal(all(world), '');
+      pools: poolText(WHOLE_MACHINE),
+      async run(world) {
+        await world.runUntil(BURST_AT_S + HOLD_S + 60);
+        assert.equal(allStates(world), '');
         assert.deepEqual(world.cloud.machineIds, []);
         assert.equal(world.cloud.machines.size, 2, 'nothing was rented twice');
-        const reckoned = [...world.cloud.machines.values()].map(
-          ({ addedAt }) => BURST_AT + HOLD_S - addedAt,
+        const expectedS = [...world.cloud.machines.values()].map(
+          ({ addedAt }) => BURST_AT_S + HOLD_S - addedAt,
         );
-        near(totals(world).machineS, reckoned[0]! + reckoned[1]!, 1, 'machine-seconds');
+        assertNear(billTotals(world).machineS, expectedS[0]! + expectedS[1]!, 1, 'machine-seconds');
       },
     },
     {
       name: 'its replicas are cancelled: what was used stays used, and is billed once',
       pools: poolText({ refills: 1 }),
-      async play(world) {
-        await world.runUntil(BURST_AT);
+      async run(world) {
+        await world.runUntil(BURST_AT_S);
         world.replicaJob('wk-1');
         await world.run(2);
         world.cancel('wk-1');
@@ -100,7 +100,7 @@
 
 test('two pools want the last machine: precedence, then the earlier burst, then the name', async () => {
   const pool = (name: string, over: Record<string, string | number> = {}): string =>
-    poolText({ ...WHOLE, name, image: name, slots: 1, ...over });
+    poolText({ ...WHOLE_MACHINE, name, image: name, slots: 1, ...over });
   const earlier = { schedule: '58 46 13 * * *' };
   const rows: [string, string, string, string][] = [
     ['precedence', pool('b', { precedence: 1 }), pool('a'), 'b'],
@@ -108,14 +108,14 @@
     ['the earlier burst', pool('b', earlier), pool('a'), 'b'],
     ['the name', pool('b'), pool('a'), 'a'],
   ];
-  await playAll(
+  await runCases(
     rows.map(([name, one, other, winner]) => ({
       name,
       pools: one + other,
-      async play(world) {
-        world.cloud.left = 1;
+      async run(world) {
+        world.cloud.remainingMachines = 1;
         const loser = winner === 'a' ? 'b' : 'a';
-        await world.runUntil(BURST_AT);
+        await world.runUntil(BURST_AT_S);
         const held = (): string[] =>
           world.slots().flatMap((slot) => (slot.state === 'warm' ? [slot.pool] : []));
         assert.deepEqual(held(), [winner]);
@@ -140,42 +140,42 @@
     for (const mode of ['serve', 'lose answers'] as const) {
       cases.push({
         name: `at ${at.toFixed(1)}, answers: ${mode}`,
-        async play(world) {
+        async run(world) {
           world.cloud.mode = mode;
           await world.runUntil(at);
           world.failOver();
           world.cloud.mode = 'serve';
-          await world.runUntil(Math.max(BURST_AT, at + 5));
+          await world.runUntil(Math.max(BURST_AT_S, at + 5));
           assert.equal(world.cloud.machines.size, 1);
           assert.equal(world.states(), 'warm warm');
           assert.deepEqual(machinesOf(world, 'tutor'), world.cloud.machineIds);
-          await world.runUntil(BURST_AT + HOLD_S + 3);
+          await world.runUntil(BURST_AT_S + HOLD_S + 3);
           const { addedAt } = [...world.cloud.machines.values()][0]!;
-          const { machineS, uncertainS } = totals(world);
-          near(machineS, BURST_AT + HOLD_S - addedAt, 1 + uncertainS, 'machine-seconds');
+          const { machineS, uncertainS } = billTotals(world);
+          assertNear(machineS, BURST_AT_S + HOLD_S - addedAt, 1 + uncertainS, 'machine-seconds');
         },
       });
     }
   }
-  await playAll(cases);
+  await runCases(cases);
 });
 
 test('a leader that froze between its check and its call adds nothing more', async () => {
   const world = new WarmPoolWorld();
-  const late: (() => void)[] = [];
-  const rent = world.cloud.scaleOut.bind(world.cloud);
+  const delayedCalls: (() => void)[] = [];
+  const scaleOut = world.cloud.scaleOut.bind(world.cloud);
   world.cloud.scaleOut = (request) => {
     // The first call goes out only once another controller leads; its sender never hears of it.
-    if (world.cloud.calls++ > 0) return rent(request);
-    late.push(() => void rent(request));
+    if (world.cloud.calls++ > 0) return scaleOut(request);
+    delayedCalls.push(() => void scaleOut(request));
     return Promise.resolve({ how: 'unknown' });
   };
   await world.runUntil(17);
-  assert.equal(late.length, 1);
+  assert.equal(delayedCalls.length, 1);
   const old = world.leader;
   world.failOver();
-  await world.runUntil(BURST_AT);
-  for (const call of late) call();
+  await world.runUntil(BURST_AT_S);
+  for (const call of delayedCalls) call();
   old.tick();
   await world.run(3);
   assert.equal(world.cloud.machines.size, 1, 'the same request, the same machine');
@@ -192,7 +192,7 @@
   const before = world.slots();
   world.store.deliverHeldBack();
   assert.deepEqual(world.slots(), before);
-  await world.runUntil(BURST_AT);
+  await world.runUntil(BURST_AT_S);
   assert.equal(world.states(), 'warm warm');
   assert.equal(world.cloud.machines.size, 1);
 });
@@ -204,18 +204,18 @@
     world.store.mode = 'refuse';
     await world.runUntil(to);
   };
-  const over = (world: WarmPoolWorld): void => {
+  const endOutage = (world: WarmPoolWorld): void => {
     world.canWrite = true;
     world.store.mode = 'serve';
   };
-  await playAll([
+  await runCases([
     {
       name: 'requests that were named before go out in it, once',
-      async play(world) {
-        await outage(world, 14, BURST_AT + 1);
+      async run(world) {
+        await outage(world, 14, BURST_AT_S + 1);
         assert.equal(world.cloud.machineIds.length, 1, 'rented in the outage');
-        assert.ok(world.cloud.machines.get(world.cloud.machineIds[0]!)!.addedAt < BURST_AT - 2);
-        over(world);
+        assert.ok(world.cloud.machines.get(world.cloud.machineIds[0]!)!.addedAt < BURST_AT_S - 2);
+        endOutage(world);
         await world.run(1.5);
         assert.equal(world.states(), 'warm warm');
         assert.equal(world.cloud.machines.size, 1);
@@ -223,34 +223,37 @@
     },
     {
       name: 'the leader ends in it: its successor asks for the same machines',
-      async play(world) {
-        await outage(world, 14, BURST_AT + 1);
-        over(world);
+      async run(world) {
+        await outage(world, 14, BURST_AT_S + 1);
+        endOutage(world);
         world.failOver();
         await world.run(4);
         assert.equal(world.cloud.machines.size, 1);
         assert.equal(world.states(), 'warm warm');
-        assert.ok(totals(world).uncertainS > 0, 'when it was rented is not known to the successor');
+        assert.ok(
+          billTotals(world).uncertainS > 0,
+          'when it was rented is not known to the successor',
+        );
       },
     },
     {
       name: 'the pool is removed after it: what was added is not forgotten, and paid for',
-      async play(world) {
-        await outage(world, 14, BURST_AT + 1);
-        over(world);
+      async run(world) {
+        await outage(world, 14, BURST_AT_S + 1);
+        endOutage(world);
         world.declare(poolText({ name: 'other', image: 'x', schedule: '0 0 1 1 *' }));
         world.failOver();
         await world.run(5);
         assert.equal(world.cloud.machines.size, 1);
-        assert.ok(totals(world).machineS > 0 && totals(world).open === 0);
+        assert.ok(billTotals(world).machineS > 0 && billTotals(world).open === 0);
       },
     },
     {
       name: 'nothing was named: nothing is added on no evidence, and it is late',
-      async play(world) {
-        await outage(world, 8, BURST_AT + 1);
+      async run(world) {
+        await outage(world, 8, BURST_AT_S + 1);
         assert.equal(world.cloud.calls, 0);
-        over(world);
+        endOutage(world);
         await world.run(1);
         assert.match(world.alarms(), /late:tutor/);
         await world.run(4);
--- a/test/warm-slots.test.ts
+++ b/test/warm-slots.test.ts
@@ -5,7 +5,7 @@
 import { Bill, billDays, slotTotals } from '../src/warm-pools/bill.js';
 import {
   bestCapacity,
-  cheapestPlace,
+  cheapestTarget,
   slotShare,
   slotsPerMachine,
 } from '../src/warm-pools/machine-choice.js';
@@ -20,7 +20,7 @@
   type SlotEvent,
   type SlotState,
 } from '../src/warm-pools/slot.js';
-import { shareOut } from '../src/warm-pools/slot-scale-out.js';
+import { distributeMachines } from '../src/warm-pools/slot-scale-out.js';
 import { SlotTable } from '../src/warm-pools/slot-table.js';
 import { IllegalTransitionError } from '../src/illegal-transition.js';
 import type { OwnedRecord, OwnedWrite } from '../src/subsystems/subsystem.js';
@@ -32,17 +32,17 @@
 import { fake } from './support/fake.js';
 
 const BURST_MS = Date.parse('2026-12-02T03:00:00Z');
-const planned = (index = 0): Slot =>
+const plannedSlotAt = (index = 0): Slot =>
   plannedSlot({ pool: 'tutor', burstMs: BURST_MS, index, team: 't', sendFromMs: BURST_MS - 9000 });
 const REQUEST = { name: 'r', type: 'g8', zone: 'z1', count: 1, position: 0 };
-const PLACE = { machine: 'm', share: 0.5, pricePerHour: 10, beside: ['wk-1/0#3'] };
+const ASSIGNMENT = { machine: 'm', share: 0.5, pricePerHour: 10, beside: ['wk-1/0#3'] };
 
 const EVENTS: SlotEvent[] = [
   { kind: 'request-named', request: REQUEST },
   { kind: 'request-due' },
   { kind: 'request-refused' },
-  { kind: 'added', place: PLACE, atMs: 1000, uncertainMs: 5 },
-  { kind: 'adopted', place: PLACE, atMs: 1000 },
+  { kind: 'added', place: ASSIGNMENT, atMs: 1000, uncertainMs: 5 },
+  { kind: 'adopted', place: ASSIGNMENT, atMs: 1000 },
   { kind: 'loaded', atMs: 2000 },
   { kind: 'clock-set', byMs: 500 },
   { kind: 'used', task: 'wk-2/0#1', atMs: 3000, uncertainMs: 4 },
@@ -52,7 +52,7 @@
 ];
 
 function slotIn(state: SlotState): Slot {
-  const named = advanceSlot(planned(), EVENTS[0]!);
+  const named = advanceSlot(plannedSlotAt(), EVENTS[0]!);
   const renting = advanceSlot(named, EVENTS[1]!);
   const loading = advanceSlot(renting, EVENTS[3]!);
   const states: Record<SlotState, () => Slot> = {
@@ -68,10 +68,10 @@
 }
 
 /** Held, and by so much the time of day was set since. */
-const clockSet = (byMs: number): Slot =>
+const withClockSet = (byMs: number): Slot =>
   advanceSlot(slotIn('loading'), { kind: 'clock-set', byMs });
-const takenOver = (byMs: number): Slot =>
-  advanceSlot(clockSet(byMs), { kind: 'taken-over', atMs: 5000 });
+const withNewTerm = (byMs: number): Slot =>
+  advanceSlot(withClockSet(byMs), { kind: 'taken-over', atMs: 5000 });
 
 test('every state meets the events that it may, and no other', () => {
   const table: Record<SlotState, Partial<Record<SlotEvent['kind'], SlotState>>> = {
@@ -96,7 +96,7 @@
       assert.deepEqual(decodeSlot(JSON.parse(JSON.stringify(encodeSlot(next)))), next, name);
     }
   }
-  assert.throws(() => advanceSlot(planned(), EVENTS[1]!), IllegalTransitionError, 'no name');
+  assert.throws(() => advanceSlot(plannedSlotAt(), EVENTS[1]!), IllegalTransitionError, 'no name');
   assert.equal(decodeSlot({ p: 'x' }), null);
 });
 
@@ -106,12 +106,12 @@
     ['renting', slotIn('renting'), 0, 0],
     ['loading', slotIn('loading'), 4.5, 0.005],
     ['used', slotIn('used'), 1, 0.009],
-    ['the clock was set', clockSet(3_600_000), 4.5, 0.005],
-    ['the clock was set back', clockSet(-3_600_000), 4.5, 0.005],
-    ['set an hour ahead, and taken over by a clock that can agree only with the one before', takenOver(3_600_000), 4.5, 0.005],
-    ['set an hour back, and taken over: the shorter one counts', takenOver(-3_600_000), 4.5, 3600.005],
-    ['set two seconds ahead, and taken over: the shorter one counts', takenOver(2000), 3.5, 2.005],
-    ['set and ended', advanceSlot(clockSet(3_600_000), EVENTS[9]!), 1, 0.012],
+    ['the clock was set', withClockSet(3_600_000), 4.5, 0.005],
+    ['the clock was set back', withClockSet(-3_600_000), 4.5, 0.005],
+    ['set an hour ahead, and taken over by a clock that can agree only with the one before', withNewTerm(3_600_000), 4.5, 0.005],
+    ['set an hour back, and taken over: the shorter one counts', withNewTerm(-3_600_000), 4.5, 3600.005],
+    ['set two seconds ahead, and taken over: the shorter one counts', withNewTerm(2000), 3.5, 2.005],
+    ['set and ended', advanceSlot(withClockSet(3_600_000), EVENTS[9]!), 1, 0.012],
     ['lost', slotIn('lost'), 1, 0.012],
     ['ended before it began', advanceSlot(slotIn('loading'), { kind: 'released', reason: '', atMs: 400 }), 0, 0.605],
   ]; // prettier-ignore
@@ -143,7 +143,7 @@
     inZone: [string, number][] = [],
   ): string => {
     const isShort = (type: string, zone: string): boolean => short.includes(`${type} ${zone}`);
-    const found = cheapestPlace({ ...pool, ...over }, known, isShort, new Map(inZone));
+    const found = cheapestTarget({ ...pool, ...over }, known, isShort, new Map(inZone));
     return found === null ? 'none' : `${found.type.name} ${found.zone}`;
   };
   const rows: [string, string, string][] = [
@@ -156,25 +156,25 @@
     ['nothing that fits', place({ shape: { ...shape, gpus: 9 } }), 'none'],
   ]; // prettier-ignore
   for (const [name, got, want] of rows) assert.equal(got, want, name);
-  const room = (id: string, over: Partial<FreeCapacity> = {}): FreeCapacity => ({
+  const capacityOf = (id: string, over: Partial<FreeCapacity> = {}): FreeCapacity => ({
     ...emptyMachineCapacity(id, g8, 'z1', false),
     ...over,
   });
   const capacities = [
-    room('spot', { spot: true, gpus: 4 }),
-    room('empty'),
-    room('fuller', { gpus: 4 }),
-    room('full', { gpus: 3 }),
-    room('barred', { gpus: 4 }),
+    capacityOf('spot', { spot: true, gpus: 4 }),
+    capacityOf('empty'),
+    capacityOf('fuller', { gpus: 4 }),
+    capacityOf('full', { gpus: 3 }),
+    capacityOf('barred', { gpus: 4 }),
   ];
   const best = (more: typeof capacities): string | undefined =>
     bestCapacity(pool, [...capacities, ...more], ({ id }) => id !== 'barred')?.id;
   assert.equal(best([]), 'fuller');
-  assert.equal(best([room('cached', { imageDelayS: () => 0 })]), 'cached');
+  assert.equal(best([capacityOf('cached', { imageDelayS: () => 0 })]), 'cached');
 });
 
 test('slots share the machines of a request', () => {
-  const requests = shareOut(5, 2, { name: 'r', type: 'g8', zone: 'z1' });
+  const requests = distributeMachines(5, 2, { name: 'r', type: 'g8', zone: 'z1' });
   assert.deepEqual(
     requests.map(({ position }) => position),
     [0, 0, 1, 1, 2],
@@ -183,12 +183,12 @@
 });
 
 /** A store that may carry a write out without an answer, or not at all. */
-class Records {
+class InMemoryStore {
   revision = 0;
   readonly all = new Map<string, OwnedRecord>();
 
   /** A write is carried out if its preconditions hold. */
-  carryOut(write: OwnedWrite): number | null {
+  apply(write: OwnedWrite): number | null {
     const changes = [write, ...write.alsoChanges];
     const fits = changes.every(
       (change) => (this.all.get(change.key)?.revision ?? 0) === change.revision,
@@ -203,16 +203,16 @@
   }
 
   /** The fate of one write. */
-  commit(write: OwnedWrite, fate: 'served' | 'answer lost' | 'request lost' | 'refused'): void {
-    if (fate === 'refused') return;
-    const revision = fate === 'request lost' ? null : this.carryOut(write);
-    if (revision !== null && fate === 'served') write.stored(revision);
+  commit(write: OwnedWrite, outcome: 'served' | 'answer lost' | 'request lost' | 'refused'): void {
+    if (outcome === 'refused') return;
+    const revision = outcome === 'request lost' ? null : this.apply(write);
+    if (revision !== null && outcome === 'served') write.stored(revision);
     else write.readBack(this.all.get(write.key) ?? null);
   }
 }
 
 test('whatever becomes of commits and leaders, every second is in the bill once', () => {
-  const fate = fc.constantFrom(
+  const outcome = fc.constantFrom(
     'served',
     'answer lost',
     'request lost',
@@ -223,20 +223,20 @@
   fc.assert(
     fc.property(
       ends,
-      fc.array(fate, { maxLength: 60 }),
+      fc.array(outcome, { maxLength: 60 }),
       fc.integer({ min: 1, max: 5 }),
-      (seconds, fates, size) => {
-        const store = new Records();
+      (seconds, outcomes, size) => {
+        const store = new InMemoryStore();
         let expected = 0;
         for (const [index, s] of seconds.entries()) {
-          const loading = advanceSlot(planned(index), {
+          const loading = advanceSlot(plannedSlotAt(index), {
             kind: 'adopted',
-            place: PLACE,
+            place: ASSIGNMENT,
             atMs: BURST_MS,
           });
           const atMs = BURST_MS + s * 1000;
           const ended = advanceSlot(loading, { kind: 'released', reason: '', atMs });
-          store.carryOut(
+          store.apply(
             fake<OwnedWrite>({
               key: slotKey(ended),
               revision: 0,
@@ -244,7 +244,7 @@
               alsoChanges: [],
             }),
           );
-          expected += s * PLACE.share;
+          expected += s * ASSIGNMENT.share;
         }
         const leader = (): { table: SlotTable; bill: Bill } => {
           const table = new SlotTable();
@@ -253,7 +253,7 @@
           bill.reconcile(store.all);
           return { table, bill };
         };
-        const inAll = (): number => {
+        const totalMachineS = (): number => {
           let sum = billDays(store.all).reduce((s, day) => s + day.machineS, 0);
           for (const { value } of store.all.values()) {
             const slot = decodeSlot(value);
@@ -263,30 +263,34 @@
         };
         let now = leader();
         const due = (): OwnedWrite[] => now.bill.dueWrites(now.table, () => true, BURST_MS);
-        for (const how of fates) {
+        for (const how of outcomes) {
           if (how === 'new leader') now = leader();
           else for (const write of due().slice(0, 1)) store.commit(write, how);
-          assert.ok(Math.abs(inAll() - expected) < 1e-6);
+          assert.ok(Math.abs(totalMachineS() - expected) < 1e-6);
         }
         now = leader();
         for (let i = 0; i < 20; i++) for (const write of due()) store.commit(write, 'served');
-        assert.ok(Math.abs(inAll() - expected) < 1e-6);
+        assert.ok(Math.abs(totalMachineS() - expected) < 1e-6);
         assert.deepEqual([...store.all.keys()], [`bill/tutor/2026-12-02/t`]);
-        assert.equal(now.bill.throughMs('tutor'), BURST_MS);
+        assert.equal(now.bill.lastBilledBurstMs('tutor'), BURST_MS);
       },
     ),
   );
 });
 
 test('a burst goes into the bill only when all of it is over, and old days go', () => {
-  const store = new Records();
-  const open = advanceSlot(planned(0), { kind: 'adopted', place: PLACE, atMs: BURST_MS });
+  const store = new InMemoryStore();
+  const open = advanceSlot(plannedSlotAt(0), {
+    kind: 'adopted',
+    place: ASSIGNMENT,
+    atMs: BURST_MS,
+  });
   const ended = advanceSlot(
     { ...open, index: 1 },
     { kind: 'released', reason: '', atMs: BURST_MS },
   );
   for (const slot of [open, ended]) {
-    store.carryOut(
+    store.apply(
       fake<OwnedWrite>({
         key: slotKey(slot),
         revision: 0,
@@ -321,10 +325,10 @@
 });
 
 test('changes that come while one is on its way go out with the next; what the store has counts', () => {
-  const store = new Records();
+  const store = new InMemoryStore();
   const table = new SlotTable();
-  const entry = table.add(planned());
-  assert.equal(table.add(planned()), entry, 'added once');
+  const entry = table.add(plannedSlotAt());
+  assert.equal(table.add(plannedSlotAt()), entry, 'added once');
   const [first] = table.dueWrites();
   table.apply(entry, { kind: 'request-named', request: REQUEST });
   store.commit(first!, 'served');
@@ -336,7 +340,7 @@
   // Another leader's change, which a commit of this one meets.
   table.apply(entry, { kind: 'request-due' });
   const other = advanceSlot(entry.stored!, { kind: 'released', reason: 'x', atMs: 0 });
-  store.carryOut({ ...second!, revision: store.revision, value: encodeSlot(other) });
+  store.apply({ ...second!, revision: store.revision, value: encodeSlot(other) });
   store.commit(table.dueWrites()[0]!, 'served');
   assert.equal(table.get(entry.id)!.current.state, 'released');
   assert.deepEqual(table.dueWrites(), []);
