--- a/src/warm-pools/alarms.ts
+++ b/src/warm-pools/alarms.ts
@@ -1,10 +1,10 @@
-/** What operators should know of pools. */
+/** Alarms of warm pools for operators. */
 
 import type { Log } from '../log.js';
 
-/** What operators are alarmed of. */
+/** Kinds of alarms. */
 export type AlarmKind =
-  /** No machine type of the cloud fits the pool. */
+  /** No machine type that the pool allows fits its slots. */
   | 'unknown_type'
   /** The cloud has no machine for the pool at present. */
   | 'no_capacity'
@@ -12,11 +12,11 @@
   | 'late'
   /** The budget of the period is spent. */
   | 'budget_exhausted'
-  /** The team's limit leaves no room for all slots. */
+  /** The team's limit does not allow all slots. */
   | 'over_team_limit'
-  /** So many slots of a burst were lost that no more are prepared. */
+  /** So many slots of a burst were lost that no more are added. */
   | 'too_many_losses'
-  /** The machine's clock shows another time than the one that counts. */
+  /** The machine's clock differs from the time of day that the controller uses. */
   | 'clock_jump';
 
 interface Alarm {
@@ -25,19 +25,19 @@
   detail: string;
 }
 
-/** Alarms that hold now. Each is logged when it begins and when it ends. */
+/** The active alarms. Each one is logged when it begins and when it ends. */
 export class Alarms {
   private current = new Map<string, Alarm>();
   private next = new Map<string, Alarm>();
 
   constructor(private readonly log: Log) {}
 
-  /** Within a round: what holds. What is not raised again in the next round has ended. */
+  /** Raises an alarm in the current round. An alarm that is not raised again in the next round has ended. */
   raise(kind: AlarmKind, pool: string, detail: string): void {
     this.next.set(`${kind}:${pool}`, { kind, pool, detail });
   }
 
-  /** Logs the alarms that are new since the round before, and those that are over. */
+  /** Logs alarms that are new since the previous round and alarms that have ended. */
   endRound(): void {
     for (const [key, alarm] of this.next) {
       if (!this.current.has(key)) this.log.info({ ...alarm }, 'warm pools: alarm');
@@ -54,7 +54,7 @@
     return this.current.has(`${kind}:${pool}`);
   }
 
-  /** For figures: `late:tutor (2 of 8 warm); …`; empty when there is none. */
+  /** For metrics: `late:tutor (2 of 8 warm); …`; empty without alarms. */
   describe(): string {
     return [...this.current].map(([key, { detail }]) => `${key} (${detail})`).join('; ');
   }
--- a/src/warm-pools/bill.ts
+++ b/src/warm-pools/bill.ts
@@ -1,4 +1,4 @@
-/** What idle warm time cost, by pool and day of the burst. */
+/** The bill: cost of idle warm time by pool and day of the burst. */
 
 import * as v from 'valibot';
 import type { OwnedChange, OwnedRecord, OwnedWrite } from '../subsystems/subsystem.js';
@@ -7,7 +7,7 @@
 import { slotKey } from './slot.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
-/** Keys of the bill begin with it, below the subsystem's own prefix. */
+/** Prefix of the bill's keys, below the subsystem's own prefix. */
 const BILL_PREFIX = 'bill/';
 const MS_PER_DAY = 86_400_000;
 const MS_PER_HOUR = 3_600_000;
@@ -17,10 +17,10 @@
   slots: number;
   used: number;
   lost: number;
-  /** Seconds of whole machines: a slot that takes half of one counts half. */
+  /** Machine-seconds: a slot that takes half of a machine counts half. */
   machineS: number;
   money: number;
-  /** By how many machine-seconds the sum may be wrong. */
+  /** Uncertainty of `machineS`, in machine-seconds. */
   uncertainS: number;
 }
 
@@ -28,14 +28,14 @@
 export interface BillDay extends BillTotals {
   pool: string;
   team: string;
-  /** Day of the burst's beginning, UTC: 2026-12-02. */
+  /** Day on which the burst begins, in UTC: 2026-12-02. */
   day: string;
 }
 
 interface StoredDay extends BillDay {
-  /** All bursts up to this one, in ms, are over and in the bill. */
+  /** Start of the latest billed burst, in ms. All bursts up to it are over and billed. */
   lastBilledBurstMs: number;
-  /** Counts the changes: tells whether one that was not answered was carried out. */
+  /** Number of merges; shows whether a merge that was not answered was carried out. */
   merges: number;
 }
 
@@ -49,7 +49,7 @@
   c: number,
 });
 
-/** The day of a time in ms, UTC: 2026-12-02. */
+/** The UTC day of a time in ms: 2026-12-02. */
 export const utcDayOf = (ms: number): string => new Date(ms).toISOString().slice(0, 10);
 
 const ZERO_TOTALS: BillTotals = {
@@ -73,7 +73,7 @@
   };
 }
 
-/** What a slot has cost up to a moment, or in all when it has ended. */
+/** Cost of a slot up to `nowMs`, or in total once it has ended. */
 export function slotTotals(slot: Slot, nowMs: number): BillTotals {
   const { held, share, pricePerHour, state } = slot;
   if (held === null) return { ...ZERO_TOTALS, slots: 1 };
@@ -102,7 +102,7 @@
   };
 }
 
-/** Null: not a day of the bill. */
+/** Returns null if the record is not a day of the bill. */
 function decodeDay(key: string, value: unknown): StoredDay | null {
   const [, pool, day, team] = /^bill\/([^/]+)\/([^/]+)\/([^/]+)$/.exec(key) ?? [];
   const result = v.safeParse(record, value);
@@ -114,7 +114,7 @@
   return { pool, day, team: decodeURIComponent(team), ...totals, lastBilledBurstMs: b, merges: c };
 }
 
-/** The days of the bill that are in a set of records. */
+/** Decodes the bill's days among a set of records. */
 export function billDays(records: ReadonlyMap<string, OwnedRecord>): BillDay[] {
   const days: BillDay[] = [];
   for (const [key, { value }] of records) {
@@ -124,7 +124,7 @@
   return days;
 }
 
-/** Money by pool and day. */
+/** Money spent, by pool and day. */
 export type MoneyByDay = Map<string, Map<string, number>>;
 
 interface DayEntry {
@@ -133,20 +133,20 @@
 }
 
 /**
- * The bill of a term. A slot's time stands in its own record until its burst is over; then it goes into
- * the day of its pool, in the transaction that removes the slot's record: it is in one of the two at any
- * moment, whoever leads, and never in both.
+ * The bill in one term of leadership. A slot's time is in the slot's own record until its burst is over. The
+ * transaction that removes this record adds the time to the day of the pool, so the time is always in exactly
+ * one of the two records, also after a change of leader.
  */
 export class Bill {
   private readonly days = new Map<string, DayEntry>();
 
   constructor(
-    /** Slots that go into the bill with one commit, at most. */
+    /** Maximum number of slots that one commit adds to the bill. */
     private readonly slotsPerMerge: number,
     private readonly keepDays: number,
   ) {}
 
-  /** Takes in days that are newer than what is known. */
+  /** Adopts stored days with a higher revision than the known ones. */
   reconcile(records: ReadonlyMap<string, OwnedRecord>): void {
     for (const [key, { value, revision }] of records) {
       if (!key.startsWith(BILL_PREFIX)) continue;
@@ -157,7 +157,7 @@
     }
   }
 
-  /** The latest burst of a pool that is over and billed, in ms: none up to it is prepared again. */
+  /** Start of a pool's latest billed burst, in ms. No slots are prepared for it or an earlier burst again. */
   lastBilledBurstMs(pool: string): number {
     let latestMs = -Infinity;
     for (const { day } of this.days.values()) {
@@ -166,7 +166,7 @@
     return latestMs;
   }
 
-  /** Money that each pool has spent on each day, slots that are not in the bill yet included. */
+  /** Money that each pool has spent on each day, including slots that are not billed yet. */
   moneyByDay(slots: Iterable<SlotEntry>, nowMs: number): MoneyByDay {
     const money: MoneyByDay = new Map();
     for (const { day } of this.days.values()) addMoney(money, day.pool, day.day, day.money);
@@ -177,7 +177,7 @@
     return money;
   }
 
-  /** Slots of bursts that are over go into the bill; days that are too old go. */
+  /** Adds slots of bursts that are over to the bill and removes days past the retention period. */
   dueWrites(
     table: SlotTable,
     isOver: (pool: string, burstMs: number) => boolean,
@@ -234,7 +234,7 @@
       this.days.delete(key);
       return;
     }
-    // Only this term writes it: a count that is ours says that the whole transaction was carried out.
+    // Only this term writes the day, so a matching count shows that the whole transaction was carried out.
     if (found.merges === sent.merges && found.lastBilledBurstMs === sent.lastBilledBurstMs)
       done(stored.revision);
     else this.days.set(key, { day: found, revision: stored.revision });
@@ -268,7 +268,7 @@
 const DAY_LENGTH = '2026-12-02'.length;
 const MONTH_LENGTH = '2026-12'.length;
 
-/** What a pool has spent in the period of its budget that a burst is in. */
+/** Money that a pool has spent in the budget period that contains the burst. */
 export function spentInPeriod(money: MoneyByDay, pool: PoolDeclaration, burstMs: number): number {
   const length = pool.budgetPeriod === 'month' ? MONTH_LENGTH : DAY_LENGTH;
   const period = utcDayOf(burstMs).slice(0, length);
--- a/src/warm-pools/burst-schedule.ts
+++ b/src/warm-pools/burst-schedule.ts
@@ -2,21 +2,21 @@
 
 import { Cron } from 'croner';
 
-/** Firings of a schedule that are looked at when it is checked. */
+/** Maximum number of firings that `check` examines. */
 const MAX_CHECKED_FIRINGS = 64;
 
-/** A schedule that cannot be read, never fires, or fires while the burst before is still going on. */
+/** A schedule that cannot be parsed, never fires, or fires while the previous burst is in progress. */
 export class ScheduleError extends Error {}
 
 /**
- * A cron expression in a time zone. An hour that a change of the clocks skips fires right after it, one
- * that comes twice fires once.
+ * A cron expression in a time zone. A time that a daylight-saving change skips fires in the hour after it; a
+ * time that occurs twice fires once.
  */
 export class BurstSchedule {
   private readonly cron: Cron;
   /**
-   * Bursts after `knownFromMs`, the next ones without a gap, in ms: reckoning one takes long, and they are
-   * asked for all the time.
+   * Cache of the next bursts after `knownFromMs`, in ms and without gaps: computing a burst is slow, and
+   * callers need the bursts in every round.
    */
   private known: number[] = [];
   private knownFromMs = Infinity;
@@ -25,14 +25,14 @@
   constructor(expression: string, timeZone: string) {
     try {
       this.cron = new Cron(expression, { timezone: timeZone, paused: true });
-      // The time zone is looked up only here.
+      // The constructor of `Cron` does not check the time zone; `nextRun` does.
       this.cron.nextRun(new Date(0));
     } catch (error) {
       throw new ScheduleError(`${expression}, ${timeZone}: ${(error as Error).message}`);
     }
   }
 
-  /** The first burst after a moment, in ms; null: there is none. */
+  /** Start of the first burst after `ms`, in ms; null if there is none. */
   nextAfter(ms: number): number | null {
     if (ms < this.knownFromMs) {
       this.known = [];
@@ -44,7 +44,7 @@
     return this.known[0] ?? null;
   }
 
-  /** Bursts after one moment, up to and with another, in ms. */
+  /** Starts of the bursts after `afterMs` and up to `untilMs` inclusive, in ms. */
   between(afterMs: number, untilMs: number): number[] {
     this.nextAfter(afterMs);
     while (!this.isExhausted && this.known.at(-1)! <= untilMs) this.computeNext(this.known.at(-1)!);
@@ -62,7 +62,7 @@
     else this.known.push(next);
   }
 
-  /** Throws ScheduleError where a burst would begin before the one before it is over. */
+  /** Throws ScheduleError if the schedule never fires or a burst would begin before the previous one is over. */
   check(fromMs: number, holdS: number): void {
     let last = this.nextAfter(fromMs);
     if (last === null) throw new ScheduleError('never fires');
--- a/src/warm-pools/bursts.ts
+++ b/src/warm-pools/bursts.ts
@@ -1,4 +1,4 @@
-/** Bursts that are going on or near. */
+/** Bursts that are in progress or about to begin. */
 
 import type { MachineType } from '../jobs/types.js';
 import type { TermView } from '../subsystems/subsystem.js';
@@ -7,12 +7,12 @@
 import type { LeadTimes } from './lead-times.js';
 import { allowedTypes } from './machine-choice.js';
 
-/** Slots are planned, and their requests named, so many lead times ahead: an outage may cover one. */
+/** Slots are planned and their requests named so many lead times ahead: an outage may cover one lead time. */
 const PLANNING_LEAD_TIMES = 2;
-/** Changes of a slot's record until it is warm, and the share of all writes that pools count on. */
+/** Writes of a slot's record until it is warm, and the assumed share of the store's write rate for them. */
 const WRITES_PER_SLOT = 3;
 const WRITE_SHARE = 0.3;
-/** What hearing of a machine and noticing that it is ready take, in heartbeat intervals. */
+/** Heartbeat intervals until a new machine's first heartbeat arrives and its readiness is noticed. */
 const NOTICE_HEARTBEATS = 3;
 
 /** One firing of a pool's schedule. */
@@ -20,14 +20,14 @@
   pool: PoolDeclaration;
   /** When it begins, in ms of the time of day. */
   burstMs: number;
-  /** Seconds ahead at which machines for its slots should be requested. */
+  /** Seconds before the burst at which machines for its slots should be requested. */
   leadTimeS: number;
 }
 
-/** Names a burst of a pool. */
+/** Identifier of a burst. */
 export const burstId = (pool: string, burstMs: number): string => `${pool}/${burstMs}`;
 
-/** The bursts that slots are prepared or kept for. */
+/** The bursts for which slots are prepared or reserved. */
 export class Bursts {
   private readonly schedules = new Map<string, BurstSchedule>();
 
@@ -35,7 +35,7 @@
     private readonly pools: readonly PoolDeclaration[],
     private readonly view: TermView,
     private readonly leadTimes: LeadTimes,
-    /** The latest burst of a pool that is over and billed, in ms. */
+    /** Start of a pool's latest billed burst, in ms. */
     private readonly lastBilledBurstMs: (pool: string) => number,
   ) {
     for (const pool of pools) {
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Those whose slots are to be planned, prepared or kept now, in the order of precedence. */
+  /** Bursts whose slots are planned, prepared or reserved at this time, in the order of `comparePools`. */
   activeAt(nowMs: number): Burst[] {
     const bursts: Burst[] = [];
     for (const pool of this.pools) {
@@ -57,12 +57,12 @@
     return bursts.sort(comparePools);
   }
 
-  /** The next burst of a pool, in ms; null: there is none. */
+  /** Start of a pool's next burst, in ms; null if there is none. */
   nextMs(pool: PoolDeclaration, nowMs: number): number | null {
     return this.schedules.get(pool.name)!.nextAfter(nowMs);
   }
 
-  /** The slowest of the kinds of machines that the pool allows counts. */
+  /** Includes the slowest machine type and zone that the pool allows, store writes and heartbeats. */
   private leadTimeS(pool: PoolDeclaration): number {
     const { settings } = this.view;
     const storeS = (pool.slots * WRITES_PER_SLOT) / (settings.state.write_rps * WRITE_SHARE);
--- a/src/warm-pools/check.ts
+++ b/src/warm-pools/check.ts
@@ -1,19 +1,19 @@
-/** Whether declared pools are possible at all, as far as the settings tell. */
+/** Checks declared pools against the settings. */
 
 import type { Settings } from '../config/settings.js';
 import { isWithinLimit } from '../jobs/types.js';
 import { BurstSchedule, ScheduleError } from './burst-schedule.js';
 import type { PoolDeclaration, WarmPoolsConfig } from './declaration.js';
 
-/** What is wrong with a pool, and where: the key within the table. */
+/** A problem of a pool, and its key within the table. */
 export interface PoolProblem {
   key: string;
   problem: string;
 }
 
 /**
- * The first thing that makes a pool impossible; null: none was found. Machine types are known by the
- * cloud alone: one that it does not have is an alarm later (`unknown_type`).
+ * The first problem that makes a pool impossible; null if none was found. Only the cloud knows its machine
+ * types, so a type that it does not have raises an alarm later (`unknown_type`).
  */
 export function checkPools(
   config: WarmPoolsConfig,
--- a/src/warm-pools/command.ts
+++ b/src/warm-pools/command.ts
@@ -1,4 +1,4 @@
-/** `pewtershelf warm-pools status|bill`: what a running controller says of warm pools. */
+/** `pewtershelf warm-pools status|bill`: prints a running controller's view of warm pools. */
 
 import * as v from 'valibot';
 import { fetchView, table, type ViewQuestion } from '../subsystems/view-command.js';
--- a/src/warm-pools/declaration.ts
+++ b/src/warm-pools/declaration.ts
@@ -1,4 +1,4 @@
-/** What operators declare of warm pools: the table `warm_pools` of the features file. */
+/** The operators' declaration of warm pools: the table `warm_pools` of the features file. */
 
 import * as v from 'valibot';
 
@@ -6,7 +6,7 @@
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0, 'expected a number, 0 or more'));
 const count = v.pipe(v.number(), v.integer('expected a whole number'), v.minValue(1));
 const shortText = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
-/** Part of keys in the store. */
+/** Appears in keys of the store. */
 const poolName = v.pipe(
   v.string(),
   v.regex(/^[a-z0-9][a-z0-9-]{0,59}$/, 'expected up to 60 small letters, digits and hyphens'),
@@ -51,20 +51,20 @@
 
 type Table = v.InferOutput<typeof warmPoolsSchema>;
 
-/** What one replica takes of its machine. */
+/** Resources that one replica takes. */
 export interface ReplicaShape {
   cores: number;
   gpus: number;
   memGb: number;
 }
 
-/** What becomes of a pool whose budget for a period is spent. */
+/** What happens to a pool whose budget for a period is spent. */
 export type ExhaustionPolicy =
-  /** Its idle machines are given up and no more are kept in this period. */
+  /** Its idle slots are released, and none are added in this period. */
   | 'release'
-  /** Those that are warm stay until their burst is over; none is added. */
+  /** Slots that have a machine stay until their burst is over; none are added. */
   | 'keep'
-  /** Nothing but the alarm. */
+  /** Only an alarm is raised. */
   | 'alarm';
 
 /** A pool as operators declare it. */
@@ -76,22 +76,22 @@
   /** Allowed machine types and zones; null: any. */
   types: readonly string[] | null;
   zones: readonly string[] | null;
-  /** Replicas for which there is a warm place when a burst begins. */
+  /** Number of replicas for which a warm slot is ready when a burst begins. */
   slots: number;
-  /** When bursts begin: a cron expression, in this time zone. */
+  /** Cron expression of the starts of bursts, evaluated in `timeZone`. */
   schedule: string;
   timeZone: string;
-  /** Seconds for which slots stay after the beginning of a burst. */
+  /** Seconds for which unused slots stay after a burst begins. */
   holdS: number;
-  /** Slots are prepared so many seconds ahead at least. */
+  /** Minimum lead time of slots, in seconds. */
   aheadS: number;
   /** The team that pays for idle time. */
   team: string;
-  /** The higher one goes first. */
+  /** Pools with a higher value get capacity first. */
   precedence: number;
-  /** Slots that may be added in a burst for those that were used. */
+  /** Number of used slots that may be replaced during a burst. */
   refills: number;
-  /** Money for idle time in a period; null: no bound. */
+  /** Limit of the money for idle time in a period; null: no limit. */
   budget: number | null;
   budgetPeriod: 'day' | 'month';
   onExhausted: ExhaustionPolicy;
@@ -99,17 +99,17 @@
   lend: boolean;
 }
 
-/** What operators declare of warm pools, as the program uses it. */
+/** Configuration of warm pools, converted from the table. */
 export interface WarmPoolsConfig {
   loader: 'worker-cache' | 'model-server';
   /** Port of the model server on each machine; null: there is none. */
   modelServerPort: number | null;
-  /** Days for which the bill is kept in the store. */
+  /** Retention period of the bill in the store, in days. */
   keepBillDays: number;
   pools: readonly PoolDeclaration[];
 }
 
-/** The configuration of a validated table. */
+/** Converts a validated table to a configuration. */
 export function toConfig(table: Table): WarmPoolsConfig {
   return {
     loader: table.loader,
@@ -138,7 +138,7 @@
   };
 }
 
-/** The order in which pools get what there is: precedence, then the earlier burst, then the name. */
+/** The order in which pools get capacity: precedence, then the earlier burst, then the name. */
 export function comparePools(
   a: { pool: PoolDeclaration; burstMs: number },
   b: { pool: PoolDeclaration; burstMs: number },
--- a/src/warm-pools/lead-times.ts
+++ b/src/warm-pools/lead-times.ts
@@ -1,23 +1,23 @@
-/** How long machines take to boot and models to load: measured, and kept in the store. */
+/** Measured boot times of machines and load times of models, which are stored. */
 
 import * as v from 'valibot';
 import type { MachineType } from '../jobs/types.js';
 import { covering, remember } from '../subsystems/samples.js';
 import type { OwnedRecord, OwnedWrite } from '../subsystems/subsystem.js';
 
-/** What the protocol leads to expect of slow cases: boots, and fetches by the nominal rate. */
+/** Slow boots and slow fetches as multiples of the nominal times, as the protocol leads to expect. */
 const SLOW_BOOT_FACTOR = 1.6;
 const SLOW_FETCH_FACTOR = 1.35;
-/** Images of which samples are kept, for each type and zone. */
+/** Maximum number of images with samples, for each type and zone. */
 const MAX_IMAGES = 32;
 
-/** Keys of measured times begin with it, below the subsystem's own prefix. */
+/** Prefix of the keys of measured times, below the subsystem's own prefix. */
 const LEAD_TIME_PREFIX = 'lead/';
 
 interface Samples {
   /** Seconds from the request to the first heartbeat. */
   boots: number[];
-  /** Seconds from then until the model was there, by image; the latest used last. */
+  /** Seconds from the first heartbeat until the model was loaded, by image; the most recently used last. */
   loads: Map<string, number[]>;
   revision: number;
   hasUnstored: boolean;
@@ -30,7 +30,7 @@
 export class LeadTimes {
   private readonly byTypeAndZone = new Map<string, Samples>();
 
-  /** Takes in what earlier terms have stored. */
+  /** Adopts what earlier terms have stored. */
   reconcile(records: ReadonlyMap<string, OwnedRecord>): void {
     for (const [key, { value, revision }] of records) {
       if (!key.startsWith(LEAD_TIME_PREFIX)) continue;
@@ -43,14 +43,14 @@
     }
   }
 
-  /** A machine took so many seconds from its scale-out to its first heartbeat. */
+  /** Records the seconds from a machine's scale-out to its first heartbeat. */
   recordBootTime(type: string, zone: string, seconds: number): void {
     const samples = this.samples(type, zone);
     remember(samples.boots, seconds);
     samples.hasUnstored = true;
   }
 
-  /** A model took so many seconds to load. */
+  /** Records the seconds that a model took to load. */
   recordLoadTime(type: string, zone: string, image: string, seconds: number): void {
     const samples = this.samples(type, zone);
     const loads = samples.loads.get(image) ?? [];
@@ -64,7 +64,7 @@
     samples.hasUnstored = true;
   }
 
-  /** Seconds from a request until most machines of this kind hold the image. */
+  /** Seconds from a request until most machines of this type in this zone have loaded the image. */
   leadTimeS(type: MachineType, zone: string, image: string, imageGb: number): number {
     const samples = this.byTypeAndZone.get(leadTimeKey(type.name, zone));
     const expectedBootS = type.bootS * SLOW_BOOT_FACTOR;
@@ -75,7 +75,7 @@
     );
   }
 
-  /** Measured times that are not stored yet. */
+  /** Writes of measured times that are not stored yet. */
   dueWrites(): OwnedWrite[] {
     const due: OwnedWrite[] = [];
     for (const [key, samples] of this.byTypeAndZone) {
@@ -89,7 +89,7 @@
           samples.revision = revision;
           samples.hasUnstored = false;
         },
-        // Measurements are worth no second look: the next one brings them up to date.
+        // The stored samples are not compared: the next write replaces them.
         readBack: (stored) => void (samples.revision = stored?.revision ?? 0),
       });
     }
--- a/src/warm-pools/machine-choice.ts
+++ b/src/warm-pools/machine-choice.ts
@@ -1,20 +1,20 @@
-/** Which machines a pool's slots may have, and which they had better. */
+/** Which machines a pool's slots may use, and which are preferred. */
 
 import { fits, type MachineType } from '../jobs/types.js';
 import type { FreeCapacity } from '../scheduler/bin-packing.js';
 import { freeShare } from '../scheduler/bin-packing.js';
 import type { PoolDeclaration, ReplicaShape } from './declaration.js';
 
-/** What is free on a machine is worth so much less than an image that is there. */
+/** Cost of a missing image. The free share adds at most 1, so machines with the image come first. */
 const MISSING_IMAGE_COST = 1;
 
-/** A machine type on which slots of a pool may be, and the zones. */
+/** A machine type that a pool may use, with the allowed zones. */
 export interface AllowedType {
   type: MachineType;
   zones: string[];
 }
 
-/** Machine types that a pool allows and on which a slot fits, with the zones where it may be. */
+/** Machine types that a pool allows and on which a slot fits, with the allowed zones. */
 export function allowedTypes(
   pool: Pick<PoolDeclaration, 'types' | 'zones' | 'shape'>,
   types: ReadonlyMap<string, MachineType>,
@@ -29,7 +29,7 @@
   return allowed;
 }
 
-/** Slots of this shape that fit on one empty machine. */
+/** Number of slots of this shape that fit on one empty machine. */
 export function slotsPerMachine(shape: ReplicaShape, type: MachineType): number {
   const ratio = (whole: number, part: number): number => (part > 0 ? whole / part : Infinity);
   const most = Math.min(
@@ -40,7 +40,7 @@
   return Math.max(1, Math.floor(most + 1e-6));
 }
 
-/** The share of a machine that a slot takes: of its scarcer resource. */
+/** The share of a machine that a slot takes, by its scarcer resource. */
 export const slotShare = (shape: ReplicaShape, type: MachineType): number =>
   1 - freeShare({ ...remaining(shape, type), total: type });
 
@@ -52,15 +52,15 @@
   };
 }
 
-/** A kind of machine that is to be added. */
+/** Type and zone of machines to add. */
 export interface ScaleOutTarget {
   type: MachineType;
   zone: string;
 }
 
 /**
- * The cheapest place for a slot that the cloud may have at present; zones with fewer of the pool's slots
- * go first. Null: none.
+ * The target with the lowest cost per slot among those for which the cloud is not known to be short of
+ * machines. At equal cost, zones with fewer of the pool's slots come first. Null if there is none.
  */
 export function cheapestTarget(
   pool: PoolDeclaration,
@@ -80,7 +80,7 @@
   return targets[0] ?? null;
 }
 
-/** The best of the machines that are there already: with the image, then the fullest. Null: none. */
+/** The best existing machine: one with the image, then the fullest one. Null if there is none. */
 export function bestCapacity(
   pool: PoolDeclaration,
   capacities: readonly FreeCapacity[],
--- a/src/warm-pools/model-loader.ts
+++ b/src/warm-pools/model-loader.ts
@@ -1,31 +1,31 @@
-/** How a machine comes to hold the model of a pool. */
+/** Loading of a pool's model on a machine. */
 
 import type { MachineView } from '../subsystems/subsystem.js';
 import type { PoolDeclaration } from './declaration.js';
 
 /**
- *   loading   asked for, or not known yet
- *   ready     a replica that is placed there begins at once, as far as this loader can promise it
- *   failed    the machine did not load it, several times
+ *   loading   requested, or not known yet
+ *   ready     a replica that is placed there starts at once, as far as this loader can tell
+ *   failed    the machine failed to load it several times
  */
 export type LoadState = 'loading' | 'ready' | 'failed';
 
-/** None of its methods waits. */
+/** Loads models on machines. None of its methods blocks. */
 export interface ModelLoader {
-  /** What is known now. It is asked for again until it is there, and looked after from then on. */
+  /** The last known state. Calls request the model until it is loaded, and monitor it afterwards. */
   state(machine: MachineView, pool: PoolDeclaration): LoadState;
-  /** Nothing there wants the model any more. */
+  /** No slot or replica on the machine needs the model any more. */
   unload(machine: MachineView, image: string): void;
-  /** The machine is gone. */
+  /** Drops what is known of a machine, for example because it is gone. */
   forget(machine: string): void;
   stop(): void;
 }
 
 /**
- * Within the protocol a machine fetches an image only for a task that wants it. So a machine is ready
- * once its heartbeats reach this term: the boot is over, and images that it holds stay, since lower-priority work that
- * would push them out is kept off (`SlotRooms.mayUse`). What it has not held before is fetched only with
- * the first replica.
+ * For machines without a model server. In the protocol a machine fetches an image only for a task that needs
+ * it, so a machine is ready once its heartbeats reach this term: its boot is over. Its cached images stay,
+ * because other work that would evict them is not placed there (`SlotReservations.mayUse`). An image that is
+ * not cached is fetched with the first replica.
  */
 export class WorkerCacheLoader implements ModelLoader {
   /** See `ModelLoader.state`. */
@@ -35,16 +35,16 @@
 
   /** See `ModelLoader.unload`. */
   unload(): void {
-    // The worker drops what was not used for long by itself.
+    // The worker itself evicts images that were not used for long.
   }
 
   /** See `ModelLoader.forget`. */
   forget(): void {
-    // Nothing is remembered.
+    // This loader has no state.
   }
 
   /** See `ModelLoader.stop`. */
   stop(): void {
-    // Nothing is under way.
+    // This loader sends no requests.
   }
 }
--- a/src/warm-pools/model-server-loader.ts
+++ b/src/warm-pools/model-server-loader.ts
@@ -1,4 +1,4 @@
-/** Models that are loaded by a model server on each machine. */
+/** Loading of models by a model server on each machine. */
 
 import * as v from 'valibot';
 import type { Clock } from '../clock.js';
@@ -9,28 +9,28 @@
 import type { PoolDeclaration } from './declaration.js';
 import type { LoadState, ModelLoader } from './model-loader.js';
 
-/** Connections to one model server, and seconds for which it may think. */
+/** Maximum number of connections to one model server. */
 const CONNECTIONS_PER_SERVER = 1;
-/** Failures after which a machine is given up. */
+/** Failed loads since the model was last ready after which the machine counts as failed. */
 const MAX_LOAD_FAILURES = 3;
 
-/** A model server answered with another status than 200. */
+/** A model server answered with a status other than 200. */
 class ModelServerError extends Error {
   constructor(readonly status: number) {
-    super(`model server answered ${status}`);
+    super(`model server answered with status ${status}, expected 200`);
     this.name = 'ModelServerError';
   }
 }
 
-/** What a `ModelServerLoader` works with. */
+/** Options of a `ModelServerLoader`. */
 export interface ModelServerLoaderOptions {
   /** Port of the model server on every machine. */
   port: number;
-  /** Token of the term: model servers refuse loads and unloads with a lower one than they saw. */
+  /** Fencing token of the term: model servers refuse loads and unloads with a lower one than they have seen. */
   token: number;
-  /** Seconds between two questions to one server while it loads; ten times as many once it is ready. */
+  /** Seconds between two requests to a server while a model loads; ten times as many once it is ready. */
   pollIntervalS: number;
-  /** Seconds after which a question counts as unanswered. */
+  /** Seconds after which a request counts as unanswered. */
   timeoutS: number;
   clock: Clock;
   log: Log;
@@ -51,13 +51,13 @@
 const answer = v.object({ state: v.picklist(['absent', 'loading', 'ready', 'failed']) });
 type ServerState = v.InferOutput<typeof answer>['state'];
 
-/** Once a model is there, it is asked for only so many times as seldom. */
+/** Factor on the interval between requests once a model is ready. */
 const READY_POLL_FACTOR = 10;
 
 /**
- * Asks the model server of a machine to load a model, and again until it says that it is ready. Requests
- * carry the term's token, so that those of a leader that was replaced are refused; one that arrives late
- * within the term is put right by the next question.
+ * Repeats load requests to a machine's model server until it reports the model as ready, and less often from
+ * then on. Requests carry the term's fencing token, so that those of a leader that was replaced are refused.
+ * If a request arrives late within the term, the next one corrects its effect.
  */
 export class ModelServerLoader implements ModelLoader {
   private readonly servers = new Map<string, Server>();
@@ -66,7 +66,7 @@
 
   /** See `ModelLoader.state`. */
   state(machine: MachineView, pool: PoolDeclaration): LoadState {
-    // Not heard by this term: it may hang, and what it held may be gone.
+    // Without a heartbeat in this term the machine may hang, and its models may be gone.
     if (machine.state !== 'ready' || machine.addr === '') return 'loading';
     const server = this.server(machine);
     const model = modelOf(server, pool.image);
@@ -84,8 +84,11 @@
     if (server === undefined || !server.models.delete(image)) return;
     const body = JSON.stringify({ model: image, token: this.options.token });
     server.client.request('POST', '/models/unload', body, this.options.timeoutS).catch((error) => {
-      // It stays loaded: that costs memory there, and nothing here rests on it.
-      this.options.log.debug({ machine: machine.id, image, err: error }, 'model unload unanswered');
+      // The model stays loaded. That costs memory on the machine, but nothing depends on the unload.
+      this.options.log.debug(
+        { machine: machine.id, image, err: error },
+        'model unload request failed',
+      );
     });
   }
 
@@ -111,7 +114,7 @@
     return server;
   }
 
-  /** A load that is repeated changes nothing, and its answer says how far it is. */
+  /** A repeated load request changes nothing, and its answer contains the state of the load. */
   private async requestLoad(
     { client }: Server,
     machine: string,
@@ -127,8 +130,9 @@
       if (response.status !== 200) throw new ModelServerError(response.status);
       applyServerState(model, v.parse(answer, JSON.parse(response.body.toString('utf8'))).state);
     } catch (error) {
-      // Silence says nothing about a model that was ready: the machine's own heartbeats decide.
-      log.debug({ machine, image, err: error }, 'model server unavailable');
+      // A failed request changes no state: the machine's heartbeats decide whether a ready model is
+      // available.
+      log.debug({ machine, image, err: error }, 'model load request failed');
     } finally {
       model.requestPending = false;
     }
--- a/src/warm-pools/slot-allowance.ts
+++ b/src/warm-pools/slot-allowance.ts
@@ -1,4 +1,4 @@
-/** How many slots a pool may have: what its budget and its team's limit leave. */
+/** How many slots a pool may have under its budget and its team's limit. */
 
 import { isWithinLimit } from '../jobs/types.js';
 import type { TermView } from '../subsystems/subsystem.js';
@@ -9,19 +9,19 @@
 import { isHeld } from './slot.js';
 import type { SlotEntry } from './slot-table.js';
 
-/** What teams may start beside all that they run and all slots that were counted before. */
+/** Resources that a team may still use, after all that it runs and all slots that were allowed before. */
 interface TeamHeadroom {
   cores: number;
   gpus: number;
 }
 
-/** The allowances of one round of planning: slots that are allowed to one pool are counted for the next. */
+/** Allowances of one planning round. Slots of one pool reduce what the team's later pools may have. */
 export class SlotAllowance {
   private readonly teams = new Map<string, TeamHeadroom>();
 
   constructor(private readonly options: { view: TermView; alarms: Alarms }) {}
 
-  /** What the budget leaves of the slots that are wanted. */
+  /** Number of the wanted slots that the budget allows. */
   withinBudget(
     burst: Burst,
     open: readonly SlotEntry[],
@@ -39,7 +39,7 @@
     return Math.min(wanted, open.filter(({ current }) => isHeld(current)).length);
   }
 
-  /** What the payer could start at once, the slots of pools that come before this one counted. */
+  /** Number of the wanted slots that the paying team could start at once, after those of earlier pools. */
   withinTeamLimit(pool: PoolDeclaration, wanted: number): number {
     const { view, alarms } = this.options;
     const left = this.teams.get(pool.team) ?? this.teamHeadroom(pool.team);
--- a/src/warm-pools/slot-groups.ts
+++ b/src/warm-pools/slot-groups.ts
@@ -1,4 +1,4 @@
-/** Which slots are scaled out for together. */
+/** Groups of slots whose machines are requested together. */
 
 import type { TermView } from '../subsystems/subsystem.js';
 import { SCALE_OUT_MAX } from '../wire/cloud.js';
@@ -12,7 +12,10 @@
   group: SlotEntry[];
 }
 
-/** The slots by the kind of machine that is requested for them; each group is one request. */
+/**
+ * Groups slots by the type and zone of the machines that are requested for them; each group is one request.
+ * `left`: slots for which no machines can be requested at present.
+ */
 export function groupByTarget(
   view: TermView,
   pool: PoolDeclaration,
--- a/src/warm-pools/slot-monitor.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -1,4 +1,4 @@
-/** What becomes of slots that have a machine: warm, used, or lost with it. */
+/** Monitors slots that have a machine: they become warm, used or lost. */
 
 import { fits, type MachineType } from '../jobs/types.js';
 import { release, allocate } from '../scheduler/bin-packing.js';
@@ -13,41 +13,44 @@
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
 /**
- * A machine that has not come after so many times its lead time and so many leases, for its heartbeats, never
- * will. Some boots take several times as long as nominal ones: with the lead time alone, machines that were
- * about to come were given up and others requested in their place.
+ * A machine that is still unknown after these lead times, plus these leases for its heartbeats, counts as
+ * failed to boot. Some boots take several times as long as nominal ones: with the lead time alone, machines
+ * that were about to be ready were released and others requested in their place.
  */
 const BOOT_TIMEOUT_LEAD_TIMES = 3;
 const BOOT_TIMEOUT_LEASES = 2;
-/** Machines that nothing is known of are judged after so many leases of a term, and of a slot's life. */
+/** Leases after the start of the term and of the held interval before an unknown machine may count as gone. */
 const SETTLING_LEASES = 1;
-/** From placing a replica to its start, which may wait for a heartbeat: at most so many intervals. */
+/** Maximum heartbeat intervals from placing a replica to its start, which may wait for a heartbeat. */
 const START_DELAY_HEARTBEATS = 1.5;
-/** An earlier term that placed a replica and did not say so ended at most so long before this one began. */
+/**
+ * Maximum leases from the end of an earlier term, which placed a replica and did not record the use, to this
+ * term.
+ */
 const INHERITED_USE_LEASES = 2;
 
-/** What a `SlotMonitor` works with. */
+/** Options of a `SlotMonitor`. */
 export interface SlotMonitorOptions {
   view: TermView;
   table: SlotTable;
   loader: ModelLoader;
   leadTimes: LeadTimes;
   pool: (name: string) => PoolDeclaration | undefined;
-  /** Time of day by which bursts are kept, and by which held time is measured: see `TermTimeOfDay`. */
+  /** `nowMs` gives the times of bursts, `steadyMs` measures held intervals: see `TermTimeOfDay`. */
   clock: Pick<TermTimeOfDay, 'nowMs' | 'steadyMs'>;
 }
 
-/** Carries slots on by what is seen of their machines: warm, used or lost. */
+/** Updates slots according to the state of their machines. */
 export class SlotMonitor {
   private readonly termStartedAt: number;
-  /** Boots that were measured already, by slot. */
+  /** Slots whose boot time has been measured. */
   private readonly measuredBoots = new Set<string>();
 
   constructor(private readonly options: SlotMonitorOptions) {
     this.termStartedAt = options.view.now();
   }
 
-  /** Looks at every slot that has a machine. */
+  /** Checks every slot that has a machine. Returns the claims that it found. */
   update(): Claims {
     const { table, view } = this.options;
     const claimed = new Set<string>();
@@ -65,7 +68,7 @@
     return { slots: claimed, tasks: used };
   }
 
-  /** Tasks that slots were used by. */
+  /** Tasks that are stored as users of slots. */
   private usedTasks(): Set<string> {
     const used = new Set<string>();
     for (const { current } of this.options.table.values()) {
@@ -81,7 +84,7 @@
     if (machine !== undefined) this.options.loader.forget(machine.id);
   }
 
-  /** What shows that a slot's machine is gone or of no use; null: nothing does. */
+  /** The loss of a slot whose machine is gone or cannot be used; null if it is not lost. */
   private lossEvent(entry: SlotEntry, machine: MachineView | undefined): SlotEvent | null {
     if (machine === undefined) return this.unknownMachineLoss(entry);
     const { view, clock } = this.options;
@@ -115,7 +118,7 @@
     const isSettled = view.now() - this.termStartedAt > settlingS && heldS > settlingS;
     const id = current.machine!;
     if (isSettled && !view.isPending(id) && view.isListed(id) === false) {
-      // Charged until it was gone, which nobody saw.
+      // The time at which the machine went is unknown, so all of the interval is uncertain.
       return { kind: 'lost', reason: 'gone', atMs: fromMs, uncertainMs: heldS * 1000 };
     }
     const leadTimeS = this.leadTimeS(current.pool, current.request);
@@ -130,7 +133,7 @@
     return this.options.leadTimes.leadTimeS(type, request.zone, pool.image, pool.imageGb);
   }
 
-  /** A replica with the model that came after the slot uses it; the warm places go first. */
+  /** Replicas with the model that were placed after a slot got its machine use it; warm slots come first. */
   private detectUse(
     machine: MachineView,
     entries: readonly SlotEntry[],
@@ -152,12 +155,12 @@
     }
   }
 
-  /** Idle time ends with the placing; storing and sending the start take a moment more. */
+  /** Idle time ends when the replica is placed; storing its claim and sending its start take slightly longer. */
   private useEvent({ name, placedAt }: ModelTask): SlotEvent {
     const { view, clock } = this.options;
     const { report_s, lease_s } = view.settings.workers;
     const sinceMs = Math.max(0, view.now() - placedAt) * 1000;
-    // Placed by an earlier term, which ended before it could say so.
+    // Placed by an earlier term, which ended before it recorded the use.
     const isInherited = placedAt <= this.termStartedAt;
     const uncertainS = isInherited
       ? lease_s * INHERITED_USE_LEASES
@@ -195,7 +198,8 @@
     if (current.request === null || machine.firstSeenAt === null || this.measuredBoots.has(id))
       return;
     this.measuredBoots.add(id);
-    // Heard first by this term, which began before: otherwise the boot was over already.
+    // The first heartbeat gives the boot time only if this term requested the machine: otherwise it may have
+    // booted before this term began.
     const { leadTimes, clock, view } = this.options;
     const sinceFirstSeenS = view.now() - machine.firstSeenAt;
     const bootS = (clock.steadyMs() - current.held!.fromMs) / 1000 - sinceFirstSeenS;
@@ -214,7 +218,10 @@
     );
   }
 
-  /** Work that came before the slot was known here has taken its place: the slot is looked for anew. */
+  /**
+   * Marks slots as lost whose capacity is taken by work that was placed before this term knew them. The
+   * planner replaces them.
+   */
   private detectOccupied(
     machine: MachineView,
     entries: readonly SlotEntry[],
@@ -242,7 +249,7 @@
 
 const rank = ({ current }: SlotEntry): number => (current.state === 'warm' ? 0 : 1);
 
-/** What is free of a machine of this type by the attempts that may be on it. */
+/** Free capacity of a machine of this type, after all attempts that may be on it. */
 function freeCapacityOn(
   view: TermView,
   machine: MachineView,
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -1,4 +1,4 @@
-/** How many slots each burst should have, and where: what is wanted becomes changes of slots. */
+/** Decides how many slots each burst should have and on which machines, and changes slots accordingly. */
 
 import type { TermView } from '../subsystems/subsystem.js';
 import type { Alarms } from './alarms.js';
@@ -27,12 +27,12 @@
 import { modelTasks, type SlotReservations } from './slot-reservations.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
-/** Slots that are lost are made up for, so many times as many as a pool has at most. */
+/** Maximum number of lost slots that are replaced during a burst, for each declared slot. */
 const MAX_LOSSES_PER_SLOT = 2;
-/** In which order slots are given up: what costs nothing yet goes first. */
+/** Order in which slots are released: those that cost nothing yet come first. */
 const RELEASE_ORDER: Partial<Record<Slot['state'], number>> = { planned: 0, loading: 1, warm: 2 };
 
-/** What a `SlotPlanner` works with. */
+/** Options of a `SlotPlanner`. */
 export interface SlotPlannerOptions {
   view: TermView;
   table: SlotTable;
@@ -40,11 +40,11 @@
   reservations: SlotReservations;
   alarms: Alarms;
   pool: (name: string) => PoolDeclaration | undefined;
-  /** Time of day by which bursts are kept, and by which held time is measured: see `TermTimeOfDay`. */
+  /** `nowMs` gives the times of bursts, `steadyMs` measures held intervals: see `TermTimeOfDay`. */
   clock: Pick<TermTimeOfDay, 'nowMs' | 'steadyMs'>;
 }
 
-/** Slots of a burst: those that are to be, and what became of the others. */
+/** Slots of a burst: the open ones, and counts of the others. */
 interface BurstSlots {
   open: SlotEntry[];
   used: number;
@@ -52,18 +52,18 @@
   nextIndex: number;
 }
 
-/** Makes changes of slots of what each burst should have. */
+/** Plans the slots of all bursts. */
 export class SlotPlanner {
   private readonly termStartMs: number;
   private requestCount = 0;
-  /** Pools that gave up a slot for their team's limit add none before this time (steady, seconds). */
+  /** Steady time in seconds before which a pool adds no slots, after it released some above its allowance. */
   private readonly addAllowedAt = new Map<string, number>();
 
   constructor(private readonly options: SlotPlannerOptions) {
     this.termStartMs = options.clock.nowMs();
   }
 
-  /** One round. `bursts`: in the order in which they get what there is. */
+  /** Runs one planning round. `bursts`: in the order in which they get capacity. */
   plan(bursts: readonly Burst[], money: MoneyByDay): void {
     const slotsByBurst = this.slotsByBurst();
     const allowance = new SlotAllowance(this.options);
@@ -138,11 +138,11 @@
     inOrder.sort((a, b) => rank(a) - rank(b) || b.current.index - a.current.index);
     for (const entry of inOrder.slice(0, count)) this.release(entry, reason);
     burstSlots.open = burstSlots.open.filter(({ current }) => isOpen(current));
-    // Usage goes up and down: what is given up for it is not taken up again at once.
+    // Usage fluctuates: slots that were released for it are not added again at once.
     this.addAllowedAt.set(burst.pool.name, this.options.view.now() + burst.leadTimeS);
   }
 
-  /** The outcome of a request that may have been sent is waited for: its machine must not be forgotten. */
+  /** Slots whose request may have been sent wait for its outcome: otherwise the machine would be lost. */
   private mayRelease({ current }: SlotEntry): boolean {
     if (isHeld(current)) return true;
     if (current.state !== 'planned') return false;
@@ -154,7 +154,7 @@
     table.apply(entry, { kind: 'released', reason, atMs: clock.steadyMs() });
   }
 
-  /** Slots of bursts that are over, and of pools that are not declared any more. */
+  /** Releases slots of bursts that are over and of pools that are no longer declared. */
   private releaseInactive(current: ReadonlySet<string>): void {
     for (const entry of this.options.table.values()) {
       const { pool, burstMs } = entry.current;
@@ -185,7 +185,7 @@
     this.options.table.apply(entry, { kind: 'request-due' });
   }
 
-  /** A machine that is there already is kept for the slot, if there is one. */
+  /** Reserves an existing machine for the slot; returns false if there is none. */
   private adopt({ pool }: Burst, entry: SlotEntry): boolean {
     const { view, reservations, table, clock } = this.options;
     const best = bestCapacity(
@@ -205,7 +205,7 @@
     return !m.condition.quarantined && m.reclaimedAt === null && m.drainingSince === null;
   }
 
-  /** What a slot gets with a machine. Replicas that are there already are not those it is kept for. */
+  /** The assignment of a machine to a slot. Replicas that are already on the machine do not use the slot. */
   assignmentOf(slot: Slot, machine: string, typeName: string): MachineAssignment {
     const { view, pool: poolOf } = this.options;
     const pool = poolOf(slot.pool);
@@ -220,7 +220,7 @@
     };
   }
 
-  /** Names the requests for slots that found no machine; they may be sent at once where they are due. */
+  /** Names the requests for slots without a machine; they may be sent at once if they are due. */
   private nameRequests(
     burst: Burst,
     burstSlots: BurstSlots,
@@ -245,8 +245,9 @@
   }
 
   /**
-   * The cloud has nothing for slots that are due: a pool of lower precedence gives up its own. It cannot
-   * take them back, so nothing goes to and fro; the machine is found by `adopt` in the next round.
+   * The cloud has no machines for slots that are due: slots of pools with lower precedence are released.
+   * Those pools cannot take the machines back, which prevents oscillation. `adopt` finds the machines in the
+   * next round.
    */
   private takeFromLowerPrecedence({ pool, burstMs }: Burst, count: number): void {
     const { table, alarms, pool: poolOf } = this.options;
@@ -277,7 +278,7 @@
     return shape.cores >= cores - 1e-6 && shape.gpus >= gpus - 1e-6 && shape.memGb >= memGb - 1e-6;
   }
 
-  /** Who holds what this pool would use, and until when. */
+  /** Text of the alarm: the other pool whose held slots end first, and when. */
   private describeShortage(pool: PoolDeclaration, burstMs: number, missing: number): string {
     let soonestMs = Infinity;
     let holder = '';
--- a/src/warm-pools/slot-reservations.ts
+++ b/src/warm-pools/slot-reservations.ts
@@ -1,4 +1,4 @@
-/** What slots keep of machines, and which tasks may use it. */
+/** Capacity of machines that is reserved for slots, and which tasks may use it. */
 
 import type { TermTimeOfDay } from '../time-of-day.js';
 import { fits, type JobSpec, type Resources } from '../jobs/types.js';
@@ -8,24 +8,24 @@
 import type { PoolDeclaration, ReplicaShape } from './declaration.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
-/** Estimates of run times are wrong by half and more: work is lent a slot for so many times its own. */
+/** Factor on the run-time estimate of work that borrows a slot: estimates are wrong by half and more. */
 const ESTIMATE_SAFETY_FACTOR = 2;
-/** What a warm place is worth to a replica against the same machine without one: a boot of its type. */
+/** Preference of replicas for a machine with a slot over the same one without, in boot times of its type. */
 const PREFERENCE_BOOTS = 1;
 const BEST_EFFORT_PRIORITY = 3;
 
-/** Whether a replica of the job is what the pool is kept for. */
+/** Whether tasks of the job are replicas for which the pool reserves slots. */
 function isReplicaOf(pool: PoolDeclaration, spec: JobSpec): boolean {
   return (
     spec.image === pool.image && spec.kind === 'service' && spec.tasks > 0 && fits(spec, pool.shape)
   );
 }
 
-/** What a round has found of replicas on the places of slots. */
+/** Replicas on slots, as found in a round. */
 export interface Claims {
-  /** Slots on whose place a replica was claimed, though that is not stored yet. */
+  /** Slots for which a replica was found, even if its claim is not stored yet. */
   slots: ReadonlySet<string>;
-  /** Tasks that slots were used by, or are claimed by. */
+  /** Tasks that use or claim slots. */
   tasks: ReadonlySet<string>;
 }
 
@@ -33,13 +33,13 @@
 export interface ModelTask {
   /** `job/index#attempt` */
   name: string;
-  /** Its claim is stored. */
+  /** Whether its claim is stored. */
   isStored: boolean;
-  /** When it was placed, in seconds of the steady clock; by an earlier term: when this one began. */
+  /** When it was placed, in seconds of the steady clock; if an earlier term placed it, when this term began. */
   placedAt: number;
 }
 
-/** Tasks with a pool's model that a machine holds. */
+/** Tasks with a pool's model on a machine that were not asked to stop. */
 export function modelTasks(
   view: TermView,
   machine: MachineView,
@@ -59,13 +59,13 @@
   return tasks;
 }
 
-/** A slot that is kept, and its pool. */
+/** A slot with a reservation, and its pool. */
 interface ReservedSlot {
   entry: SlotEntry;
   pool: PoolDeclaration;
 }
 
-/** What `SlotReservations` work with. */
+/** Options of `SlotReservations`. */
 export interface SlotReservationsOptions {
   view: TermView;
   table: SlotTable;
@@ -74,18 +74,18 @@
   clock: Pick<TermTimeOfDay, 'nowMs'>;
 }
 
-/** The part of each machine that is kept for slots. */
+/** The capacity that is reserved for slots on each machine. */
 export class SlotReservations {
   private claims: Claims = { slots: new Set(), tasks: new Set() };
 
   constructor(private readonly options: SlotReservationsOptions) {}
 
-  /** What is known of claims, anew at every tick. */
+  /** Replaces the known claims; called at every tick. */
   setClaims(claims: Claims): void {
     this.claims = claims;
   }
 
-  /** Whether a replica is on its way to the slot. */
+  /** Whether a replica was found for the slot. */
   isClaimed(id: string): boolean {
     return this.claims.slots.has(id);
   }
@@ -95,7 +95,7 @@
     return this.options.table.held().has(machine);
   }
 
-  /** What the slots on a machine take together, in whole machines' shares; of those that are there. */
+  /** Sum of the machine shares of unclaimed slots on machines that are ready or pending. */
   keptMachines(): number {
     const { view, table } = this.options;
     let sum = 0;
@@ -107,7 +107,7 @@
     return sum;
   }
 
-  /** The slots that are kept on a machine, less those on whose place a replica was put since the last round. */
+  /** Slots with a reservation on a machine, less one for each replica placed there since the last round. */
   private reservedSlots(machine: string): ReservedSlot[] {
     const entries = this.options.table.held().get(machine);
     if (entries === undefined) return [];
@@ -123,7 +123,7 @@
     return reserved;
   }
 
-  /** Replicas that no slot is known to be used by yet. */
+  /** Number of replicas on a machine that are not yet known to use a slot. */
   private unassignedReplicaCount(
     machine: string,
     pool: PoolDeclaration,
@@ -146,18 +146,18 @@
     return leavesCapacity(spec, capacity, reserved) || this.mayBorrow(spec, capacity, reserved);
   }
 
-  /** A place that is warm for the replica, or about to be, saves it a boot. */
+  /** A slot that is warm for the replica, or about to be, saves it a boot. */
   preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
     if (!this.reservedSlots(capacity.id).some(({ pool }) => isReplicaOf(pool, spec))) return 0;
     return (this.options.view.machineTypes().get(capacity.type)?.bootS ?? 0) * PREFERENCE_BOOTS;
   }
 
-  /** Whether a slot of this shape finds capacity there beside what is kept already. */
+  /** Whether a slot of this shape fits on the machine in addition to its reservations. */
   hasCapacityFor(shape: ReplicaShape, capacity: FreeCapacity): boolean {
     return leavesCapacity(shape, capacity, this.reservedSlots(capacity.id));
   }
 
-  /** The machine would drop an image that a slot is kept for. */
+  /** Whether the job's image would make the machine evict an image for which a slot is reserved. */
   private wouldEvictImage(spec: JobSpec, machine: string, reserved: ReservedSlot[]): boolean {
     const { view } = this.options;
     const machineView = view.machine(machine);
@@ -168,7 +168,7 @@
     return machineView.images.totalGb + spec.imageGb > type.cacheGb;
   }
 
-  /** Short best-effort work may use a place until shortly before the burst, where operators say so. */
+  /** Short best-effort work may use a slot until shortly before the burst if the pool allows it (`lend`). */
   private mayBorrow(spec: JobSpec, capacity: FreeCapacity, reserved: ReservedSlot[]): boolean {
     if (spec.priority !== BEST_EFFORT_PRIORITY || spec.kind !== 'array') return false;
     const fetchS = capacity.imageDelayS(spec.image, spec.imageGb);
--- a/src/warm-pools/slot-scale-out.ts
+++ b/src/warm-pools/slot-scale-out.ts
@@ -1,4 +1,4 @@
-/** Requests to the cloud for slots: named in the store before they are sent. */
+/** Scale-out requests for slots, whose names are stored before they are sent. */
 
 import type { ScaleOutResult } from '../cloud/client.js';
 import type { TermTimeOfDay } from '../time-of-day.js';
@@ -6,7 +6,7 @@
 import { isOpen, type Slot, type MachineAssignment, type SlotRequest } from './slot.js';
 import type { SlotEntry, SlotTable } from './slot-table.js';
 
-/** Seconds before a request that was refused or not answered is sent again: at first, and at most. */
+/** Initial and maximum seconds before a request that was refused or not answered is sent again. */
 const INITIAL_RETRY_DELAY_S = 0.5;
 const MAX_RETRY_DELAY_S = 8;
 
@@ -16,24 +16,24 @@
   lastSentMs: number;
   retryAt: number;
   retryDelayS: number;
-  /** The machines, where the slots' records could not follow yet. */
+  /** The added machines while the slots' records cannot be stored yet; otherwise null. */
   machines: readonly string[] | null;
 }
 
-/** What `SlotScaleOut` works with. */
+/** Options of `SlotScaleOut`. */
 export interface SlotScaleOutOptions {
   view: TermView;
   table: SlotTable;
-  /** Time of day by which bursts are kept, and by which held time is measured: see `TermTimeOfDay`. */
+  /** `nowMs` gives the times of bursts, `steadyMs` measures held intervals: see `TermTimeOfDay`. */
   clock: Pick<TermTimeOfDay, 'nowMs' | 'steadyMs'>;
-  /** What the slot gets with a machine of this type. */
+  /** The assignment of a machine of this type to a slot. */
   assignmentOf: (slot: Slot, machine: string, type: string) => MachineAssignment;
 }
 
 /**
- * A request's name is in the records of its slots before it is sent, and is sent again, by whoever leads,
- * until it is answered: the cloud adds nothing twice under one name. A slot never gets a new name while
- * the outcome of the old one is open, so no answer that is lost loses a machine.
+ * The name of a request is in the records of its slots before the request is sent. Every leader sends it
+ * again until it is answered; the cloud adds machines only once for a name. A slot gets no new request while
+ * the outcome of the old one is open, so a lost answer does not lose a machine.
  */
 export class SlotScaleOut {
   private readonly pendingRequests = new Map<string, PendingRequest>();
@@ -46,7 +46,7 @@
     return this.pendingRequests.has(request.name) || termBeganMs >= sendFromMs;
   }
 
-  /** Requests that are due; the fleet asks before each whether the term is entitled to send it. */
+  /** Requests that are due. The provisioner checks before each one whether the term is entitled to send it. */
   due(): StoredScaleOutRequest[] {
     const { view, table } = this.options;
     const byName = new Map<string, SlotEntry[]>();
@@ -67,8 +67,9 @@
   }
 
   /**
-   * Only what the store holds counts. While it is refused to all, and the majority says so, requests that
-   * were named before and whose time has come are sent too: that they may be is in the store.
+   * Only stored state counts. In an outage in which the store refuses all controllers, as a majority
+   * confirms, requests that were named before are also sent once `sendFromMs` has passed: the store already
+   * contains this permission.
    */
   private dueRequestName({ stored, current }: SlotEntry): string | null {
     if (stored === null || stored.request === null || !isOpen(current)) return null;
@@ -95,8 +96,8 @@
       known.firstSentMs = Math.min(known.firstSentMs, nowMs);
       return;
     }
-    // An earlier term may have sent it, from the moment on at which it was due: before this one began, when its two
-    // times of day were the same.
+    // An earlier term may have sent it from `sendFromMs` on. That was before this term began, when its
+    // `nowMs` and `steadyMs` were the same.
     const firstSentMs = Math.min(
       nowMs,
       ...group.map(({ current }) => this.earliestSentMs(current)),
@@ -124,7 +125,7 @@
         }
         break;
       case 'refused':
-        // Certainly not carried out this time; by an earlier sending perhaps.
+        // This sending was not carried out; an earlier one may have been.
         if (pending.firstSentMs === pending.lastSentMs) pending.firstSentMs = Infinity;
         this.scheduleRetry(pending);
         break;
@@ -155,7 +156,7 @@
       const assignment = assignmentOf(entry.current, machine, type);
       table.apply(entry, { kind: 'added', place: assignment, atMs: fromMs, uncertainMs });
     }
-    // In an outage it is kept until the slots' records may follow.
+    // In an outage the request stays pending until the slots' records can be stored.
     if (this.options.view.canWrite()) this.pendingRequests.delete(name);
   }
 
@@ -166,7 +167,7 @@
   }
 }
 
-/** Divides the machines of a request among slots: as many on each as fit. */
+/** Distributes slots over the machines of a request, as many on each as fit. */
 export function distributeMachines(
   slots: number,
   perMachine: number,
--- a/src/warm-pools/slot-table.ts
+++ b/src/warm-pools/slot-table.ts
@@ -1,4 +1,4 @@
-/** The slots of a term: what the store holds of them, and the changes on their way into it. */
+/** The slots in one term: their stored state, and changes that are not stored yet. */
 
 import type { OwnedRecord, OwnedWrite } from '../subsystems/subsystem.js';
 import { RecordTable, type RecordForm, type TableEntry } from '../subsystems/record-table.js';
@@ -14,7 +14,7 @@
   type SlotEvent,
 } from './slot.js';
 
-/** A slot as it is, and as the store holds it. */
+/** A slot in its current state and as the store holds it. */
 export type SlotEntry = TableEntry<Slot>;
 
 const SLOT_FORM: RecordForm<Slot> = {
@@ -24,11 +24,11 @@
   decode: decodeSlot,
 };
 
-/** Slots by their names, and by the machines that are kept for them. */
+/** Slots by id, and by the machines that are reserved for them. */
 export class SlotTable {
   private heldByMachine: Map<string, SlotEntry[]> | null = null;
   private readonly table = new RecordTable(SLOT_FORM, {
-    // Ends stop what somebody pays for.
+    // The end of a slot stops the charges to its team.
     isUrgent: (entry) => !isOpen(entry.current),
     onChange: () => (this.heldByMachine = null),
   });
@@ -38,32 +38,32 @@
     this.table.reconcile(records);
   }
 
-  /** Slots of the table. */
+  /** Number of slots. */
   get size(): number {
     return this.table.size;
   }
 
-  /** All slots, also those that are over. */
+  /** All slots, including ended ones. */
   values(): IterableIterator<SlotEntry> {
     return this.table.values();
   }
 
-  /** The slot of this name. */
+  /** The slot with this id. */
   get(id: string): SlotEntry | undefined {
     return this.table.get(id);
   }
 
-  /** A new slot, or the one that has its name already. */
+  /** Adds a slot, or returns the one that already has its id. */
   add(slot: Slot): SlotEntry {
     return this.table.add(slot);
   }
 
-  /** Changes a slot; the change is stored later. */
+  /** Applies an event to a slot; the change is stored later. */
   apply(entry: SlotEntry, event: SlotEvent): void {
     this.table.change(entry, advanceSlot(entry.current, event));
   }
 
-  /** Slots with a machine that is kept for them, by machine. */
+  /** Slots with a reserved machine, by machine. */
   held(): ReadonlyMap<string, readonly SlotEntry[]> {
     if (this.heldByMachine === null) {
       this.heldByMachine = new Map();
@@ -78,17 +78,17 @@
     return this.heldByMachine;
   }
 
-  /** A slot whose whole change is stored and final, and that may go into the bill. */
+  /** Whether the slot has ended and its end is stored, so that it may be billed. */
   isSettled(entry: SlotEntry): boolean {
     return !isOpen(entry.current) && this.table.isStored(entry);
   }
 
-  /** Its record was removed. */
+  /** Removes a slot whose record was removed from the store. */
   removed(id: string): void {
     this.table.removed(id);
   }
 
-  /** The next changes to store, ends first. */
+  /** The next changes to store; ends of slots come first. */
   dueWrites(): OwnedWrite[] {
     return this.table.dueWrites();
   }
--- a/src/warm-pools/slot.ts
+++ b/src/warm-pools/slot.ts
@@ -1,4 +1,4 @@
-/** A warm slot: a place for one replica that is kept ready for a burst. Its record and its states. */
+/** A warm slot: capacity for one replica that is prepared for a burst. Its states and its record. */
 
 import { IllegalTransitionError } from '../illegal-transition.js';
 import * as v from 'valibot';
@@ -7,16 +7,16 @@
  *   planned   wanted for a burst; the scale-out request for its machine may be named already
  *   renting   that request may have been sent to the cloud
  *   loading   it has a machine, which boots or loads the model
- *   warm      a replica that is placed there begins at once
+ *   warm      a replica that is placed there starts at once
  *   used      a replica was placed there
- *   released  given up
- *   lost      its machine is gone, or was of no use
+ *   released  not wanted any more: its burst is over, a limit, or a pool with higher precedence
+ *   lost      its machine is gone or cannot be used
  *
- * The last three are final. Idle time is paid for from `loading` on until then.
+ * The last three are final. Idle time is billed from `loading` until one of them.
  */
 export type SlotState = 'planned' | 'renting' | 'loading' | 'warm' | 'used' | 'released' | 'lost';
 
-/** All states, in the order in which operators are shown them. */
+/** All states, in the order in which operators see them. */
 export const SLOT_STATES: readonly SlotState[] = [
   'planned',
   'renting',
@@ -31,29 +31,32 @@
 export const zeroSlotCounts = (): Record<SlotState, number> =>
   Object.fromEntries(SLOT_STATES.map((state) => [state, 0])) as Record<SlotState, number>;
 
-/** The request to the cloud from whose machines a slot gets one. */
+/** The scale-out request that provides a slot's machine. */
 export interface SlotRequest {
-  /** Name of the request: sent again, by whoever leads, it gives the same machines. */
+  /** Name of the request. If any leader sends it again, the cloud returns the same machines. */
   name: string;
   type: string;
   zone: string;
-  /** Machines that are asked for. */
+  /** Number of requested machines. */
   count: number;
-  /** Which of them is the slot's, from 0. */
+  /** Index of the slot's machine among them, from 0. */
   position: number;
 }
 
 /**
- * A time for which idle machine time is paid, in ms by the steady time of day of the term that leads: both ends by the
- * same one.
+ * An interval for which idle machine time is billed, in ms. Both ends are in the steady time of day of the
+ * leading term.
  */
 export interface HeldInterval {
   fromMs: number;
-  /** Null: it goes on. */
+  /** Null while the interval is open. */
   toMs: number | null;
-  /** By how much its length may be wrong. */
+  /** Uncertainty of the length. */
   uncertainMs: number;
-  /** By how much that term's time of day was set: a successor's may agree with it from before, or from after that. */
+  /**
+   * By how much that term's time of day was set. A successor's time of day may agree with it as it was before
+   * or after it was set.
+   */
   clockSetMs: number;
 }
 
@@ -61,21 +64,21 @@
 export interface Slot {
   pool: string;
   burstMs: number;
-  /** Counts the slots of a burst. */
+  /** Number of the slot within its burst. */
   index: number;
   /** The team that pays. */
   team: string;
   state: SlotState;
   request: SlotRequest | null;
-  /** From when on the request may be sent, in ms of the time of day. */
+  /** Time of day in ms from which the request may be sent. */
   sendFromMs: number;
   machine: string | null;
-  /** Share of the machine that the slot takes, and what the whole machine costs an hour. */
+  /** Share of the machine that the slot takes, and hourly price of the whole machine. */
   share: number;
   pricePerHour: number;
   held: HeldInterval | null;
   warmAtMs: number | null;
-  /** Tasks with the model that were on the machine before the slot was. */
+  /** Tasks with the model that were on the machine before the slot was assigned to it. */
   beside: readonly string[];
   /** The task that uses it, as `job/index#attempt`. */
   task: string | null;
@@ -83,7 +86,7 @@
   reason: string | null;
 }
 
-/** What a slot gets when it gets a machine. */
+/** A machine that is assigned to a slot. */
 export interface MachineAssignment {
   machine: string;
   share: number;
@@ -91,33 +94,33 @@
   beside: readonly string[];
 }
 
-/** What a slot meets. */
+/** Events that change a slot. */
 export type SlotEvent =
-  /** The scale-out request for its machine gets a name. */
+  /** The scale-out request for its machine was named. */
   | { kind: 'request-named'; request: SlotRequest }
   | { kind: 'request-due' }
-  /** The cloud had none for it. */
+  /** The cloud had no machine for it. */
   | { kind: 'request-refused' }
   /** `uncertainMs`: by how much later than `atMs` the machine may have been added. */
   | { kind: 'added'; place: MachineAssignment; atMs: number; uncertainMs: number }
-  /** A machine that is there already is kept for it. */
+  /** An existing machine was reserved for it. */
   | { kind: 'adopted'; place: MachineAssignment; atMs: number }
   | { kind: 'loaded'; atMs: number }
-  /** The time of day was set: what has been paid for stays as long as it was. */
+  /** The time of day was set; the length of the held interval does not change. */
   | { kind: 'clock-set'; byMs: number }
-  /** Another term leads from now on, and measures by its own time of day. */
+  /** A new term began, which measures by its own time of day. */
   | { kind: 'taken-over'; atMs: number }
-  /** `uncertainMs`: by how much the replica's beginning may be from `atMs`. */
+  /** `uncertainMs`: by how much the replica's start may differ from `atMs`. */
   | { kind: 'used'; task: string; atMs: number; uncertainMs: number }
   | { kind: 'released'; reason: string; atMs: number }
-  /** `atMs`: the last evidence of the machine; it may have been there for `uncertainMs` more. */
+  /** `atMs`: the last evidence of the machine, which may have existed for `uncertainMs` longer. */
   | { kind: 'lost'; reason: string; atMs: number; uncertainMs: number };
 
-/** The states in which a slot can meet an event. */
+/** The states in which an event is allowed. */
 const ALLOWED_STATES: Record<SlotEvent['kind'], readonly SlotState[]> = {
   'request-named': ['planned'],
   'request-due': ['planned'],
-  // A request has no other name while its outcome is open.
+  // A slot gets no other request while the outcome of its request is open.
   'request-refused': ['renting'],
   added: ['renting'],
   adopted: ['planned'],
@@ -129,7 +132,7 @@
   lost: ['loading', 'warm'],
 };
 
-/** The one function by which a slot changes. Throws IllegalTransitionError. */
+/** Applies an event; slots change only by this function. Throws IllegalTransitionError. */
 export function advanceSlot(slot: Slot, event: SlotEvent): Slot {
   if (!ALLOWED_STATES[event.kind].includes(slot.state)) {
     throw new IllegalTransitionError(`slot ${slotId(slot)}`, slot.state, event.kind);
@@ -184,8 +187,9 @@
   held === null ? null : { ...held, clockSetMs: held.clockSetMs + byMs };
 
 /**
- * The beginning by the time of day of a term that begins now. The term before had one time of day at first and another
- * one later: of those that this one can agree with, the shorter interval counts, and the rest is uncertain.
+ * Converts the start of an interval to the time of day of a term that begins at `atMs`. The previous term's
+ * time of day was set, and the new one may agree with it as it was before or after that. Of the possible
+ * intervals that begin before `atMs`, the shorter one counts, and the difference is uncertain.
  */
 function withNewTerm(held: HeldInterval | null, atMs: number): HeldInterval | null {
   if (held === null || held.clockSetMs === 0) return held;
@@ -197,7 +201,7 @@
   return { ...held, fromMs: laterMs, uncertainMs: uncertainNowMs, clockSetMs: 0 };
 }
 
-/** The interval ends with the slot. A clock that went back must not make it shorter than nothing. */
+/** Ends the slot and its interval. A clock that went back must not make the length negative. */
 function ended(slot: Slot, state: SlotState, atMs: number, uncertainMs: number): Slot {
   if (slot.held === null) return { ...slot, state };
   const { fromMs } = slot.held;
@@ -209,27 +213,27 @@
   return { ...slot, state, held };
 }
 
-/** Whether a slot still is to be, or is, a warm place. */
+/** Whether a slot is in none of the final states. */
 export const isOpen = ({ state }: Slot): boolean =>
   state === 'planned' || state === 'renting' || state === 'loading' || state === 'warm';
 
-/** Whether it has a machine that is kept for it. */
+/** Whether a machine is reserved for the slot. */
 export const isHeld = ({ state }: Slot): boolean => state === 'loading' || state === 'warm';
 
-/** Names a slot. */
+/** Identifier of a slot. */
 export const slotId = ({
   pool,
   burstMs,
   index,
 }: Pick<Slot, 'pool' | 'burstMs' | 'index'>): string => `${pool}/${burstMs}/${index}`;
 
-/** Keys of slots begin with it, below the subsystem's own prefix. */
+/** Prefix of the keys of slots, below the subsystem's own prefix. */
 export const SLOT_PREFIX = 'slot/';
 /** Key of a slot, below the subsystem's own prefix. */
 export const slotKey = (slot: Pick<Slot, 'pool' | 'burstMs' | 'index'>): string =>
   SLOT_PREFIX + slotId(slot);
 
-// The record
+// The stored record
 
 const text = v.string();
 const number = v.pipe(v.number(), v.finite());
@@ -278,7 +282,7 @@
   };
 }
 
-/** Null: a record of another form, which is left alone. */
+/** Returns null for a record in another form, which is left unchanged. */
 export function decodeSlot(value: unknown): Slot | null {
   const result = v.safeParse(record, value);
   if (!result.success) return null;
@@ -303,7 +307,7 @@
   };
 }
 
-/** A new slot, wanted for a burst. */
+/** A new slot in the state `planned`. */
 export function plannedSlot(
   of: Pick<Slot, 'pool' | 'burstMs' | 'index' | 'team' | 'sendFromMs'>,
 ): Slot {
--- a/src/warm-pools/view.ts
+++ b/src/warm-pools/view.ts
@@ -1,4 +1,4 @@
-/** What operators are shown: a function of the records alone, the same on every controller. */
+/** The view for operators. It depends on the records alone, so it is the same on every controller. */
 
 import type { OwnedRecord } from '../subsystems/subsystem.js';
 import { addTotals, billDays, utcDayOf, slotTotals, type BillDay } from './bill.js';
@@ -6,31 +6,31 @@
 import type { PoolDeclaration } from './declaration.js';
 import { decodeSlot, zeroSlotCounts, SLOT_PREFIX, type Slot, type SlotState } from './slot.js';
 
-/** A pool as operators are shown it. */
+/** Status of a pool in the view for operators. */
 export interface PoolStatus {
   pool: string;
   team: string;
   image: string;
-  /** Declared; null: the pool is not declared any more. */
+  /** Declared number of slots; null if the pool is no longer declared. */
   slots: number | null;
-  /** Beginning of the next burst, ISO 8601; null: there is none. */
+  /** Start of the next burst, ISO 8601; null if there is none. */
   nextBurst: string | null;
   states: Record<SlotState, number>;
 }
 
-/** A day of a pool's bill, with what is not settled yet. */
+/** A day of a pool's bill, including slots that are not billed yet. */
 export interface BillRow extends BillDay {
-  /** Slots whose time still runs. */
+  /** Number of slots whose held interval is open. */
   open: number;
 }
 
-/** All pools and their bill as operators are shown them. */
+/** All pools and their bill. */
 export interface PoolsView {
   pools: PoolStatus[];
   bill: BillRow[];
 }
 
-/** What the records of the subsystem and its declaration say. */
+/** Builds the view from the subsystem's records and declaration. */
 export function poolsView(
   records: ReadonlyMap<string, OwnedRecord>,
   pools: readonly PoolDeclaration[],
--- a/src/warm-pools/warm-pools-term.ts
+++ b/src/warm-pools/warm-pools-term.ts
@@ -22,9 +22,9 @@
 import { SlotTable, type SlotEntry } from './slot-table.js';
 import { SlotMonitor } from './slot-monitor.js';
 
-/** Slots that go into the bill with one commit: a share of what may be written in a second, at most. */
+/** Maximum number of slots that one commit adds to the bill, as a share of the writes allowed in a second. */
 const MERGE_WRITE_SHARE = 0.12;
-/** Measured times are stored once in so many leases. */
+/** Minimum interval between writes of measured lead times, in leases. */
 const LEAD_TIME_STORE_LEASES = 3;
 
 /** Warm pools in one term of leadership. */
@@ -41,7 +41,7 @@
   private readonly planner: SlotPlanner;
   private readonly monitor: SlotMonitor;
   private leadTimesStoredAt: number;
-  /** Models on machines that slots were kept on at the latest round, as `machine image`. */
+  /** Models on machines that had slots in the latest round, as `machine image`. */
   private loadedModels = new Map<string, { machine: string; image: string }>();
 
   constructor(
@@ -83,7 +83,7 @@
     this.leadTimes.reconcile(records);
   }
 
-  /** Nothing new is decided while nothing can be stored. */
+  /** Runs one round. Nothing new is decided while nothing can be stored. */
   tick(): void {
     const nowMs = this.clock.nowMs();
     if (!this.view.canWrite()) return;
@@ -99,7 +99,7 @@
     this.view.wakeProvisioner();
   }
 
-  /** What an earlier term holds was measured by its time of day. */
+  /** Converts held intervals that an earlier term measured by its own time of day. */
   private takeOverHeldSlots(): void {
     const atMs = this.clock.steadyMs();
     for (const entry of this.heldSlots()) {
@@ -109,8 +109,8 @@
   }
 
   /**
-   * The records of what is held tell by how much the time of day was set, for a successor. They are compared at every
-   * round: a commit from before may be carried out at any time, and bring a record back as it was.
+   * Records of held slots contain by how much the time of day was set, for a successor. They are compared in
+   * every round, because a commit from before may be carried out at any time and restore an old record.
    */
   private recordClockSet(): void {
     for (const entry of this.heldSlots()) {
@@ -123,7 +123,7 @@
     return [...this.table.held().values()].flat();
   }
 
-  /** Models that no slot and no replica on their machine wants any more. */
+  /** Unloads models that no slot and no replica on their machine needs any more. */
   private unloadUnneededModels(): void {
     const needed = new Map<string, { machine: string; image: string }>();
     for (const [machine, entries] of this.table.held()) {
--- a/src/warm-pools/warm-pools.ts
+++ b/src/warm-pools/warm-pools.ts
@@ -9,10 +9,10 @@
 import { poolsView, type PoolsView } from './view.js';
 import { WarmPoolsTerm } from './warm-pools-term.js';
 
-/** The subsystem's name, in keys of the store. */
+/** Name of the subsystem in keys of the store. */
 export const WARM_POOLS = 'warm-pools';
 
-/** A model server is asked once in so many heartbeat intervals, and may think for as many leases. */
+/** Interval between requests to a model server, in heartbeat intervals, and their time-out, in leases. */
 const MODEL_POLL_HEARTBEATS = 1;
 const MODEL_REQUEST_TIMEOUT_LEASES = 0.25;
 
