--- a/test/cluster-warm-pools.test.ts
+++ b/test/cluster-warm-pools.test.ts
@@ -1,4 +1,4 @@
-/** Warm pools with whole controllers against stand-ins on loopback, each machine with a model server. */
+/** Warm pools with complete controllers against stand-ins on loopback; each machine has a model server. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { execFile } from 'node:child_process';
@@ -24,10 +24,10 @@
 
 const burstIn = (seconds: number): number => Math.ceil(Date.now() / 1000 + seconds) * 1000;
 
-/** Blocks of loopback addresses: machines of clusters that run side by side share no address. */
+/** Number of blocks of loopback addresses in use: machines of clusters that run concurrently share no address. */
 let addressBlocks = 0;
 
-/** Every machine gets an address of its own: their model servers all have the same port. */
+/** Gives every machine its own address, because all model servers have the same port. */
 function configureModelServers(cloud: Cloud, port: number): void {
   const block = addressBlocks++;
   const hostOf = (id: string): string => `127.1.${block}.${Number(id.split('-')[1])}`;
@@ -49,7 +49,7 @@
 const workersWithModel = (workers: Worker[]): Worker[] =>
   workers.filter((worker) => worker.modelServer!.models.get(MODEL)?.state === 'ready');
 
-/** Replicas that answer now. */
+/** Number of replicas that answer now. */
 const answeringReplicas = (workers: Worker[]): number =>
   workersWithModel(workers).reduce(
     (sum, worker) => sum + worker.modelServer!.models.get(MODEL)!.users,
@@ -58,7 +58,7 @@
 
 const MAIN = new URL('../src/main.js', import.meta.url).pathname;
 
-/** What the program prints, and its exit status. */
+/** Runs the program; returns its output and exit status. */
 async function run(...args: string[]): Promise<{ status: number; out: string }> {
   try {
     const { stdout } = await promisify(execFile)(process.execPath, args);
@@ -113,7 +113,7 @@
     injectFault: async (cluster) => void (await cluster.endLeader()),
   },
   {
-    name: 'the leader is refused alone, and comes back',
+    name: 'the store refuses the leader alone, and later serves it again',
     async injectFault(cluster) {
       await until('a machine', () => cluster.workers.length > 0);
       const old = cluster.leader();
@@ -140,7 +140,7 @@
   },
 ];
 
-test('whatever happens in the lead time, one machine is added and replicas answer at once', async () => {
+test('whatever happens during the lead time, one machine is added and replicas answer at once', async () => {
   const failures: string[] = [];
   const runCase = async (row: FaultCase): Promise<void> => {
     const port = await freePort();
@@ -153,13 +153,13 @@
       await row.injectFault(cluster);
       await until('warm', () => workersWithModel(cluster.workers).length === 1);
       await until('a leader', () => cluster.leader() >= 0);
-      await until('warm as the leader knows', () => {
+      await until('the leader counts all slots as warm', () => {
         return (
           cluster.controllers[cluster.leader()]?.leader?.statistics().warm_slots_warm === SLOTS
         );
       });
       assert.ok(Date.now() < burstMs + 1000, 'in time');
-      assert.equal(cluster.cloud.counted, 1, 'rented once');
+      assert.equal(cluster.cloud.counted, 1, 'added once');
       await wait(burstMs - Date.now());
       const at = cluster.leader() < 0 ? 0 : cluster.leader();
       await cluster.users.submit(at, 'wk-000001', REPLICAS);
@@ -181,7 +181,7 @@
   assert.deepEqual(failures, []);
 });
 
-test('real processes: a leader is frozen while the model loads, and wakes after its successor began', async () => {
+test('real processes: a leader is frozen while the model loads, and resumes after its successor began', async () => {
   const cluster = new ProcessCluster({
     ...{ controllers: 3, leaseS: LEASE_S, cancelS: LEASE_S * 3, label: 'frozen' },
     directory: mkdtempSync(join(tmpdir(), 'shelf-')),
@@ -204,11 +204,11 @@
       return (await cluster.ask(next, '/metrics'))?.warm_slots_warm === SLOTS;
     });
     cluster.thaw(frozen);
-    await until('it follows', async () => {
+    await until('the frozen leader follows', async () => {
       return (await cluster.ask(frozen, '/metrics'))?.role === 'following';
     });
     await wait(LEASE_S * 500);
-    assert.equal(cluster.cloud.counted, 1, 'rented once');
+    assert.equal(cluster.cloud.counted, 1, 'added once');
     const [machine] = workers();
     assert.equal(machine!.modelServer!.models.get(MODEL)!.state, 'ready', 'nothing was unloaded');
     await cluster.users.submit(next, 'wk-000001', REPLICAS);
--- a/test/model-server.test.ts
+++ b/test/model-server.test.ts
@@ -1,4 +1,4 @@
-/** Models that are loaded by model servers: the loader against the stand-in. */
+/** The model server loader against the stand-in. */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 import { steadyClock } from '../src/clock.js';
@@ -34,12 +34,16 @@
   return { server, loader };
 }
 
-test('a model is asked for until it is there, and again when the server has lost it', async (context) => {
+test('a model is requested until it is loaded, and again when the server has lost it', async (context) => {
   const { server, loader } = await setUp(context);
   const own = loader(5);
   assert.equal(own.state(machine('fencing'), POOL), 'loading');
   await wait(30);
-  assert.deepEqual(server.requestLog, [], 'a machine that this term has not heard is not asked');
+  assert.deepEqual(
+    server.requestLog,
+    [],
+    'no request to a machine without a heartbeat in this term',
+  );
   const state = (): string => own.state(machine(), POOL);
   assert.equal(state(), 'loading');
   await until('ready', () => state() === 'ready');
@@ -56,7 +60,7 @@
   const old = loader(5);
   const next = loader(6);
   await until('ready', () => old.state(machine(), POOL) === 'ready');
-  await until('heard', () => {
+  await until('the request of the new term arrives', () => {
     next.state(machine(), POOL);
     return server.requestLog.includes('load tutor 6');
   });
@@ -65,22 +69,22 @@
   assert.ok(server.models.has('tutor'));
 });
 
-test('a model that never loads is given up, one that is in use is not unloaded, silence changes nothing', async (context) => {
+test('a model that never loads is reported as failed, a model in use is not unloaded, and a server that is down changes no state', async (context) => {
   const { server, loader } = await setUp(context);
   server.loadsFail = true;
   const own = loader(5);
   const state = (): string => own.state(machine(), POOL);
-  await until('given up', () => state() === 'failed');
+  await until('reported as failed', () => state() === 'failed');
   assert.ok(server.requestLog.length >= 3);
   server.loadsFail = false;
   own.forget('m1');
   await until('loaded after all', () => state() === 'ready');
   server.use('tutor');
   own.unload(machine(), 'tutor');
-  await until('asked to', () => server.requestLog.includes('unload tutor 5'));
+  await until('unload requested', () => server.requestLog.includes('unload tutor 5'));
   assert.ok(server.models.has('tutor'));
-  await until('known again', () => state() === 'ready');
+  await until('ready once more', () => state() === 'ready');
   server.close();
   await wait(300);
-  assert.equal(state(), 'ready', 'its reports say whether the machine is there');
+  assert.equal(state(), 'ready', 'the heartbeats of a machine show whether it is available');
 });
--- a/test/pool-features.ts
+++ b/test/pool-features.ts
@@ -1,10 +1,10 @@
-/** The features file of a pool of model servers with one burst, for whole controllers. */
+/** Parameters of a features file with one warm pool and one burst, for complete controllers. */
 export interface BurstPool {
   image: string;
   /** Port of all model servers. */
   port: number;
   slots: number;
-  /** When the burst begins, in ms of the time of day, to the second. */
+  /** Start of the burst in ms of the time of day, to the second. */
   burstMs: number;
   holdS: number;
   aheadS: number;
--- a/test/standins/model-server.ts
+++ b/test/standins/model-server.ts
@@ -4,29 +4,29 @@
 
 interface Model {
   state: ModelState;
-  /** Replicas that answer with it. */
+  /** Number of replicas that answer with it. */
   users: number;
   readyAt: number | null;
 }
 
-/** Where a model server listens, and how long a model takes to load. */
+/** Options of a `ModelServer`. */
 export interface ModelServerOptions {
-  /** The address that it has in common with its machine, and the port. */
+  /** The address that it shares with its machine, and the port. */
   host: string;
   port: number;
-  /** How long a model takes to load. */
+  /** Time that a model takes to load. */
   loadMs: () => number;
 }
 
 /**
- * The model server of one machine: loads models when it is asked to, or when a replica needs one. It keeps
- * the highest token that it has seen and refuses loads and unloads with a lower one.
+ * The model server of one machine. It loads a model on request, or when a replica needs it, and refuses loads
+ * and unloads with a token that is lower than the highest one that it has seen.
  */
 export class ModelServer extends HttpStandIn {
   readonly models = new Map<string, Model>();
-  /** What was asked of it, in order: `load tutor 12`. */
+  /** Requests in order: `load tutor 12`. */
   readonly requestLog: string[] = [];
-  /** Requests with a token that was too low. */
+  /** Number of requests with a token that was too low. */
   refused = 0;
   /** Loads end in failure. */
   loadsFail = false;
@@ -60,7 +60,7 @@
     return [404, {}];
   }
 
-  /** Tells how the last load ended; one that failed begins anew. */
+  /** Returns the outcome of the last load; a failed load starts again. */
   private loadOrReport(name: string): ModelState {
     const before = this.models.get(name)?.state;
     const { state } = this.load(name);
@@ -87,18 +87,18 @@
     return [200, { state: 'absent' }];
   }
 
-  /** A replica begins; it answers from the moment on at which its model is there. */
+  /** Adds a replica, which answers once its model is loaded. */
   use(name: string): void {
     this.load(name).users++;
   }
 
-  /** A task that used a model has ended. */
+  /** Removes a replica that used a model. */
   leave(name: string): void {
     const model = this.models.get(name);
     if (model !== undefined) model.users--;
   }
 
-  /** Ends the server; loads under way come to nothing. */
+  /** Stops the server and cancels pending loads. */
   override close(): void {
     for (const timer of this.timers) clearTimeout(timer);
     super.close();
--- a/test/support/warm-pool-cases.ts
+++ b/test/support/warm-pool-cases.ts
@@ -1,8 +1,8 @@
-/** Scenes of warm pools that several tests play. */
+/** Helpers that tests of warm pools share. */
 import assert from 'node:assert/strict';
 import { WarmPoolWorld } from './warm-pool-world.js';
 
-/** All pools' slots, sorted. */
+/** States of all pools' slots, sorted. */
 export const allStates = (world: WarmPoolWorld): string =>
   world
     .slots()
@@ -10,7 +10,7 @@
     .sort()
     .join(' ');
 
-/** Machines of a pool's slots in the store. */
+/** Machines of a pool's slots, as stored. */
 export const machinesOf = (world: WarmPoolWorld, pool: string): string[] =>
   [
     ...new Set(
@@ -34,7 +34,7 @@
     { machineS: 0, uncertainS: 0, slots: 0, open: 0 },
   );
 
-/** Fails if a figure is further off than `by`. */
+/** Fails if the values differ by more than `tolerance`. */
 export const assertNear = (
   actual: number,
   expected: number,
@@ -51,7 +51,7 @@
 /** A replica that takes a whole machine. */
 export const WHOLE_MACHINE_REPLICA = { cores: 8, gpus: 8, memGb: 32 };
 
-/** A case of a table: what happens, and what is checked. */
+/** A test case of a table. */
 export interface Case {
   name: string;
   pools?: string;
@@ -59,7 +59,7 @@
   run(world: WarmPoolWorld): Promise<void>;
 }
 
-/** Plays all cases; fails with the name of the one at fault. */
+/** Runs all cases; fails with the names of those that fail. */
 export async function runCases(cases: Case[]): Promise<void> {
   const failures: string[] = [];
   for (const { name, pools, gpusMax, run: play } of cases) {
--- a/test/support/warm-pool-world.ts
+++ b/test/support/warm-pool-world.ts
@@ -1,6 +1,6 @@
 /**
- * Fixtures of the tests of warm pools: a cloud in memory, and a leader with pools over it, the store and
- * the workers of the meeting tests. Time moves by hand, and nothing opens a socket.
+ * Fixtures of the tests of warm pools: an in-memory cloud, and a leader with warm pools that uses it, the
+ * in-memory store and simulated workers. Time is advanced by hand, and nothing opens a socket.
  */
 import type { CloudClient, ScaleOutResult } from '../../src/cloud/client.js';
 import type { MachineProvisioner } from '../../src/cloud/provisioner.js';
@@ -16,14 +16,14 @@
 import type { Worker } from './simulated-fleet.js';
 import * as records from '../../src/store/records.js';
 
-/** Seconds of the tests' clock at which the declared burst begins: 13:47:00 on 12 January 1970, UTC. */
+/** Second of the tests' clock at which the declared burst begins: 13:47:00 on 12 January 1970, UTC. */
 export const BURST_AT_S = 20;
 /** Seconds for which unused slots stay. */
 export const HOLD_S = 20;
-/** Seconds from a rent to the worker's first heartbeat. */
+/** Seconds from a scale-out to the worker's first heartbeat. */
 const BOOT_S = 1;
 
-/** What becomes of the next requests to the cloud. */
+/** How the cloud handles the next requests. */
 export type CloudMode = 'serve' | 'trouble' | 'no capacity' | 'lose answers';
 
 interface SimulatedMachine {
@@ -32,13 +32,13 @@
   removedAt: number | null;
 }
 
-/** A cloud by the protocol: a request's name gives the same machines for ever. */
+/** A cloud according to the protocol: a request's name always returns the same machines. */
 class InMemoryCloud implements Pick<
   CloudClient,
   'fetchMachineTypes' | 'listMachines' | 'scaleOut' | 'scaleIn'
 > {
   mode: CloudMode = 'serve';
-  /** Machines that it has yet to give. */
+  /** Number of machines that the cloud can still provide. */
   remainingMachines = Infinity;
   bootS = BOOT_S;
   calls = 0;
@@ -47,7 +47,7 @@
   private counter = 0;
   world!: WarmPoolWorld;
 
-  /** The cloud as the client that the code under test asks for. */
+  /** This cloud as a `CloudClient`. */
   client(): CloudClient {
     return fake<CloudClient>(this);
   }
@@ -71,7 +71,7 @@
     return Promise.resolve(listed);
   }
 
-  /** See `CloudClient.scaleOut`; what becomes of it is `mode`. */
+  /** See `CloudClient.scaleOut`; `mode` decides the outcome. */
   scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
     this.calls++;
     if (this.mode === 'trouble') return Promise.resolve({ how: 'refused', status: 503 });
@@ -106,7 +106,7 @@
     return Promise.resolve(true);
   }
 
-  /** Machines whose boot is over begin to report. */
+  /** Machines whose boot is over begin to send heartbeats. */
   completeBoots(): void {
     for (const [id, { request, addedAt, removedAt }] of this.machines) {
       if (removedAt !== null || this.world.fleet.workers.has(id) || this.dead.has(id)) continue;
@@ -116,25 +116,25 @@
 
   private readonly dead = new Set<string>();
 
-  /** The machine is gone from one moment to the next, and from the list. */
+  /** The machine fails at once and disappears from the list. */
   kill(id: string): void {
     this.dead.add(id);
     this.world.fleet.workers.delete(id);
     this.machines.get(id)!.removedAt = this.world.now;
   }
 
-  /** Those of them that were rented by the requests of slots. */
+  /** Those of them that were added by requests of slots. */
   get slotMachineIds(): string[] {
     return this.machineIds.filter((id) => this.machines.get(id)!.request.name.includes(WARM_POOLS));
   }
 
-  /** Machines that are rented now. */
+  /** Machines that exist now. */
   get machineIds(): string[] {
     return [...this.machines].filter(([, m]) => m.removedAt === null).map(([id]) => id);
   }
 }
 
-/** A pool of two slots of half a machine each, with a burst at `BURST_AT`. */
+/** A pool of two slots of half a machine each, with a burst at `BURST_AT_S`. */
 export const poolText = (over: Record<string, string | number | boolean> = {}): string => {
   const fields = {
     name: 'tutor', image: 'tutor-1', image_gb: 1, cores: 4, gpus: 4, mem_gb: 8, slots: 2,
@@ -144,7 +144,7 @@
   return `[[warm_pools.pools]]\n${lines.join('\n')}\n`;
 };
 
-/** Declared without a limit of the team, so that what a term makes of one is looked at alone. */
+/** Declared without a team limit, so that only the limit of the leader's settings applies. */
 export function warmPools(text: string, clock = { now: () => 0 }): WarmPools {
   const teams = new Map([['t', { name: 't', cores: 0, coresMax: 0, gpus: 0, gpusMax: 0 }]]);
   return new WarmPools(parseFeatures(text, { ...settings(), teams }, 0).warmPools!, clock);
@@ -154,7 +154,7 @@
   runRound(): Promise<void>;
 }
 
-/** A world whose leader has pools. A successor may have others: `pools` is looked at by each. */
+/** A world whose leader has warm pools. A successor may have other pools. */
 export class WarmPoolWorld extends LeaderWorld {
   readonly cloud: InMemoryCloud;
   private readonly subsystems: WarmPools[];
@@ -168,7 +168,7 @@
     cloud.world = this;
   }
 
-  /** Leaders from now on have this features file; null: none. */
+  /** Sets the features file of later leaders; null: none. */
   declare(text: string | null): void {
     this.subsystems.splice(0, this.subsystems.length, ...(text === null ? [] : [warmPools(text)]));
   }
@@ -177,12 +177,12 @@
     return this.parts.capacity.provisioner;
   }
 
-  /** The leader asks the cloud for what it wants. */
+  /** The leader sends its requests to the cloud. */
   async cloudRound(): Promise<void> {
     await (this.provisioner as unknown as ProvisionerInternals).runRound().catch(() => undefined);
   }
 
-  /** As `run`, with the cloud's part. */
+  /** Like `LeaderWorld.run`, with the rounds of the cloud. */
   override async run(seconds: number): Promise<void> {
     const { report_s } = this.settings.workers;
     for (let left = seconds; left > 1e-9; left -= report_s) {
@@ -193,12 +193,12 @@
     }
   }
 
-  /** Time passes until this second. */
+  /** Advances the time to this second. */
   runUntil(at: number): Promise<void> {
     return this.run(at - this.now);
   }
 
-  /** The slots in the store. */
+  /** The stored slots. */
   slots(): Slot[] {
     const prefix = records.subsystemPrefix(WARM_POOLS) + SLOT_PREFIX;
     return this.store
@@ -207,7 +207,7 @@
       .map((key) => decodeSlot(this.store.value(key))!);
   }
 
-  /** States of a pool's slots in the store, in order. */
+  /** States of a pool's stored slots, sorted. */
   states(pool = 'tutor'): string {
     const states = this.slots().filter((slot) => slot.pool === pool);
     return states
@@ -216,7 +216,7 @@
       .join(' ');
   }
 
-  /** The bill as operators are shown it. */
+  /** The bill in the view for operators. */
   bill(): BillRow[] {
     return poolsView(this.replica.subsystems.of(WARM_POOLS), [], this.wallMs()).bill;
   }
@@ -226,12 +226,12 @@
     return String(this.leader.statistics().warm_pools_alarms);
   }
 
-  /** A worker that is there. */
+  /** An existing worker. */
   worker(id: string): Worker {
     return this.fleet.workers.get(id)!;
   }
 
-  /** A replica of the pool's model. */
+  /** Submits a replica of the pool's model. */
   replicaJob(id: string, image = 'tutor-1', over = {}): void {
     this.submitJob({
       id,
--- a/test/warm-pool-clock.test.ts
+++ b/test/warm-pool-clock.test.ts
@@ -1,16 +1,12 @@
 /**
- * What is billed where the time of day is set while slots are held.
+ * Billing when the time of day is set while slots are held.
  *
- * What happens: a machine is kept for some seconds, and an hour of it is billed.
- * Why: the beginning of a held interval was kept in the time of day that counted, and moved once when that was set. A
- * commit that was on its way before then, carried out or read back later, brought the beginning as it was; nothing moved
- * it again, and the end was taken by the other time of day. A request that was sent between the setting and the move
- * had its beginning moved although it was of the new time already; and a successor took up beginnings that had been
- * moved by a clock that was not its own.
- * Evidence: the slots' changes of the first case, in order, with the steady time, the interval and the revision:
- * 18.2 warm [16.6 s, -) on its way at revision 5; 21.4 the clock is set by 3,600 s: [3616.6 s, -), then released
- * [3616.6 s, 3621.4 s), not stored; 22.6 adopted from revision 7: warm [16.6 s, -); 22.6 released [16.6 s, 3622.6 s) as
- * revision 8. No leader changes: it is not the fault of a successor that begins with a wrong clock.
+ * Guards against the failure that a machine is held for some seconds and an hour of it is billed. The start
+ * of a held interval was stored in the time of day, and moved once when that was set. A commit from before
+ * the change that was carried out or read back later restored the old start; nothing moved it again, and the
+ * end was taken from the new time of day. The start of a request that was sent between the change and the
+ * move was moved although it was in the new time of day already. A successor adopted starts that were moved
+ * by a clock other than its own. The first case needs no change of leader.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -18,16 +14,16 @@
 import { assertNear, runCases, billTotals } from './support/warm-pool-cases.js';
 
 const HOUR_MS = 3_600_000;
-/** A set clock is followed after six leases of 2 s. */
+/** A clock that was set is followed after six leases of 2 s. */
 const FOLLOWED_AFTER_S = 12;
 
-/** Seconds for which the pool's first machine was kept, until this second. */
+/** Seconds from the addition of the pool's first machine to `until`. */
 const reservedS = (world: WarmPoolWorld, until: number): number =>
   until - [...world.cloud.machines.values()][0]!.addedAt;
 
 /**
- * All is over and billed: the pool's machine for so many seconds, as far as that can be known; and no more than
- * `unknowableS`, beside the intervals between heartbeats, is marked as uncertain.
+ * Checks that all slots are over and that the pool's machine is billed for `seconds`. At most `boundS`, in
+ * addition to the intervals between heartbeats, may be uncertain.
  */
 function checkBill(world: WarmPoolWorld, seconds: number, boundS = 0): void {
   assert.deepEqual(world.slots(), [], 'all slots are over');
@@ -36,17 +32,17 @@
   assertNear(machineS, seconds, boundS + 2, 'machine-seconds');
 }
 
-/** The store takes what was held back, and serves. */
+/** The store serves again and receives the commits that were held back. */
 function resumeStore(world: WarmPoolWorld): void {
   world.canWrite = true;
   world.store.mode = 'serve';
   world.store.deliverHeldBack();
 }
 
-test('an interval is as long as it lasted, whenever the time of day is set', async () => {
+test('a held interval keeps its length whenever the time of day is set', async () => {
   await runCases([
     {
-      name: 'a commit from before is carried out later',
+      name: 'a commit from before the change is carried out later',
       async run(world) {
         await world.runUntil(9);
         world.wallJumpMs = HOUR_MS;
@@ -59,7 +55,7 @@
       },
     },
     {
-      name: 'the answer to a commit from before is lost, and its record is read back',
+      name: 'the answer to a commit from before the change is lost, and its record is read back',
       async run(world) {
         await world.runUntil(9);
         world.wallJumpMs = HOUR_MS;
@@ -74,7 +70,7 @@
     {
       name: 'a request is sent in an outage, after the time of day was set',
       async run(world) {
-        // Planned, and its request named, by then; it is due at 16.4 s.
+        // By then the slot is planned and its request named; the request is due at 16.4 s.
         await world.runUntil(3.4);
         world.wallJumpMs = HOUR_MS;
         await world.runUntil(13.4);
@@ -87,7 +83,7 @@
       },
     },
     {
-      name: 'a clock is followed back, and a successor whose clock is right takes over',
+      name: 'a clock that went back is followed, and a successor whose clock is right takes over',
       async run(world) {
         await world.runUntil(BURST_AT_S + 1);
         world.wallJumpMs = -10_000;
@@ -95,12 +91,12 @@
         world.wallJumpMs = 0;
         world.failOver();
         await world.runUntil(BURST_AT_S + HOLD_S + 3);
-        // Which of the two times of day was right the successor cannot know: 10 s for the whole machine.
+        // The successor cannot know which of the two times of day was right: 10 s for the whole machine.
         checkBill(world, reservedS(world, BURST_AT_S + HOLD_S), 10);
       },
     },
     {
-      name: 'a clock is followed ahead, and a successor whose clock is right takes over',
+      name: 'a clock that went ahead is followed, and a successor whose clock is right takes over',
       async run(world) {
         await world.runUntil(BURST_AT_S + 1);
         world.wallJumpMs = 5000;
--- a/test/warm-pool-times.test.ts
+++ b/test/warm-pool-times.test.ts
@@ -1,4 +1,4 @@
-/** When bursts begin, the time of day that counts, and how long preparation takes. */
+/** Burst schedules, the time of day of a controller, and lead times. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { TimeOfDay } from '../src/time-of-day.js';
@@ -7,7 +7,7 @@
 import { LeadTimes } from '../src/warm-pools/lead-times.js';
 import { g8 } from './helpers.js';
 
-test('schedules: time zones, hours that are skipped and hours that come twice', () => {
+test('schedules: time zones, skipped hours and repeated hours', () => {
   const rows: [string, string, string, string, string[]][] = [
     ['an hour ahead of UTC by five', '0 8 * * *', 'Asia/Karachi', '2026-12-02T00:00Z', ['2026-12-02T03:00Z', '2026-12-03T03:00Z']],
     ['no Sundays', '0 8 * * 1-6', 'Asia/Karachi', '2026-12-05T04:00Z', ['2026-12-07T03:00Z', '2026-12-08T03:00Z']],
@@ -22,7 +22,7 @@
     assert.equal(schedule.nextAfter(fromMs), first, name);
     assert.deepEqual(schedule.between(fromMs, second), [first, second], name);
     assert.equal(schedule.nextAfter(first), second, `${name}: after the first`);
-    assert.equal(schedule.nextAfter(fromMs), first, `${name}: asked for an earlier time again`);
+    assert.equal(schedule.nextAfter(fromMs), first, `${name}: an earlier time again`);
     assert.deepEqual(schedule.between(fromMs, first - 1), [], name);
   }
   const once = new BurstSchedule('2026-12-02T08:00:00', 'Asia/Karachi');
@@ -33,7 +33,7 @@
   assert.throws(() => once.check(Date.parse('2026-12-03'), 1), ScheduleError);
 });
 
-test('the time of day by which bursts are kept', () => {
+test('the time of day follows drift and lasting jumps, but not momentary jumps', () => {
   let now = 0;
   let jumpMs = 0;
   const rate = 1.0004;
@@ -53,12 +53,12 @@
   };
   const steady = make();
   run(steady, 100_000);
-  assert.ok(offMs(steady) < 250, 'a steady clock that drifts is followed for days');
+  assert.ok(offMs(steady) < 250, 'a drifting clock is followed for days');
   const moment = make();
   run(moment, 10);
   jumpMs = 3_600_000;
   run(moment, 30);
-  assert.ok(offMs(moment) < 250 && moment.doubted, 'a jump for a moment is not');
+  assert.ok(offMs(moment) < 250 && moment.doubted, 'a momentary jump is not followed');
   jumpMs = 0;
   run(moment, 1);
   assert.ok(!moment.doubted && moment.jumps === 0);
@@ -67,12 +67,12 @@
     run(lasting, 10);
     jumpMs = by;
     run(lasting, 70);
-    assert.ok(Math.abs(offMs(lasting) - 3_600_000) < 250, 'one that lasts is');
+    assert.ok(Math.abs(offMs(lasting) - 3_600_000) < 250, 'a lasting jump is followed');
     assert.equal(lasting.jumps, 1);
   }
 });
 
-test('lead times: measured ones count, few of them beside what is expected', () => {
+test('lead times: samples count, and few samples only together with the expected time', () => {
   const rows: [string, number[], number][] = [
     ['none: slow boots and fetches are expected', [], 1.6 + 2 * 1.35],
     ['few and fast', [0.2, 0.2], 1.6 + 2 * 1.35],
@@ -85,7 +85,7 @@
     for (const boot of boots) times.recordBootTime('g8', 'z1', boot);
     assert.ok(Math.abs(times.leadTimeS(g8, 'z1', 'i', 2) - leadS) < 1e-9, name);
     assert.equal(times.leadTimeS(g8, 'z2', 'i', 2), 1.6 + 2 * 1.35, `${name}: another zone`);
-    // A new leader has them from the store.
+    // A new leader reads them from the store.
     const next = new LeadTimes();
     next.reconcile(
       new Map(times.dueWrites().map(({ key, value }) => [key, { value, revision: 1 }])),
--- a/test/warm-pools-limits.test.ts
+++ b/test/warm-pools-limits.test.ts
@@ -1,4 +1,4 @@
-/** Budgets, team limits, and what is kept from other work. */
+/** Budgets, team limits, and capacity that is reserved against other work. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BURST_AT_S, poolText } from './support/warm-pool-world.js';
@@ -10,7 +10,7 @@
   runCases,
 } from './support/warm-pool-cases.js';
 
-test('the budget ends in the middle of a burst', async () => {
+test('the budget is spent in the middle of a burst', async () => {
   const COST_PER_S = (2 * 10) / 3600;
   const budget = COST_PER_S * 8;
   const rows: [string, string, RegExp][] = [
@@ -28,8 +28,8 @@
         assert.equal(open.map(({ state }) => state).join(' '), warm);
         assert.match(world.alarms(), alarm);
         const money = world.bill().reduce((sum, row) => sum + row.money, 0);
-        if (policy === 'release') assertNear(money, budget, COST_PER_S * 1, 'what was spent');
-        // A dead machine shows whether any is added.
+        if (policy === 'release') assertNear(money, budget, COST_PER_S * 1, 'money spent');
+        // The death of a machine shows whether slots are added.
         if (warm === '') return;
         world.cloud.kill(world.cloud.machineIds[0]!);
         await world.run(5);
@@ -40,7 +40,7 @@
   );
 });
 
-test('no more is kept warm than the payer could start', async () => {
+test('no more slots are kept warm than the team could start', async () => {
   await runCases([
     {
       name: 'a team that uses most of its limit',
@@ -53,7 +53,7 @@
       },
     },
     {
-      name: 'it uses more while they are warm: given up once, not to and fro',
+      name: 'it uses more while slots are warm: one is released, without oscillation',
       gpusMax: 10,
       async run(world) {
         await world.runUntil(BURST_AT_S);
@@ -63,16 +63,16 @@
         assert.equal(world.states(), 'released warm');
         world.cancel('wk-1');
         await world.run(1);
-        assert.equal(world.slots().length, 2, 'not taken up again at once');
+        assert.equal(world.slots().length, 2, 'no slot is added again at once');
       },
     },
     {
-      name: 'a replica that takes its slot counts once',
+      name: 'a replica that uses its slot counts once',
       gpusMax: 8,
       async run(world) {
         await world.runUntil(BURST_AT_S);
         world.replicaJob('wk-1');
-        // Claimed, and not stored yet.
+        // The claim is not stored yet.
         world.runCycle();
         world.leader.tick();
         assert.equal(world.leader.statistics().warm_slots_released, 0);
@@ -92,7 +92,7 @@
   ]);
 });
 
-test('what is kept warm is kept from other work', async () => {
+test('warm slots are reserved against other work', async () => {
   const arrayJob = (id: string, over = {}): object => ({
     ...{
       id,
@@ -123,7 +123,7 @@
       },
     },
     {
-      name: 'beside a slot there is capacity for what fits beside all of them',
+      name: 'work may use the capacity that all slots of a machine leave',
       pools: poolText({ slots: 1 }),
       async run(world) {
         await world.runUntil(BURST_AT_S);
@@ -137,7 +137,7 @@
       },
     },
     {
-      name: 'replicas go to places of slots, each to one, and not beside them',
+      name: 'each replica uses one slot, and none uses other capacity',
       pools: poolText({ slots: 3 }),
       async run(world) {
         await world.runUntil(BURST_AT_S);
@@ -148,7 +148,7 @@
       },
     },
     {
-      name: 'a place that was taken in the same cycle draws no other replica beside it',
+      name: 'a slot that was used in the same cycle attracts no other replica to its machine',
       pools: poolText({ cores: 5, gpus: 5 }),
       async run(world) {
         await world.runUntil(BURST_AT_S);
@@ -164,18 +164,18 @@
         world.replicaJob('wk-1');
         await world.runUntil(BURST_AT_S + 1);
         assert.equal(world.states(), 'warm');
-        assert.deepEqual(world.hosts('wk-1'), machinesOf(world, 'tutor'), 'beside it');
+        assert.deepEqual(world.hosts('wk-1'), machinesOf(world, 'tutor'), 'on the same machine');
         world.failOver();
         await world.run(2);
         assert.equal(world.states(), 'warm');
       },
     },
     {
-      name: 'an idle machine with a slot stays longer than any other would',
+      name: 'an idle machine with a slot stays longer than any other one',
       pools: poolText({ hold_s: 200 }),
       async run(world) {
         await world.runUntil(BURST_AT_S);
-        // One too many: that is the one that goes.
+        // The fleet has one machine too many: this one is returned.
         world.fleet.add('host-900000');
         await world.runUntil(BURST_AT_S + 150);
         assert.equal(world.states(), 'warm warm');
@@ -184,7 +184,7 @@
       },
     },
     {
-      name: 'work whose image would push out that of a slot goes elsewhere',
+      name: 'work whose image would evict that of a slot is placed elsewhere',
       pools: poolText({ slots: 1 }),
       async run(world) {
         world.replicaJob('wk-1');
@@ -219,7 +219,7 @@
       },
     },
     {
-      name: 'short best-effort work may borrow it where operators say so',
+      name: 'short best-effort work may borrow a slot of a pool that lends',
       pools: poolText({ ...WHOLE_MACHINE, lend: true }),
       async run(world) {
         await world.runUntil(BURST_AT_S - 1.2);
@@ -231,7 +231,7 @@
       },
     },
     {
-      name: 'long work may not, since it could not be off it in time',
+      name: 'long work may not borrow a slot, since it could not end in time',
       pools: poolText({ ...WHOLE_MACHINE, lend: true }),
       async run(world) {
         await world.runUntil(BURST_AT_S - 1.2);
--- a/test/warm-pools-random.test.ts
+++ b/test/warm-pools-random.test.ts
@@ -1,6 +1,6 @@
 /**
- * Troubles in any order while a burst is prepared, played and billed. A fixed seed; more with WARM_POOLS_RUNS and
- * WARM_POOLS_SEED.
+ * Random faults while a burst is prepared, carried out and billed. The seed is fixed; WARM_POOLS_RUNS and
+ * WARM_POOLS_SEED allow more runs.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -13,9 +13,9 @@
   poolText({ name: 'a', image: 'a', precedence: 1, refills: 1 }) +
   poolText({ name: 'b', image: 'b', cores: 8, gpus: 8, mem_gb: 32, slots: 1 });
 
-/** A world in which users are told of cancellations that the leader has not noted. */
+/** A world in which users get answers to cancellations that the leader has not noted. */
 class FaultWorld extends WarmPoolWorld {
-  /** When, by job. */
+  /** Time of the answer, by job. */
   readonly unnotedCancellations = new Map<string, number>();
 }
 
@@ -45,7 +45,8 @@
   },
   'replica comes': (world, number) => world.replicaJob(`wk-${100 + number}`, 'a'),
   'replica goes': (world, number) => world.cancelNotedByLeader(`wk-${100 + number}`),
-  // Its user is told all the same. It may be started until the leader reads that, and is gone in time.
+  // Its user gets the answer all the same. The job may be started until the leader reads the cancellation,
+  // and ends in time.
   'replica goes, the leader cannot be asked': (world, number) => {
     const id = `wk-${100 + number}`;
     world.store.cancel(id);
@@ -61,20 +62,21 @@
   world.store.deliverHeldBack();
 }
 
-/** What the store says must hold at any moment. */
+/** Invariants of the store's records at any time. */
 function checkInvariants(world: FaultWorld): void {
   const shareByMachine = new Map<string, number>();
   for (const slot of world.slots()) {
-    if (slot.state === 'renting') assert.ok(slot.request !== null, 'a request without a name');
+    if (slot.state === 'renting')
+      assert.ok(slot.request !== null, 'a renting slot has a named request');
     if (slot.state !== 'loading' && slot.state !== 'warm') continue;
     const share = (shareByMachine.get(slot.machine!) ?? 0) + slot.share;
     shareByMachine.set(slot.machine!, share);
-    assert.ok(share <= 1 + 1e-9, `${slot.machine} is kept ${share} times`);
+    assert.ok(share <= 1 + 1e-9, `${slot.machine} is reserved ${share} times`);
   }
   assert.deepEqual(world.fleet.violations, []);
-  for (const [id, toldAt] of world.unnotedCancellations) {
-    if (world.now <= toldAt + world.settings.workers.cancel_s) continue;
-    assert.equal(world.fleet.running(id), 0, `${id} is gone`);
+  for (const [id, answeredAt] of world.unnotedCancellations) {
+    if (world.now <= answeredAt + world.settings.workers.cancel_s) continue;
+    assert.equal(world.fleet.running(id), 0, `${id} does not run`);
   }
 }
 
@@ -88,8 +90,8 @@
 const after = (what: string, afterS: number, number = 0): Event => ({ what, afterS, number });
 
 /**
- * Found by random runs: a replica was started in the second in which its cancellation was told. The leader had not
- * read it, and the user had been told without its word; see cancellation-quorum.test.
+ * Found by random runs: a replica was started in the second in which its cancellation was answered. The user
+ * got the answer although the leader had not read the cancellation; see cancellation-quorum.test.
  */
 const REPLICA_STARTED_AFTER_CANCELLATION: Event[] = [
   after('cloud serves', 9.6),
@@ -103,8 +105,8 @@
 ];
 
 /**
- * Found by random runs: an hour was billed that nobody held, where the clock jumps and the store takes the commits
- * later. The slots' changes, and why: warm-pool-clock.test.
+ * Found by random runs: an hour without a held slot was billed, where the clock jumps and the store takes the
+ * commits later. For the cause see warm-pool-clock.test.
  */
 const BILLED_HOUR_NOT_HELD: Event[] = [
   after('clock jumps', 2),
@@ -126,7 +128,7 @@
   resumeStore(world);
   world.cloud.mode = 'serve';
   world.wallJumpMs = 0;
-  // A jump of the clock that lasted is followed, and followed back.
+  // A lasting jump of the clock is followed, and followed back.
   await world.runUntil(Math.max(world.now, BURST_AT_S + HOLD_S) + 40);
   checkInvariants(world);
   assert.deepEqual(world.slots(), [], 'all slots are over');
@@ -145,7 +147,7 @@
   assert.ok(own.length <= 16, `${own.length} machines`);
 }
 
-test('troubles in any order: nothing is kept twice, all is given up and billed at the end', async () => {
+test('random faults: nothing is reserved twice, and all slots are ended and billed at the end', async () => {
   const events = fc.array(event, { minLength: 4, maxLength: 16 });
   await fc.assert(fc.asyncProperty(events, runEvents), {
     seed: SEED,
@@ -155,10 +157,10 @@
   });
 });
 
-test('a replica whose cancellation the leader has noted is not started, whatever came before', async () => {
+test('a replica whose cancellation the leader has noted is not started', async () => {
   await runEvents(REPLICA_STARTED_AFTER_CANCELLATION);
 });
 
-test('a clock that jumps while commits are held back bills no hour that nobody held', async () => {
+test('a clock that jumps while commits are held back bills no hour in which no slot was held', async () => {
   await runEvents(BILLED_HOUR_NOT_HELD);
 });
--- a/test/warm-pools-troubles.test.ts
+++ b/test/warm-pools-troubles.test.ts
@@ -1,4 +1,4 @@
-/** Warm pools in troubles of the cloud, machines, clocks and features files, in injected time. */
+/** Warm pools under faults of the cloud, machines, clocks and features files, in simulated time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BURST_AT_S, HOLD_S, WarmPoolWorld, poolText } from './support/warm-pool-world.js';
@@ -11,10 +11,10 @@
   runCases,
 } from './support/warm-pool-cases.js';
 
-test('troubles of the cloud and of machines just before the burst', async () => {
+test('faults of the cloud and of machines just before the burst', async () => {
   await runCases([
     {
-      name: 'an outage of the cloud over the lead time',
+      name: 'an outage of the cloud during the lead time',
       async run(world) {
         await world.runUntil(10);
         world.cloud.mode = 'trouble';
@@ -58,14 +58,14 @@
             held!.toMs! / 1000 - 1e6,
             BURST_AT_S - 0.6,
             0.5,
-            'paid until it was heard last',
+            'billed until its last heartbeat',
           );
-          assert.ok(held!.uncertainMs > 0, 'and marked');
+          assert.ok(held!.uncertainMs > 0, 'and marked as uncertain');
         }
       },
     },
     {
-      name: 'a machine that never comes',
+      name: 'a machine that never boots',
       async run(world) {
         world.cloud.bootS = 1e9;
         await world.runUntil(BURST_AT_S + 12);
@@ -81,11 +81,11 @@
         world.cloud.bootS = 9;
         await world.runUntil(BURST_AT_S + 8);
         assert.equal(world.states(), 'warm warm');
-        assert.equal(world.cloud.machines.size, 1, 'nothing is rented in its place');
+        assert.equal(world.cloud.machines.size, 1, 'no machine is added in its place');
       },
     },
     {
-      name: 'a notice that the machine is taken away',
+      name: 'a notice that the machine will be reclaimed',
       async run(world) {
         await world.runUntil(BURST_AT_S - 1);
         world.worker('host-000001').reclaimNoticeS = 30;
@@ -94,7 +94,7 @@
       },
     },
     {
-      name: 'its zone is cut off: it may be alive there',
+      name: 'its zone is partitioned: the machine may be alive there',
       async run(world) {
         await world.runUntil(BURST_AT_S - 1);
         world.zoneRenewal = { keptUntil: Infinity, provenAt: Infinity };
@@ -110,7 +110,7 @@
       },
     },
     {
-      name: 'machines that die one after the other: at some point no more are added',
+      name: 'machines fail one after the other: after a limit no more are added',
       async run(world) {
         for (let i = 0; i < 60; i++) {
           await world.runUntil(BURST_AT_S - 2 + i * 0.4);
@@ -122,10 +122,10 @@
   ]);
 });
 
-test('clocks that jump neither begin a burst nor end one, nor repeat it', async () => {
+test('a jump of the clock neither begins, ends nor repeats a burst', async () => {
   await runCases([
     {
-      name: 'an hour ahead for a moment',
+      name: 'ahead for a moment',
       async run(world) {
         await world.runUntil(5);
         world.wallJumpMs = (BURST_AT_S - 5) * 1000;
@@ -150,7 +150,7 @@
       },
     },
     {
-      name: 'back for good, after the burst is billed: it is not played again',
+      name: 'back for good, after the burst is billed: it is not repeated',
       async run(world) {
         await world.runUntil(BURST_AT_S + HOLD_S + 3);
         const before = billTotals(world);
@@ -166,7 +166,11 @@
         await world.runUntil(BURST_AT_S + 1);
         world.wallJumpMs = 3_600_000;
         await world.run(20);
-        assert.equal(allStates(world), '', 'the burst is over by the clock that counts now');
+        assert.equal(
+          allStates(world),
+          '',
+          'the burst is over by the time of day that is followed now',
+        );
         const { addedAt } = [...world.cloud.machines.values()][0]!;
         assertNear(billTotals(world).machineS, BURST_AT_S + 13 - addedAt, 2, 'machine-seconds');
       },
@@ -206,12 +210,12 @@
   );
 });
 
-test('a leader without pools takes over, and one with pools after it', async () => {
+test('a leader without pools takes over, and then one with pools', async () => {
   const world = new WarmPoolWorld(poolText(WHOLE_MACHINE));
   await world.runUntil(BURST_AT_S + 1);
   world.declare(null);
   world.failOver();
-  // The machines are as any others to it.
+  // This leader treats the machines like any others.
   world.submitJob({ id: 'wk-9', tasks: 1, gpus: 8, cores: 8 });
   await world.run(3);
   assert.equal(world.fleet.running('wk-9'), 1);
@@ -219,7 +223,7 @@
   world.declare(poolText(WHOLE_MACHINE));
   world.failOver();
   await world.run(5);
-  assert.match(world.states(), /^lost /, 'the place that was taken is looked for anew');
-  assert.equal(world.fleet.running('wk-9'), 1, 'and the work goes on');
+  assert.match(world.states(), /^lost /, 'the slot whose capacity was taken is replaced');
+  assert.equal(world.fleet.running('wk-9'), 1, 'and the work continues');
   assert.deepEqual(world.fleet.violations, []);
 });
--- a/test/warm-pools.test.ts
+++ b/test/warm-pools.test.ts
@@ -1,4 +1,4 @@
-/** Warm pools through bursts and troubles, in injected time: leader, store, cloud and workers. */
+/** Warm pools through bursts and faults, in simulated time: leader, store, cloud and workers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BURST_AT_S, HOLD_S, WarmPoolWorld, poolText } from './support/warm-pool-world.js';
@@ -12,7 +12,7 @@
   type Case,
 } from './support/warm-pool-cases.js';
 
-test('a burst comes as declared, early, late, twice as large, or not at all', async () => {
+test('a burst occurs as declared, early, late, twice as large, or not at all', async () => {
   await runCases([
     {
       name: 'as declared',
@@ -27,7 +27,7 @@
         await world.run(0.6);
         assert.equal(world.states(), 'used used');
         await world.runUntil(BURST_AT_S + HOLD_S + 2);
-        assert.equal(allStates(world), '', 'all is in the bill');
+        assert.equal(allStates(world), '', 'all slots are billed');
         assert.deepEqual([world.bill()[0]!.slots, world.bill()[0]!.used], [2, 2]);
       },
     },
@@ -61,7 +61,11 @@
         await world.runUntil(BURST_AT_S);
         world.replicaJob('wk-1', 'tutor-1', { tasks: 2 });
         await world.run(6);
-        assert.equal(world.states(), 'used used warm warm', 'made up for while it goes on');
+        assert.equal(
+          world.states(),
+          'used used warm warm',
+          'replaced while the burst is in progress',
+        );
         world.replicaJob('wk-2', 'tutor-1', { tasks: 2 });
         await world.run(6);
         assert.equal(world.states(), 'used used used used', 'and not more often than declared');
@@ -69,13 +73,13 @@
       },
     },
     {
-      name: 'not at all: given back once, and paid for until it was given up',
+      name: 'not at all: machines are returned once, and billed until their slots are released',
       pools: poolText(WHOLE_MACHINE),
       async run(world) {
         await world.runUntil(BURST_AT_S + HOLD_S + 60);
         assert.equal(allStates(world), '');
         assert.deepEqual(world.cloud.machineIds, []);
-        assert.equal(world.cloud.machines.size, 2, 'nothing was rented twice');
+        assert.equal(world.cloud.machines.size, 2, 'no machine was added twice');
         const expectedS = [...world.cloud.machines.values()].map(
           ({ addedAt }) => BURST_AT_S + HOLD_S - addedAt,
         );
@@ -83,7 +87,7 @@
       },
     },
     {
-      name: 'its replicas are cancelled: what was used stays used, and is billed once',
+      name: 'its replicas are cancelled: used slots stay used and are billed once',
       pools: poolText({ refills: 1 }),
       async run(world) {
         await world.runUntil(BURST_AT_S);
@@ -98,7 +102,7 @@
   ]);
 });
 
-test('two pools want the last machine: precedence, then the earlier burst, then the name', async () => {
+test('two pools need the last machine: precedence, then the earlier burst, then the name', async () => {
   const pool = (name: string, over: Record<string, string | number> = {}): string =>
     poolText({ ...WHOLE_MACHINE, name, image: name, slots: 1, ...over });
   const earlier = { schedule: '58 46 13 * * *' };
@@ -125,16 +129,16 @@
         );
         const before = world.slots().length;
         await world.run(HOLD_S * 0.5);
-        assert.deepEqual(held(), [winner], 'no going to and fro');
-        assert.ok(world.slots().length <= before, 'nor slots that come and go');
+        assert.deepEqual(held(), [winner], 'no oscillation between pools');
+        assert.ok(world.slots().length <= before, 'no slots are added and released again');
         await world.run(HOLD_S * 0.5);
-        assert.ok(!held().includes(winner), 'given up when its burst is over');
+        assert.ok(!held().includes(winner), 'released when its burst is over');
       },
     })),
   );
 });
 
-test('a leader ends at any moment of the preparation: nothing is added twice, nothing forgotten', async () => {
+test('a leader ends at any time during the preparation: no machine is added twice or lost', async () => {
   const cases: Case[] = [];
   for (let at = 12; at < 21; at += 0.4) {
     for (const mode of ['serve', 'lose answers'] as const) {
@@ -160,12 +164,12 @@
   await runCases(cases);
 });
 
-test('a leader that froze between its check and its call adds nothing more', async () => {
+test('a leader that froze between its check and its call adds no further machine', async () => {
   const world = new WarmPoolWorld();
   const delayedCalls: (() => void)[] = [];
   const scaleOut = world.cloud.scaleOut.bind(world.cloud);
   world.cloud.scaleOut = (request) => {
-    // The first call goes out only once another controller leads; its sender never hears of it.
+    // The first call goes out only when another controller leads; its sender gets no answer.
     if (world.cloud.calls++ > 0) return scaleOut(request);
     delayedCalls.push(() => void scaleOut(request));
     return Promise.resolve({ how: 'unknown' });
@@ -197,7 +201,7 @@
   assert.equal(world.cloud.machines.size, 1);
 });
 
-test('an outage of the key-value store lies over the whole lead time', async () => {
+test('an outage of the key-value store lasts for the whole lead time', async () => {
   const outage = async (world: WarmPoolWorld, from: number, to: number): Promise<void> => {
     await world.runUntil(from);
     world.canWrite = false;
@@ -210,10 +214,10 @@
   };
   await runCases([
     {
-      name: 'requests that were named before go out in it, once',
+      name: 'requests that were named before it are sent once during it',
       async run(world) {
         await outage(world, 14, BURST_AT_S + 1);
-        assert.equal(world.cloud.machineIds.length, 1, 'rented in the outage');
+        assert.equal(world.cloud.machineIds.length, 1, 'added during the outage');
         assert.ok(world.cloud.machines.get(world.cloud.machineIds[0]!)!.addedAt < BURST_AT_S - 2);
         endOutage(world);
         await world.run(1.5);
@@ -222,7 +226,7 @@
       },
     },
     {
-      name: 'the leader ends in it: its successor asks for the same machines',
+      name: 'the leader ends during it: its successor requests the same machines',
       async run(world) {
         await outage(world, 14, BURST_AT_S + 1);
         endOutage(world);
@@ -232,12 +236,12 @@
         assert.equal(world.states(), 'warm warm');
         assert.ok(
           billTotals(world).uncertainS > 0,
-          'when it was rented is not known to the successor',
+          'the successor does not know when the machine was added',
         );
       },
     },
     {
-      name: 'the pool is removed after it: what was added is not forgotten, and paid for',
+      name: 'the pool is removed after it: the added machine is not lost, and is billed',
       async run(world) {
         await outage(world, 14, BURST_AT_S + 1);
         endOutage(world);
@@ -249,7 +253,7 @@
       },
     },
     {
-      name: 'nothing was named: nothing is added on no evidence, and it is late',
+      name: 'no request was named: no machine is added during it, and the burst is late',
       async run(world) {
         await outage(world, 8, BURST_AT_S + 1);
         assert.equal(world.cloud.calls, 0);
--- a/test/warm-slots.test.ts
+++ b/test/warm-slots.test.ts
@@ -1,4 +1,4 @@
-/** The parts of warm pools by themselves: states, records, machines, the bill. */
+/** Unit tests of warm pools: states, records, machines and the bill. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -67,13 +67,13 @@
   return states[state]();
 }
 
-/** Held, and by so much the time of day was set since. */
+/** A held slot whose time of day was set by `byMs`. */
 const withClockSet = (byMs: number): Slot =>
   advanceSlot(slotIn('loading'), { kind: 'clock-set', byMs });
 const withNewTerm = (byMs: number): Slot =>
   advanceSlot(withClockSet(byMs), { kind: 'taken-over', atMs: 5000 });
 
-test('every state meets the events that it may, and no other', () => {
+test('each state accepts its allowed events and no others', () => {
   const table: Record<SlotState, Partial<Record<SlotEvent['kind'], SlotState>>> = {
     planned: { 'request-named': 'planned', 'request-due': 'renting', adopted: 'loading', released: 'released' },
     renting: { 'request-refused': 'planned', added: 'loading' },
@@ -96,11 +96,15 @@
       assert.deepEqual(decodeSlot(JSON.parse(JSON.stringify(encodeSlot(next)))), next, name);
     }
   }
-  assert.throws(() => advanceSlot(plannedSlotAt(), EVENTS[1]!), IllegalTransitionError, 'no name');
+  assert.throws(
+    () => advanceSlot(plannedSlotAt(), EVENTS[1]!),
+    IllegalTransitionError,
+    'no named request',
+  );
   assert.equal(decodeSlot({ p: 'x' }), null);
 });
 
-test('time is paid for from the machine on to the end, and a clock that goes back shortens nothing', () => {
+test('time is billed from the assignment of the machine to the end, and a clock that goes back makes no length negative', () => {
   const rows: [string, Slot, number, number][] = [
     ['planned', slotIn('planned'), 0, 0],
     ['renting', slotIn('renting'), 0, 0],
@@ -123,7 +127,7 @@
   }
 });
 
-test('machines: shares, places and those that are there', () => {
+test('machines: shares, scale-out targets and existing machines', () => {
   const shape = { cores: 4, gpus: 4, memGb: 8 };
   const types: [MachineType, number, number][] = [
     [g8, 2, 0.5],
@@ -182,12 +186,12 @@
   assert.ok(requests.every(({ count }) => count === 3));
 });
 
-/** A store that may carry a write out without an answer, or not at all. */
+/** A store that may carry out a write without an answer, or not at all. */
 class InMemoryStore {
   revision = 0;
   readonly all = new Map<string, OwnedRecord>();
 
-  /** A write is carried out if its preconditions hold. */
+  /** Carries out a write if its preconditions hold. */
   apply(write: OwnedWrite): number | null {
     const changes = [write, ...write.alsoChanges];
     const fits = changes.every(
@@ -202,7 +206,7 @@
     return this.revision;
   }
 
-  /** The fate of one write. */
+  /** Handles one write with this outcome. */
   commit(write: OwnedWrite, outcome: 'served' | 'answer lost' | 'request lost' | 'refused'): void {
     if (outcome === 'refused') return;
     const revision = outcome === 'request lost' ? null : this.apply(write);
@@ -211,7 +215,7 @@
   }
 }
 
-test('whatever becomes of commits and leaders, every second is in the bill once', () => {
+test('every second is billed once, whatever happens to commits and leaders', () => {
   const outcome = fc.constantFrom(
     'served',
     'answer lost',
@@ -278,7 +282,7 @@
   );
 });
 
-test('a burst goes into the bill only when all of it is over, and old days go', () => {
+test('a burst is billed only when all its slots have ended, and old days are removed', () => {
   const store = new InMemoryStore();
   const open = advanceSlot(plannedSlotAt(0), {
     kind: 'adopted',
@@ -324,7 +328,7 @@
   assert.equal(store.all.size, 0);
 });
 
-test('changes that come while one is on its way go out with the next; what the store has counts', () => {
+test('changes made during a commit go into the next one, and stored changes take precedence', () => {
   const store = new InMemoryStore();
   const table = new SlotTable();
   const entry = table.add(plannedSlotAt());
@@ -337,7 +341,7 @@
   store.commit(second!, 'answer lost');
   assert.deepEqual(entry.stored!.request, REQUEST, 'read back');
   assert.deepEqual(table.dueWrites(), []);
-  // Another leader's change, which a commit of this one meets.
+  // Another leader's change, with which a commit of this one conflicts.
   table.apply(entry, { kind: 'request-due' });
   const other = advanceSlot(entry.stored!, { kind: 'released', reason: 'x', atMs: 0 });
   store.apply({ ...second!, revision: store.revision, value: encodeSlot(other) });
