--- a/src/warm-pools/lead-times.ts
+++ b/src/warm-pools/lead-times.ts
@@ -23,8 +23,8 @@
   hasUnstored: boolean;
 }
 
-const list = v.array(v.pipe(v.number(), v.finite(), v.minValue(0)));
-const record = v.object({ b: list, l: v.array(v.tuple([v.string(), list])) });
+const sampleList = v.array(v.pipe(v.number(), v.finite(), v.minValue(0)));
+const record = v.object({ b: sampleList, l: v.array(v.tuple([v.string(), sampleList])) });
 
 /** Measured times by machine type and zone. */
 export class LeadTimes {
--- a/src/warm-pools/slot-monitor.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -68,7 +68,7 @@
     return { slots: claimed, tasks: used };
   }
 
-  /** Tasks that are stored as users of slots. */
+  /** Tasks that use slots. */
   private usedTasks(): Set<string> {
     const used = new Set<string>();
     for (const { current } of this.options.table.values()) {
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -56,8 +56,8 @@
 export class SlotPlanner {
   private readonly termStartMs: number;
   private requestCount = 0;
-  /** Steady time in seconds before which a pool adds no slots, after it released some above its allowance. */
-  private readonly addAllowedAt = new Map<string, number>();
+  /** Second of the steady clock before which a pool adds no slots, after it released some above its allowance. */
+  private readonly addAllowedFrom = new Map<string, number>();
 
   constructor(private readonly options: SlotPlannerOptions) {
     this.termStartMs = options.clock.nowMs();
@@ -118,7 +118,7 @@
 
   private add({ pool, burstMs, leadTimeS }: Burst, burstSlots: BurstSlots, allowed: number): void {
     const { view, table, alarms } = this.options;
-    if ((this.addAllowedAt.get(pool.name) ?? -Infinity) > view.now()) return;
+    if ((this.addAllowedFrom.get(pool.name) ?? -Infinity) > view.now()) return;
     if (burstSlots.lost > pool.slots * MAX_LOSSES_PER_SLOT) {
       alarms.raise('too_many_losses', pool.name, `${burstSlots.lost} lost`);
       return;
@@ -134,12 +134,12 @@
 
   private releaseExcess(burst: Burst, burstSlots: BurstSlots, count: number, reason: string): void {
     const rank = ({ current }: SlotEntry): number => RELEASE_ORDER[current.state] ?? Infinity;
-    const inOrder = burstSlots.open.filter((a) => this.mayRelease(a));
-    inOrder.sort((a, b) => rank(a) - rank(b) || b.current.index - a.current.index);
-    for (const entry of inOrder.slice(0, count)) this.release(entry, reason);
+    const releasable = burstSlots.open.filter((a) => this.mayRelease(a));
+    releasable.sort((a, b) => rank(a) - rank(b) || b.current.index - a.current.index);
+    for (const entry of releasable.slice(0, count)) this.release(entry, reason);
     burstSlots.open = burstSlots.open.filter(({ current }) => isOpen(current));
     // Usage fluctuates: slots that were released for it are not added again at once.
-    this.addAllowedAt.set(burst.pool.name, this.options.view.now() + burst.leadTimeS);
+    this.addAllowedFrom.set(burst.pool.name, this.options.view.now() + burst.leadTimeS);
   }
 
   /** Slots whose request may have been sent wait for its outcome: otherwise the machine would be lost. */
@@ -195,7 +195,7 @@
     );
     if (best === null) return false;
     const assignment = this.assignmentOf(entry.current, best.id, best.type);
-    table.apply(entry, { kind: 'adopted', place: assignment, atMs: clock.steadyMs() });
+    table.apply(entry, { kind: 'adopted', assignment: assignment, atMs: clock.steadyMs() });
     return true;
   }
 
--- a/src/warm-pools/slot-scale-out.ts
+++ b/src/warm-pools/slot-scale-out.ts
@@ -41,9 +41,9 @@
   constructor(private readonly options: SlotScaleOutOptions) {}
 
   /** Whether a request may have been sent, by this term or an earlier one. */
-  mayHaveBeenSent({ request, sendFromMs }: Slot, termBeganMs: number): boolean {
+  mayHaveBeenSent({ request, sendFromMs }: Slot, termStartMs: number): boolean {
     if (request === null) return false;
-    return this.pendingRequests.has(request.name) || termBeganMs >= sendFromMs;
+    return this.pendingRequests.has(request.name) || termStartMs >= sendFromMs;
   }
 
   /** Requests that are due. The provisioner checks before each one whether the term is entitled to send it. */
@@ -154,7 +154,7 @@
         continue;
       }
       const assignment = assignmentOf(entry.current, machine, type);
-      table.apply(entry, { kind: 'added', place: assignment, atMs: fromMs, uncertainMs });
+      table.apply(entry, { kind: 'added', assignment: assignment, atMs: fromMs, uncertainMs });
     }
     // In an outage the request stays pending until the slots' records can be stored.
     if (this.options.view.canWrite()) this.pendingRequests.delete(name);
--- a/src/warm-pools/slot.ts
+++ b/src/warm-pools/slot.ts
@@ -102,9 +102,9 @@
   /** The cloud had no machine for it. */
   | { kind: 'request-refused' }
   /** `uncertainMs`: by how much later than `atMs` the machine may have been added. */
-  | { kind: 'added'; place: MachineAssignment; atMs: number; uncertainMs: number }
+  | { kind: 'added'; assignment: MachineAssignment; atMs: number; uncertainMs: number }
   /** An existing machine was reserved for it. */
-  | { kind: 'adopted'; place: MachineAssignment; atMs: number }
+  | { kind: 'adopted'; assignment: MachineAssignment; atMs: number }
   | { kind: 'loaded'; atMs: number }
   /** The time of day was set; the length of the held interval does not change. */
   | { kind: 'clock-set'; byMs: number }
@@ -151,9 +151,9 @@
     case 'request-refused':
       return { ...slot, state: 'planned', request: null };
     case 'added':
-      return withMachine(slot, event.place, event.atMs, event.uncertainMs);
+      return withMachine(slot, event.assignment, event.atMs, event.uncertainMs);
     case 'adopted':
-      return { ...withMachine(slot, event.place, event.atMs, 0), request: null };
+      return { ...withMachine(slot, event.assignment, event.atMs, 0), request: null };
     case 'loaded':
       return { ...slot, state: 'warm', warmAtMs: event.atMs };
     case 'clock-set':
--- a/test/warm-slots.test.ts
+++ b/test/warm-slots.test.ts
@@ -41,8 +41,8 @@
   { kind: 'request-named', request: REQUEST },
   { kind: 'request-due' },
   { kind: 'request-refused' },
-  { kind: 'added', place: ASSIGNMENT, atMs: 1000, uncertainMs: 5 },
-  { kind: 'adopted', place: ASSIGNMENT, atMs: 1000 },
+  { kind: 'added', assignment: ASSIGNMENT, atMs: 1000, uncertainMs: 5 },
+  { kind: 'adopted', assignment: ASSIGNMENT, atMs: 1000 },
   { kind: 'loaded', atMs: 2000 },
   { kind: 'clock-set', byMs: 500 },
   { kind: 'used', task: 'wk-2/0#1', atMs: 3000, uncertainMs: 4 },
@@ -141,7 +141,7 @@
   const small = { ...g8, name: 'g4', gpus: 4, cores: 4, price: 4 };
   const known = new Map([g8, small].map((type) => [type.name, type]));
   const pool = fake<PoolDeclaration>({ types: null, zones: null, shape });
-  const place = (
+  const targetOf = (
     over: Partial<PoolDeclaration>,
     short: string[] = [],
     inZone: [string, number][] = [],
@@ -151,13 +151,13 @@
     return found === null ? 'none' : `${found.type.name} ${found.zone}`;
   };
   const rows: [string, string, string][] = [
-    ['the cheapest for a slot', place({}), 'g4 z1'],
-    ['where fewer are', place({}, [], [['z1', 2], ['z2', 1]]), 'g4 z2'],
-    ['allowed types', place({ types: ['g8'] }), 'g8 z1'],
-    ['allowed zones', place({ zones: ['z2'] }), 'g4 z2'],
-    ['what the cloud has', place({}, ['g4 z1', 'g4 z2']), 'g8 z1'],
-    ['nothing', place({}, ['g4 z1', 'g4 z2', 'g8 z1', 'g8 z2']), 'none'],
-    ['nothing that fits', place({ shape: { ...shape, gpus: 9 } }), 'none'],
+    ['the cheapest for a slot', targetOf({}), 'g4 z1'],
+    ['the zone with fewer slots', targetOf({}, [], [['z1', 2], ['z2', 1]]), 'g4 z2'],
+    ['allowed types', targetOf({ types: ['g8'] }), 'g8 z1'],
+    ['allowed zones', targetOf({ zones: ['z2'] }), 'g4 z2'],
+    ['types that the cloud has', targetOf({}, ['g4 z1', 'g4 z2']), 'g8 z1'],
+    ['nothing', targetOf({}, ['g4 z1', 'g4 z2', 'g8 z1', 'g8 z2']), 'none'],
+    ['nothing that fits', targetOf({ shape: { ...shape, gpus: 9 } }), 'none'],
   ]; // prettier-ignore
   for (const [name, got, want] of rows) assert.equal(got, want, name);
   const capacityOf = (id: string, over: Partial<FreeCapacity> = {}): FreeCapacity => ({
@@ -235,7 +235,7 @@
         for (const [index, s] of seconds.entries()) {
           const loading = advanceSlot(plannedSlotAt(index), {
             kind: 'adopted',
-            place: ASSIGNMENT,
+            assignment: ASSIGNMENT,
             atMs: BURST_MS,
           });
           const atMs = BURST_MS + s * 1000;
@@ -286,7 +286,7 @@
   const store = new InMemoryStore();
   const open = advanceSlot(plannedSlotAt(0), {
     kind: 'adopted',
-    place: ASSIGNMENT,
+    assignment: ASSIGNMENT,
     atMs: BURST_MS,
   });
   const ended = advanceSlot(
