--- a/test/support/warm-pool-cases.ts
+++ b/test/support/warm-pool-cases.ts
@@ -62,10 +62,10 @@
 /** Runs all cases; fails with the names of those that fail. */
 export async function runCases(cases: Case[]): Promise<void> {
   const failures: string[] = [];
-  for (const { name, pools, gpusMax, run: play } of cases) {
+  for (const { name, pools, gpusMax, run } of cases) {
     const world = new WarmPoolWorld(pools, gpusMax);
     try {
-      await play(world);
+      await run(world);
       assert.deepEqual(world.fleet.violations, []);
     } catch (error) {
       failures.push(`${name}: ${String(error)}`);
