--- a/test/model-server.test.ts
+++ b/test/model-server.test.ts
@@ -69,7 +69,7 @@
   assert.ok(server.models.has('tutor'));
 });
 
-test('a model that never loads is reported as failed, a model in use is not unloaded, and a server that is down changes no state', async (context) => {
+test('failed loads are reported, a model in use is not unloaded, and a server that is down changes no state', async (context) => {
   const { server, loader } = await setUp(context);
   server.loadsFail = true;
   const own = loader(5);
