--- a/src/warm-pools/check.ts
+++ b/src/warm-pools/check.ts
@@ -1,19 +1,19 @@
-/** Whether declared pools are possible at all, as far as the settings tell. */
+/** Checks declared pools against the settings. */
 
 import type { Settings } from '../config/settings.js';
 import { isWithinLimit } from '../jobs/types.js';
 import { BurstSchedule, ScheduleError } from './burst-schedule.js';
 import type { PoolDeclaration, WarmPoolsConfig } from './declaration.js';
 
-/** What is wrong with a pool, and where: the key within the table. */
+/** A problem of a pool, and its key within the table. */
 export interface PoolProblem {
   key: string;
   problem: string;
 }
 
 /**
- * The first thing that makes a pool impossible; null: none was found. Machine types are known by the
- * cloud alone: one that it does not have is an alarm later (`unknown_type`).
+ * The first problem that makes a pool impossible; null if none was found. Only the cloud knows its machine
+ * types, so a type that it does not have raises an alarm later (`unknown_type`).
  */
 export function checkPools(
   config: WarmPoolsConfig,
@@ -22,18 +22,18 @@
 ): PoolProblem | null {
   const names = new Set<string>();
   for (const [index, pool] of config.pools.entries()) {
-    const at = (key: string, problem: string): PoolProblem => ({
+    const problemAt = (key: string, problem: string): PoolProblem => ({
       key: `pools.${index}.${key}`,
       problem: `pool ${pool.name}: ${problem}`,
     });
-    if (names.has(pool.name)) return at('name', 'another pool has this name');
+    if (names.has(pool.name)) return problemAt('name', 'another pool has this name');
     names.add(pool.name);
     const problem = checkTeam(pool, settings) ?? checkPlace(pool, settings);
-    if (problem !== null) return at(problem.key, problem.problem);
+    if (problem !== null) return problemAt(problem.key, problem.problem);
     try {
       new BurstSchedule(pool.schedule, pool.timeZone).check(nowMs, pool.holdS);
     } catch (error) {
-      if (error instanceof ScheduleError) return at('schedule', error.message);
+      if (error instanceof ScheduleError) return problemAt('schedule', error.message);
       throw error;
     }
   }
--- a/src/warm-pools/machine-choice.ts
+++ b/src/warm-pools/machine-choice.ts
@@ -1,20 +1,20 @@
-/** Which machines a pool's slots may have, and which they had better. */
+/** Which machines a pool's slots may use, and which are preferred. */
 
 import { fits, type MachineType } from '../jobs/types.js';
 import type { FreeCapacity } from '../scheduler/bin-packing.js';
 import { freeShare } from '../scheduler/bin-packing.js';
 import type { PoolDeclaration, ReplicaShape } from './declaration.js';
 
-/** What is free on a machine is worth so much less than an image that is there. */
-const IMAGE_FIRST = 1;
+/** Cost of a missing image. The free share adds at most 1, so machines with the image come first. */
+const MISSING_IMAGE_COST = 1;
 
-/** A machine type on which slots of a pool may be, and the zones. */
+/** A machine type that a pool may use, with the allowed zones. */
 export interface AllowedType {
   type: MachineType;
   zones: string[];
 }
 
-/** Machine types that a pool allows and on which a slot fits, with the zones where it may be. */
+/** Machine types that a pool allows and on which a slot fits, with the allowed zones. */
 export function allowedTypes(
   pool: Pick<PoolDeclaration, 'types' | 'zones' | 'shape'>,
   types: ReadonlyMap<string, MachineType>,
@@ -29,18 +29,18 @@
   return allowed;
 }
 
-/** Slots of this shape that fit on one empty machine. */
+/** Number of slots of this shape that fit on one empty machine. */
 export function slotsPerMachine(shape: ReplicaShape, type: MachineType): number {
-  const by = (whole: number, part: number): number => (part > 0 ? whole / part : Infinity);
+  const ratio = (whole: number, part: number): number => (part > 0 ? whole / part : Infinity);
   const most = Math.min(
-    by(type.cores, shape.cores),
-    by(type.gpus, shape.gpus),
-    by(type.memGb, shape.memGb),
+    ratio(type.cores, shape.cores),
+    ratio(type.gpus, shape.gpus),
+    ratio(type.memGb, shape.memGb),
   );
   return Math.max(1, Math.floor(most + 1e-6));
 }
 
-/** The share of a machine that a slot takes: of its scarcer resource. */
+/** The share of a machine that a slot takes, by its scarcer resource. */
 export const slotShare = (shape: ReplicaShape, type: MachineType): number =>
   1 - freeShare({ ...remaining(shape, type), total: type });
 
@@ -52,39 +52,39 @@
   };
 }
 
-/** A kind of machine that is to be added. */
+/** Type and zone of machines to add. */
 export interface ScaleOutTarget {
   type: MachineType;
   zone: string;
 }
 
 /**
- * The cheapest place for a slot that the cloud may have at present; zones with fewer of the pool's slots
- * go first. Null: none.
+ * The target with the lowest cost per slot among those for which the cloud is not known to be short of
+ * machines. At equal cost, zones with fewer of the pool's slots come first. Null if there is none.
  */
-export function cheapestPlace(
+export function cheapestTarget(
   pool: PoolDeclaration,
   types: ReadonlyMap<string, MachineType>,
   isShort: (type: string, zone: string) => boolean,
   slotsInZone: ReadonlyMap<string, number>,
 ): ScaleOutTarget | null {
-  const places: (ScaleOutTarget & { cost: number; slots: number })[] = [];
+  const targets: (ScaleOutTarget & { cost: number; slots: number })[] = [];
   for (const { type, zones } of allowedTypes(pool, types)) {
     const cost = type.price / slotsPerMachine(pool.shape, type);
     for (const zone of zones) {
       if (isShort(type.name, zone)) continue;
-      places.push({ type, zone, cost, slots: slotsInZone.get(zone) ?? 0 });
+      targets.push({ type, zone, cost, slots: slotsInZone.get(zone) ?? 0 });
     }
   }
-  places.sort((a, b) => a.cost - b.cost || a.slots - b.slots || (a.zone < b.zone ? -1 : 1));
-  return places[0] ?? null;
+  targets.sort((a, b) => a.cost - b.cost || a.slots - b.slots || (a.zone < b.zone ? -1 : 1));
+  return targets[0] ?? null;
 }
 
-/** The best of the machines that are there already: with the image, then the fullest. Null: none. */
+/** The best existing machine: one with the image, then the fullest one. Null if there is none. */
 export function bestCapacity(
   pool: PoolDeclaration,
   capacities: readonly FreeCapacity[],
-  mayHave: (capacity: FreeCapacity) => boolean,
+  isEligible: (capacity: FreeCapacity) => boolean,
 ): FreeCapacity | null {
   let best: FreeCapacity | null = null;
   let bestCost = Infinity;
@@ -93,11 +93,11 @@
       capacity.spot ||
       !fits(pool.shape, capacity) ||
       !isAllowed(pool, capacity) ||
-      !mayHave(capacity)
+      !isEligible(capacity)
     )
       continue;
     const hasImage = capacity.imageDelayS(pool.image, pool.imageGb) === 0;
-    const cost = freeShare(capacity) + (hasImage ? 0 : IMAGE_FIRST);
+    const cost = freeShare(capacity) + (hasImage ? 0 : MISSING_IMAGE_COST);
     if (cost < bestCost) {
       best = capacity;
       bestCost = cost;
--- a/src/warm-pools/warm-pools.ts
+++ b/src/warm-pools/warm-pools.ts
@@ -9,12 +9,12 @@
 import { poolsView, type PoolsView } from './view.js';
 import { WarmPoolsTerm } from './warm-pools-term.js';
 
-/** The subsystem's name, in keys of the store. */
+/** Name of the subsystem in keys of the store. */
 export const WARM_POOLS = 'warm-pools';
 
-/** A model server is asked once in so many heartbeat intervals, and may think for as many leases. */
-const ASK_HEARTBEATS = 1;
-const ASK_TIMEOUT_LEASES = 0.25;
+/** Interval between requests to a model server, in heartbeat intervals, and their time-out, in leases. */
+const MODEL_POLL_HEARTBEATS = 1;
+const MODEL_REQUEST_TIMEOUT_LEASES = 0.25;
 
 /** Warm pools as a subsystem of a controller. */
 export class WarmPools implements Subsystem {
@@ -37,8 +37,8 @@
     return new ModelServerLoader({
       port: modelServerPort,
       token: view.token,
-      askEveryS: report_s * ASK_HEARTBEATS,
-      timeoutS: lease_s * ASK_TIMEOUT_LEASES,
+      pollIntervalS: report_s * MODEL_POLL_HEARTBEATS,
+      timeoutS: lease_s * MODEL_REQUEST_TIMEOUT_LEASES,
       clock: this.clock,
       log: view.log,
     });
--- a/test/standins/model-server.ts
+++ b/test/standins/model-server.ts
@@ -4,32 +4,32 @@
 
 interface Model {
   state: ModelState;
-  /** Replicas that answer with it. */
+  /** Number of replicas that answer with it. */
   users: number;
   readyAt: number | null;
 }
 
-/** Where a model server listens, and how long a model takes to load. */
+/** Options of a `ModelServer`. */
 export interface ModelServerOptions {
-  /** The address that it has in common with its machine, and the port. */
+  /** The address that it shares with its machine, and the port. */
   host: string;
   port: number;
-  /** How long a model takes to load. */
+  /** Time that a model takes to load. */
   loadMs: () => number;
 }
 
 /**
- * The model server of one machine: loads models when it is asked to, or when a replica needs one. It keeps
- * the highest token that it has seen and refuses loads and unloads with a lower one.
+ * The model server of one machine. It loads a model on request, or when a replica needs it, and refuses loads
+ * and unloads with a token that is lower than the highest one that it has seen.
  */
 export class ModelServer extends HttpStandIn {
   readonly models = new Map<string, Model>();
-  /** What was asked of it, in order: `load tutor 12`. */
-  readonly asked: string[] = [];
-  /** Requests with a token that was too low. */
+  /** Requests in order: `load tutor 12`. */
+  readonly requestLog: string[] = [];
+  /** Number of requests with a token that was too low. */
   refused = 0;
   /** Loads end in failure. */
-  broken = false;
+  loadsFail = false;
   private token = 0;
   private readonly timers = new Set<NodeJS.Timeout>();
 
@@ -49,19 +49,19 @@
       return [model?.state === 'ready' && model.users > 0 ? 200 : 503, {}];
     }
     const token = Number(body.token);
-    this.asked.push(`${path.slice('/models/'.length)} ${name} ${token}`);
+    this.requestLog.push(`${path.slice('/models/'.length)} ${name} ${token}`);
     if (token < this.token) {
       this.refused++;
       return [409, { token: this.token }];
     }
     this.token = token;
-    if (path === '/models/load') return [200, { state: this.loadAgain(name) }];
+    if (path === '/models/load') return [200, { state: this.loadOrReport(name) }];
     if (path === '/models/unload') return this.unload(name);
     return [404, {}];
   }
 
-  /** Tells how the last load ended; one that failed begins anew. */
-  private loadAgain(name: string): ModelState {
+  /** Returns the outcome of the last load; a failed load starts again. */
+  private loadOrReport(name: string): ModelState {
     const before = this.models.get(name)?.state;
     const { state } = this.load(name);
     return before === 'failed' ? before : state;
@@ -74,7 +74,7 @@
     this.models.set(name, model);
     const timer = setTimeout(() => {
       this.timers.delete(timer);
-      model.state = this.broken ? 'failed' : 'ready';
+      model.state = this.loadsFail ? 'failed' : 'ready';
       model.readyAt = Date.now();
     }, this.options.loadMs());
     this.timers.add(timer);
@@ -87,18 +87,18 @@
     return [200, { state: 'absent' }];
   }
 
-  /** A replica begins; it answers from the moment on at which its model is there. */
+  /** Adds a replica, which answers once its model is loaded. */
   use(name: string): void {
     this.load(name).users++;
   }
 
-  /** A task that used a model has ended. */
+  /** Removes a replica that used a model. */
   leave(name: string): void {
     const model = this.models.get(name);
     if (model !== undefined) model.users--;
   }
 
-  /** Ends the server; loads under way come to nothing. */
+  /** Stops the server and cancels pending loads. */
   override close(): void {
     for (const timer of this.timers) clearTimeout(timer);
     super.close();
--- a/test/support/warm-pool-cases.ts
+++ b/test/support/warm-pool-cases.ts
@@ -1,16 +1,16 @@
-/** Scenes of warm pools that several tests play. */
+/** Helpers that tests of warm pools share. */
 import assert from 'node:assert/strict';
 import { WarmPoolWorld } from './warm-pool-world.js';
 
-/** All pools' slots, sorted. */
-export const all = (world: WarmPoolWorld): string =>
+/** States of all pools' slots, sorted. */
+export const allStates = (world: WarmPoolWorld): string =>
   world
     .slots()
     .map(({ state }) => state)
     .sort()
     .join(' ');
 
-/** Machines of a pool's slots in the store. */
+/** Machines of a pool's slots, as stored. */
 export const machinesOf = (world: WarmPoolWorld, pool: string): string[] =>
   [
     ...new Set(
@@ -21,7 +21,7 @@
   ].sort();
 
 /** Sums over all rows of the bill. */
-export const totals = (
+export const billTotals = (
   world: WarmPoolWorld,
 ): { machineS: number; uncertainS: number; slots: number; open: number } =>
   world.bill().reduce(
@@ -34,30 +34,38 @@
     { machineS: 0, uncertainS: 0, slots: 0, open: 0 },
   );
 
-/** Fails if a figure is further off than `by`. */
-export const near = (actual: number, expected: number, by: number, what: string): void =>
-  assert.ok(Math.abs(actual - expected) <= by, `${what}: ${actual}, expected ${expected} ± ${by}`);
+/** Fails if the values differ by more than `tolerance`. */
+export const assertNear = (
+  actual: number,
+  expected: number,
+  tolerance: number,
+  what: string,
+): void =>
+  assert.ok(
+    Math.abs(actual - expected) <= tolerance,
+    `${what}: ${actual}, expected ${expected} ± ${tolerance}`,
+  );
 
 /** A pool whose every slot takes a whole machine. */
-export const WHOLE = { cores: 8, gpus: 8, mem_gb: 32 };
+export const WHOLE_MACHINE = { cores: 8, gpus: 8, mem_gb: 32 };
 /** A replica that takes a whole machine. */
-export const WHOLE_REPLICA = { cores: 8, gpus: 8, memGb: 32 };
+export const WHOLE_MACHINE_REPLICA = { cores: 8, gpus: 8, memGb: 32 };
 
-/** A case of a table: what happens, and what is checked. */
+/** A test case of a table. */
 export interface Case {
   name: string;
   pools?: string;
   gpusMax?: number;
-  play(world: WarmPoolWorld): Promise<void>;
+  run(world: WarmPoolWorld): Promise<void>;
 }
 
-/** Plays all cases; fails with the name of the one at fault. */
-export async function playAll(cases: Case[]): Promise<void> {
+/** Runs all cases; fails with the names of those that fail. */
+export async function runCases(cases: Case[]): Promise<void> {
   const failures: string[] = [];
-  for (const { name, pools, gpusMax, play } of cases) {
+  for (const { name, pools, gpusMax, run } of cases) {
     const world = new WarmPoolWorld(pools, gpusMax);
     try {
-      await play(world);
+      await run(world);
       assert.deepEqual(world.fleet.violations, []);
     } catch (error) {
       failures.push(`${name}: ${String(error)}`);
