--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -5,7 +5,7 @@
  * thresholds and the reasons.
  *
  * All thresholds are shares of the time that a worker waits for the answer to its heartbeat (the answer
- * time-out): work that is shed below that time leaves it to the heartbeats.
+ * time-out). Other work is shed at shares below 1, so that heartbeats can still be answered in time.
  */
 
 /**
@@ -40,10 +40,10 @@
 
 /**
  * Lateness, as a share of the answer time-out, above which a leader transfers leadership if it lasts for
- * `TRANSFER_AFTER_SHARE`. Lateness is what the timers show on average: a whole turn of the event loop then
- * takes as long, reading the input that has arrived takes another, and other controllers wait no more than a
- * quarter of the answer time-out for heartbeats that they forward. With twice and four times this share
- * machines lost their leases while their leader was not yet late enough.
+ * `TRANSFER_AFTER_SHARE`. If the timers are late by this time on average, a whole turn of the event loop takes
+ * as long, reading the input that has arrived takes another turn, and other controllers wait at most a quarter
+ * of the answer time-out for heartbeats that they forward. With twice and four times this share, machines lost
+ * their leases while their leader did not yet count as late.
  */
 const LATE_SHARE = 0.0625;
 /** Weight of the latest lag of the timer in the mean. */
--- a/src/cancellation/cancellation-quorum.ts
+++ b/src/cancellation/cancellation-quorum.ts
@@ -47,7 +47,7 @@
 
   /** Whether the cancellation may be confirmed to users. False: not yet; the caller may ask again later. */
   async confirm(storedJob: StoredJob, id: string): Promise<boolean> {
-    // The job waited for others until its end, or was cancelled with one of them: it has no task to renew.
+    // The job was cancelled while it waited for its dependencies, or no task of it is left: no lease could be renewed.
     if (neverStarted(storedJob) || this.hasNoRunningTask(storedJob)) return true;
     const entry = this.entry(id);
     if (entry.confirmed) return true;
@@ -85,12 +85,12 @@
 
   /**
    * Notifies all other controllers. Resolves with true as soon as a majority, this controller included, knows of the
-   * cancellation, and with it every zone lease holder that may renew leases of the job's tasks. The holders were
-   * notified before the cancellation was stored. But if it was stored late, a holder may have been restarted since,
-   * and may have read the store before that.
+   * cancellation, and every zone lease holder that may renew leases of the job's tasks knows of it too. The holders
+   * were notified before the cancellation was stored. But if it was stored late, a holder may have been restarted
+   * since, and may have read the store before it was stored.
    *
-   * The leader's answer is also awaited as long as it may arrive. A majority need not contain the leader, which
-   * alone starts tasks: one was started just after the cancellation of its job had been confirmed to the user.
+   * The leader's answer is also awaited as long as it may arrive. Only the leader starts tasks, and a majority need
+   * not contain it: without its answer, a task was started just after the cancellation had been confirmed to the user.
    */
   private notifyPeers(id: string): Promise<boolean> {
     const { controllerCount, peers, remainingWaitS } = this.options;
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -247,7 +247,7 @@
     return false;
   }
 
-  /** Forgets finished jobs and lost machines. */
+  /** Forgets finished jobs and machines that have been silent for long. */
   private collectGarbage(): void {
     closeFinishedJobs(this.term);
     for (const machine of machinesToForget(this.term)) {
--- a/src/leader/scheduling/scheduler.ts
+++ b/src/leader/scheduling/scheduler.ts
@@ -29,7 +29,7 @@
  * machine's record holds many claims; a task placed before its claim can be stored would only wait.
  */
 const MAX_CLAIMS_PER_WRITE = 12;
-/** Boot times that work waits for a spot machine, where it may use one, before an ordinary one. */
+/** Boot times that work which may use spot machines would wait for one rather than use an ordinary machine. */
 const ORDINARY_MACHINE_COST_BOOTS = 0.8;
 /** Cost of an empty machine compared with a full one, in boot times. */
 const EMPTY_MACHINE_COST_BOOTS = 0.08;
@@ -63,7 +63,7 @@
     private readonly forecast: DemandForecast,
     /** Whether no zone has a spot machine of a type available at present. */
     isSpotShort: (type: string) => boolean,
-    /** Free capacity to keep warm on spot or ordinary machines, in machines. */
+    /** Capacity to keep free for new work on spot or ordinary machines, as a number of machines. */
     warmTarget: (spot: boolean) => number,
     private readonly subsystems: ActiveSubsystems = NO_SUBSYSTEMS,
   ) {
@@ -138,7 +138,10 @@
     return { placed, demand, capacities, usages };
   }
 
-  /** Machines kept by a subsystem are not reserved for a gang, not drained, and no target of a drain. */
+  /**
+   * Excludes machines kept by a subsystem: they are not reserved or drained for a gang, not drained to be returned,
+   * and receive no replicas of a drained machine.
+   */
   private withoutKeptMachines(capacities: FreeCapacity[]): FreeCapacity[] {
     const { subsystems } = this;
     return subsystems.hasAny
@@ -206,7 +209,7 @@
     });
   }
 
-  /** Minimum time between two single migrations of a class, in seconds. */
+  /** Minimum time between two migrations of single replicas of a class, in seconds. */
   migrationGapS(jobClass: string): number {
     return this.migrations.minGapS(jobClass);
   }
--- a/src/leader/term/failover.ts
+++ b/src/leader/term/failover.ts
@@ -54,7 +54,7 @@
   for (const [image, gb] of record.images) {
     machine.images.restore(image, gb, now);
   }
-  // The record already says that it is being returned. Unless this is noted, no scale-in returns it to the cloud.
+  // The record already marks the machine as returning. Without `returnRecorded`, it would never be returned to the cloud.
   if (record.returning && machine.changeState('returning')) machine.returnRecorded = true;
   return machine;
 }
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -209,14 +209,17 @@
       store.setRole('follower');
       return false;
     }
-    // `stop` was called during the campaign and will not be called again.
+    // `stop` was called during the campaign. It is not called again, so a term that begins now would not be ended.
     if (this.stopped) return false;
     this.changeRole('leader');
     events.onElected(token);
     return true;
   }
 
-  /** Reads all that earlier leaders stored into the replica; false: the entitlement has lapsed or `stop` was called. */
+  /**
+   * Before the term begins, updates the replica with everything that earlier leaders stored. Returns false if the
+   * entitlement has lapsed or `stop` was called.
+   */
   private async catchUp(entitlement: TermEntitlement, grantSentAt: number): Promise<boolean> {
     const { replica, replicaSync } = this.options;
     while (replica.applied < this.token || replicaSync.freshAt < grantSentAt) {
--- a/src/leadership/substitute-renewals.ts
+++ b/src/leadership/substitute-renewals.ts
@@ -1,4 +1,4 @@
-/** Renewals of leases by substitutes, as known by a majority, which is asked when a lease seems to have expired. */
+/** Renewals of leases by substitutes: a majority is asked about them when a lease seems to have expired. */
 
 import type { Clock } from '../clock.js';
 import type { ElectedAnswer } from '../peers/messages.js';
@@ -8,7 +8,7 @@
 export interface RenewalKnowledge {
   /** Until when others may renew leases, or may have renewed them. */
   keptUntil: number;
-  /** Up to which time this is certain: nothing is known of renewals after it. */
+  /** Time up to which `keptUntil` is certain: later renewals may be unknown. */
   provenAt: number;
 }
 
@@ -43,7 +43,7 @@
     return { keptUntil: Math.max(keptUntil, othersRenewUntil), provenAt };
   }
 
-  /** Asks all others; resolves once a majority has answered, or with false when none does. */
+  /** Asks all others; resolves with true once a majority has answered, or with false if no majority does. */
   request(): Promise<boolean> {
     this.round ??= this.runRound().finally(() => (this.round = null));
     return this.round;
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -129,7 +129,7 @@
     pending.resolve(parseAnswer(pending.kind, answer));
   }
 
-  /** Sends a question. Resolves with null if there is no answer in time. */
+  /** Sends a question. Resolves with null if it cannot be sent or is not answered in time. */
   ask<Q extends Question>(question: Q, timeoutS: number): Promise<AnswerTo<Q> | null> {
     if (this.state === 'down') this.open();
     const { socket, writer } = this;
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -59,7 +59,7 @@
 
 /** The answer to `elected`. */
 export interface ElectedAnswer {
-  /** Seconds until the last promise of the answering controller ends; negative if it has ended. */
+  /** Seconds until the promises and lease renewals of the answering controller have ended; negative if they have. */
   remainsS?: number;
 }
 
--- a/src/scheduler/ranking.ts
+++ b/src/scheduler/ranking.ts
@@ -1,10 +1,12 @@
-import type { Policy } from '../operator/policy.js';
-
 /**
  * The HeraSys ranking: each ready job gets the sum of three terms, the inverse of its pipeline's
  * remaining time, its contribution φ to the jobs after it, and a boost for heavy jobs of long
  * pipelines. Each term is divided by its mean over the ready jobs plus a small constant.
  */
+
+import type { Policy } from '../operator/policy.js';
+
+/** A job that waits for the ranked job. */
 export interface Successor {
   workS: number;
   depth: number;
--- a/src/workers/image-cache.ts
+++ b/src/workers/image-cache.ts
@@ -6,10 +6,10 @@
   lastUsedAt: number;
 }
 
-/** Evidence of a machine's image cache, least recently used first. */
+/** The presumed content of a machine's image cache, least recently used first. */
 export class ImageCache implements Iterable<[string, CachedImage]> {
   private readonly cached = new Map<string, CachedImage>();
-  /** Total size of the images that were seen to be fetched there, in GB. */
+  /** Total size of all images fetched there so far, evicted ones included, in GB. */
   fetchedGb = 0;
 
   /** Whether the image is believed to be there. */
@@ -41,7 +41,8 @@
   }
 
   /**
-   * Records that an image is used now. Evicts the least recently used images while the total exceeds `cacheGb`.
+   * Records that an image is used now. Evicts other images, least recently used first, while the total
+   * exceeds `cacheGb`.
    */
   recordUse(image: string, gb: number, cacheGb: number, now: number): void {
     if (!this.cached.has(image)) this.fetchedGb += gb;
--- a/src/workers/lease-renewal.ts
+++ b/src/workers/lease-renewal.ts
@@ -3,8 +3,8 @@
  *
  * A worker that gets a 200 keeps its tasks for another lease. So each such answer stops every task on the
  * machine that the answering controller knows to be cancelled: either the stop arrives, or the lease is not
- * renewed. This holds whether or not the machine has shown its token, for late and repeated heartbeats, and for
- * answers in place of the leader. docs/design.md, "Cancellations and outages".
+ * renewed. This holds whether or not the machine has shown the token of the answer, for late and repeated
+ * heartbeats, and for answers of substitutes. docs/design.md, "Cancellations and outages".
  */
 
 import type { Reply } from '../http/server.js';
@@ -54,7 +54,8 @@
 }
 
 /**
- * Removes the stops that are due anyway and returns the rest. Only `due` is limited to what one message takes.
+ * Removes the stops that are due anyway and returns the rest. There may be such a rest, since `due` contains no more
+ * commands than one message can hold.
  */
 function removeDueStops(due: readonly Command[], stops: Map<string, Command>): Command[] {
   for (const { kind, job, index, attempt } of due) {
--- a/test/frozen-leader-renewals.test.ts
+++ b/test/frozen-leader-renewals.test.ts
@@ -18,7 +18,7 @@
   beginS: number;
   freezeS: number;
   outageS: number;
-  /** Machine whose reports are lost from the end of the outage on. */
+  /** Machine whose heartbeats are lost from the end of the outage on. */
   silentMachine: string;
 }
 
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -48,9 +48,9 @@
       },
       peers: {
         names: ['n-1', 'n-2', ...more],
-        ask: (node: string, question: { hop: boolean }, patienceS: number) => {
+        ask: (node: string, question: { hop: boolean }, timeoutS: number) => {
           seen.push(question.hop ? `${node} hop` : node);
-          now += answers[node] === undefined || answers[node] === null ? patienceS : 0;
+          now += answers[node] === undefined || answers[node] === null ? timeoutS : 0;
           return Promise.resolve(answers[node] ?? null);
         },
       },
@@ -73,7 +73,7 @@
       `${name}: delay recorded`,
     );
     assert.deepEqual(more.length > 0 ? seen.slice(0, 2) : seen, asked, name);
-    // With heartbeats every 2.5 s, answers came after the worker had turned to another controller.
+    // Guards against answers that arrive after the worker has turned to another controller, as with heartbeats every 2.5 s.
     assert.ok(now < ANSWER_WAIT_S, `${name}: ${now} s`);
   }
 });
@@ -96,7 +96,7 @@
   // A limit of 1,000 is too low: while a zone of a large fleet is cut off, more jobs are cancelled.
   for (let i = 0; i < 5000; i++) broadcast.noteAnnounced(id(i));
   assert.ok([0, 2500, 4999].every((i) => broadcast.knows(id(i))));
-  // Stored cancellations need no broadcast to controllers that have read them.
+  // Cancellations that the replica shows as stored need not be remembered separately.
   for (let i = 0; i < 4000; i++) jobs.set(id(i), { cancelledAt: 5, doneAt: null });
   broadcast.noteAnnounced('wk-a');
   assert.equal(broadcast.size, 1001);
--- a/test/late-starts.test.ts
+++ b/test/late-starts.test.ts
@@ -2,12 +2,13 @@
  * Guards against starts of cancelled tasks that are carried out late.
  *
  * A direct start is delayed in the network. Its job is cancelled, then the store refuses all requests. The start arrives
- * long after the task must be gone, and the worker carries it out, since token and agent epoch still match: only a higher
- * token makes it refuse. If a higher token needs a commit, there is none in an outage, while each answer to a heartbeat,
- * also of a controller in the leader's place, renews the lease, which preserves the epoch, and repeats the old token.
- * In the first case the start carries token 2, and the fifteen renewals in the 37.5 s from the cancellation to the arrival
- * repeated token 2 in agent epoch 1. The record that claims the task had revision 6 all the time, which is a token of the
- * same term that the worker accepts without a commit.
+ * long after the task must be gone, and the worker carries it out, since token and agent epoch still match. Only a higher
+ * token makes the worker refuse it. A leader that sends a higher token only after a commit sends none in an outage,
+ * while each answer to a heartbeat, also of a substitute, renews the lease, which preserves the epoch, and repeats the
+ * old token. In the first scenario the start carried token 2, and the fifteen renewals in the 37.5 s from the cancellation
+ * to the arrival repeated token 2 in agent epoch 1. No fence was stored, since a leader that may not write did not try.
+ * None was needed: the record that claims the task had revision 6 throughout, a token of the same term that the worker
+ * would have accepted without a commit.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -53,14 +54,14 @@
   }
 }
 
-/** Cancels the job whose start is held back; its user gets the answer. */
+/** Cancels the job whose start is held back, and waits until the cancellation is confirmed to its user. */
 async function cancel({ world }: HeldBackStart): Promise<void> {
   world.cancel(OTHER_JOB);
   await world.runUntil(world.now + 0.25);
   assert.ok(world.toldAt.has(OTHER_JOB));
 }
 
-/** What happens between the cancellation and the arrival of the start; the machine's lease is renewed throughout. */
+/** What happens until the start arrives, the cancellation included; the machine's lease is renewed throughout. */
 const SCENARIOS: Record<string, (held: HeldBackStart) => Promise<void>> = {
   'the leader goes on in an outage': async (held) => {
     await cancel(held);
@@ -143,7 +144,7 @@
     1,
     'counted once, however often it is checked',
   );
-  // The worker provably refuses the start by now, so it occupies no quota and does not count as still to come.
+  // The worker provably refuses the start by now, so the attempt occupies no quota and no longer counts as in flight.
   assert.equal(leader.statistics().cancelled_attempts, 0);
 });
 
@@ -223,7 +224,7 @@
   return { ...held, late, leader };
 }
 
-// If no other controller knows of the claim, substitutes may renew the lease with a token that does not refuse its start.
+// Guards against substitutes that do not know of the claim, and so renew the lease with a token that allows its start.
 test('a start whose claim was stored just before an outage is refused after its leader has ended', async () => {
   const held = await claimBeforeOutage();
   const { world, worker, leader } = held;
@@ -235,7 +236,7 @@
   assert.deepEqual(world.lateStarts(), []);
 });
 
-// A controller that acknowledges the leader in the outage must also name cancelled jobs that have no task in its replica.
+// A controller that confirms the outage to the leader must also name cancelled jobs that have no task in its own replica.
 test('a leader that claims a cancelled task just before an outage is informed of the cancellation', async () => {
   const { world, worker, late, leader } = await claimBeforeOutage();
   world.holdsDirectCommands = false;
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -168,15 +168,15 @@
     ['no other controller answers', [null, null], 1, false, false],
     ['a later leader was acknowledged', [refused, refused], 1, true, false],
   ];
-  for (const [name, answers, forLives, acknowledged, keeps] of cases) {
+  for (const [name, answers, refusedForTtls, acknowledged, mayRenew] of cases) {
     const store = new MemoryStore();
     const token = store.put(records.LEADER, records.encodeLeader({ node: 'b', incarnation: 'b' }));
     const controller = new Controller(store, 'a', () => answers);
     store.mode = 'refuse';
-    store.rejectedSince = controller.now - LEADER_TTL_S * forLives;
+    store.rejectedSince = controller.now - LEADER_TTL_S * refusedForTtls;
     if (acknowledged) controller.election.acknowledge(token + 1);
-    assert.equal(await controller.election.outage.mayRenewLeases(), keeps, name);
-    if (!keeps) continue;
+    assert.equal(await controller.election.outage.mayRenewLeases(), mayRenew, name);
+    if (!mayRenew) continue;
     controller.election.acknowledge(token + 1);
     assert.equal(
       await controller.election.outage.mayRenewLeases(),
@@ -200,9 +200,9 @@
     leader?: string;
     /** When the other controller is elected, in TTLs after the vacancy. */
     otherElectedAt?: number;
-    /** When its term has ended, likewise. */
+    /** When its term has ended, in TTLs after the vacancy. */
     otherEndsAt?: number;
-    /** Bounds of when this controller campaigns, likewise; null: it does not. */
+    /** Earliest and latest time at which this controller campaigns, in TTLs after the vacancy; null: it does not. */
     campaignsWithin: [number, number] | null;
   }
   const rows: Row[] = [
--- a/test/meeting-leases.test.ts
+++ b/test/meeting-leases.test.ts
@@ -10,40 +10,40 @@
 test('only a heartbeat whose answer the worker still waits for extends its lease', async () => {
   // The heartbeats received so far, the next one, and whether its answer extends the lease.
   interface Seen {
-    session: number;
-    seq: number;
+    agentEpoch: number;
+    sequence: number;
     direct?: boolean;
   }
   const cases: [string, Seen[], Seen, boolean][] = [
-    ['the next heartbeat', [{ session: 1, seq: 10 }], { session: 1, seq: 11 }, true],
-    ['a copy of the last', [{ session: 1, seq: 10 }], { session: 1, seq: 10 }, false],
-    ['a copy of an older one', [{ session: 1, seq: 10 }], { session: 1, seq: 7 }, false],
-    ['one of an earlier agent epoch', [{ session: 2, seq: 3 }], { session: 1, seq: 9 }, false],
+    ['the next heartbeat', [{ agentEpoch: 1, sequence: 10 }], { agentEpoch: 1, sequence: 11 }, true],
+    ['a copy of the last', [{ agentEpoch: 1, sequence: 10 }], { agentEpoch: 1, sequence: 10 }, false],
+    ['a copy of an older one', [{ agentEpoch: 1, sequence: 10 }], { agentEpoch: 1, sequence: 7 }, false],
+    ['one of an earlier agent epoch', [{ agentEpoch: 2, sequence: 3 }], { agentEpoch: 1, sequence: 9 }, false],
     [
       'overtaken by the answer to a direct command',
-      [{ session: 1, seq: 10 }, { session: 1, seq: 12, direct: true }],
-      { session: 1, seq: 11 },
+      [{ agentEpoch: 1, sequence: 10 }, { agentEpoch: 1, sequence: 12, direct: true }],
+      { agentEpoch: 1, sequence: 11 },
       true,
     ],
   ]; // prettier-ignore
-  for (const [name, heard, then, moves] of cases) {
+  for (const [name, received, next, isExtended] of cases) {
     const world = new LeaderWorld();
     const worker = world.fleet.add('a');
-    const report = (seen: Seen): Heartbeat => ({
+    const heartbeatOf = (seen: Seen): Heartbeat => ({
       ...worker.heartbeat(),
       token: world.token,
-      agentEpoch: seen.session,
-      sequence: seen.seq,
+      agentEpoch: seen.agentEpoch,
+      sequence: seen.sequence,
     });
-    for (const seen of heard) {
+    for (const seen of received) {
       if (seen.direct === true)
-        world.machine('a').applyHeartbeat(report(seen), 'direct-answer', world.now);
-      else world.leader.answerHeartbeat(report(seen));
+        world.machine('a').applyHeartbeat(heartbeatOf(seen), 'direct-answer', world.now);
+      else world.leader.answerHeartbeat(heartbeatOf(seen));
     }
     const before = world.machine('a').leaseExpiresAt;
     world.fleet.now += 1;
-    world.leader.answerHeartbeat(report(then));
-    assert.equal(world.machine('a').leaseExpiresAt > before, moves, name);
+    world.leader.answerHeartbeat(heartbeatOf(next));
+    assert.equal(world.machine('a').leaseExpiresAt > before, isExtended, name);
   }
 });
 
--- a/test/meeting-waiting.test.ts
+++ b/test/meeting-waiting.test.ts
@@ -53,7 +53,7 @@
   assert.deepEqual(world.fleet.violations, []);
 });
 
-test('a task whose direct start was unanswered runs again, on whatever machine it ended before', async () => {
+test('a task whose direct start was unanswered runs again after a stop, whichever machine it ended on', async () => {
   const cases: [string, Parameters<LeaderWorld['submitJob']>[0]][] = [
     ['array', { id: JOB }],
     ['gang', { id: JOB, kind: 'gang', tasks: 2 }],
@@ -69,7 +69,7 @@
     await world.run(1);
     const job = world.term.jobs.get(JOB)!;
     assert.equal(world.fleet.running(JOB), job.spec.tasks, name);
-    // For example by preemption. Another machine has capacity, but the image is on this one.
+    // The task is stopped, as by preemption. Another machine has capacity, but the image is cached on this one.
     world.fleet.add('b');
     world.term.stopGracefully(job, [...job.activeAttempts()][0]!);
     await world.run(MAX_WAIT_S);
@@ -95,7 +95,7 @@
   assert.deepEqual(world.parts.capacity.machinesToRemove(), ['a']);
 });
 
-test('a service that ran well is not suspect because replicas failed on a few faulty machines', async () => {
+test('a service that ran well does not become suspect when replicas fail on a few faulty machines', async () => {
   const world = new LeaderWorld();
   const ids = ['a', 'b', 'c', 'd', 'e'];
   for (const id of ids) world.fleet.add(id);
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -125,14 +125,14 @@
   return made;
 }
 
-/** Sorts keys by a hash of the key and `salt`; 0: by the keys themselves. */
+/** Sorts keys by a hash of the key and `salt`, or alphabetically if `salt` is 0. */
 function order(keys: string[], salt: number): string[] {
   const rank = (key: string): number =>
     [...key].reduce((sum, letter) => (sum * 31 + letter.charCodeAt(0) * salt) % 65_521, salt);
   return [...keys].sort((a, b) => (salt === 0 ? 0 : rank(a) - rank(b)) || (a < b ? -1 : 1));
 }
 
-/** Lists the state after `listedUpTo` changes, in the order of keys or another, and streams the rest. */
+/** Lists the state after `listedUpTo` changes in the order given by `salt`, and streams the other changes. */
 function listed(changes: Put[], listedUpTo: number, salt = 0): ReturnType<typeof replica> {
   const made = replica();
   const latest = new Map<string, Put>();
@@ -254,7 +254,7 @@
   assert.deepEqual(of('wk-2'), {
     priority: 1, longestPathS: 8, depth: 1, latestEndMs: 92_000, successors: [{ workS: 24, depth: 0 }],
   }); // prettier-ignore
-  // A last job is added late, or cancelled: the paths of the jobs before it are computed anew.
+  // A dependent is added late, or cancelled: the paths of the jobs that it depends on are computed again.
   copy.advance(5, [accept({ id: 'wk-5', priority: 0, estimateS: 1, dependencies: ['wk-3'] }, 5)]);
   assert.equal(downstreamPaths.of(copy.jobs.get('wk-1')!).priority, 0);
   copy.advance(6, [cancel('wk-5', 6)]);
--- a/test/support/leader-stages.ts
+++ b/test/support/leader-stages.ts
@@ -8,7 +8,7 @@
 /** Another job. */
 export const OTHER = 'wk-000002';
 
-/** A task on a worker, which must exist. */
+/** The status of a task on a worker. The task must exist. */
 export const task = (worker: Worker, job = JOB, index = 0): TaskStatus =>
   worker.running(job).find((task) => task.index === index)!;
 
