--- a/src/lending/command.ts
+++ b/src/lending/command.ts
@@ -7,7 +7,7 @@
 
 const text = v.string();
 const number = v.number();
-const QUESTION: ViewQuestion<LoansView> = {
+const LOANS_REQUEST: ViewQuestion<LoansView> = {
   subsystem: 'lending',
   title: 'lending is',
   schema: v.object({
@@ -51,9 +51,9 @@
 
 /** The command's output. Throws CommandError. */
 export async function loansCommand({ at, job, json }: LoansCommandOptions): Promise<string> {
-  const { loans } = await fetchView(at, QUESTION);
-  const shown = loans.filter(
+  const { loans } = await fetchView(at, LOANS_REQUEST);
+  const matchingLoans = loans.filter(
     ({ lender, borrower }) => job === undefined || lender === job || borrower === job,
   );
-  return json ? `${JSON.stringify(shown, null, 1)}\n` : loansTable(shown);
+  return json ? `${JSON.stringify(matchingLoans, null, 1)}\n` : loansTable(matchingLoans);
 }
--- a/src/lending/declaration.ts
+++ b/src/lending/declaration.ts
@@ -6,12 +6,12 @@
 const count = v.pipe(v.number(), v.integer('expected a whole number'), v.minValue(1));
 
 /** The design was measured up to so many open loans. */
-const LOANS_MOST = 500;
+const MAX_OPEN_LOANS = 500;
 
 /** The table `lending` of the features file. */
 export const lendingSchema = v.strictObject({
   /** Open loans at a time; beyond it capacity is made without a promise. */
-  max_open: v.optional(v.pipe(count, v.maxValue(LOANS_MOST)), LOANS_MOST),
+  max_open: v.optional(v.pipe(count, v.maxValue(MAX_OPEN_LOANS)), MAX_OPEN_LOANS),
   /** Recalls under way at a time. */
   recalls_at_once: v.optional(count, 4),
   /** The least factor by which estimates are raised. */
--- a/src/lending/grants.ts
+++ b/src/lending/grants.ts
@@ -18,7 +18,7 @@
 import type { ReturnTimes } from './return-times.js';
 
 /** Report intervals within which a grant has to be stored; then capacity is made without a promise. */
-const STORE_HEARTBEATS = 1;
+const STORE_TIMEOUT_HEARTBEATS = 1;
 
 /** An preemption whose loans are on their way into the store. */
 interface PendingGrant {
@@ -42,25 +42,27 @@
 export class Grants implements PreemptionRules {
   private pending: PendingGrant[] = [];
   /** Preemptions of services by which capacity was made without any promise. */
-  withoutPromise = 0;
+  preemptionsWithoutLoan = 0;
 
   constructor(private readonly options: GrantOptions) {}
 
   /** See `PreemptionRules.harm`. */
-  harm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
-    if (!isLoan(borrower, victim)) return 0;
-    const judgement = this.assess(victim, saves);
-    return judgement.safe ? judgement.harm : 1;
+  extraCost(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
+    if (!isLoanable(borrower, victim)) return 0;
+    const assessment = this.assess(victim, saves);
+    return assessment.safe ? assessment.cost : 1;
   }
 
   private assess(victim: PreemptionVictim, saves: boolean): LoanAssessment {
     const { table } = this.options;
     const { job, attempt } = victim;
     const open = table.openLoanOf(job.spec.id, attempt.index);
-    const own = table.get(nameOf(victim));
-    const lending = (own !== undefined && !isUntold(own)) || (open !== undefined && open !== own);
-    const known = { lending, lentAtMs: table.lentAtMs(job.spec.id) };
-    return assessLoan(lenderWork(victim, saves, known, this.options));
+    const loanOfAttempt = table.get(loanIdOf(victim));
+    const lending =
+      (loanOfAttempt !== undefined && !isNotYetLent(loanOfAttempt)) ||
+      (open !== undefined && open !== loanOfAttempt);
+    const history = { lending, lentAtMs: table.lastGrantedAtMs(job.spec.id) };
+    return assessLoan(lenderWork(victim, saves, history, this.options));
   }
 
   /** See `PreemptionRules.isStopping`. */
@@ -74,13 +76,13 @@
   /** Where not all victims may lend, the capacity is made at once and nothing is promised. */
   takesOver(preemption: Preemption): boolean {
     const { borrower, victims } = preemption;
-    if (!victims.every((victim) => isLoan(borrower, victim))) return false;
+    if (!victims.every((victim) => isLoanable(borrower, victim))) return false;
     const loans = this.loansOf(preemption);
     if (loans === null) {
-      this.withoutPromise++;
+      this.preemptionsWithoutLoan++;
       return false;
     }
-    const entries = loans.map((loan) => this.request(loan));
+    const entries = loans.map((loan) => this.addOrRegrant(loan));
     const attempts = new Set(loans.flatMap(attemptKeys));
     const since = this.options.view.now();
     this.pending.push({ preemption, loans: entries, attempts, since });
@@ -92,28 +94,28 @@
   /** One loan for each lender; null: one of them may not lend. */
   private loansOf(preemption: Preemption): Loan[] | null {
     const { view, table, config } = this.options;
-    const byName = new Map<string, Loan>();
+    const byId = new Map<string, Loan>();
     for (const victim of preemption.victims) {
-      const judgement = this.assess(victim, preemption.saves);
-      if (!judgement.safe) return null;
-      const loan = makeLoan(victim, preemption, view.timeOfDay.nowMs(), judgement.latestReturnS);
-      byName.set(loanId(loan), loan);
+      const assessment = this.assess(victim, preemption.saves);
+      if (!assessment.safe) return null;
+      const loan = makeLoan(victim, preemption, view.timeOfDay.nowMs(), assessment.latestReturnS);
+      byId.set(loanId(loan), loan);
     }
-    const loans = [...byName.values()];
+    const loans = [...byId.values()];
     const open = [...table.open()].length;
     if (open + loans.length > config.maxOpen) return null;
-    const mostBytes = view.settings.state.value_kb * 1024;
-    if (loans.some((loan) => loanBytes(loan) > mostBytes)) return null;
-    return this.hasGpus(preemption.machine, loans) ? loans : null;
+    const maxBytes = view.settings.state.value_kb * 1024;
+    if (loans.some((loan) => loanBytes(loan) > maxBytes)) return null;
+    return this.hasUnlentGpus(preemption.machine, loans) ? loans : null;
   }
 
   /** No GPU may be named by two open loans. */
-  private hasGpus(machine: string, loans: readonly Loan[]): boolean {
+  private hasUnlentGpus(machine: string, loans: readonly Loan[]): boolean {
     const { view, table } = this.options;
-    const whole = view.machineTypes().get(view.machine(machine)?.type ?? '')?.gpus ?? 0;
-    const fresh = loans.filter((loan) => table.get(loanId(loan)) === undefined);
-    const gpus = fresh.reduce((sum, loan) => sum + loan.gpus, table.lentGpus(machine));
-    return gpus <= whole + 1e-6;
+    const machineGpus = view.machineTypes().get(view.machine(machine)?.type ?? '')?.gpus ?? 0;
+    const newLoans = loans.filter((loan) => table.get(loanId(loan)) === undefined);
+    const gpus = newLoans.reduce((sum, loan) => sum + loan.gpus, table.lentGpus(machine));
+    return gpus <= machineGpus + 1e-6;
   }
 
   /**
@@ -121,7 +123,7 @@
    * as it is: both machines of a gang were once wanted in one scheduling cycle, and its loan named the second borrower
    * with the first one's machine.
    */
-  private request(loan: Loan): LoanEntry {
+  private addOrRegrant(loan: Loan): LoanEntry {
     const { table } = this.options;
     const known = table.get(loanId(loan));
     if (known === undefined) return table.add(loan);
@@ -142,14 +144,14 @@
    * What could not be stored in time is carried out without a promise: critical work gets what it would
    * without lending. A record that the store takes after all is a loan like any other.
    */
-  giveUpLate(): void {
+  carryOutOverdue(): void {
     const { view } = this.options;
-    const mostS = view.settings.workers.report_s * STORE_HEARTBEATS;
-    const isLate = ({ since }: PendingGrant): boolean => view.now() - since > mostS;
-    const loans = this.pending.filter(isLate).flatMap((pending) => pending.loans);
-    this.withoutPromise += this.carryOutReady(isLate);
+    const maxWaitS = view.settings.workers.report_s * STORE_TIMEOUT_HEARTBEATS;
+    const isOverdue = ({ since }: PendingGrant): boolean => view.now() - since > maxWaitS;
+    const loans = this.pending.filter(isOverdue).flatMap((pending) => pending.loans);
+    this.preemptionsWithoutLoan += this.carryOutReady(isOverdue);
     // What the store will not take is not offered to it for ever.
-    for (const loan of loans) if (loan.stored === null) this.options.table.forget(loan);
+    for (const loan of loans) if (loan.stored === null) this.options.table.dropUnstored(loan);
   }
 
   /** Carries out the preemptions that are ready. Returns how many. */
@@ -159,12 +161,12 @@
     this.pending = this.pending.filter((pending) => !ready.includes(pending));
     for (const { preemption, loans } of ready) {
       if (preemption.carryOut()) continue;
-      for (const loan of loans) this.withdraw(loan);
+      for (const loan of loans) this.cancelGrant(loan);
     }
     return ready.length;
   }
 
-  private withdraw(loan: LoanEntry): void {
+  private cancelGrant(loan: LoanEntry): void {
     if (loan.current.state !== 'requested') return;
     this.options.table.apply(loan, { kind: 'cancelled', reason: 'the borrower needs it no more' });
   }
@@ -176,11 +178,11 @@
 }
 
 /** Serving borrows from finite work. Anything else that makes capacity does so without a loan. */
-const isLoan = (borrower: LiveJobView, { job }: PreemptionVictim): boolean =>
+const isLoanable = (borrower: LiveJobView, { job }: PreemptionVictim): boolean =>
   borrower.spec.kind === 'service' && job.spec.kind !== 'service';
 
 /** A loan whose lender may not have been told, and runs. */
-const isUntold = ({ current: { state } }: LoanEntry): boolean =>
+const isNotYetLent = ({ current: { state } }: LoanEntry): boolean =>
   state === 'requested' || state === 'saving';
 
 /** A gang lends whole. */
@@ -192,7 +194,7 @@
     .sort((a, b) => a.index - b.index);
 }
 
-const nameOf = (victim: PreemptionVictim): string =>
+const loanIdOf = (victim: PreemptionVictim): string =>
   loanId({ lender: victim.job.spec.id, tasks: lentTasks(victim) });
 
 const attemptKeys = ({ lender, tasks }: Loan): string[] =>
@@ -206,13 +208,13 @@
 ): Loan {
   const { spec } = victim.job;
   const tasks = lentTasks(victim);
-  const here = tasks.filter((task) => task.machine === machine).length;
+  const tasksOnMachine = tasks.filter((task) => task.machine === machine).length;
   return {
     lender: spec.id,
     tasks,
     borrower: borrower.spec.id,
     machine,
-    gpus: spec.gpus * here,
+    gpus: spec.gpus * tasksOnMachine,
     state: 'requested',
     dueMs: latestReturnS === Infinity ? null : Math.round(nowMs + latestReturnS * 1000),
     grantedMs: nowMs,
--- a/src/lending/lender-work.ts
+++ b/src/lending/lender-work.ts
@@ -41,22 +41,22 @@
   const nowMs = view.timeOfDay.nowMs();
   const type = view.machineTypes().get(view.machine(attempt.machine)?.type ?? '');
   return {
-    leftS: (view.latestEndMs(spec.id) - nowMs) / 1000,
+    timeLeftS: (view.latestEndMs(spec.id) - nowMs) / 1000,
     ownRemainingS: Math.max(0, spec.estimateS - savedS(victim, view.now())),
     jobRemainingS: jobRemainingS(job),
     margin: errors.margin(spec.class),
     saveS: spec.checkpointS > 0 ? spec.saveS : 0,
     fetchS: spec.imageGb / Math.max(type?.fetchGbPerS ?? 1, 1e-9),
-    restartS: returnTimes.commandS,
-    wayBackS: returnTimes.seconds,
-    saves: spec.checkpointS > 0,
+    restartS: returnTimes.commandDelayS,
+    recallDurationS: returnTimes.recallDurationS,
+    savesOnStop: spec.checkpointS > 0,
     // What an earlier leader started may have run for long.
     started:
       attempt.state !== 'fetching' && attempt.state !== 'waiting' && occupiesCapacity(attempt),
     guaranteed: job.isGuaranteed,
-    lentAgoS: lentAtMs === null ? Infinity : (nowMs - lentAtMs) / 1000,
-    lending,
-    borrowerWaits,
+    sinceLastLoanS: lentAtMs === null ? Infinity : (nowMs - lentAtMs) / 1000,
+    hasOpenLoan: lending,
+    borrowerCanWait: borrowerWaits,
   };
 }
 
--- a/src/lending/lending-term.ts
+++ b/src/lending/lending-term.ts
@@ -12,7 +12,7 @@
 import type { LendingConfig } from './declaration.js';
 import { EstimateErrors } from './estimate-errors.js';
 import { Grants } from './grants.js';
-import { loanId, noLoans, type Loan } from './loan.js';
+import { loanId, zeroStateCounts, type Loan } from './loan.js';
 import { LoanTable } from './loan-table.js';
 import { LoanClock } from './loan-times.js';
 import { LoanMonitor } from './loan-monitor.js';
@@ -38,8 +38,8 @@
     this.table = new LoanTable({
       nowMs: () => view.timeOfDay.nowMs(),
       onStored: () => this.grants.carryOutStored(),
-      onChange: (loan, before) => this.noteChange(loan, before),
-      onForgotten: (id) => this.clock.forget(id),
+      onChange: (loan, before) => this.onLoanChanged(loan, before),
+      onRemoved: (id) => this.clock.forget(id),
     });
     const returnTimes = new ReturnTimes(view);
     const { table, errors, clock } = this;
@@ -58,11 +58,11 @@
     this.holds.update();
   }
 
-  private noteChange(loan: Loan, before: Loan | null): void {
-    this.clock.noteChange(loan, before);
+  private onLoanChanged(loan: Loan, before: Loan | null): void {
+    this.clock.recordChange(loan, before);
     const { lender, borrower, machine, gpus, state, dueMs, reason } = loan;
     const due = dueMs === null ? null : new Date(dueMs).toISOString();
-    const { dueAt } = this.clock.of(loan);
+    const { dueAt } = this.clock.timesOf(loan);
     const steadyS = this.view.now();
     this.view.log.info(
       { loan: loanId(loan), lender, borrower, machine, gpus, state, due, dueAt, steadyS, reason },
@@ -73,13 +73,13 @@
   /** Nothing is decided while nothing can be stored. */
   tick(): void {
     if (!this.view.canWrite()) {
-      this.monitor.noteOutage();
+      this.monitor.recordOutage();
       return;
     }
     this.table.reconcile(this.view.records());
     this.errors.update(this.view.jobs());
     this.grants.carryOutStored();
-    this.grants.giveUpLate();
+    this.grants.carryOutOverdue();
     this.monitor.update();
     this.holds.update();
     this.table.removeEnded(this.config.keepEndedS * 1000);
@@ -92,7 +92,7 @@
 
   /** See `SubsystemTerm.keeps`. */
   keeps(machine: string): boolean {
-    return this.holds.keeps(machine);
+    return this.holds.retainsMachine(machine);
   }
 
   /** See `SubsystemTerm.keptMachines`. */
@@ -117,14 +117,14 @@
 
   /** See `SubsystemTerm.statistics`. */
   statistics(): Record<string, number | string> {
-    const states = noLoans();
+    const states = zeroStateCounts();
     let openGpus = 0;
     for (const { current } of this.table.values()) states[current.state]++;
     for (const { current } of this.table.open()) openGpus += current.gpus;
     const figures: Record<string, number | string> = {};
     for (const [state, count] of Object.entries(states)) figures[`loans_${state}`] = count;
     figures.loans_open_gpus = openGpus;
-    figures.loans_without_promise = this.grants.withoutPromise;
+    figures.loans_without_promise = this.grants.preemptionsWithoutLoan;
     return figures;
   }
 
--- a/src/lending/loan-evidence.ts
+++ b/src/lending/loan-evidence.ts
@@ -5,10 +5,10 @@
 import type { Loan } from './loan.js';
 
 /** Where the attempts are that were to stop. */
-export type LenderThere = 'running' | 'stopping' | 'gone' | 'unheard';
+export type LentAttemptsState = 'running' | 'stopping' | 'gone' | 'unheard';
 
 /** Where the lender's tasks are otherwise. */
-export type LenderElsewhere = 'nowhere' | 'placed' | 'running';
+export type LaterAttemptsState = 'nowhere' | 'placed' | 'running';
 
 /** `wants`: it is not there, but what was lent has not come back: a task of it has no place, or others took it. */
 export type BorrowerPresence = 'there' | 'wants' | 'away';
@@ -16,36 +16,36 @@
 /** What is known of both sides of a loan at one moment. */
 export interface LoanEvidence {
   /** Null: its job is open and the tasks are not done. */
-  lenderOver: string | null;
-  lenderThere: LenderThere;
-  lenderElsewhere: LenderElsewhere;
+  lenderEndReason: string | null;
+  lentAttempts: LentAttemptsState;
+  laterAttempts: LaterAttemptsState;
   borrower: BorrowerPresence;
   machineGone: boolean;
   /** Why the GPUs have to come back now; null: they need not. */
-  recall: string | null;
+  recallReason: string | null;
   /** Why the promise is broken; null: it is not. */
-  broken: string | null;
+  brokenReason: string | null;
   /** By how many seconds the latest return is over; 0: it is not. */
   lateS: number;
   /** Why an open grant is given up although its lender runs; null: it is not. */
-  notCarriedOut: string | null;
+  notCarriedOutReason: string | null;
 }
 
-function lenderOver(loan: Loan, job: LiveJobView | undefined): string | null {
+function lenderEndReason(loan: Loan, job: LiveJobView | undefined): string | null {
   if (job === undefined) return 'the lender is over';
   if (job.cancelled) return 'the lender was cancelled';
   const done = job.phase !== 'active' || loan.tasks.every(({ index }) => job.done.has(index));
   return done ? 'the lender is done' : null;
 }
 
-function lenderThere(attempts: readonly AttemptView[]): LenderThere {
+function lentAttemptsState(attempts: readonly AttemptView[]): LentAttemptsState {
   if (attempts.length === 0) return 'gone';
   if (attempts.some((attempt) => attempt.stopRequest !== null || attempt.state === 'saving'))
     return 'stopping';
   return attempts.some((attempt) => attempt.state === 'inherited') ? 'unheard' : 'running';
 }
 
-function lenderElsewhere(loan: Loan, attempts: readonly AttemptView[]): LenderElsewhere {
+function laterAttemptsState(loan: Loan, attempts: readonly AttemptView[]): LaterAttemptsState {
   if (attempts.length < loan.tasks.length) return 'nowhere';
   return attempts.every((attempt) => attempt.state === 'running') ? 'running' : 'placed';
 }
@@ -78,7 +78,7 @@
  * The replicas that are where the lender was: the borrower's or, where it was placed elsewhere in the end and
  * another service came here, those of whatever services there are.
  */
-export function replicasThere(loan: Loan, view: TermView): AttemptView[] {
+export function replicasOnMachine(loan: Loan, view: TermView): AttemptView[] {
   const own = borrowerAttempts(loan, view);
   if (own.length > 0) return own;
   const there = [...(view.machine(loan.machine)?.attempts.values() ?? [])];
@@ -106,13 +106,13 @@
   loan: Loan,
   view: TermView,
   freeGpus: number,
-): Omit<LoanEvidence, 'recall' | 'broken' | 'lateS' | 'notCarriedOut'> {
+): Omit<LoanEvidence, 'recallReason' | 'brokenReason' | 'lateS' | 'notCarriedOutReason'> {
   const job = view.job(loan.lender);
   const { lent, later } = lenderAttempts(loan, job);
   return {
-    lenderOver: lenderOver(loan, job),
-    lenderThere: lenderThere(lent),
-    lenderElsewhere: lenderElsewhere(loan, later),
+    lenderEndReason: lenderEndReason(loan, job),
+    lentAttempts: lentAttemptsState(lent),
+    laterAttempts: laterAttemptsState(loan, later),
     borrower: borrowerPresence(loan, view, freeGpus),
     machineGone: machineGone(loan, view),
   };
--- a/src/lending/loan-monitor.ts
+++ b/src/lending/loan-monitor.ts
@@ -5,7 +5,7 @@
 import type { Grants } from './grants.js';
 import { isAtLimit } from './lender-work.js';
 import { isAway, type Loan } from './loan.js';
-import { replicasThere, observeLoan, type LoanEvidence } from './loan-evidence.js';
+import { replicasOnMachine, observeLoan, type LoanEvidence } from './loan-evidence.js';
 import { nextEvent } from './loan-steps.js';
 import type { LoanEntry, LoanTable } from './loan-table.js';
 import type { LoanClock } from './loan-times.js';
@@ -13,14 +13,14 @@
 import type { ReturnTimes } from './return-times.js';
 
 /** A lender that a term sees running so long was never told by anybody. */
-const UNTOLD_LEASES = 1;
+const NOT_STOPPED_LEASES = 1;
 /** Saving may take so much longer than its job says, and so many leases more. */
 const SAVE_FACTOR = 1.5;
-const SAVE_LEASES = 0.5;
+const SAVE_GRACE_LEASES = 0.5;
 /** Replicas of a class move one after the other: so many leases more are given to find a way back. */
-const GRACE_LEASES = 4;
+const RETURN_GRACE_LEASES = 4;
 /** Of the time for a recall, what passes before places without the image are taken. */
-const PRESSING_SHARE = 0.5;
+const FETCH_ALLOWED_SHARE = 0.5;
 
 /** What a `LoanMonitor` works with. */
 export interface LoanMonitorOptions {
@@ -33,11 +33,11 @@
 }
 
 /** The gap in ms between two moves of replicas of a class; each is looked up once. */
-function moveGaps(view: TermView): (jobClass: string) => number {
-  const known = new Map<string, number>();
+function migrationGaps(view: TermView): (jobClass: string) => number {
+  const gapsByClass = new Map<string, number>();
   return (jobClass) => {
-    const gapMs = known.get(jobClass) ?? view.migrationGapS(jobClass) * 1000;
-    known.set(jobClass, gapMs);
+    const gapMs = gapsByClass.get(jobClass) ?? view.migrationGapS(jobClass) * 1000;
+    gapsByClass.set(jobClass, gapMs);
     return gapMs;
   };
 }
@@ -46,45 +46,45 @@
 export class LoanMonitor {
   private readonly startedAt: number;
   /** Since when this leader has been able to bring something back, in seconds of the steady clock. */
-  private ableFrom: number;
+  private canActSince: number;
 
   constructor(private readonly options: LoanMonitorOptions) {
     this.startedAt = options.view.now();
-    this.ableFrom = this.startedAt;
+    this.canActSince = this.startedAt;
   }
 
   /** Nothing can be stored: nothing is decided. */
-  noteOutage(): void {
-    this.ableFrom = this.options.view.now();
+  recordOutage(): void {
+    this.canActSince = this.options.view.now();
   }
 
   /** One round over all open loans. */
   update(): void {
     const { table, view, config, returnTimes, clock } = this.options;
-    const away = [...table.open()].filter(({ current }) => isAway(current));
-    const due = away.map(({ id, current }) => {
+    const awayLoans = [...table.open()].filter(({ current }) => isAway(current));
+    const dueLoans = awayLoans.map(({ id, current }) => {
       const { borrower } = current;
-      const { dueAt } = clock.of(current);
+      const { dueAt } = clock.timesOf(current);
       const dueMs = dueAt === null ? null : dueAt * 1000;
       return { id, dueMs, group: view.spec(borrower)?.class ?? borrower };
     });
-    const begins = planRecalls(due, {
-      wayBackMs: returnTimes.seconds * 1000,
-      atOnce: config.recallsAtOnce,
-      gapMs: moveGaps(view),
+    const recallStarts = planRecalls(dueLoans, {
+      recallDurationMs: returnTimes.recallDurationS * 1000,
+      maxConcurrent: config.recallsAtOnce,
+      gapMs: migrationGaps(view),
     });
     const free = new Map(view.freeCapacities().map(({ id, gpus }) => [id, gpus]));
-    let underWay = away.filter(({ current }) => current.state === 'recalled').length;
+    let activeRecalls = awayLoans.filter(({ current }) => current.state === 'recalled').length;
     for (const entry of [...table.open()]) {
-      const begin = begins.get(entry.id) ?? Infinity;
-      const isDue = view.now() * 1000 >= begin && underWay < config.recallsAtOnce;
+      const recallStartMs = recallStarts.get(entry.id) ?? Infinity;
+      const isDue = view.now() * 1000 >= recallStartMs && activeRecalls < config.recallsAtOnce;
       const freeGpus = free.get(entry.current.machine) ?? 0;
-      if (this.step(entry, isDue, freeGpus) === 'recalled') underWay++;
+      if (this.advance(entry, isDue, freeGpus) === 'recalled') activeRecalls++;
     }
   }
 
   /** Carries one loan on. Returns its new state, null where it has not changed. */
-  private step(entry: LoanEntry, isDue: boolean, freeGpus: number): Loan['state'] | null {
+  private advance(entry: LoanEntry, isDue: boolean, freeGpus: number): Loan['state'] | null {
     const { table, view, grants } = this.options;
     if (grants.isPending(entry)) return null;
     const before = entry.current;
@@ -94,23 +94,23 @@
       table.apply(entry, event);
       view.wakeWriter();
     }
-    if (entry.current.state === 'saving') this.endSaving(entry.current);
+    if (entry.current.state === 'saving') this.endOverdueSaving(entry.current);
     // A successor has to find a recall whose replica it sees moving.
-    if (entry.stored?.state === 'recalled') this.startReturn(entry.stored);
+    if (entry.stored?.state === 'recalled') this.migrateBorrower(entry.stored);
     return entry.current.state === before.state ? null : entry.current.state;
   }
 
   private evidence(entry: LoanEntry, isDue: boolean, freeGpus: number): LoanEvidence {
     const loan = entry.current;
     const { view, clock } = this.options;
-    const seen = observeLoan(loan, view, freeGpus);
-    const { lateFrom } = clock.of(loan);
+    const observed = observeLoan(loan, view, freeGpus);
+    const { latestDueAt } = clock.timesOf(loan);
     return {
-      ...seen,
-      recall: this.recallReason(loan, isDue),
-      broken: this.brokenReason(loan, seen),
-      lateS: lateFrom === null ? 0 : Math.max(0, view.now() - lateFrom),
-      notCarriedOut: this.untoldReason(),
+      ...observed,
+      recallReason: this.recallReason(loan, isDue),
+      brokenReason: this.brokenReason(loan, observed),
+      lateS: latestDueAt === null ? 0 : Math.max(0, view.now() - latestDueAt),
+      notCarriedOutReason: this.notCarriedOutReason(),
     };
   }
 
@@ -127,40 +127,43 @@
    * what is late but possible still comes back. Given up at the due time, a lender that several leaders in
    * a row had no time for, or an outage, was without its place for good.
    */
-  private brokenReason(loan: Loan, seen: Pick<LoanEvidence, 'borrower'>): string | null {
+  private brokenReason(loan: Loan, observed: Pick<LoanEvidence, 'borrower'>): string | null {
     const { view, returnTimes, clock } = this.options;
-    const { lateFrom } = clock.of(loan);
-    if (lateFrom === null) return null;
-    const graceS = returnTimes.seconds + view.settings.workers.lease_s * GRACE_LEASES;
-    if (view.now() <= Math.max(lateFrom, this.ableFrom) + graceS) return null;
+    const { latestDueAt } = clock.timesOf(loan);
+    if (latestDueAt === null) return null;
+    const graceS =
+      returnTimes.recallDurationS + view.settings.workers.lease_s * RETURN_GRACE_LEASES;
+    if (view.now() <= Math.max(latestDueAt, this.canActSince) + graceS) return null;
     if (isAtLimit(loan, view)) return "the lender's team is at its limit";
-    if (seen.borrower === 'away') return 'the lender has no place, though the borrower has left';
+    if (observed.borrower === 'away')
+      return 'the lender has no place, though the borrower has left';
     return 'no free place for the lender or the borrower';
   }
 
-  private untoldReason(): string | null {
+  private notCarriedOutReason(): string | null {
     const { view } = this.options;
     const runS = view.now() - this.startedAt;
-    return runS > view.settings.workers.lease_s * UNTOLD_LEASES ? 'never carried out' : null;
+    return runS > view.settings.workers.lease_s * NOT_STOPPED_LEASES ? 'never carried out' : null;
   }
 
   private recordReturnTime(loan: Loan, kind: string): void {
     if (loan.state !== 'recalled' || (kind !== 'returned' && kind !== 'resumed')) return;
     const { view, returnTimes, clock } = this.options;
-    const { changedAt, isOwnChange } = clock.of(loan);
-    if (isOwnChange) returnTimes.record(view.now() - changedAt);
+    const { changedAt, changedInThisTerm } = clock.timesOf(loan);
+    if (changedInThisTerm) returnTimes.record(view.now() - changedAt);
   }
 
   /** A lender whose saving never ends does not keep the borrower waiting for ever. */
-  private endSaving(loan: Loan): void {
+  private endOverdueSaving(loan: Loan): void {
     const { view, clock } = this.options;
     const job = view.job(loan.lender);
     if (job === undefined) return;
-    const mostS = job.spec.saveS * SAVE_FACTOR + view.settings.workers.lease_s * SAVE_LEASES;
-    if (view.now() - clock.of(loan).changedAt <= mostS) return;
+    const maxSavingS =
+      job.spec.saveS * SAVE_FACTOR + view.settings.workers.lease_s * SAVE_GRACE_LEASES;
+    if (view.now() - clock.timesOf(loan).changedAt <= maxSavingS) return;
     for (const { index, attempt } of loan.tasks) {
-      const late = job.attemptsByTask.get(index)?.find((each) => each.number === attempt);
-      if (late !== undefined) view.endStopped(late);
+      const overdue = job.attemptsByTask.get(index)?.find((each) => each.number === attempt);
+      if (overdue !== undefined) view.endStopped(overdue);
     }
   }
 
@@ -168,16 +171,16 @@
    * A lender with a place elsewhere needs nothing: a machine was added for it, or others have left. Else
    * the borrower's replica is moved, where that has a free place with its image and others answer.
    */
-  private startReturn(loan: Loan): void {
+  private migrateBorrower(loan: Loan): void {
     const { view } = this.options;
     if (isAtLimit(loan, view)) return;
-    const attempts = replicasThere(loan, view);
+    const attempts = replicasOnMachine(loan, view);
     if (attempts.some((attempt) => attempt.stopRequest !== null)) return;
     for (const { job, index } of attempts) {
       // What a service misses elsewhere it would take back here: it is the more important of the two.
       if (view.job(job)?.pendingTaskCount !== 0) continue;
-      const move = { job, index, from: loan.machine, mayFetch: this.isPressing(loan) };
-      if (view.migrateReplica(move)) return;
+      const migration = { job, index, from: loan.machine, mayFetch: this.mayFetchImage(loan) };
+      if (view.migrateReplica(migration)) return;
     }
   }
 
@@ -185,10 +188,10 @@
    * Half of the time for the recall is over: a place where the image has to be fetched will do too. A new
    * leader often does not know what idle machines have cached.
    */
-  private isPressing(loan: Loan): boolean {
+  private mayFetchImage(loan: Loan): boolean {
     const { view, clock, returnTimes } = this.options;
-    const { dueAt, changedAt } = clock.of(loan);
-    const until = dueAt ?? changedAt + returnTimes.seconds;
-    return view.now() >= changedAt + (until - changedAt) * PRESSING_SHARE;
+    const { dueAt, changedAt } = clock.timesOf(loan);
+    const deadlineAt = dueAt ?? changedAt + returnTimes.recallDurationS;
+    return view.now() >= changedAt + (deadlineAt - changedAt) * FETCH_ALLOWED_SHARE;
   }
 }
--- a/src/lending/loan-steps.ts
+++ b/src/lending/loan-steps.ts
@@ -5,8 +5,8 @@
 
 /** Null: nothing changes. */
 export function nextEvent(loan: Loan, evidence: LoanEvidence): LoanEvent | null {
-  const { lenderOver } = evidence;
-  if (lenderOver !== null) return { kind: 'cancelled', reason: lenderOver };
+  const { lenderEndReason } = evidence;
+  if (lenderEndReason !== null) return { kind: 'cancelled', reason: lenderEndReason };
   switch (loan.state) {
     case 'requested':
     case 'saving':
@@ -15,54 +15,66 @@
     case 'recalled':
       return whileLent(loan, evidence);
     case 'returned':
-      if (evidence.lenderElsewhere === 'running') return resumed(evidence);
-      if (evidence.lenderElsewhere === 'nowhere' && evidence.borrower === 'there') {
+      if (evidence.laterAttempts === 'running') return resumedEvent(evidence);
+      if (evidence.laterAttempts === 'nowhere' && evidence.borrower === 'there') {
         return { kind: 'recalled', reason: 'the borrower came back' };
       }
-      return brokenPromise(evidence);
+      return waivedEvent(evidence);
     default:
       return null;
   }
 }
 
-function beforeLent(loan: Loan, { lenderThere, notCarriedOut }: LoanEvidence): LoanEvent | null {
-  if (lenderThere === 'gone') return { kind: 'vacated' };
-  if (lenderThere === 'stopping') return loan.state === 'requested' ? { kind: 'told' } : null;
-  if (lenderThere === 'running' && notCarriedOut !== null) {
-    return { kind: 'cancelled', reason: notCarriedOut };
+function beforeLent(
+  loan: Loan,
+  { lentAttempts, notCarriedOutReason }: LoanEvidence,
+): LoanEvent | null {
+  if (lentAttempts === 'gone') return { kind: 'vacated' };
+  if (lentAttempts === 'stopping') return loan.state === 'requested' ? { kind: 'told' } : null;
+  if (lentAttempts === 'running' && notCarriedOutReason !== null) {
+    return { kind: 'cancelled', reason: notCarriedOutReason };
   }
   return null;
 }
 
 function whileLent(loan: Loan, evidence: LoanEvidence): LoanEvent | null {
-  const { lenderElsewhere, borrower, machineGone, recall } = evidence;
-  if (lenderElsewhere === 'running') return resumed(evidence);
-  if (lenderElsewhere === 'placed') return returned('the lender has a place', evidence);
+  const {
+    laterAttempts,
+    borrower,
+    machineGone,
+    recallReason,
+  } = evidence;
+  if (laterAttempts === 'running') return resumedEvent(evidence);
+  if (laterAttempts === 'placed') return returnedEvent('the lender has a place', evidence);
   if (machineGone) return { kind: 'lost', reason: 'the machine is gone' };
-  if (borrower === 'away') return returned('the borrower has left', evidence);
-  const broken = brokenPromise(evidence);
-  if (broken !== null) return broken;
-  if (loan.state === 'lent' && recall !== null) return { kind: 'recalled', reason: recall };
+  if (borrower === 'away') return returnedEvent('the borrower has left', evidence);
+  const waived = waivedEvent(evidence);
+  if (waived !== null) return waived;
+  if (loan.state === 'lent' && recallReason !== null)
+    return { kind: 'recalled', reason: recallReason };
   if (borrower === 'there' && !loan.used) return { kind: 'borrower-seen' };
   return null;
 }
 
 /** What comes late is told with it. */
-function late({ lateS }: LoanEvidence): string {
+function latenessSuffix({ lateS }: LoanEvidence): string {
   return lateS > 0 ? `, ${Math.ceil(lateS)} s late` : '';
 }
 
-const returned = (reason: string, evidence: LoanEvidence): LoanEvent => ({
+const returnedEvent = (reason: string, evidence: LoanEvidence): LoanEvent => ({
   kind: 'returned',
-  reason: reason + late(evidence),
+  reason: reason + latenessSuffix(evidence),
 });
 
-const resumed = (evidence: LoanEvidence): LoanEvent => ({
+const resumedEvent = (evidence: LoanEvidence): LoanEvent => ({
   kind: 'resumed',
-  reason: `the lender runs again${late(evidence)}`,
+  reason: `the lender runs again${latenessSuffix(evidence)}`,
 });
 
-function brokenPromise({ broken, lenderElsewhere }: LoanEvidence): LoanEvent | null {
-  if (broken === null || lenderElsewhere !== 'nowhere') return null;
-  return { kind: 'waived', reason: broken };
+function waivedEvent({
+  brokenReason,
+  laterAttempts,
+}: LoanEvidence): LoanEvent | null {
+  if (brokenReason === null || laterAttempts !== 'nowhere') return null;
+  return { kind: 'waived', reason: brokenReason };
 }
--- a/src/lending/loan-table.ts
+++ b/src/lending/loan-table.ts
@@ -26,7 +26,7 @@
 
 const NO_LOANS: readonly LoanEntry[] = [];
 
-const isGrant = ({ current }: LoanEntry): boolean => current.state === 'requested';
+const isRequested = ({ current }: LoanEntry): boolean => current.state === 'requested';
 
 /** What a `LoanTable` works with. */
 export interface LoanTableOptions {
@@ -37,7 +37,7 @@
   /** A loan has changed; `before`: as it was, null for a new one. */
   onChange: (loan: Loan, before: Loan | null) => void;
   /** A loan was never stored, or its record is removed. */
-  onForgotten: (id: string) => void;
+  onRemoved: (id: string) => void;
 }
 
 /** Loans by name, and what is derived of all of them. */
@@ -48,7 +48,7 @@
 
   constructor(private readonly options: LoanTableOptions) {
     this.table = new RecordTable(LOAN_FORM, {
-      isUrgent: isGrant,
+      isUrgent: isRequested,
       onStored: options.onStored,
       onChange: () => (this.byLender = null),
     });
@@ -90,9 +90,9 @@
   }
 
   /** A loan that was never stored, as far as is known. If it is after all, `reconcile` finds it. */
-  forget(entry: LoanEntry): void {
+  dropUnstored(entry: LoanEntry): void {
     this.table.removed(entry.id);
-    this.options.onForgotten(entry.id);
+    this.options.onRemoved(entry.id);
   }
 
   /** Whether the store holds the loan's latest change. */
@@ -120,16 +120,16 @@
     if (this.byLender === null) {
       this.byLender = new Map();
       for (const entry of this.table.values()) {
-        const of = this.byLender.get(entry.current.lender);
-        if (of === undefined) this.byLender.set(entry.current.lender, [entry]);
-        else of.push(entry);
+        const entries = this.byLender.get(entry.current.lender);
+        if (entries === undefined) this.byLender.set(entry.current.lender, [entry]);
+        else entries.push(entry);
       }
     }
     return this.byLender.get(lender) ?? NO_LOANS;
   }
 
   /** When a job lent last, in ms of the time of day; null: never, as far as is stored. */
-  lentAtMs(lender: string): number | null {
+  lastGrantedAtMs(lender: string): number | null {
     let latest: number | null = null;
     for (const { current } of this.loansOf(lender)) {
       if (current.state === 'cancelled') continue;
@@ -139,13 +139,13 @@
   }
 
   /** Removes what has been over for so long. */
-  removeEnded(keepMs: number): void {
+  removeEnded(retentionMs: number): void {
     const nowMs = this.options.nowMs();
     for (const entry of this.table.values()) {
       const { current } = entry;
-      if (isOpen(current) || nowMs - current.changedMs <= keepMs) continue;
-      this.table.remove(entry);
-      this.options.onForgotten(entry.id);
+      if (isOpen(current) || nowMs - current.changedMs <= retentionMs) continue;
+      this.table.scheduleRemoval(entry);
+      this.options.onRemoved(entry.id);
     }
   }
 
@@ -153,7 +153,7 @@
   dueWrites(): OwnedWrite[] {
     return this.table.dueWrites().map((write) => {
       const entry = this.table.get(write.key.slice(LOAN_PREFIX.length));
-      const urgent = entry !== undefined && !this.table.isStored(entry) && isGrant(entry);
+      const urgent = entry !== undefined && !this.table.isStored(entry) && isRequested(entry);
       return urgent ? { ...write, urgent } : write;
     });
   }
--- a/src/lending/loan-times.ts
+++ b/src/lending/loan-times.ts
@@ -11,39 +11,40 @@
   /** When it came into its present state, or when this term first saw it there. */
   changedAt: number;
   /** When its present state began in this term; false: an earlier one brought it there, at a time that is not known. */
-  isOwnChange: boolean;
+  changedInThisTerm: boolean;
   /** When the lender needs its place again, as far as is known; null: no deadline asks for it. */
   dueAt: number | null;
   /** The latest moment at which it may be due: what a term cannot know it does not hold against a loan. */
-  lateFrom: number | null;
+  latestDueAt: number | null;
 }
 
 /** A loan's times, and the change that they belong to. */
-interface KnownTimes extends LoanTimes {
+interface RecordedTimes extends LoanTimes {
   changedMs: number;
   state: Loan['state'];
 }
 
 /** The times of a term's loans. */
 export class LoanClock {
-  private readonly known = new Map<string, KnownTimes>();
+  private readonly known = new Map<string, RecordedTimes>();
 
   constructor(private readonly view: Pick<TermView, 'now' | 'timeOfDay' | 'settings'>) {}
 
   /** A loan is granted by this term, or changed; `before`: as it was, null for a new one. */
-  noteChange(loan: Loan, before: Loan | null): void {
-    const { dueAt, lateFrom } = before === null ? this.newTimes(loan) : this.of(before);
-    this.remember(loan, { isOwnChange: true, dueAt, lateFrom });
+  recordChange(loan: Loan, before: Loan | null): void {
+    const { dueAt, latestDueAt } =
+      before === null ? this.timesOfNewLoan(loan) : this.timesOf(before);
+    this.setTimes(loan, { changedInThisTerm: true, dueAt, latestDueAt });
   }
 
   /** The times of an open loan; one that is not known was stored by an earlier term. */
-  of(loan: Loan): LoanTimes {
+  timesOf(loan: Loan): LoanTimes {
     const known = this.known.get(loanId(loan));
     if (known?.changedMs === loan.changedMs && known.state === loan.state) return known;
-    if (known !== undefined) return this.remember(loan, { ...known, isOwnChange: false });
+    if (known !== undefined) return this.setTimes(loan, { ...known, changedInThisTerm: false });
     const dueAt = this.inheritedDueAt(loan);
-    const lateFrom = dueAt === null ? null : Math.max(dueAt, this.latestDueAt(loan));
-    return this.remember(loan, { isOwnChange: false, dueAt, lateFrom });
+    const latestDueAt = dueAt === null ? null : Math.max(dueAt, this.inheritedLatestDueAt(loan));
+    return this.setTimes(loan, { changedInThisTerm: false, dueAt, latestDueAt });
   }
 
   /** A loan that is over, or was never stored. */
@@ -51,22 +52,22 @@
     this.known.delete(id);
   }
 
-  private remember(loan: Loan, times: Omit<LoanTimes, 'changedAt'>): LoanTimes {
+  private setTimes(loan: Loan, times: Omit<LoanTimes, 'changedAt'>): LoanTimes {
     const { changedMs, state } = loan;
-    const { isOwnChange, dueAt, lateFrom } = times;
+    const { changedInThisTerm, dueAt, latestDueAt } = times;
     const changedAt = this.view.now();
-    const known = { changedAt, isOwnChange, dueAt, lateFrom, changedMs, state };
+    const known = { changedAt, changedInThisTerm, dueAt, latestDueAt, changedMs, state };
     this.known.set(loanId(loan), known);
     return known;
   }
 
-  private newTimes({ dueMs, grantedMs }: Loan): Pick<LoanTimes, 'dueAt' | 'lateFrom'> {
+  private timesOfNewLoan({ dueMs, grantedMs }: Loan): Pick<LoanTimes, 'dueAt' | 'latestDueAt'> {
     const dueAt = dueMs === null ? null : this.view.now() + (dueMs - grantedMs) / 1000;
-    return { dueAt, lateFrom: dueAt };
+    return { dueAt, latestDueAt: dueAt };
   }
 
   /** It is due no later than if its latest change had happened just now: both times are of one clock. */
-  private latestDueAt({ dueMs, changedMs }: Loan): number {
+  private inheritedLatestDueAt({ dueMs, changedMs }: Loan): number {
     return this.view.now() + Math.max(0, (dueMs ?? changedMs) - changedMs) / 1000;
   }
 
--- a/src/lending/loan.ts
+++ b/src/lending/loan.ts
@@ -74,11 +74,11 @@
   | { kind: 'cancelled'; reason: string }
   | { kind: 'waived'; reason: string };
 
-const OPEN: readonly LoanState[] = ['requested', 'saving', 'lent', 'recalled', 'returned'];
-const AWAY: readonly LoanState[] = ['lent', 'recalled', 'returned'];
+const OPEN_STATES: readonly LoanState[] = ['requested', 'saving', 'lent', 'recalled', 'returned'];
+const AWAY_STATES: readonly LoanState[] = ['lent', 'recalled', 'returned'];
 
 /** The states in which a loan can meet an event. */
-const MET_IN: Record<LoanEvent['kind'], readonly LoanState[]> = {
+const ALLOWED_STATES: Record<LoanEvent['kind'], readonly LoanState[]> = {
   'granted-again': ['requested', 'saving'],
   told: ['requested'],
   vacated: ['requested', 'saving'],
@@ -86,15 +86,15 @@
   // A borrower without another place may come back to what it had left.
   recalled: ['lent', 'returned'],
   returned: ['lent', 'recalled'],
-  resumed: AWAY,
+  resumed: AWAY_STATES,
   lost: ['lent', 'recalled'],
-  cancelled: OPEN,
-  waived: AWAY,
+  cancelled: OPEN_STATES,
+  waived: AWAY_STATES,
 };
 
 /** The one function by which a loan changes. Throws IllegalTransitionError. */
 export function advanceLoan(loan: Loan, event: LoanEvent, atMs: number): Loan {
-  if (!MET_IN[event.kind].includes(loan.state)) {
+  if (!ALLOWED_STATES[event.kind].includes(loan.state)) {
     throw new IllegalTransitionError(`loan ${loanId(loan)}`, loan.state, event.kind);
   }
   const changed = { ...loan, changedMs: atMs };
@@ -113,14 +113,14 @@
 }
 
 /** Whether something is still owed. */
-export const isOpen = ({ state }: Loan): boolean => OPEN.includes(state);
+export const isOpen = ({ state }: Loan): boolean => OPEN_STATES.includes(state);
 
 /** Whether the GPUs are spoken for: no second loan may name them. */
 export const holdsGpus = ({ state }: Loan): boolean =>
   isOpen({ state } as Loan) && state !== 'returned';
 
 /** Whether the lender is off its machine and waits for a place. */
-export const isAway = ({ state }: Loan): boolean => AWAY.includes(state);
+export const isAway = ({ state }: Loan): boolean => AWAY_STATES.includes(state);
 
 /** Attempt numbers of a task never recur, so a loan's name does not either. */
 export function loanId({ lender, tasks }: Pick<Loan, 'lender' | 'tasks'>): string {
@@ -132,14 +132,14 @@
 export const LOAN_PREFIX = 'loan/';
 
 /** A count of 0 for each state. */
-export const noLoans = (): Record<LoanState, number> =>
+export const zeroStateCounts = (): Record<LoanState, number> =>
   Object.fromEntries(LOAN_STATES.map((state) => [state, 0])) as Record<LoanState, number>;
 
 // The record
 
 const text = v.string();
 const number = v.pipe(v.number(), v.finite());
-const record = v.object({
+const loanSchema = v.object({
   l: text,
   t: v.pipe(v.array(v.tuple([number, number, text])), v.minLength(1)),
   b: text,
@@ -176,7 +176,7 @@
 
 /** Null: a record of another form, which is left alone. */
 export function decodeLoan(value: unknown): Loan | null {
-  const result = v.safeParse(record, value);
+  const result = v.safeParse(loanSchema, value);
   if (!result.success) return null;
   const { l, t, b, m, g, s, d, f, c, u, y } = result.output;
   return {
--- a/src/lending/recall-plan.ts
+++ b/src/lending/recall-plan.ts
@@ -12,9 +12,9 @@
 /** How fast loans can be recalled; times in ms. */
 export interface RecallPace {
   /** What one recall takes. */
-  wayBackMs: number;
+  recallDurationMs: number;
   /** Recalls under way at a time. */
-  atOnce: number;
+  maxConcurrent: number;
   /** Between the beginnings of two recalls of one group. */
   gapMs: (group: string) => number;
 }
@@ -26,18 +26,21 @@
  */
 export function planRecalls(
   loans: readonly DueLoan[],
-  { wayBackMs, atOnce, gapMs }: RecallPace,
+  { recallDurationMs, maxConcurrent, gapMs }: RecallPace,
 ): Map<string, number> {
   const due = loans.filter((loan): loan is DueLoan & { dueMs: number } => loan.dueMs !== null);
   due.sort((a, b) => a.dueMs - b.dueMs || (a.id < b.id ? -1 : 1));
-  const begins: number[] = [];
-  const firstOfGroup = new Map<string, number>();
+  const startsMs: number[] = [];
+  const firstStartOfGroup = new Map<string, number>();
   for (let i = due.length - 1; i >= 0; i--) {
     const { dueMs, group } = due[i]!;
-    const next = begins[i + atOnce] ?? Infinity;
-    const nextOfGroup = firstOfGroup.get(group) ?? Infinity;
-    begins[i] = Math.min(Math.min(dueMs, next) - wayBackMs, nextOfGroup - gapMs(group));
-    firstOfGroup.set(group, begins[i]!);
+    const nextStartMs = startsMs[i + maxConcurrent] ?? Infinity;
+    const nextStartOfGroupMs = firstStartOfGroup.get(group) ?? Infinity;
+    startsMs[i] = Math.min(
+      Math.min(dueMs, nextStartMs) - recallDurationMs,
+      nextStartOfGroupMs - gapMs(group),
+    );
+    firstStartOfGroup.set(group, startsMs[i]!);
   }
-  return new Map(due.map(({ id }, i) => [id, begins[i]!]));
+  return new Map(due.map(({ id }, i) => [id, startsMs[i]!]));
 }
--- a/src/lending/return-holds.ts
+++ b/src/lending/return-holds.ts
@@ -5,7 +5,7 @@
 import type { TermView } from '../subsystems/subsystem.js';
 import type { Loan } from './loan.js';
 import { isAtLimit } from './lender-work.js';
-import { replicasThere } from './loan-evidence.js';
+import { replicasOnMachine } from './loan-evidence.js';
 import type { LoanTable } from './loan-table.js';
 import type { LoanClock } from './loan-times.js';
 
@@ -39,38 +39,38 @@
     this.recalledBorrowers = [];
     for (const { current } of this.table.open()) {
       const job = this.view.job(current.lender);
-      if (current.state === 'recalled') this.noteBorrower(current);
-      if (job === undefined || !this.holds(current)) continue;
+      if (current.state === 'recalled') this.addRecalledBorrowers(current);
+      if (job === undefined || !this.isHolding(current)) continue;
       const { lender, borrower, gpus } = current;
       const hold = { lender, borrower, priority: job.spec.priority, gpus };
       this.byMachine.set(current.machine, [...(this.byMachine.get(current.machine) ?? []), hold]);
     }
   }
 
-  private noteBorrower(loan: Loan): void {
-    for (const { job } of replicasThere(loan, this.view)) {
+  private addRecalledBorrowers(loan: Loan): void {
+    for (const { job } of replicasOnMachine(loan, this.view)) {
       const spec = this.view.spec(job);
       if (spec !== null) this.recalledBorrowers.push(spec);
     }
   }
 
-  private holds(loan: Loan): boolean {
+  private isHolding(loan: Loan): boolean {
     const { state, lender, tasks } = loan;
     if (state !== 'recalled' && state !== 'returned') return false;
     const live = this.view.job(lender)?.attemptsByTask;
     const hasPlace = tasks.every(({ index }) => live?.has(index) === true);
     if (hasPlace || isAtLimit(loan, this.view)) return false;
     if (state === 'recalled') return true;
-    const heldS = this.view.now() - this.clock.of(loan).changedAt;
+    const heldS = this.view.now() - this.clock.timesOf(loan).changedAt;
     return heldS <= this.view.settings.workers.lease_s * HOLD_LEASES;
   }
 
   /** A place to which a borrower may have to be moved is not given back either. */
-  keeps(machine: string): boolean {
-    return this.byMachine.has(machine) || this.isWayBack(machine);
+  retainsMachine(machine: string): boolean {
+    return this.byMachine.has(machine) || this.isRecallTarget(machine);
   }
 
-  private isWayBack(machine: string): boolean {
+  private isRecallTarget(machine: string): boolean {
     if (this.recalledBorrowers.length === 0) return false;
     const capacity = this.view.freeCapacities().find(({ id }) => id === machine);
     if (capacity === undefined) return false;
@@ -84,20 +84,20 @@
    * did as soon as its booking had expired.
    */
   preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
-    const isBorrowers = this.byMachine
+    const isRecalledFromBorrower = this.byMachine
       .get(capacity.id)
       ?.some(({ borrower }) => borrower === spec.id);
-    return isBorrowers === true ? -this.view.settings.workers.lease_s * AVOID_LEASES : 0;
+    return isRecalledFromBorrower === true ? -this.view.settings.workers.lease_s * AVOID_LEASES : 0;
   }
 
   /** More important work may always use it: a loan forbids nothing that preemption would allow. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
     const holds = this.byMachine.get(capacity.id);
     if (holds === undefined) return true;
-    let held = 0;
+    let heldGpus = 0;
     for (const { lender, priority, gpus } of holds) {
-      if (lender !== spec.id && spec.priority >= priority) held += gpus;
+      if (lender !== spec.id && spec.priority >= priority) heldGpus += gpus;
     }
-    return held === 0 || capacity.gpus - spec.gpus >= held;
+    return heldGpus === 0 || capacity.gpus - spec.gpus >= heldGpus;
   }
 }
--- a/src/lending/return-times.ts
+++ b/src/lending/return-times.ts
@@ -4,7 +4,7 @@
 import { covering, remember } from '../subsystems/samples.js';
 
 /** What the protocol leads to expect of slow boots, as a share of the nominal time. */
-const SLOW_BOOT = 1.6;
+const SLOW_BOOT_FACTOR = 1.6;
 /** Report intervals until a stop is told, carried out and heard of, and a start likewise. */
 const COMMAND_HEARTBEATS = 4;
 
@@ -20,13 +20,13 @@
   }
 
   /** Seconds that cover most recalls. */
-  get seconds(): number {
+  get recallDurationS(): number {
     const bootS = Math.max(0, ...[...this.view.machineTypes().values()].map((type) => type.bootS));
-    return covering(this.samples, bootS * SLOW_BOOT + this.commandS);
+    return covering(this.samples, bootS * SLOW_BOOT_FACTOR + this.commandDelayS);
   }
 
   /** Seconds from a place being there until the task was told to start and has shown itself. */
-  get commandS(): number {
+  get commandDelayS(): number {
     return this.view.settings.workers.report_s * COMMAND_HEARTBEATS;
   }
 }
--- a/src/lending/view.ts
+++ b/src/lending/view.ts
@@ -44,7 +44,7 @@
   };
 }
 
-function inOrder(a: Loan, b: Loan): number {
+function compareLoans(a: Loan, b: Loan): number {
   if (isOpen(a) !== isOpen(b)) return isOpen(a) ? -1 : 1;
   if (!isOpen(a)) return b.changedMs - a.changedMs;
   return (a.dueMs ?? Infinity) < (b.dueMs ?? Infinity) ? -1 : 1;
@@ -62,5 +62,5 @@
 
 /** What the records of the subsystem say. */
 export function loansView(records: ReadonlyMap<string, OwnedRecord>): LoansView {
-  return { loans: storedLoans(records).sort(inOrder).map(rowOf) };
+  return { loans: storedLoans(records).sort(compareLoans).map(rowOf) };
 }
--- a/src/subsystems/active-subsystems.ts
+++ b/src/subsystems/active-subsystems.ts
@@ -16,7 +16,7 @@
   TermView,
 } from './subsystem.js';
 
-interface Active {
+interface ActiveSubsystem {
   name: string;
   term: SubsystemTerm;
 }
@@ -32,7 +32,7 @@
  * left out of this answer: it must not keep the leader from its work.
  */
 export class ActiveSubsystems {
-  private readonly active: Active[] = [];
+  private readonly active: ActiveSubsystem[] = [];
   /** Those that have something to say of preemptions. */
   private readonly preemptionRules: { name: string; rules: PreemptionRules }[] = [];
 
@@ -41,10 +41,12 @@
   /** Begins the term of each; one that throws is left out. */
   begin(subsystems: readonly Subsystem[], view: (subsystem: Subsystem) => TermView): void {
     for (const subsystem of subsystems) {
-      const term = this.guarded(subsystem.name, null, () => subsystem.beginTerm(view(subsystem)));
+      const term = this.callGuarded(subsystem.name, null, () =>
+        subsystem.beginTerm(view(subsystem)),
+      );
       if (term === null) continue;
       this.active.push({ name: subsystem.name, term });
-      const rules = this.guarded(subsystem.name, undefined, () => term.preemption);
+      const rules = this.callGuarded(subsystem.name, undefined, () => term.preemption);
       if (rules !== undefined) this.preemptionRules.push({ name: subsystem.name, rules });
     }
   }
@@ -56,20 +58,20 @@
 
   /** See `SubsystemTerm.tick`. */
   tick(): void {
-    for (const { name, term } of this.active) this.guarded(name, undefined, () => term.tick());
+    for (const { name, term } of this.active) this.callGuarded(name, undefined, () => term.tick());
   }
 
   /** See `SubsystemTerm.scaleOutRequests`. */
   scaleOutRequests(): StoredScaleOutRequest[] {
     return this.active.flatMap(({ name, term }) =>
-      this.guarded(name, [], () => term.scaleOutRequests()),
+      this.callGuarded(name, [], () => term.scaleOutRequests()),
     );
   }
 
   /** Whether any subsystem keeps the machine. */
   keeps(machine: string): boolean {
     return this.active.some(({ name, term }) =>
-      this.guarded(name, false, () => term.keeps(machine)),
+      this.callGuarded(name, false, () => term.keeps(machine)),
     );
   }
 
@@ -77,7 +79,7 @@
   keptMachines(): number {
     let sum = 0;
     for (const { name, term } of this.active) {
-      sum += this.guarded(name, 0, () => term.keptMachines());
+      sum += this.callGuarded(name, 0, () => term.keptMachines());
     }
     return sum;
   }
@@ -85,7 +87,7 @@
   /** Whether all subsystems allow it. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
     return this.active.every(({ name, term }) =>
-      this.guarded(name, true, () => term.mayUse(spec, capacity)),
+      this.callGuarded(name, true, () => term.mayUse(spec, capacity)),
     );
   }
 
@@ -93,7 +95,7 @@
   preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
     let sum = 0;
     for (const { name, term } of this.active) {
-      sum += this.guarded(name, 0, () => term.preferenceS(spec, capacity));
+      sum += this.callGuarded(name, 0, () => term.preferenceS(spec, capacity));
     }
     return sum;
   }
@@ -102,7 +104,7 @@
   preemptionHarm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
     let sum = 0;
     for (const { name, rules } of this.preemptionRules) {
-      sum += this.guarded(name, 0, () => rules.harm(borrower, victim, saves));
+      sum += this.callGuarded(name, 0, () => rules.extraCost(borrower, victim, saves));
     }
     return sum;
   }
@@ -110,44 +112,47 @@
   /** See `PreemptionRules.isStopping`. */
   isStopping(attempt: AttemptView): boolean {
     return this.preemptionRules.some(({ name, rules }) =>
-      this.guarded(name, false, () => rules.isStopping(attempt)),
+      this.callGuarded(name, false, () => rules.isStopping(attempt)),
     );
   }
 
   /** Carries an preemption out, unless a subsystem does so itself. */
   preempt(preemption: Preemption): void {
-    const taken = this.preemptionRules.some(({ name, rules }) =>
-      this.guarded(name, false, () => rules.takesOver(preemption)),
+    const takenOver = this.preemptionRules.some(({ name, rules }) =>
+      this.callGuarded(name, false, () => rules.takesOver(preemption)),
     );
-    if (!taken) preemption.carryOut();
+    if (!takenOver) preemption.carryOut();
   }
 
   /** What subsystems want to store, the most urgent of each first. */
   dueWrites(): NamedWrite[] {
     return this.active.flatMap(({ name, term }) =>
-      this.guarded(name, [], () => term.dueWrites()).map((write) => ({ subsystem: name, write })),
+      this.callGuarded(name, [], () => term.dueWrites()).map((write) => ({
+        subsystem: name,
+        write,
+      })),
     );
   }
 
   /** Figures of all subsystems. */
   statistics(): Record<string, number | string> {
     const all = this.active.map(({ name, term }) =>
-      this.guarded(name, {}, () => term.statistics()),
+      this.callGuarded(name, {}, () => term.statistics()),
     );
     return Object.assign({}, ...all) as Record<string, number | string>;
   }
 
   /** See `SubsystemTerm.stop`. */
   stop(): void {
-    for (const { name, term } of this.active) this.guarded(name, undefined, () => term.stop());
+    for (const { name, term } of this.active) this.callGuarded(name, undefined, () => term.stop());
   }
 
-  private guarded<T>(name: string, otherwise: T, ask: () => T): T {
+  private callGuarded<T>(name: string, fallback: T, call: () => T): T {
     try {
-      return ask();
+      return call();
     } catch (error) {
       this.log?.error({ subsystem: name, err: error }, 'subsystem');
-      return otherwise;
+      return fallback;
     }
   }
 }
--- a/src/subsystems/record-table.ts
+++ b/src/subsystems/record-table.ts
@@ -3,7 +3,7 @@
 import type { OwnedRecord, OwnedWrite } from './subsystem.js';
 
 /** Changes that are offered to the store at a time: no transaction takes more. */
-const WRITES_AT_ONCE = 64;
+const MAX_WRITES_PER_BATCH = 64;
 
 /** How values of one kind are kept in the store. */
 export interface RecordForm<T> {
@@ -44,32 +44,32 @@
 export class RecordTable<T> {
   private readonly entries = new Map<string, TableEntry<T>>();
   /** Ids with changes that are not stored, in the order in which they came. */
-  private readonly unstored = new Set<string>();
+  private readonly unstoredIds = new Set<string>();
   /** Ids whose records are to be removed. */
-  private readonly removing = new Set<string>();
+  private readonly removalIds = new Set<string>();
 
   constructor(
-    private readonly form: RecordForm<T>,
+    private readonly codec: RecordForm<T>,
     private readonly options: RecordTableOptions<T>,
   ) {}
 
   /** Takes in records that are newer than what is known: a commit of this term that was carried out late. */
   reconcile(records: ReadonlyMap<string, OwnedRecord>): void {
-    const { prefix } = this.form;
+    const { prefix } = this.codec;
     for (const [key, { value, revision }] of records) {
       if (!key.startsWith(prefix)) continue;
       const id = key.slice(prefix.length);
       const known = this.entries.get(id);
       if (known !== undefined && known.revision >= revision) continue;
-      const decoded = this.form.decode(value);
-      if (decoded !== null && this.form.idOf(decoded) === id) this.adopt(decoded, revision);
+      const decoded = this.codec.decode(value);
+      if (decoded !== null && this.codec.idOf(decoded) === id) this.adopt(decoded, revision);
     }
   }
 
   private adopt(value: T, revision: number): void {
-    const id = this.form.idOf(value);
+    const id = this.codec.idOf(value);
     this.entries.set(id, { id, stored: value, revision, current: value });
-    this.unstored.delete(id);
+    this.unstoredIds.delete(id);
     this.options.onChange?.();
   }
 
@@ -90,12 +90,12 @@
 
   /** A new value, or the entry that has its name already. */
   add(value: T): TableEntry<T> {
-    const id = this.form.idOf(value);
+    const id = this.codec.idOf(value);
     const known = this.entries.get(id);
     if (known !== undefined) return known;
     const entry: TableEntry<T> = { id, stored: null, revision: 0, current: value };
     this.entries.set(id, entry);
-    this.unstored.add(id);
+    this.unstoredIds.add(id);
     this.options.onChange?.();
     return entry;
   }
@@ -103,61 +103,63 @@
   /** Changes a value; the change is stored later. */
   change(entry: TableEntry<T>, value: T): void {
     entry.current = value;
-    this.unstored.add(entry.id);
+    this.unstoredIds.add(entry.id);
     this.options.onChange?.();
   }
 
   /** Whether the store holds the entry's latest change. */
   isStored(entry: TableEntry<T>): boolean {
-    return !this.unstored.has(entry.id);
+    return !this.unstoredIds.has(entry.id);
   }
 
   /** Its record was removed. */
   removed(id: string): void {
     this.entries.delete(id);
-    this.unstored.delete(id);
-    this.removing.delete(id);
+    this.unstoredIds.delete(id);
+    this.removalIds.delete(id);
     this.options.onChange?.();
   }
 
   /** Its record goes once its latest change is stored. */
-  remove(entry: TableEntry<T>): void {
-    this.removing.add(entry.id);
+  scheduleRemoval(entry: TableEntry<T>): void {
+    this.removalIds.add(entry.id);
   }
 
   /** The next changes to store, urgent ones first, removals last. */
   dueWrites(): OwnedWrite[] {
     const urgent: TableEntry<T>[] = [];
     const others: TableEntry<T>[] = [];
-    for (const id of this.unstored) {
+    for (const id of this.unstoredIds) {
       const entry = this.entries.get(id)!;
       (this.options.isUrgent(entry) ? urgent : others).push(entry);
-      if (urgent.length >= WRITES_AT_ONCE) break;
+      if (urgent.length >= MAX_WRITES_PER_BATCH) break;
     }
-    const puts = [...urgent, ...others].slice(0, WRITES_AT_ONCE).map((entry) => this.put(entry));
-    if (puts.length >= WRITES_AT_ONCE) return puts;
-    const removals = [...this.removing].flatMap((id) => this.removal(id));
-    return [...puts, ...removals.slice(0, WRITES_AT_ONCE - puts.length)];
+    const puts = [...urgent, ...others]
+      .slice(0, MAX_WRITES_PER_BATCH)
+      .map((entry) => this.putWrite(entry));
+    if (puts.length >= MAX_WRITES_PER_BATCH) return puts;
+    const removals = [...this.removalIds].flatMap((id) => this.removalWrite(id));
+    return [...puts, ...removals.slice(0, MAX_WRITES_PER_BATCH - puts.length)];
   }
 
-  private put(entry: TableEntry<T>): OwnedWrite {
+  private putWrite(entry: TableEntry<T>): OwnedWrite {
     const value = entry.current;
     return {
-      key: this.form.prefix + entry.id,
+      key: this.codec.prefix + entry.id,
       revision: entry.revision,
-      value: this.form.encode(value),
+      value: this.codec.encode(value),
       alsoChanges: [],
-      stored: (at) => this.stored(entry, value, at),
-      readBack: (record) => this.readBack(entry, value, record),
+      stored: (at) => this.markStored(entry, value, at),
+      readBack: (record) => this.applyReadBack(entry, value, record),
     };
   }
 
-  private removal(id: string): OwnedWrite[] {
+  private removalWrite(id: string): OwnedWrite[] {
     const entry = this.entries.get(id);
     if (entry === undefined || !this.isStored(entry)) return [];
     return [
       {
-        key: this.form.prefix + id,
+        key: this.codec.prefix + id,
         revision: entry.revision,
         value: null,
         alsoChanges: [],
@@ -170,25 +172,25 @@
     ];
   }
 
-  private stored(entry: TableEntry<T>, value: T, revision: number): void {
+  private markStored(entry: TableEntry<T>, value: T, revision: number): void {
     entry.stored = value;
     entry.revision = revision;
     if (entry.current !== value) return;
-    this.unstored.delete(entry.id);
+    this.unstoredIds.delete(entry.id);
     this.options.onStored?.(entry);
   }
 
-  private readBack(entry: TableEntry<T>, sent: T, record: OwnedRecord | null): void {
+  private applyReadBack(entry: TableEntry<T>, sent: T, record: OwnedRecord | null): void {
     if (record === null) {
       entry.revision = 0;
       return;
     }
     // Nothing has changed: the same change is tried again.
     if (record.revision === entry.revision) return;
-    const value = this.form.decode(record.value);
+    const value = this.codec.decode(record.value);
     if (value === null) return;
-    if (JSON.stringify(this.form.encode(value)) === JSON.stringify(this.form.encode(sent))) {
-      this.stored(entry, sent, record.revision);
+    if (JSON.stringify(this.codec.encode(value)) === JSON.stringify(this.codec.encode(sent))) {
+      this.markStored(entry, sent, record.revision);
       return;
     }
     this.adopt(value, record.revision);
--- a/src/subsystems/samples.ts
+++ b/src/subsystems/samples.ts
@@ -1,11 +1,11 @@
 /** Measured values: the latest ones, and what covers most of them. */
 
 /** Samples kept of each kind, the latest ones. */
-const SAMPLES = 24;
+const MAX_SAMPLES = 24;
 /** Fewer than this are mixed with what is expected beforehand. */
-const FEW_SAMPLES = 6;
+const MIN_SUFFICIENT_SAMPLES = 6;
 /** The share of cases that are covered. */
-const COVERED = 0.9;
+const COVERED_SHARE = 0.9;
 
 /** The value that so large a share of the samples does not exceed. */
 export function quantile(samples: readonly number[], share: number): number {
@@ -16,13 +16,13 @@
 /** What covers most cases; few samples do not outweigh what is expected of the slow ones. */
 export function covering(samples: readonly number[], expected: number): number {
   if (samples.length === 0) return expected;
-  const measured = quantile(samples, COVERED);
-  if (samples.length >= FEW_SAMPLES) return measured;
+  const measured = quantile(samples, COVERED_SHARE);
+  if (samples.length >= MIN_SUFFICIENT_SAMPLES) return measured;
   return Math.max(measured, expected);
 }
 
 /** Adds a sample, to a thousandth, in place of the oldest one. */
 export function remember(samples: number[], value: number): void {
   samples.push(Math.round(value * 1000) / 1000);
-  if (samples.length > SAMPLES) samples.shift();
+  if (samples.length > MAX_SAMPLES) samples.shift();
 }
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -117,7 +117,7 @@
 /** What a subsystem has to say of capacity that is made by stopping lower-priority work. */
 export interface PreemptionRules {
   /** How much worse than by its lost work it is to stop a task, from 0 to 1. It forbids nothing. */
-  harm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number;
+  extraCost(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number;
   /** Whether it is about to be stopped by an preemption that this subsystem has taken over. */
   isStopping(attempt: AttemptView): boolean;
   /** True: the subsystem calls `carryOut` itself, soon. */
--- a/src/subsystems/view-command.ts
+++ b/src/subsystems/view-command.ts
@@ -4,8 +4,8 @@
 import { parseEndpoint } from '../config/endpoint.js';
 import { HttpClient } from '../http/client.js';
 
-const ANSWER_S = 5;
-const ADDRESS = /^[^\s:]+:\d{1,5}$/;
+const RESPONSE_TIMEOUT_S = 5;
+const HOST_PORT_PATTERN = /^[^\s:]+:\d{1,5}$/;
 
 /** What went wrong, in one line. */
 export class CommandError extends Error {}
@@ -24,10 +24,15 @@
   address: string,
   { subsystem, title, schema }: ViewQuestion<T>,
 ): Promise<T> {
-  if (!ADDRESS.test(address)) throw new CommandError(`${address}: must be HOST:PORT`);
+  if (!HOST_PORT_PATTERN.test(address)) throw new CommandError(`${address}: must be HOST:PORT`);
   const client = new HttpClient(parseEndpoint(address), 1);
   try {
-    const response = await client.request('GET', `/subsystems/${subsystem}`, undefined, ANSWER_S);
+    const response = await client.request(
+      'GET',
+      `/subsystems/${subsystem}`,
+      undefined,
+      RESPONSE_TIMEOUT_S,
+    );
     if (response.status === 404) throw new CommandError(`${address}: ${title} switched off there`);
     if (response.status !== 200) throw new CommandError(`${address}: answered ${response.status}`);
     return v.parse(schema, JSON.parse(response.body.toString('utf8')));
@@ -43,8 +48,8 @@
 export type Cell = string | number;
 
 /** Columns as wide as their widest cell; numbers to the right. */
-export function table(head: readonly string[], rows: readonly (readonly Cell[])[]): string {
-  const widths = head.map((title, column) =>
+export function table(header: readonly string[], rows: readonly (readonly Cell[])[]): string {
+  const widths = header.map((title, column) =>
     Math.max(title.length, ...rows.map((row) => String(row[column]).length)),
   );
   const line = (cells: readonly Cell[]): string =>
@@ -55,5 +60,5 @@
       })
       .join('  ')
       .trimEnd();
-  return [head, ...rows].map((cells) => `${line(cells)}\n`).join('');
+  return [header, ...rows].map((cells) => `${line(cells)}\n`).join('');
 }
--- a/test/cluster-lending.test.ts
+++ b/test/cluster-lending.test.ts
@@ -7,11 +7,11 @@
 import { test } from 'node:test';
 import { promisify } from 'node:util';
 import { freePort } from './helpers.js';
-import { PATIENT, Scenario, SPIKE, type LeaderTrouble } from './lending-scenario.js';
+import { PATIENT, Scenario, SPIKE, type LeaderFault } from './lending-scenario.js';
 
 const MAIN = new URL('../src/main.js', import.meta.url).pathname;
 
-async function run(...args: string[]): Promise<{ status: number; out: string }> {
+async function runProgram(...args: string[]): Promise<{ status: number; out: string }> {
   try {
     const { stdout } = await promisify(execFile)(process.execPath, [MAIN, ...args]);
     return { status: 0, out: stdout };
@@ -22,13 +22,13 @@
 }
 
 /** What operators see while the controllers run. */
-async function showsOperators(scenario: Scenario): Promise<void> {
+async function checkLoansCommand(scenario: Scenario): Promise<void> {
   const { cluster } = scenario;
   const at = `127.0.0.1:${cluster.ports[await cluster.newLeader()]!.bind}`;
-  const shown = await run('loans', '--at', at);
+  const shown = await runProgram('loans', '--at', at);
   assert.match(shown.out, /^loan +tasks +borrower +machine +gpus +state +due +changed +reason\n/);
   assert.match(shown.out, new RegExp(`\n${PATIENT}/0/\\d+ +1 +${SPIKE} +host-000001 +2 +resumed`));
-  const none = await run('loans', '--at', at, '--job', 'wk-000009', '--json');
+  const none = await runProgram('loans', '--at', at, '--job', 'wk-000009', '--json');
   assert.deepEqual(JSON.parse(none.out), []);
   const wrong: [string[], RegExp][] = [
     [['--at', 'x'], /^pewtershelf: loans: x: must be HOST:PORT\n$/],
@@ -36,19 +36,19 @@
     [[], /required option '--at <addr>'/],
   ];
   for (const [args, says] of wrong) {
-    const { status, out } = await run('loans', ...args);
+    const { status, out } = await runProgram('loans', ...args);
     assert.ok(status > 0);
     assert.match(out, says);
   }
 }
 
-for (const trouble of ['killed', 'frozen'] satisfies LeaderTrouble[]) {
+for (const trouble of ['killed', 'frozen'] satisfies LeaderFault[]) {
   test(`real processes: the leader is ${trouble} while GPUs are lent; both deadlines are met`, async () => {
     const scenario = new Scenario({
       ...{ lending: true, trouble, tightFirst: true, label: trouble },
       directory: mkdtempSync(join(tmpdir(), 'shelf-')),
     });
-    const outcome = await scenario.play(() => showsOperators(scenario));
+    const outcome = await scenario.play(() => checkLoansCommand(scenario));
     assert.deepEqual(outcome.violations, []);
     for (const { ref, doneS, dueS } of outcome.batch) {
       assert.ok(doneS !== null && doneS <= dueS, `${ref} took ${doneS} s of ${dueS} s`);
--- a/test/lending-clock-cases.test.ts
+++ b/test/lending-clock-cases.test.ts
@@ -16,10 +16,10 @@
 
 const HOUR_MS = 3_600_000;
 /** Longer than it takes until a jump is followed. */
-const FOLLOWED_S = 15;
+const JUMP_ADOPTED_S = 15;
 
 /** How the time of day is set; the loan is at some point of its way. */
-const WAYS: Record<string, (world: LendingWorld, byMs: number) => Promise<void>> = {
+const CLOCK_CHANGES: Record<string, (world: LendingWorld, byMs: number) => Promise<void>> = {
   'for a moment': async (world, byMs) => {
     world.wallJumpMs = byMs;
     await world.run(1);
@@ -34,7 +34,7 @@
   },
   'for good': async (world, byMs) => {
     world.wallJumpMs = byMs;
-    await world.run(FOLLOWED_S);
+    await world.run(JUMP_ADOPTED_S);
   },
   'while commits are on their way': async (world, byMs) => {
     world.store.mode = 'hold back';
@@ -54,7 +54,7 @@
   },
   'for good, and a successor shows the time of before': async (world, byMs) => {
     world.wallJumpMs = byMs;
-    await world.run(FOLLOWED_S);
+    await world.run(JUMP_ADOPTED_S);
     world.wallJumpMs = 0;
     world.failOver();
   },
@@ -64,24 +64,24 @@
   },
 };
 
-function assertKept(world: LendingWorld, name: string): void {
+function assertNotWaivedOrLate(world: LendingWorld, name: string): void {
   for (const { state, reason } of world.loans()) {
     assert.notEqual(state, 'waived', `${name}: ${reason}`);
     assert.doesNotMatch(reason, /\d s late/, name);
   }
 }
 
-for (const [way, set] of Object.entries(WAYS)) {
+for (const [way, set] of Object.entries(CLOCK_CHANGES)) {
   test(`the time of day is set, ${way}: no loan is given up, and none is late`, async () => {
     for (const byMs of [HOUR_MS, -HOUR_MS]) {
       for (const point of POINTS as readonly Point[]) {
         const name = `${point}, by ${byMs} ms`;
         const world = new LendingWorld();
-        await world.playTo(point);
+        await world.runToPoint(point);
         await set(world, byMs);
-        assertKept(world, name);
-        await world.settle();
-        assertKept(world, name);
+        assertNotWaivedOrLate(world, name);
+        await world.runToEnd();
+        assertNotWaivedOrLate(world, name);
       }
     }
   });
@@ -95,8 +95,8 @@
   const table = new LoanTable({
     nowMs: () => timeOfDay.nowMs(),
     onStored: () => undefined,
-    onChange: (loan, before) => loanClock.noteChange(loan, before),
-    onForgotten: () => undefined,
+    onChange: (loan, before) => loanClock.recordChange(loan, before),
+    onRemoved: () => undefined,
   });
   const loanClock = new LoanClock(fake<TermView>({ ...clock, timeOfDay, settings: settings() }));
   const stored: Loan = {
@@ -108,9 +108,9 @@
   table.reconcile(new Map([[key, { value: encodeLoan(stored), revision: 5 }]]));
   const entry = table.get(loanId(stored))!;
   table.apply(entry, { kind: 'granted-again', borrower: 'wk-3', reason: '' });
-  assert.ok(Math.abs(loanClock.of(entry.current).dueAt! - 140) < 1e-6);
+  assert.ok(Math.abs(loanClock.timesOf(entry.current).dueAt! - 140) < 1e-6);
   // One of this term is due after the time that it was granted for.
   now = 110;
   const own = table.add({ ...stored, lender: 'wk-4', grantedMs: 110_000, changedMs: 110_000 });
-  assert.equal(loanClock.of(own.current).dueAt, 140);
+  assert.equal(loanClock.timesOf(own.current).dueAt, 140);
 });
--- a/test/lending-clock.test.ts
+++ b/test/lending-clock.test.ts
@@ -19,7 +19,7 @@
     for (const point of POINTS) {
       const name = `${point}, by ${byMs} ms`;
       const world = new LendingWorld();
-      await world.playTo(point);
+      await world.runToPoint(point);
       world.wallJumpMs = byMs;
       await world.run(1);
       world.wallJumpMs = 0;
@@ -27,7 +27,7 @@
         assert.notEqual(state, 'waived', `${name}: ${reason}`);
         assert.doesNotMatch(reason ?? '', / late/, name);
       }
-      await world.settle();
+      await world.runToEnd();
     }
   }
 });
--- a/test/lending-failures.test.ts
+++ b/test/lending-failures.test.ts
@@ -15,15 +15,15 @@
   type Point,
 } from './support/lending-world.js';
 
-interface Trouble {
+interface Fault {
   name: string;
-  strike(world: LendingWorld): Promise<void> | void;
+  inject(world: LendingWorld): Promise<void> | void;
   /** Seconds by which the lender may be late: for so long nobody could do anything. */
-  lateBy?: number;
+  allowedLatenessS?: number;
   /** The points at which it can strike; all of them where it is missing. */
-  at?: readonly Point[];
+  points?: readonly Point[];
   /** What must have become of the loan, whatever the point. */
-  ends?: RegExp;
+  expectedStates?: RegExp;
 }
 
 const OUTAGE_S = 8;
@@ -35,11 +35,11 @@
   world.fleet.add('m4');
 }
 
-const LEADERS: Trouble[] = [
-  { name: 'the leader ends', strike: (world) => world.failOver() },
+const LEADERS: Fault[] = [
+  { name: 'the leader ends', inject: (world) => world.failOver() },
   {
     name: 'the leader ends twice within a moment',
-    async strike(world) {
+    async inject(world) {
       world.failOver();
       await world.step();
       world.failOver();
@@ -47,7 +47,7 @@
   },
   {
     name: 'the leader ends ten times',
-    async strike(world) {
+    async inject(world) {
       for (let i = 0; i < 10; i++) {
         world.failOver();
         await world.run(0.6);
@@ -56,31 +56,31 @@
   },
   {
     name: 'the leader is frozen, and wakes after its successor began',
-    async strike(world) {
+    async inject(world) {
       const old = world.leader;
       world.failOver();
       await world.run(1);
-      await world.wake(old, 1);
+      await world.resumeFrozenLeader(old, 1);
     },
   },
   {
     name: 'the leader is frozen, and wakes before its successor has heard of a machine',
-    async strike(world) {
+    async inject(world) {
       const old = world.leader;
       world.failOver();
-      await world.wake(old, 0.4);
+      await world.resumeFrozenLeader(old, 0.4);
     },
   },
   {
     name: 'the leader alone is refused by the store, and replaced',
-    async strike(world) {
+    async inject(world) {
       await world.outage(1);
       world.failOver();
     },
   },
   {
     name: 'the leader is cut from its peers and is not entitled any more, and replaced',
-    async strike(world) {
+    async inject(world) {
       const { context } = world.term;
       context.isEntitled = () => false;
       await world.run(1);
@@ -89,21 +89,21 @@
   },
   {
     name: 'a version before lending takes over, and gives way again',
-    async strike(world) {
+    async inject(world) {
       world.switchLending(false);
       world.failOver();
       await world.run(4);
       world.switchLending(true);
       world.failOver();
     },
-    lateBy: 4,
+    allowedLatenessS: 4,
   },
 ];
 
-const STORE: Trouble[] = [
+const STORE: Fault[] = [
   {
     name: 'a commit is carried out, and its answer is lost',
-    async strike(world) {
+    async inject(world) {
       world.store.mode = 'lose answers';
       await world.run(0.4);
       world.store.mode = 'serve';
@@ -111,7 +111,7 @@
   },
   {
     name: 'a commit is carried out, its answer is lost, and the leader ends',
-    async strike(world) {
+    async inject(world) {
       world.store.mode = 'lose answers';
       await world.run(0.4);
       world.store.mode = 'serve';
@@ -120,7 +120,7 @@
   },
   {
     name: 'a commit is carried out late, after the next leader began',
-    async strike(world) {
+    async inject(world) {
       world.store.mode = 'hold back';
       await world.run(0.4);
       world.store.mode = 'serve';
@@ -131,7 +131,7 @@
   },
   {
     name: 'a commit is carried out late, after newer ones of the same leader',
-    async strike(world) {
+    async inject(world) {
       world.store.mode = 'hold back';
       await world.run(0.4);
       world.store.mode = 'serve';
@@ -141,76 +141,76 @@
   },
   {
     name: 'an outage of the key-value store',
-    strike: (world) => world.outage(OUTAGE_S),
-    lateBy: OUTAGE_S,
+    inject: (world) => world.outage(OUTAGE_S),
+    allowedLatenessS: OUTAGE_S,
   },
   {
     name: 'an outage of the key-value store in which the leader ends',
-    strike: (world) => world.outage(OUTAGE_S, () => world.failOver()),
-    lateBy: OUTAGE_S,
+    inject: (world) => world.outage(OUTAGE_S, () => world.failOver()),
+    allowedLatenessS: OUTAGE_S,
   },
 ];
 
-const MACHINES: Trouble[] = [
+const MACHINES: Fault[] = [
   {
     name: 'the machine is mute for less than a lease',
-    async strike(world) {
-      world.lentOn.mute = true;
+    async inject(world) {
+      world.lentMachine.mute = true;
       await world.run(1.2);
-      world.lentOn.mute = false;
+      world.lentMachine.mute = false;
     },
-    lateBy: 2,
+    allowedLatenessS: 2,
   },
   {
     name: 'the machine is mute for longer than a lease',
-    async strike(world) {
-      world.lentOn.mute = true;
+    async inject(world) {
+      world.lentMachine.mute = true;
       await world.run(5);
-      world.lentOn.mute = false;
+      world.lentMachine.mute = false;
     },
-    lateBy: 8,
+    allowedLatenessS: 8,
   },
   {
     name: 'the machine is deaf for longer than a lease, and the leader ends',
-    async strike(world) {
-      world.lentOn.deaf = true;
+    async inject(world) {
+      world.lentMachine.deaf = true;
       await world.run(1);
       world.failOver();
       await world.run(4);
-      world.lentOn.deaf = false;
+      world.lentMachine.deaf = false;
     },
-    lateBy: 8,
+    allowedLatenessS: 8,
   },
   {
     name: 'the machine dies',
-    async strike(world) {
+    async inject(world) {
       world.batch.kill('m1');
       await replaceMachine(world);
     },
-    lateBy: 8,
+    allowedLatenessS: 8,
   },
   {
     name: 'the machine dies as the leader ends',
-    async strike(world) {
+    async inject(world) {
       world.batch.kill('m1');
       world.failOver();
       await replaceMachine(world);
     },
-    lateBy: 8,
+    allowedLatenessS: 8,
   },
   {
     name: 'the cloud takes the machine, with a notice',
-    async strike(world) {
-      world.lentOn.reclaimNoticeS = 2;
+    async inject(world) {
+      world.lentMachine.reclaimNoticeS = 2;
       await world.run(2);
       world.batch.kill('m1');
       await replaceMachine(world);
     },
-    lateBy: 8,
+    allowedLatenessS: 8,
   },
   {
     name: 'its heartbeats come twice and late, also to the next leader',
-    async strike(world) {
+    async inject(world) {
       const copies = [...world.fleet.workers.values()].map((worker) => worker.heartbeat());
       await world.step();
       for (const copy of copies) world.leader.answerHeartbeat(copy);
@@ -221,54 +221,58 @@
   },
   {
     name: 'saving never ends',
-    at: SAVING,
-    strike: (world) => void (world.batch.saving = 'never ends'),
+    points: SAVING,
+    inject: (world) => void (world.batch.saving = 'never ends'),
   },
   {
     name: 'saving never ends, and the leader ends',
-    at: SAVING,
-    async strike(world) {
+    points: SAVING,
+    async inject(world) {
       world.batch.saving = 'never ends';
       await world.run(0.4);
       world.failOver();
     },
   },
-  { name: 'saving fails', at: SAVING, strike: (world) => void (world.batch.saving = 'fails') },
+  { name: 'saving fails', points: SAVING, inject: (world) => void (world.batch.saving = 'fails') },
 ];
 
-const JOBS: Trouble[] = [
-  { name: 'the lender is cancelled', strike: (world) => world.cancel(LENDER), ends: /cancelled/ },
+const JOBS: Fault[] = [
+  {
+    name: 'the lender is cancelled',
+    inject: (world) => world.cancel(LENDER),
+    expectedStates: /cancelled/,
+  },
   {
     name: 'the lender is cancelled in the moment in which the leader ends',
-    strike: (world) => world.cancelAndFailOver(LENDER),
-    ends: /cancelled/,
+    inject: (world) => world.cancelAndFailOver(LENDER),
+    expectedStates: /cancelled/,
   },
   {
     name: 'the lender is cancelled in an outage in which the leader ends',
-    strike: (world) => world.outage(OUTAGE_S, () => (world.cancel(LENDER), world.failOver())),
-    ends: /cancelled/,
+    inject: (world) => world.outage(OUTAGE_S, () => (world.cancel(LENDER), world.failOver())),
+    expectedStates: /cancelled/,
   },
   {
     name: 'the borrower is cancelled',
-    strike: (world) => world.cancel(BORROWER),
-    ends: /resumed|cancelled/,
+    inject: (world) => world.cancel(BORROWER),
+    expectedStates: /resumed|cancelled/,
   },
   {
     name: 'the borrower is cancelled in the moment in which the leader ends',
-    strike: (world) => world.cancelAndFailOver(BORROWER),
-    ends: /resumed|cancelled/,
+    inject: (world) => world.cancelAndFailOver(BORROWER),
+    expectedStates: /resumed|cancelled/,
   },
   {
     name: 'both are cancelled',
-    strike(world) {
+    inject(world) {
       world.cancel(BORROWER);
       world.cancel(LENDER);
     },
-    ends: /cancelled/,
+    expectedStates: /cancelled/,
   },
   {
     name: 'a guarantee of the lender is raised by new settings',
-    async strike(world) {
+    async inject(world) {
       world.settings.teams.set('b', { name: 'b', cores: 0, coresMax: 0, gpus: 8, gpusMax: 100 });
       world.failOver();
       await world.run(3);
@@ -276,23 +280,23 @@
   },
   {
     name: "the limit of the lender's team is lowered by new settings, and raised again",
-    async strike(world) {
+    async inject(world) {
       world.settings.teams.set('b', { name: 'b', cores: 0, coresMax: 0, gpus: 0, gpusMax: 4 });
       world.failOver();
       await world.run(5);
       world.settings.teams.set('b', { name: 'b', cores: 0, coresMax: 0, gpus: 0, gpusMax: 100 });
     },
-    lateBy: 8,
+    allowedLatenessS: 8,
   },
 ];
 
-async function play(trouble: Trouble, point: Point): Promise<void> {
+async function runFault(fault: Fault, point: Point): Promise<void> {
   const world = new LendingWorld();
-  await world.playTo(point);
-  await trouble.strike(world);
-  await world.settle({ lateBy: trouble.lateBy ?? 1 });
-  const states = [...world.seen.values()].map(({ state }) => state).join(' ');
-  if (trouble.ends !== undefined) assert.match(states, trouble.ends);
+  await world.runToPoint(point);
+  await fault.inject(world);
+  await world.runToEnd({ lateBy: fault.allowedLatenessS ?? 1 });
+  const states = [...world.loansSeen.values()].map(({ state }) => state).join(' ');
+  if (fault.expectedStates !== undefined) assert.match(states, fault.expectedStates);
   const { cancelled } = world.batch.work.get(BORROWER)!;
   assert.equal(world.fleet.running(BORROWER), cancelled ? 0 : 2, 'serving runs');
   assert.ok(world.batch.work.get(OTHER)!.cancelled);
@@ -304,8 +308,10 @@
   for (const trouble of troubles) {
     test(`${name.toLowerCase()}: ${trouble.name}, between any two steps of a loan`, async () => {
       const failures: string[] = [];
-      for (const point of trouble.at ?? POINTS) {
-        await play(trouble, point).catch((e: unknown) => failures.push(`${point}: ${String(e)}`));
+      for (const point of trouble.points ?? POINTS) {
+        await runFault(trouble, point).catch((e: unknown) =>
+          failures.push(`${point}: ${String(e)}`),
+        );
       }
       assert.deepEqual(failures, []);
     });
--- a/test/lending-leader.test.ts
+++ b/test/lending-leader.test.ts
@@ -8,14 +8,14 @@
 
 const { lease_s: LEASE_S, report_s: REPORT_S } = settings().workers;
 
-interface Row {
+interface Scenario {
   name: string;
   options?: ConstructorParameters<typeof LendingWorld>[0];
   play(world: LendingWorld): Promise<void>;
 }
 
 /** One machine, which a batch job of one task has filled for two seconds. */
-async function filled(world: LendingWorld, over = {}, workS = 8): Promise<void> {
+async function fillOneMachine(world: LendingWorld, over = {}, workS = 8): Promise<void> {
   world.fleet.add('m1');
   await world.run(1);
   world.batchJob(workS, { id: LENDER, deadlineS: 80, ...over });
@@ -23,7 +23,7 @@
 }
 
 /** Two machines, which a gang has filled for two seconds. */
-async function gangOnTwo(world: LendingWorld): Promise<void> {
+async function startGangOnTwoMachines(world: LendingWorld): Promise<void> {
   world.fleet.add('m1');
   world.fleet.add('m2');
   await world.run(1);
@@ -31,13 +31,13 @@
   await world.run(2);
 }
 
-const serves = (world: LendingWorld) => () => world.taskStates(BORROWER).includes('running');
+const borrowerRuns = (world: LendingWorld) => () => world.taskStates(BORROWER).includes('running');
 
-const ROWS: Row[] = [
+const SCENARIOS: Scenario[] = [
   {
     name: 'the loan is in the store before the lender is told',
     async play(world) {
-      await filled(world);
+      await fillOneMachine(world);
       world.service({ id: BORROWER });
       await world.runUntil('it is told', () => world.taskStates(LENDER).includes('saving'));
       assert.equal(world.states(), 'requested');
@@ -46,14 +46,14 @@
   {
     name: 'a loan that cannot be stored promises nothing, and serving gets its place all the same',
     async play(world) {
-      await filled(world);
+      await fillOneMachine(world);
       const put = world.store.compareAndSwap.bind(world.store);
       world.store.compareAndSwap = (guards, ops) => {
         const isLoan = ops.some((op) => 'put' in op && op.put.includes('/lending/'));
         return isLoan ? Promise.reject(new RequestRejectedError(400)) : put(guards, ops);
       };
       world.service({ id: BORROWER });
-      await world.runUntil('it is served', serves(world), REPORT_S * 20);
+      await world.runUntil('it is served', borrowerRuns(world), REPORT_S * 20);
       assert.deepEqual(world.loans(), []);
       assert.ok(Number(world.leader.statistics().loans_without_promise) > 0);
       await world.run(LEASE_S);
@@ -63,12 +63,12 @@
   {
     name: 'a lender is not preempted for a borrower that has found a place meanwhile',
     async play(world) {
-      await filled(world, { deadlineS: 200 }, 40);
+      await fillOneMachine(world, { deadlineS: 200 }, 40);
       world.service({ id: BORROWER });
       world.runCycle();
       world.fleet.add('m2');
       await world.outage(LEASE_S);
-      await world.runUntil('it is served', serves(world));
+      await world.runUntil('it is served', borrowerRuns(world));
       await world.run(LEASE_S * 2);
       assert.deepEqual([world.hosts(LENDER), world.hosts(BORROWER)], [['m1'], ['m2']]);
       assert.equal(world.fleet.starts.get(`${LENDER}/0`), 1, 'it went on');
@@ -78,9 +78,9 @@
   {
     name: 'a lender without time lends only to ordinary preemption, without a promise',
     async play(world) {
-      await filled(world, { deadlineS: 12 });
+      await fillOneMachine(world, { deadlineS: 12 });
       world.service({ id: BORROWER });
-      await world.runUntil('it is served', serves(world));
+      await world.runUntil('it is served', borrowerRuns(world));
       assert.deepEqual(world.loans(), []);
       assert.equal(world.leader.statistics().loans_without_promise, 1);
     },
@@ -95,7 +95,7 @@
       world.batchJob(30, { id: 'wk-000013', gpus: 4, cores: 4, deadlineS: 60 });
       await world.run(2);
       world.service({ id: BORROWER, gpus: 4, cores: 4 });
-      await world.runUntil('it is served', serves(world));
+      await world.runUntil('it is served', borrowerRuns(world));
       assert.deepEqual(world.loans().map(({ lender }) => lender), ['wk-000012']); // prettier-ignore
     },
   },
@@ -108,16 +108,16 @@
       world.batchJob(30, { id: 'wk-000012', gpus: 4, cores: 4, deadlineS: 900, priority: 2 });
       await world.run(2);
       world.service({ id: BORROWER, gpus: 4, cores: 4 });
-      await world.runUntil('it is served', serves(world));
+      await world.runUntil('it is served', borrowerRuns(world));
       assert.ok(world.taskStates('wk-000012').includes('running'));
     },
   },
   {
     name: 'a gang lends whole',
     async play(world) {
-      await gangOnTwo(world);
+      await startGangOnTwoMachines(world);
       world.service({ id: BORROWER });
-      await world.runUntil('it is served', serves(world));
+      await world.runUntil('it is served', borrowerRuns(world));
       const [loan] = world.loans();
       assert.deepEqual(loan!.tasks.map(({ index, machine }) => [index, machine]), [[0, 'm1'], [1, 'm2']]); // prettier-ignore
       assert.equal(loan!.gpus, MACHINE_GPUS, 'only there they are lent');
@@ -130,7 +130,7 @@
   {
     name: 'two services that take both machines of a gang in one cycle: its loan names who is where',
     async play(world) {
-      await gangOnTwo(world);
+      await startGangOnTwoMachines(world);
       world.service({ id: BORROWER });
       world.service({ id: 'wk-000013' });
       await world.runUntil(
@@ -147,18 +147,18 @@
   {
     name: 'work that saves nothing lends only before it starts',
     async play(world) {
-      await filled(world, { checkpointS: 0, deadlineS: 400 });
+      await fillOneMachine(world, { checkpointS: 0, deadlineS: 400 });
       world.service({ id: BORROWER });
-      await world.runUntil('it is served', serves(world));
+      await world.runUntil('it is served', borrowerRuns(world));
       assert.deepEqual(world.loans(), []);
     },
   },
   {
     name: 'only services borrow',
     async play(world) {
-      await filled(world);
+      await fillOneMachine(world);
       world.batchJob(2, { id: BORROWER, priority: 0, deadlineS: 100 });
-      await world.runUntil('it runs', serves(world));
+      await world.runUntil('it runs', borrowerRuns(world));
       assert.deepEqual(world.loans(), []);
       await world.runUntil('all is done', () => world.batch.work.get(LENDER)!.doneAt !== null);
     },
@@ -173,7 +173,7 @@
       world.batchJob(40, { id: 'wk-000012', gpus: 4, cores: 4, tasks: 2, deadlineS: 900 });
       await world.run(2);
       world.service({ id: BORROWER, gpus: 4, cores: 4 });
-      await world.runUntil('it is served', serves(world));
+      await world.runUntil('it is served', borrowerRuns(world));
       assert.deepEqual(world.loans().map(({ lender }) => lender), ['wk-000012']); // prettier-ignore
       assert.ok(world.taskStates('wk-000011').includes('running'));
       await world.runUntil(
@@ -206,7 +206,7 @@
   {
     name: 'a GPU is in one open loan only, also when others took it before the borrower could',
     async play(world) {
-      await filled(world, { deadlineS: 400 });
+      await fillOneMachine(world, { deadlineS: 400 });
       world.service({ id: BORROWER });
       await world.runUntil('it is told', () => world.taskStates(LENDER).includes('saving'));
       const limited = { name: 't', cores: 0, coresMax: 0, gpus: 0 };
@@ -242,13 +242,13 @@
         return world.loans().every(({ state }) => state === 'resumed');
       }, 100); // prettier-ignore
       assert.ok(most <= 2, `${most} recalls at once`);
-      await world.settle();
+      await world.runToEnd();
     },
   },
   {
     name: 'capacity that a replica was moved out of goes to the lender before other work of its priority',
     async play(world) {
-      await world.playTo('lent');
+      await world.runToPoint('lent');
       // Others wait for it, so it ranks before the lender.
       world.batchJob(2, { id: 'wk-000012', zone: 'z1', estimateS: 1 });
       for (const id of ['wk-000021', 'wk-000022', 'wk-000023']) {
@@ -267,34 +267,34 @@
   {
     name: 'a machine that comes in time settles the loan',
     async play(world) {
-      await filled(world);
+      await fillOneMachine(world);
       world.service({ id: BORROWER });
-      await world.runUntil('it is served', serves(world));
+      await world.runUntil('it is served', borrowerRuns(world));
       world.fleet.add('m2');
       await world.runUntil('it is back', () => world.states() === 'resumed', LEASE_S * 2);
       assert.deepEqual(world.hosts(LENDER), ['m2']);
-      assert.ok(serves(world)(), 'the borrower stays');
+      assert.ok(borrowerRuns(world)(), 'the borrower stays');
     },
   },
   {
     name: 'the only replica of a service is not moved: the promise is waived, and says why',
     async play(world) {
-      await filled(world, { zone: 'z1' });
+      await fillOneMachine(world, { zone: 'z1' });
       world.service({ id: BORROWER });
-      await world.runUntil('it is served', serves(world));
+      await world.runUntil('it is served', borrowerRuns(world));
       world.fleet.add('m2', 'z2');
       await world.runUntil('it is given up', () => world.states() === 'waived', 120);
       assert.match(world.loans()[0]!.reason, /no free place/);
-      assert.ok(serves(world)());
+      assert.ok(borrowerRuns(world)());
     },
   },
   {
     name: 'what is over goes after a while',
     options: { keepEndedS: 10 },
     async play(world) {
-      await filled(world);
+      await fillOneMachine(world);
       world.service({ id: BORROWER });
-      await world.runUntil('it is served', serves(world));
+      await world.runUntil('it is served', borrowerRuns(world));
       world.cancel(BORROWER);
       await world.runUntil('it is over', () => world.states() === 'resumed');
       await world.run(8);
@@ -305,7 +305,7 @@
   },
 ];
 
-for (const { name, options, play } of ROWS) {
+for (const { name, options, play } of SCENARIOS) {
   test(name, async () => {
     const world = new LendingWorld(options);
     await play(world);
--- a/test/lending-random.test.ts
+++ b/test/lending-random.test.ts
@@ -14,17 +14,17 @@
 const MACHINES = ['m1', 'm2', 'm3'];
 
 /** What a run remembers besides its world. */
-interface Run {
+interface RunState {
   world: LendingWorld;
   jobs: number;
   frozen: Leader | null;
 }
 
-type Event = (run: Run, number: number) => void | Promise<void>;
+type Action = (run: RunState, number: number) => void | Promise<void>;
 
 const idOf = (number: number): string => `wk-${String(number).padStart(6, '0')}`;
 
-function pick(run: Run, number: number, kind: 'service' | 'finite'): string | null {
+function pickOpenJob(run: RunState, number: number, kind: 'service' | 'finite'): string | null {
   const open = [...run.world.batch.work.values()].filter(
     ({ spec, cancelled, doneAt }) =>
       (spec.kind === 'service') === (kind === 'service') && !cancelled && doneAt === null,
@@ -32,7 +32,7 @@
   return open.length === 0 ? null : open[number % open.length]!.spec.id;
 }
 
-function calm({ world }: Run): void {
+function clearFaults({ world }: RunState): void {
   world.canWrite = true;
   world.store.mode = 'serve';
   world.store.deliverHeldBack();
@@ -44,7 +44,7 @@
 }
 
 /** A new leader finds a store that serves it. */
-function takeOver(run: Run): void {
+function takeOver(run: RunState): void {
   const { world } = run;
   world.canWrite = true;
   world.store.mode = 'serve';
@@ -52,12 +52,12 @@
   world.failOver();
 }
 
-const machine = ({ world }: Run, number: number) => {
+const machineFor = ({ world }: RunState, number: number) => {
   const workers = [...world.fleet.workers.values()];
   return workers[number % workers.length]!;
 };
 
-const EVENTS: Record<string, Event> = {
+const EVENTS: Record<string, Action> = {
   'an array comes': (run, number) => {
     run.world.batchJob(3 + number, {
       ...{ id: idOf(++run.jobs), tasks: 1 + (number % 3), gpus: 4, cores: 4 },
@@ -78,14 +78,14 @@
   'a finite job is cancelled': (run, number) => cancelOne(run, number, 'finite'),
   'the leader ends': takeOver,
   'the leader ends in the moment of a cancellation': (run, number) => {
-    const id = pick(run, number, number % 2 === 0 ? 'service' : 'finite');
+    const id = pickOpenJob(run, number, number % 2 === 0 ? 'service' : 'finite');
     run.world.canWrite = true;
     run.world.store.mode = 'serve';
     run.frozen = run.world.leader;
     if (id !== null) run.world.cancelAndFailOver(id);
   },
   'a frozen leader wakes': async (run) => {
-    if (run.frozen !== null) await run.world.wake(run.frozen, 0.4);
+    if (run.frozen !== null) await run.world.resumeFrozenLeader(run.frozen, 0.4);
     run.frozen = null;
   },
   'a version before lending leads': (run) => {
@@ -106,24 +106,24 @@
   'commits are held back': ({ world }) => {
     if (world.canWrite) world.store.mode = 'hold back';
   },
-  'all is well': calm,
-  'a machine is mute': (run, number) => void (machine(run, number).mute = true),
-  'a machine is deaf': (run, number) => void (machine(run, number).deaf = true),
+  'all is well': clearFaults,
+  'a machine is mute': (run, number) => void (machineFor(run, number).mute = true),
+  'a machine is deaf': (run, number) => void (machineFor(run, number).deaf = true),
   'a machine dies, another one comes': (run, number) => {
     const { world } = run;
-    if (world.batch.goneAt.size >= 3) return;
-    world.batch.kill(machine(run, number).id);
-    world.fleet.add(`n${world.batch.goneAt.size}`);
+    if (world.batch.removedAt.size >= 3) return;
+    world.batch.kill(machineFor(run, number).id);
+    world.fleet.add(`n${world.batch.removedAt.size}`);
   },
   'saving fails': ({ world }) => void (world.batch.saving = 'fails'),
   'saving never ends': ({ world }) => void (world.batch.saving = 'never ends'),
   'reports come again': (run, number) => {
-    run.world.leader.answerHeartbeat(machine(run, number).heartbeat());
+    run.world.leader.answerHeartbeat(machineFor(run, number).heartbeat());
   },
 };
 
-function cancelOne(run: Run, number: number, kind: 'service' | 'finite'): void {
-  const id = pick(run, number, kind);
+function cancelOne(run: RunState, number: number, kind: 'service' | 'finite'): void {
+  const id = pickOpenJob(run, number, kind);
   if (id !== null && run.world.canWrite) run.world.cancel(id);
 }
 
@@ -135,7 +135,7 @@
 
 async function play(events: readonly { what: string; afterS: number; number: number }[]) {
   const world = new LendingWorld({ gpusMax: 40, recallsAtOnce: 2 });
-  const run: Run = { world, jobs: 0, frozen: null };
+  const run: RunState = { world, jobs: 0, frozen: null };
   for (const id of MACHINES) world.fleet.add(id);
   await world.run(0.6);
   void EVENTS['an array comes']!(run, 5);
@@ -147,7 +147,7 @@
     await world.run(afterS);
     world.checkRules();
   }
-  calm(run);
+  clearFaults(run);
   world.switchLending(true);
   takeOver(run);
   await world.run(1);
--- a/test/lending-scenario.ts
+++ b/test/lending-scenario.ts
@@ -27,12 +27,12 @@
 const SAMPLE_MS = 20;
 
 /** What becomes of the leader during the spike. */
-export type LeaderTrouble = 'none' | 'killed' | 'frozen';
+export type LeaderFault = 'none' | 'killed' | 'frozen';
 
 /** How a scenario is played. */
 export interface ScenarioOptions {
   lending: boolean;
-  trouble: LeaderTrouble;
+  trouble: LeaderFault;
   /** Which batch job is submitted first. */
   tightFirst: boolean;
   directory: string;
@@ -79,7 +79,7 @@
   }
 
   /** `look`: something to be done before the controllers end. */
-  async play(look: () => Promise<void> = () => Promise.resolve()): Promise<ScenarioOutcome> {
+  async play(beforeClose: () => Promise<void> = () => Promise.resolve()): Promise<ScenarioOutcome> {
     const { cluster } = this;
     try {
       await this.start();
@@ -87,15 +87,15 @@
       await wait(SPIKE_AFTER_S * 1000);
       const before = cluster.state.ledger;
       const firstAnswerS = await this.spike();
-      const struck = await this.strike();
+      const frozenLeader = await this.injectFault();
       await wait(SPIKE_S * 1000);
       const returnS = await this.endSpike();
-      if (struck !== null) cluster.thaw(struck);
+      if (frozenLeader !== null) cluster.thaw(frozenLeader);
       await until('all batch work is done', () => this.doneAt.size === 2, 60);
       await wait(LEASE_S * 500);
       const loans = await this.loans();
       const writes = cluster.state.ledger - before;
-      await look();
+      await beforeClose();
       return { ...this.outcome(), firstAnswerS, returnS, writes, loans };
     } finally {
       clearInterval(this.timer);
@@ -138,7 +138,7 @@
   }
 
   /** The controller that was frozen; null: none is. */
-  private async strike(): Promise<number | null> {
+  private async injectFault(): Promise<number | null> {
     const { cluster, options } = this;
     if (options.trouble === 'none') return null;
     const leader = await cluster.newLeader();
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -4,7 +4,7 @@
 import { IllegalTransitionError } from '../src/illegal-transition.js';
 import type { JobSpec } from '../src/jobs/types.js';
 import { EstimateErrors } from '../src/lending/estimate-errors.js';
-import { replicasThere, observeLoan, type LoanEvidence } from '../src/lending/loan-evidence.js';
+import { replicasOnMachine, observeLoan, type LoanEvidence } from '../src/lending/loan-evidence.js';
 import { nextEvent } from '../src/lending/loan-steps.js';
 import {
   advanceLoan,
@@ -35,9 +35,9 @@
 });
 
 const workOf = (over: Partial<LenderWork> = {}): LenderWork => ({
-  ...{ leftS: 100, ownRemainingS: 20, jobRemainingS: 10, margin: 1.5, saveS: 2, fetchS: 3 },
-  ...{ restartS: 1, wayBackS: 5, saves: true, started: true, guaranteed: false },
-  ...{ lentAgoS: Infinity, lending: false, borrowerWaits: true, ...over },
+  ...{ timeLeftS: 100, ownRemainingS: 20, jobRemainingS: 10, margin: 1.5, saveS: 2, fetchS: 3 },
+  ...{ restartS: 1, recallDurationS: 5, savesOnStop: true, started: true, guaranteed: false },
+  ...{ sinceLastLoanS: Infinity, hasOpenLoan: false, borrowerCanWait: true, ...over },
 });
 
 test('the latest return leaves room for the work, the margin, saving, the fetch and the start', () => {
@@ -45,8 +45,8 @@
     [{}, 100 - 20 * 1.5 - 2 - 3 - 1],
     [{ jobRemainingS: 40 }, 100 - 40 * 1.5 - 6],
     [{ margin: 1 }, 100 - 20 - 6],
-    [{ leftS: Infinity }, Infinity],
-    [{ leftS: 30 }, -6],
+    [{ timeLeftS: Infinity }, Infinity],
+    [{ timeLeftS: 30 }, -6],
   ];
   for (const [over, expected] of cases) assert.equal(latestReturnS(workOf(over)), expected);
 });
@@ -54,35 +54,42 @@
 test('who may lend', () => {
   const cases: [string, Partial<LenderWork>, string | null][] = [
     ['there is time', {}, null],
-    ['nothing asks for it', { leftS: Infinity }, null],
-    ['no time', { leftS: 40 }, 'no slack'],
-    ['time, but not for the way back', { leftS: 42, wayBackS: 5 }, 'no slack'],
-    ['just enough', { leftS: 43, wayBackS: 5 }, null],
-    ['nothing is saved, and it runs', { saves: false }, 'no checkpoints'],
-    ['nothing is saved, but it has not begun', { saves: false, started: false }, null],
-    ['the borrower cannot wait for its saving', { borrowerWaits: false }, 'saving takes too long'],
-    ['nothing is to be saved yet', { borrowerWaits: false, started: false }, null],
+    ['nothing asks for it', { timeLeftS: Infinity }, null],
+    ['no time', { timeLeftS: 40 }, 'no slack'],
+    ['time, but not for the way back', { timeLeftS: 42, recallDurationS: 5 }, 'no slack'],
+    ['just enough', { timeLeftS: 43, recallDurationS: 5 }, null],
+    ['nothing is saved, and it runs', { savesOnStop: false }, 'no checkpoints'],
+    ['nothing is saved, but it has not begun', { savesOnStop: false, started: false }, null],
+    [
+      'the borrower cannot wait for its saving',
+      { borrowerCanWait: false },
+      'saving takes too long',
+    ],
+    ['nothing is to be saved yet', { borrowerCanWait: false, started: false }, null],
     ['its team would fall below its guarantee', { guaranteed: true }, 'guaranteed'],
-    ['it lends already', { lending: true }, 'lending already'],
+    ['it lends already', { hasOpenLoan: true }, 'lending already'],
   ];
   for (const [name, over, refusal] of cases) {
-    const judgement = assessLoan(workOf(over));
-    assert.equal(judgement.safe ? null : judgement.refusal, refusal, name);
+    const assessment = assessLoan(workOf(over));
+    assert.equal(assessment.safe ? null : assessment.refusal, refusal, name);
   }
 });
 
 test('the least harm: more slack first, then whoever has not lent lately', () => {
   const harm = (over: Partial<LenderWork>): number => {
-    const judgement = assessLoan(workOf(over));
-    assert.ok(judgement.safe);
-    assert.ok(judgement.harm >= 0 && judgement.harm < 1, 'below that of one that may not lend');
-    return judgement.harm;
+    const assessment = assessLoan(workOf(over));
+    assert.ok(assessment.safe);
+    assert.ok(assessment.cost >= 0 && assessment.cost < 1, 'below that of one that may not lend');
+    return assessment.cost;
   };
-  assert.ok(harm({ leftS: 1000 }) < harm({ leftS: 100 }));
-  assert.ok(harm({ leftS: Infinity }) < harm({ leftS: 1000 }));
-  assert.ok(harm({ lentAgoS: 1000 }) < harm({ lentAgoS: 10 }));
-  assert.ok(harm({ lentAgoS: Infinity }) < harm({ lentAgoS: 1000 }));
-  assert.ok(harm({ leftS: 200, lentAgoS: 1 }) < harm({ leftS: 44 }), 'slack counts for more');
+  assert.ok(harm({ timeLeftS: 1000 }) < harm({ timeLeftS: 100 }));
+  assert.ok(harm({ timeLeftS: Infinity }) < harm({ timeLeftS: 1000 }));
+  assert.ok(harm({ sinceLastLoanS: 1000 }) < harm({ sinceLastLoanS: 10 }));
+  assert.ok(harm({ sinceLastLoanS: Infinity }) < harm({ sinceLastLoanS: 1000 }));
+  assert.ok(
+    harm({ timeLeftS: 200, sinceLastLoanS: 1 }) < harm({ timeLeftS: 44 }),
+    'slack counts for more',
+  );
 });
 
 test('recalls begin early enough for all to be over in time, so many at once', () => {
@@ -101,12 +108,12 @@
     ['all one after the other', [100, 100, 100], 1, { l0: 70, l1: 80, l2: 90 }],
     ['in the order of their due times', [300, 100, 105], 1, { l1: 85, l2: 95, l0: 290 }],
   ];
-  for (const [name, list, atOnce, begins] of cases) {
-    const pace = { wayBackMs: 10, atOnce, gapMs: () => 30 };
+  for (const [name, list, maxConcurrent, begins] of cases) {
+    const pace = { recallDurationMs: 10, maxConcurrent, gapMs: () => 30 };
     const plan = planRecalls(due(list, String), pace);
     assert.deepEqual(Object.fromEntries(plan), begins, name);
   }
-  const pace = { wayBackMs: 10, atOnce: 4, gapMs: () => 30 };
+  const pace = { recallDurationMs: 10, maxConcurrent: 4, gapMs: () => 30 };
   const plan = planRecalls(due([100, 100, 100], () => 'tutor'), pace); // prettier-ignore
   assert.deepEqual(
     Object.fromEntries(plan),
@@ -151,43 +158,46 @@
 });
 
 const evidenceOf = (over: Partial<LoanEvidence> = {}): LoanEvidence => ({
-  ...{ lenderOver: null, lenderThere: 'gone', lenderElsewhere: 'nowhere', borrower: 'there' },
-  ...{ machineGone: false, recall: null, broken: null, lateS: 0, notCarriedOut: null, ...over },
+  ...{ lenderEndReason: null, lentAttempts: 'gone', laterAttempts: 'nowhere', borrower: 'there' },
+  ...{
+    machineGone: false,
+    recallReason: null,
+    brokenReason: null,
+    lateS: 0,
+    notCarriedOutReason: null,
+    ...over,
+  },
 });
 
 test('what becomes of a loan, by what is known', () => {
   const cases: [LoanState, Partial<LoanEvidence>, string | null][] = [
-    ['requested', { lenderThere: 'running' }, null],
-    ['requested', { lenderThere: 'running', notCarriedOut: 'x' }, 'cancelled x'],
-    ['requested', { lenderThere: 'unheard', notCarriedOut: 'x' }, null],
-    ['requested', { lenderThere: 'stopping', notCarriedOut: 'x' }, 'told'],
+    ['requested', { lentAttempts: 'running' }, null],
+    ['requested', { lentAttempts: 'running', notCarriedOutReason: 'x' }, 'cancelled x'],
+    ['requested', { lentAttempts: 'unheard', notCarriedOutReason: 'x' }, null],
+    ['requested', { lentAttempts: 'stopping', notCarriedOutReason: 'x' }, 'told'],
     ['requested', {}, 'vacated'],
-    ['saving', { lenderThere: 'stopping' }, null],
-    ['saving', { lenderThere: 'running', notCarriedOut: 'x' }, 'cancelled x'],
+    ['saving', { lentAttempts: 'stopping' }, null],
+    ['saving', { lentAttempts: 'running', notCarriedOutReason: 'x' }, 'cancelled x'],
     ['saving', {}, 'vacated'],
-    ['saving', { lenderOver: 'x' }, 'cancelled x'],
+    ['saving', { lenderEndReason: 'x' }, 'cancelled x'],
     ['lent', { borrower: 'wants' }, null],
     ['lent', {}, 'borrower-seen'],
-    ['lent', { recall: 'x' }, 'recalled x'],
-    ['lent', { borrower: 'away', recall: 'x' }, 'returned the borrower has left'],
-    ['lent', { lenderElsewhere: 'placed', recall: 'x' }, 'returned the lender has a place'],
-    ['lent', { lenderElsewhere: 'running' }, 'resumed the lender runs again'],
+    ['lent', { recallReason: 'x' }, 'recalled x'],
+    ['lent', { borrower: 'away', recallReason: 'x' }, 'returned the borrower has left'],
+    ['lent', { laterAttempts: 'placed', recallReason: 'x' }, 'returned the lender has a place'],
+    ['lent', { laterAttempts: 'running' }, 'resumed the lender runs again'],
     ['lent', { machineGone: true }, 'lost the machine is gone'],
-    ['lent', { machineGone: true, lenderElsewhere: 'running' }, 'resumed the lender runs again'],
-    ['recalled', { recall: 'x' }, 'borrower-seen'],
-    ['recalled', { broken: 'x' }, 'waived x'],
-    ['recalled', { broken: 'x', lenderElsewhere: 'placed' }, 'returned the lender has a place'],
+    ['lent', { machineGone: true, laterAttempts: 'running' }, 'resumed the lender runs again'],
+    ['recalled', { recallReason: 'x' }, 'borrower-seen'],
+    ['recalled', { brokenReason: 'x' }, 'waived x'],
+    ['recalled', { brokenReason: 'x', laterAttempts: 'placed' }, 'returned the lender has a place'],
     ['recalled', { borrower: 'away', lateS: 2.1 }, 'returned the borrower has left, 3 s late'],
     ['returned', { borrower: 'away' }, null],
-    ['returned', { lenderElsewhere: 'placed', broken: 'x' }, null],
+    ['returned', { laterAttempts: 'placed', brokenReason: 'x' }, null],
     ['returned', { borrower: 'there' }, 'recalled the borrower came back'],
-    ['returned', { borrower: 'away', broken: 'x' }, 'waived x'],
-    [
-      'returned',
-      { lenderElsewhere: 'running', lateS: 1 },
-      'resumed the lender runs again, 1 s late',
-    ],
-    ['resumed', { lenderElsewhere: 'running' }, null],
+    ['returned', { borrower: 'away', brokenReason: 'x' }, 'waived x'],
+    ['returned', { laterAttempts: 'running', lateS: 1 }, 'resumed the lender runs again, 1 s late'],
+    ['resumed', { laterAttempts: 'running' }, null],
   ];
   for (const [state, over, expected] of cases) {
     const event = nextEvent(loanOf({ state }), evidenceOf(over));
@@ -272,7 +282,7 @@
       nowMs: () => 0,
       onStored: () => undefined,
       onChange: () => undefined,
-      onForgotten: () => undefined,
+      onRemoved: () => undefined,
     });
     const config = { maxOpen: 9, recallsAtOnce: 1, leastMargin: 1, keepEndedS: 1 };
     const grants = new Grants({ view, table, config, errors, returnTimes });
@@ -296,7 +306,7 @@
       ...{ saves: true, carryOut: () => true },
     });
     assert.equal(taken, granted);
-    assert.equal(grants.withoutPromise, granted ? 0 : 1);
+    assert.equal(grants.preemptionsWithoutLoan, granted ? 0 : 1);
   }
 });
 
@@ -323,7 +333,7 @@
       }),
     });
     const loan = loanOf({ state: 'lent' });
-    const there = replicasThere(loan, view).map(({ job }) => job);
+    const there = replicasOnMachine(loan, view).map(({ job }) => job);
     return [observeLoan(loan, view, freeGpus).borrower, there.join(' ')];
   };
   assert.deepEqual(look(['wk-2', 'wk-3'], 0), ['there', 'wk-2']);
--- a/test/subsystems.test.ts
+++ b/test/subsystems.test.ts
@@ -11,7 +11,7 @@
 const LEASE_S = settings().workers.lease_s;
 
 /** A subsystem that keeps the machine `m1` from everything. */
-function keeping(): ActiveSubsystems {
+function reservingM1(): ActiveSubsystems {
   const term: SubsystemTerm = {
     tick: () => undefined,
     scaleOutRequests: () => [],
@@ -28,17 +28,17 @@
   return active;
 }
 
-const report = (world: SchedulerWorld, ...ids: string[]): void => {
+const sendHeartbeats = (world: SchedulerWorld, ...ids: string[]): void => {
   for (const id of ids) world.heartbeat(id, []);
 };
 
 test('a gang that waits for long has no machine reserved for it that is kept', () => {
   for (const [subsystems, reserved] of [
-    [keeping(), false],
+    [reservingM1(), false],
     [NO_SUBSYSTEMS, true],
   ] as const) {
     const world = new SchedulerWorld(100, 0, subsystems);
-    report(world, 'm1');
+    sendHeartbeats(world, 'm1');
     // Half of it is taken by a task that will end.
     if (!subsystems.hasAny) {
       world.submitJob({ id: 'wk-1', gpus: 4, cores: 4 });
@@ -61,11 +61,11 @@
 
 test('work that may not use what is kept has a machine added where it may be', () => {
   for (const [subsystems, count] of [
-    [keeping(), 1],
+    [reservingM1(), 1],
     [NO_SUBSYSTEMS, 0],
   ] as const) {
     const world = new SchedulerWorld(100, 0, subsystems);
-    report(world, 'm1');
+    sendHeartbeats(world, 'm1');
     world.submitJob({ id: 'wk-1', gpus: 8, cores: 8, zone: 'z1' });
     const { demand, capacities } = world.scheduler.runCycle();
     world.capacity.demand = demand;
@@ -78,19 +78,19 @@
 test('a machine that is kept is not emptied, nor others onto it', () => {
   const ids = Array.from({ length: 9 }, (_, i) => `m${i + 2}`);
   for (const [subsystems, isEmptied] of [
-    [keeping(), false],
+    [reservingM1(), false],
     [NO_SUBSYSTEMS, true],
   ] as const) {
     const world = new SchedulerWorld(100, 0, subsystems);
     // With the only capacity for a replica that moves.
-    report(world, 'm1');
+    sendHeartbeats(world, 'm1');
     world.submitJob({ id: 'wk-1', class: 'own', kind: 'service', gpus: 4, cores: 4, priority: 0 });
     world.runCycle();
     world.confirmClaims('m1', false);
     // Not heard for a moment: the others are placed elsewhere.
     world.now += LEASE_S;
     for (const id of ids) {
-      report(world, id);
+      sendHeartbeats(world, id);
       world.submitJob({
         id: `wk-${id.slice(1)}`,
         kind: 'service',
--- a/test/support/batch-fleet.ts
+++ b/test/support/batch-fleet.ts
@@ -26,7 +26,7 @@
   /** Seconds of work that were done more than once. */
   repeatedS = 0;
   /** Machines that were taken away for good, and when. */
-  readonly goneAt = new Map<string, number>();
+  readonly removedAt = new Map<string, number>();
   /** How saving goes. */
   saving: 'works' | 'never ends' | 'fails' = 'works';
 
@@ -37,30 +37,30 @@
 
   /** The machine is gone from one moment to the next. */
   kill(id: string): void {
-    (this.workers.get(id) as BatchWorker | undefined)?.loseAll();
+    (this.workers.get(id) as BatchWorker | undefined)?.loseUnsaved();
     this.workers.delete(id);
-    this.goneAt.set(id, this.now);
+    this.removedAt.set(id, this.now);
   }
 
   /** A task is done; its job is, once all are. */
-  done(job: string, index: number): void {
+  recordTaskDone(job: string, index: number): void {
     const work = this.work.get(job)!;
     this.doneTasks.add(`${job}/${index}`);
     const { kind, tasks } = work.spec;
-    const over =
+    const isJobDone =
       kind === 'gang' || [...Array(tasks).keys()].every((i) => this.doneTasks.has(`${job}/${i}`));
-    if (over) work.doneAt ??= this.now;
+    if (isJobDone) work.doneAt ??= this.now;
   }
 }
 
-interface Run {
+interface TaskRun {
   progressS: number;
   /** When it will have saved; null: it is not saving. */
   savedAt: number | null;
 }
 
 class BatchWorker extends Worker {
-  private readonly runs = new Map<TaskStatus, Run>();
+  private readonly runs = new Map<TaskStatus, TaskRun>();
   private readonly batch: BatchFleet;
 
   constructor(id: string, fleet: BatchFleet, zone: string) {
@@ -70,21 +70,21 @@
 
   /** Its tasks go on by a heartbeat interval; its lease may expire. */
   override tick(): void {
-    for (const task of this.tasks.values()) this.proceed(task);
+    for (const task of this.tasks.values()) this.advance(task);
     const before = [...this.tasks.values()];
     super.tick();
     if (this.tasks.size > 0) return;
     // Its lease has expired: what was not saved is lost.
-    for (const task of before) this.fallBack(task);
+    for (const task of before) this.revertToCheckpoint(task);
   }
 
   /** Its tasks fall back to what is saved. */
-  loseAll(): void {
-    for (const task of this.tasks.values()) this.fallBack(task);
+  loseUnsaved(): void {
+    for (const task of this.tasks.values()) this.revertToCheckpoint(task);
     this.tasks.clear();
   }
 
-  private proceed(task: TaskStatus): void {
+  private advance(task: TaskStatus): void {
     const work = this.batch.work.get(task.job);
     if (work === undefined || task.state === 'ended') return;
     const run = this.runs.get(task) ?? { progressS: this.saved(task), savedAt: null };
@@ -93,15 +93,15 @@
       run.progressS += REPORT_S;
       if (run.progressS < work.workS) return;
       this.end(task, 'done');
-      this.batch.done(task.job, task.index);
+      this.batch.recordTaskDone(task.job, task.index);
     } else if (run.savedAt === Infinity && this.batch.saving !== 'never ends') {
       run.savedAt = this.fleet.now + work.spec.saveS;
     } else if (run.savedAt !== null && this.fleet.now >= run.savedAt) this.finishSaving(task, run);
   }
 
-  private finishSaving(task: TaskStatus, run: Run): void {
+  private finishSaving(task: TaskStatus, run: TaskRun): void {
     if (this.batch.saving === 'fails') {
-      this.fallBack(task);
+      this.revertToCheckpoint(task);
     } else {
       this.batch.savedS.set(`${task.job}/${task.index}`, run.progressS);
       task.saved = true;
@@ -114,15 +114,16 @@
   }
 
   /** To the last checkpoint, which is at a multiple of the interval. */
-  private fallBack(task: TaskStatus): void {
+  private revertToCheckpoint(task: TaskStatus): void {
     const run = this.runs.get(task);
     const work = this.batch.work.get(task.job);
     if (run === undefined || work === undefined || work.workS === Infinity) return;
     this.runs.delete(task);
     if (task.state === 'ended') return;
     const { checkpointS } = work.spec;
-    const kept = checkpointS > 0 ? Math.floor(run.progressS / checkpointS) * checkpointS : 0;
-    const savedS = Math.max(kept, this.saved(task));
+    const checkpointedS =
+      checkpointS > 0 ? Math.floor(run.progressS / checkpointS) * checkpointS : 0;
+    const savedS = Math.max(checkpointedS, this.saved(task));
     this.batch.repeatedS += run.progressS - savedS;
     this.batch.savedS.set(`${task.job}/${task.index}`, savedS);
   }
@@ -141,7 +142,7 @@
       this.runs.set(task, run);
       return;
     }
-    this.fallBack(task);
+    this.revertToCheckpoint(task);
     this.end(task, 'stopped');
   }
 }
--- a/test/support/lending-world.ts
+++ b/test/support/lending-world.ts
@@ -48,11 +48,11 @@
 export const BORROWER = 'wk-000002';
 /** A service whose machine is free for the borrower's replica later. */
 export const OTHER = 'wk-000003';
-const LENT_ON = 'm1';
+const LENT_MACHINE = 'm1';
 /** Until there is a machine for the borrower's replica. */
-const EARLY_S = 20;
+const FREE_CAPACITY_DELAY_S = 20;
 
-interface LeaderParts {
+interface LeaderInternals {
   runCycle(): void;
   writer: { writeBatch(): Promise<boolean> };
 }
@@ -62,10 +62,10 @@
   readonly batch: BatchFleet;
   private readonly subsystems: Subsystem[];
   /** Loans as they were in the store at any time, by key. */
-  readonly seen = new Map<string, Loan>();
-  private usedBefore = new Map<string, number>();
+  readonly loansSeen = new Map<string, Loan>();
+  private gpusUsedBefore = new Map<string, number>();
   /** What the checker found wrong. */
-  readonly wrong: string[] = [];
+  readonly ruleViolations: string[] = [];
 
   constructor(options: LendingWorldOptions = {}) {
     const { gpusMax = 100, lending = true } = options;
@@ -158,25 +158,25 @@
   }
 
   /** Where the lender gave up its GPUs. */
-  get lentOn(): Worker {
-    return this.fleet.workers.get(LENT_ON)!;
+  get lentMachine(): Worker {
+    return this.fleet.workers.get(LENT_MACHINE)!;
   }
 
   /** One heartbeat interval, with a look between each two of its steps. True: stopped by `is`. */
-  async step(is: () => boolean = () => false): Promise<boolean> {
+  async step(condition: () => boolean = () => false): Promise<boolean> {
     this.fleet.now += REPORT_S;
     for (const worker of this.fleet.workers.values()) worker.tick();
-    if (this.look(is)) return true;
+    if (this.checkAndTest(condition)) return true;
     for (const worker of [...this.fleet.workers.values()]) {
       this.exchangeHeartbeat(worker);
-      if (this.look(is)) return true;
+      if (this.checkAndTest(condition)) return true;
     }
     this.runCycle();
-    if (this.look(is)) return true;
+    if (this.checkAndTest(condition)) return true;
     await this.writeAll();
-    if (this.look(is)) return true;
+    if (this.checkAndTest(condition)) return true;
     this.leader.tick();
-    return this.look(is);
+    return this.checkAndTest(condition);
   }
 
   /** Time passes, with the checker looking on. */
@@ -185,28 +185,28 @@
   }
 
   /** Time passes until something is so; fails after `mostS` seconds. */
-  async runUntil(what: string, is: () => boolean, mostS = 60): Promise<void> {
-    const end = this.now + mostS;
-    while (!(await this.step(is))) {
+  async runUntil(what: string, condition: () => boolean, maxS = 60): Promise<void> {
+    const end = this.now + maxS;
+    while (!(await this.step(condition))) {
       assert.ok(this.now < end, `${what}: ${this.states()}; ${JSON.stringify(this.loans())}`);
     }
   }
 
-  private look(is: () => boolean): boolean {
+  private checkAndTest(condition: () => boolean): boolean {
     this.check();
-    return is();
+    return condition();
   }
 
   /** What has to hold at any moment, by the workers and the store alone. */
   private check(): void {
     for (const loan of this.loans())
-      this.seen.set(`${loan.lender}/${loan.tasks[0]!.attempt}`, loan);
+      this.loansSeen.set(`${loan.lender}/${loan.tasks[0]!.attempt}`, loan);
     const lent = new Map<string, number>();
     for (const loan of this.loans().filter(holdsGpus)) {
       lent.set(loan.machine, (lent.get(loan.machine) ?? 0) + loan.gpus);
     }
     for (const [machine, gpus] of lent) {
-      if (gpus > MACHINE_GPUS) this.note(`${machine}: ${gpus} GPUs are lent`);
+      if (gpus > MACHINE_GPUS) this.recordViolation(`${machine}: ${gpus} GPUs are lent`);
     }
     const teams = new Map<string, number>();
     for (const worker of this.fleet.workers.values()) {
@@ -217,39 +217,39 @@
         used += spec.gpus;
         teams.set(spec.team, (teams.get(spec.team) ?? 0) + spec.gpus);
       }
-      if (used > MACHINE_GPUS) this.note(`${worker.id}: ${used} GPUs are used`);
+      if (used > MACHINE_GPUS) this.recordViolation(`${worker.id}: ${used} GPUs are used`);
     }
     for (const [team, gpus] of teams) {
-      const most = this.settings.teams.get(team)!.gpusMax;
+      const maxGpus = this.settings.teams.get(team)!.gpusMax;
       // What runs when a limit is lowered may go on; nothing more may start.
-      const grown = gpus > (this.usedBefore.get(team) ?? 0);
-      if (gpus > most && grown) this.note(`${team} uses ${gpus} of ${most}`);
+      const grown = gpus > (this.gpusUsedBefore.get(team) ?? 0);
+      if (gpus > maxGpus && grown) this.recordViolation(`${team} uses ${gpus} of ${maxGpus}`);
     }
-    this.usedBefore = teams;
+    this.gpusUsedBefore = teams;
   }
 
-  private note(what: string): void {
-    if (!this.wrong.includes(what)) this.wrong.push(what);
+  private recordViolation(what: string): void {
+    if (!this.ruleViolations.includes(what)) this.ruleViolations.push(what);
   }
 
   /**
    * A leader that was replaced goes on where it was, for so many seconds: as one that was frozen between its
    * last look at its lease and what it does next.
    */
-  async wake(old: Leader, seconds: number): Promise<void> {
-    const parts = old as unknown as LeaderParts;
+  async resumeFrozenLeader(old: Leader, seconds: number): Promise<void> {
+    const internals = old as unknown as LeaderInternals;
     const { context } = old.term;
     context.isEntitled = () => true;
     context.canWrite = () => true;
     for (let left = seconds; left > 0; left -= REPORT_S) {
-      parts.runCycle();
-      for (let i = 0; i < 5; i++) await parts.writer.writeBatch();
+      internals.runCycle();
+      for (let i = 0; i < 5; i++) await internals.writer.writeBatch();
       old.tick();
-      for (const machine of old.term.machines.values()) this.lateCommands(old, machine.id);
+      for (const machine of old.term.machines.values()) this.deliverCommands(old, machine.id);
     }
   }
 
-  private lateCommands(old: Leader, id: string): void {
+  private deliverCommands(old: Leader, id: string): void {
     const machine = old.term.machines.get(id)!;
     const commands = machine.dueCommands((attempt) => old.term.mayStart(attempt), true);
     this.fleet.workers.get(id)?.takeDirect(machine.token, machine.agentEpoch, commands);
@@ -259,8 +259,8 @@
    * A loan that has come to this point. The lender has a machine of its own, which serving borrows; later
    * another service leaves a machine that the borrower's replica may use, and the lender may not.
    */
-  async playTo(point: Point): Promise<void> {
-    this.fleet.add(LENT_ON);
+  async runToPoint(point: Point): Promise<void> {
+    this.fleet.add(LENT_MACHINE);
     this.fleet.add('m2', 'z2');
     this.fleet.add('m3', 'z2');
     await this.run(1);
@@ -278,7 +278,7 @@
     const [loan] = this.loans();
     if (loan === undefined) return false;
     const lender = this.taskStates(LENDER);
-    const there = this.hosts(BORROWER).includes(LENT_ON);
+    const isBorrowerThere = this.hosts(BORROWER).includes(LENT_MACHINE);
     switch (point) {
       case 'stored, not told':
         return loan.state === 'requested' && lender.includes('running');
@@ -287,24 +287,24 @@
       case 'saved, not lent':
         return (loan.state === 'requested' || loan.state === 'saving') && lender.includes('ended');
       case 'recalled, not moved':
-        if (part === 'to the end') return loan.state === 'recalled' && there;
+        if (part === 'to the end') return loan.state === 'recalled' && isBorrowerThere;
         break;
       case 'moved, not settled':
-        if (part === 'to the end') return loan.state === 'recalled' && !there;
+        if (part === 'to the end') return loan.state === 'recalled' && !isBorrowerThere;
         break;
       case 'returned, not resumed':
         if (part === 'to the end') return loan.state === 'returned';
         break;
       default:
     }
-    return loan.state === 'lent' && there;
+    return loan.state === 'lent' && isBorrowerThere;
   }
 
   /** All troubles are over: what was lent is closed, and the lender was done in time. */
-  async settle({ lateBy = 0, seconds = 80 } = {}): Promise<void> {
+  async runToEnd({ lateBy = 0, seconds = 80 } = {}): Promise<void> {
     const other = this.batch.work.get(OTHER);
     if (other?.cancelled === false) {
-      await this.run(EARLY_S);
+      await this.run(FREE_CAPACITY_DELAY_S);
       this.cancel(OTHER);
     }
     await this.run(seconds);
@@ -314,7 +314,7 @@
     for (const { spec, workS, submittedAt, doneAt, cancelled } of this.batch.work.values()) {
       if (workS === Infinity || cancelled || spec.deadlineS === null) continue;
       // Only the lender's own zone will do for it: with the machine its capacity is gone.
-      if (this.batch.goneAt.size > 0 && doneAt === null) continue;
+      if (this.batch.removedAt.size > 0 && doneAt === null) continue;
       assert.ok(doneAt !== null, `${spec.id} is done: ${JSON.stringify(this.loans())}`);
       const late = doneAt - submittedAt - spec.deadlineS;
       assert.ok(late <= lateBy, `${spec.id} is late by ${late} s`);
@@ -324,7 +324,7 @@
   /** Fails if the checker or the workers saw a rule broken. */
   checkRules(): void {
     assert.deepEqual(this.fleet.violations, []);
-    assert.deepEqual(this.wrong, []);
+    assert.deepEqual(this.ruleViolations, []);
   }
 }
 
