--- a/src/features/features-file.ts
+++ b/src/features/features-file.ts
@@ -1,4 +1,4 @@
-/** The features file: which subsystems a controller switches on, and how. */
+/** The features file: which subsystems a controller switches on, and their configuration. */
 
 import { createHash } from 'node:crypto';
 import { readFileSync } from 'node:fs';
@@ -10,18 +10,18 @@
 import { checkPools } from '../warm-pools/check.js';
 import { toConfig, warmPoolsSchema, type WarmPoolsConfig } from '../warm-pools/declaration.js';
 
-/** One table for each subsystem; a table that is missing leaves its subsystem off. */
+/** One table for each subsystem; a subsystem without a table is off. */
 const schema = v.strictObject({
   warm_pools: v.optional(warmPoolsSchema),
   lending: v.optional(lendingSchema),
 });
 
-/** Hexadecimal digits of a file's hash that controllers tell one another. */
+/** Hexadecimal digits of a file's hash that controllers exchange. */
 const HASH_DIGITS = 16;
 
 /** A features file after validation. */
 export interface Features {
-  /** Tells the file, whatever its layout and comments: equal for equal contents. */
+  /** Identifies the contents of the file; layout and comments do not affect it. */
   hash: string;
   /** Null: off. */
   warmPools: WarmPoolsConfig | null;
@@ -29,10 +29,10 @@
   lending: LendingConfig | null;
 }
 
-/** What is wrong with a features file: the key, and what was expected there. */
+/** An invalid features file; the message names the key and what was expected there. */
 export class FeaturesError extends Error {}
 
-/** Throws FeaturesError. `nowMs`: schedules are checked from this time of day on. */
+/** Parses and checks a features file. Throws FeaturesError. `nowMs`: schedules are checked from this time of day on. */
 export function parseFeatures(text: string, settings: Settings, nowMs: number): Features {
   let raw: unknown;
   try {
@@ -59,7 +59,7 @@
   };
 }
 
-/** Throws FeaturesError. */
+/** Reads, parses and checks a features file. Throws FeaturesError. */
 export function loadFeatures(file: string, settings: Settings, nowMs: number): Features {
   let text: string;
   try {
@@ -72,7 +72,7 @@
   return parseFeatures(text, settings, nowMs);
 }
 
-/** What other controllers are told of a file. */
+/** The part of a version record that describes the file to other controllers. */
 export function featuresRecord({ hash, warmPools, lending }: Features): FeaturesFileRecord {
   const subsystems = [];
   if (warmPools !== null) subsystems.push('warm-pools');
--- a/src/lending/command.ts
+++ b/src/lending/command.ts
@@ -1,4 +1,4 @@
-/** `pewtershelf loans`: what a running controller says of loans. */
+/** `pewtershelf loans`: prints the loans that a running controller reports. */
 
 import * as v from 'valibot';
 import { fetchView, table, type ViewQuestion } from '../subsystems/view-command.js';
@@ -29,7 +29,7 @@
   }),
 };
 
-/** Loans as a table for a terminal. */
+/** Formats loans as a table for a terminal. */
 export function loansTable(loans: readonly LoanRow[]): string {
   const head = ['loan', 'tasks', 'borrower', 'machine', 'gpus', 'state', 'due', 'changed'];
   const rows = loans.map(
@@ -42,14 +42,14 @@
 
 /** The command's options. */
 export interface LoansCommandOptions {
-  /** A controller's address for users, HOST:PORT. */
+  /** The address of a controller's user API, HOST:PORT. */
   at: string;
   /** Only loans in which this job lends or borrows. */
   job?: string;
   json: boolean;
 }
 
-/** The command's output. Throws CommandError. */
+/** Returns the command's output. Throws CommandError. */
 export async function loansCommand({ at, job, json }: LoansCommandOptions): Promise<string> {
   const { loans } = await fetchView(at, LOANS_REQUEST);
   const matchingLoans = loans.filter(
--- a/src/lending/estimate-errors.ts
+++ b/src/lending/estimate-errors.ts
@@ -1,23 +1,23 @@
-/** By how much owners' estimates have to be raised: learned from jobs that ended. */
+/** Learns from finished jobs by which factor owners' estimates have to be raised. */
 
 import type { LiveJobView } from '../subsystems/subsystem.js';
 import { covering, remember } from '../subsystems/samples.js';
 
-/** Estimates are often wrong by half (protocol); the factor that holds until enough jobs have ended. */
+/** Used until enough jobs have ended: estimates are often wrong by half (protocol). */
 const DEFAULT_MARGIN = 1.5;
-/** What is learned stays between these. */
+/** Bounds of the learned factor. */
 const MIN_MARGIN = 1;
 const MAX_MARGIN = 3;
 
-/** By how much jobs of a class take longer than their estimates. */
+/** By which factor jobs of each class take longer than their estimates. */
 export class EstimateErrors {
   private readonly ratiosByClass = new Map<string, number[]>();
-  /** Jobs that have been counted and are still open. */
+  /** Ids of jobs that have been counted and are still open. */
   private countedJobs = new Set<string>();
 
   constructor(private readonly leastMargin: number) {}
 
-  /** Looks at finite jobs whose last task is done. */
+  /** Records finite jobs whose last task is done, each of them once. */
   update(jobs: Iterable<LiveJobView>): void {
     const finishedJobs = new Set<string>();
     for (const job of jobs) {
@@ -28,7 +28,7 @@
     this.countedJobs = finishedJobs;
   }
 
-  /** Time attained counts repeated work too: the error is rather taken for larger than it is. */
+  /** Attained time includes repeated work, so the error is overestimated rather than underestimated. */
   private recordJob({ spec, attainedS }: LiveJobView): void {
     const predictedS = spec.estimateS * spec.tasks;
     if (predictedS <= 0 || attainedS <= 0) return;
--- a/src/lending/grants.ts
+++ b/src/lending/grants.ts
@@ -1,4 +1,4 @@
-/** Granting: the loan is stored before the lender is told to stop. */
+/** Grants loans: a loan is stored before its lender is stopped. */
 
 import type {
   AttemptView,
@@ -17,10 +17,10 @@
 import { assessLoan, type LoanAssessment } from './loan-safety.js';
 import type { ReturnTimes } from './return-times.js';
 
-/** Report intervals within which a grant has to be stored; then capacity is made without a promise. */
+/** Heartbeat intervals within which a grant has to be stored; after that, the lender is preempted without a loan. */
 const STORE_TIMEOUT_HEARTBEATS = 1;
 
-/** An preemption whose loans are on their way into the store. */
+/** A preemption whose loans are being stored. */
 interface PendingGrant {
   preemption: Preemption;
   loans: LoanEntry[];
@@ -29,7 +29,7 @@
   since: number;
 }
 
-/** What `Grants` work with. */
+/** What `Grants` depends on. */
 export interface GrantOptions {
   view: TermView;
   table: LoanTable;
@@ -38,15 +38,15 @@
   returnTimes: ReturnTimes;
 }
 
-/** Weighs whom to preempt for a service, and stores loans before anybody is told to stop. */
+/** Rates possible lenders for a service, and stores their loans before they are stopped. */
 export class Grants implements PreemptionRules {
   private pending: PendingGrant[] = [];
-  /** Preemptions of services by which capacity was made without any promise. */
+  /** Preemptions for services that were carried out without a loan. */
   preemptionsWithoutLoan = 0;
 
   constructor(private readonly options: GrantOptions) {}
 
-  /** See `PreemptionRules.harm`. */
+  /** See `PreemptionRules.extraCost`. */
   extraCost(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
     if (!isLoanable(borrower, victim)) return 0;
     const assessment = this.assess(victim, saves);
@@ -69,11 +69,11 @@
   isStopping({ job, index, number, state }: AttemptView): boolean {
     const key = attemptKey(job, index, number);
     if (this.pending.some(({ attempts }) => attempts.has(key))) return true;
-    // Told by an earlier leader.
+    // An earlier leader has sent the stop command.
     return state === 'saving' && this.options.table.openLoanOf(job, index) !== undefined;
   }
 
-  /** Where not all victims may lend, the capacity is made at once and nothing is promised. */
+  /** Unless all victims may lend, the preemption is carried out at once without a loan. */
   takesOver(preemption: Preemption): boolean {
     const { borrower, victims } = preemption;
     if (!victims.every((victim) => isLoanable(borrower, victim))) return false;
@@ -91,7 +91,7 @@
     return true;
   }
 
-  /** One loan for each lender; null: one of them may not lend. */
+  /** One loan for each lender; null: one of them may not lend, or a limit is reached. */
   private loansOf(preemption: Preemption): Loan[] | null {
     const { view, table, config } = this.options;
     const byId = new Map<string, Loan>();
@@ -109,7 +109,7 @@
     return this.hasUnlentGpus(preemption.machine, loans) ? loans : null;
   }
 
-  /** No GPU may be named by two open loans. */
+  /** Whether the machine has enough GPUs that no other open loan names. */
   private hasUnlentGpus(machine: string, loans: readonly Loan[]): boolean {
     const { view, table } = this.options;
     const machineGpus = view.machineTypes().get(view.machine(machine)?.type ?? '')?.gpus ?? 0;
@@ -119,9 +119,9 @@
   }
 
   /**
-   * A new loan, or the one that an earlier term stored and did not carry out. One that is being granted stays
-   * as it is: both machines of a gang were once wanted in one scheduling cycle, and its loan named the second borrower
-   * with the first one's machine.
+   * Adds a new loan, or grants the one again that an earlier term stored and did not carry out. A loan whose grant is
+   * pending is not changed: if two borrowers take both machines of a gang in one scheduling cycle, its loan would
+   * name the second borrower with the machine of the first.
    */
   private addOrRegrant(loan: Loan): LoanEntry {
     const { table } = this.options;
@@ -134,15 +134,15 @@
     return known;
   }
 
-  /** Stops the lenders whose loans are all stored. */
+  /** Carries out the preemptions whose loans are all stored. */
   carryOutStored(): void {
     const { table } = this.options;
     this.carryOutReady(({ loans }) => loans.every((loan) => table.isStored(loan)));
   }
 
   /**
-   * What could not be stored in time is carried out without a promise: critical work gets what it would
-   * without lending. A record that the store takes after all is a loan like any other.
+   * Carries out preemptions without a loan where the loans could not be stored in time: critical work must not wait
+   * longer than without lending. If the store has accepted such a record after all, it is an ordinary loan.
    */
   carryOutOverdue(): void {
     const { view } = this.options;
@@ -150,7 +150,7 @@
     const isOverdue = ({ since }: PendingGrant): boolean => view.now() - since > maxWaitS;
     const loans = this.pending.filter(isOverdue).flatMap((pending) => pending.loans);
     this.preemptionsWithoutLoan += this.carryOutReady(isOverdue);
-    // What the store will not take is not offered to it for ever.
+    // Loans that the store does not accept are not retried forever.
     for (const loan of loans) if (loan.stored === null) this.options.table.dropUnstored(loan);
   }
 
@@ -171,21 +171,21 @@
     this.options.table.apply(loan, { kind: 'cancelled', reason: 'the borrower needs it no more' });
   }
 
-  /** Whether a loan is on its way into the store or about to be carried out. */
+  /** Whether a loan is being stored as part of a grant, or its preemption is about to be carried out. */
   isPending(entry: LoanEntry): boolean {
     return this.pending.some(({ loans }) => loans.includes(entry));
   }
 }
 
-/** Serving borrows from finite work. Anything else that makes capacity does so without a loan. */
+/** Only services borrow, and only from finite jobs. All other preemptions are made without a loan. */
 const isLoanable = (borrower: LiveJobView, { job }: PreemptionVictim): boolean =>
   borrower.spec.kind === 'service' && job.spec.kind !== 'service';
 
-/** A loan whose lender may not have been told, and runs. */
+/** Whether the lender may still be on its machine. */
 const isNotYetLent = ({ current: { state } }: LoanEntry): boolean =>
   state === 'requested' || state === 'saving';
 
-/** A gang lends whole. */
+/** All tasks of a gang are lent together. */
 function lentTasks({ job, attempt }: PreemptionVictim): LentTask[] {
   const attempts = job.isGang ? [...job.attemptsByTask.values()].flat() : [attempt];
   const same = attempts.filter((each) => each.number === attempt.number);
--- a/src/lending/lender-work.ts
+++ b/src/lending/lender-work.ts
@@ -1,4 +1,4 @@
-/** What is left to do of work that might lend, as the leader knows it. */
+/** Collects what the leader knows of a possible lender and its remaining work. */
 
 import type { PreemptionVictim, LiveJobView, TermView } from '../subsystems/subsystem.js';
 import { occupiesCapacity } from '../workers/attempt.js';
@@ -8,7 +8,7 @@
 import type { LenderWork } from './loan-safety.js';
 import type { ReturnTimes } from './return-times.js';
 
-/** What becomes of a task's progress when it is stopped, in seconds of work that need not be repeated. */
+/** Seconds of a task's present run that its checkpoints cover, so that they need not be repeated after a stop. */
 function savedS({ job, attempt }: PreemptionVictim, now: number): number {
   const { checkpointS } = job.spec;
   if (checkpointS <= 0 || attempt.startedAt === null) return 0;
@@ -16,20 +16,20 @@
   return Math.floor(ranS / checkpointS) * checkpointS;
 }
 
-/** What is left of the whole job if it goes on with one task less than now. */
+/** Remaining seconds of the whole job if it continues with one running task fewer. */
 function jobRemainingS(job: LiveJobView): number {
   if (job.isGang) return job.spec.estimateS;
   return job.unfinishedPredictedS / Math.max(1, job.activeAttemptCount - 1);
 }
 
-/** What a lender's remaining work is computed with. */
+/** What `lenderWork` depends on. */
 export interface LenderWorkContext {
   view: TermView;
   errors: EstimateErrors;
   returnTimes: ReturnTimes;
 }
 
-/** `lentAtMs`: when its job lent last, in ms of the time of day; null: never. */
+/** `lentAtMs`: when the job's latest loan was granted, in ms of the time of day; null: never. */
 export function lenderWork(
   victim: PreemptionVictim,
   borrowerWaits: boolean,
@@ -50,7 +50,7 @@
     restartS: returnTimes.commandDelayS,
     recallDurationS: returnTimes.recallDurationS,
     savesOnStop: spec.checkpointS > 0,
-    // What an earlier leader started may have run for long.
+    // An attempt inherited from an earlier leader counts as started: it may have run for long.
     started:
       attempt.state !== 'fetching' && attempt.state !== 'waiting' && occupiesCapacity(attempt),
     guaranteed: job.isGuaranteed,
@@ -60,7 +60,7 @@
   };
 }
 
-/** Whether the lender's team may not use more at present, so that no place would help it. */
+/** Whether the lender's team is at its limit, so that the lender could not start even on a free machine. */
 export function isAtLimit({ lender }: Pick<Loan, 'lender'>, view: TermView): boolean {
   const spec = view.spec(lender);
   const team = spec === null ? undefined : view.settings.teams.get(spec.team);
--- a/src/lending/lending-term.ts
+++ b/src/lending/lending-term.ts
@@ -70,7 +70,7 @@
     );
   }
 
-  /** Nothing is decided while nothing can be stored. */
+  /** While nothing can be stored, no decisions are made. */
   tick(): void {
     if (!this.view.canWrite()) {
       this.monitor.recordOutage();
@@ -130,6 +130,6 @@
 
   /** See `SubsystemTerm.stop`. */
   stop(): void {
-    // It has no timers and no connections.
+    // Nothing to release: there are no timers and no connections.
   }
 }
--- a/src/lending/loan-evidence.ts
+++ b/src/lending/loan-evidence.ts
@@ -1,33 +1,33 @@
-/** What the leader knows of the two sides of a loan at one moment. */
+/** What the leader knows of the lender and the borrower of a loan at one moment. */
 
 import type { AttemptView, LiveJobView, TermView } from '../subsystems/subsystem.js';
 import { occupiesCapacity } from '../workers/attempt.js';
 import type { Loan } from './loan.js';
 
-/** Where the attempts are that were to stop. */
+/** State of the attempts that the loan names; `unheard`: inherited, and not yet reported to this leader. */
 export type LentAttemptsState = 'running' | 'stopping' | 'gone' | 'unheard';
 
-/** Where the lender's tasks are otherwise. */
+/** State of later attempts of the lent tasks; `nowhere`: not every task has one. */
 export type LaterAttemptsState = 'nowhere' | 'placed' | 'running';
 
-/** `wants`: it is not there, but what was lent has not come back: a task of it has no place, or others took it. */
+/** `wants`: not on the machine, but the GPUs are not back: a task of it has no place, or other work uses them. */
 export type BorrowerPresence = 'there' | 'wants' | 'away';
 
-/** What is known of both sides of a loan at one moment. */
+/** What is known of the lender and the borrower of a loan at one moment. */
 export interface LoanEvidence {
-  /** Null: its job is open and the tasks are not done. */
+  /** Why the lender needs nothing back; null: its job is open and the tasks are not done. */
   lenderEndReason: string | null;
   lentAttempts: LentAttemptsState;
   laterAttempts: LaterAttemptsState;
   borrower: BorrowerPresence;
   machineGone: boolean;
-  /** Why the GPUs have to come back now; null: they need not. */
+  /** Why the GPUs have to be returned now; null: they need not be. */
   recallReason: string | null;
-  /** Why the promise is broken; null: it is not. */
+  /** Why the return of the GPUs is waived; null: it is not. */
   brokenReason: string | null;
-  /** By how many seconds the latest return is over; 0: it is not. */
+  /** Seconds since the latest return time passed; 0: it has not. */
   lateS: number;
-  /** Why an open grant is given up although its lender runs; null: it is not. */
+  /** Why a loan that is not lent yet is cancelled if its lender runs; null: it is not. */
   notCarriedOutReason: string | null;
 }
 
@@ -50,7 +50,7 @@
   return attempts.every((attempt) => attempt.state === 'running') ? 'running' : 'placed';
 }
 
-/** Attempts of the lent tasks that may be somewhere: those that were to stop, and later ones. */
+/** Attempts of the lent tasks that may occupy capacity: those that the loan names, and later ones. */
 function lenderAttempts(
   loan: Loan,
   job: LiveJobView | undefined,
@@ -75,8 +75,8 @@
 }
 
 /**
- * The replicas that are where the lender was: the borrower's or, where it was placed elsewhere in the end and
- * another service came here, those of whatever services there are.
+ * The replicas on the machine of a loan: the borrower's or, if it has none there, those of all services. The borrower
+ * may have been placed elsewhere in the end, and another service here.
  */
 export function replicasOnMachine(loan: Loan, view: TermView): AttemptView[] {
   const own = borrowerAttempts(loan, view);
@@ -87,7 +87,7 @@
   );
 }
 
-/** `freeGpus`: what is free on the machine. Nothing has come back while others have it. */
+/** `freeGpus`: free GPUs of the machine. GPUs that other work uses are not back. */
 function borrowerPresence(loan: Loan, view: TermView, freeGpus: number): BorrowerPresence {
   if (borrowerAttempts(loan, view).length > 0) return 'there';
   if (freeGpus < loan.gpus) return 'wants';
@@ -101,7 +101,7 @@
   return machine === undefined || machine.state === 'returned';
 }
 
-/** What can be seen of a loan; what has to do with time is added by the caller. */
+/** Observes a loan, except for what depends on time: the caller adds that. */
 export function observeLoan(
   loan: Loan,
   view: TermView,
--- a/src/lending/loan-monitor.ts
+++ b/src/lending/loan-monitor.ts
@@ -1,4 +1,4 @@
-/** Follows open loans: what has become of them, what has to come back, and how. */
+/** Monitors open loans: updates their states, recalls those that are due, and migrates the borrowers. */
 
 import type { TermView } from '../subsystems/subsystem.js';
 import type { LendingConfig } from './declaration.js';
@@ -12,17 +12,17 @@
 import { planRecalls } from './recall-plan.js';
 import type { ReturnTimes } from './return-times.js';
 
-/** A lender that a term sees running so long was never told by anybody. */
+/** If a lender still runs so long after the start of a term, no leader has sent it a stop command. */
 const NOT_STOPPED_LEASES = 1;
-/** Saving may take so much longer than its job says, and so many leases more. */
+/** Saving may take this multiple of the time that the job declares, and this many leases more. */
 const SAVE_FACTOR = 1.5;
 const SAVE_GRACE_LEASES = 0.5;
-/** Replicas of a class move one after the other: so many leases more are given to find a way back. */
+/** Leases after the due time before a return is waived: replicas of a class are migrated one after the other. */
 const RETURN_GRACE_LEASES = 4;
-/** Of the time for a recall, what passes before places without the image are taken. */
+/** Share of the time for a recall after which machines without the image are accepted. */
 const FETCH_ALLOWED_SHARE = 0.5;
 
-/** What a `LoanMonitor` works with. */
+/** What a `LoanMonitor` depends on. */
 export interface LoanMonitorOptions {
   view: TermView;
   table: LoanTable;
@@ -32,7 +32,7 @@
   clock: LoanClock;
 }
 
-/** The gap in ms between two moves of replicas of a class; each is looked up once. */
+/** Looks up the gap in ms between two migrations of replicas of a class, once for each class. */
 function migrationGaps(view: TermView): (jobClass: string) => number {
   const gapsByClass = new Map<string, number>();
   return (jobClass) => {
@@ -42,10 +42,10 @@
   };
 }
 
-/** Carries open loans on by what is seen of both sides. */
+/** Advances open loans by what is observed of their lenders and borrowers. */
 export class LoanMonitor {
   private readonly startedAt: number;
-  /** Since when this leader has been able to bring something back, in seconds of the steady clock. */
+  /** Since when this leader has been able to recall loans, in seconds of the steady clock. */
   private canActSince: number;
 
   constructor(private readonly options: LoanMonitorOptions) {
@@ -53,12 +53,12 @@
     this.canActSince = this.startedAt;
   }
 
-  /** Nothing can be stored: nothing is decided. */
+  /** Nothing can be stored, so no loan can be recalled. */
   recordOutage(): void {
     this.canActSince = this.options.view.now();
   }
 
-  /** One round over all open loans. */
+  /** Processes all open loans once. */
   update(): void {
     const { table, view, config, returnTimes, clock } = this.options;
     const awayLoans = [...table.open()].filter(({ current }) => isAway(current));
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Carries one loan on. Returns its new state, null where it has not changed. */
+  /** Advances one loan. Returns its new state; null: it has not changed. */
   private advance(entry: LoanEntry, isDue: boolean, freeGpus: number): Loan['state'] | null {
     const { table, view, grants } = this.options;
     if (grants.isPending(entry)) return null;
@@ -95,7 +95,7 @@
       view.wakeWriter();
     }
     if (entry.current.state === 'saving') this.endOverdueSaving(entry.current);
-    // A successor has to find a recall whose replica it sees moving.
+    // Only a stored recall: a successor that sees the replica migrate has to find the recall in the store.
     if (entry.stored?.state === 'recalled') this.migrateBorrower(entry.stored);
     return entry.current.state === before.state ? null : entry.current.state;
   }
@@ -114,7 +114,7 @@
     };
   }
 
-  /** A team's guarantee comes before any due time. */
+  /** A team's guarantee takes precedence over the due time. */
   private recallReason(loan: Loan, isDue: boolean): string | null {
     if (this.options.view.job(loan.lender)?.isGuaranteed === true) {
       return 'the lender is within its guarantee';
@@ -123,9 +123,9 @@
   }
 
   /**
-   * A promise is given up only after a leader could act for as long as a way back takes, and found none:
-   * what is late but possible still comes back. Given up at the due time, a lender that several leaders in
-   * a row had no time for, or an outage, was without its place for good.
+   * A return is waived only after this leader has been able to act for as long as a recall takes, plus a grace period:
+   * a late return is still better than none. Waived at the due time, a lender lost its place for good after an outage,
+   * or after several leaders in a row that were too short-lived to recall the loan.
    */
   private brokenReason(loan: Loan, observed: Pick<LoanEvidence, 'borrower'>): string | null {
     const { view, returnTimes, clock } = this.options;
@@ -153,7 +153,7 @@
     if (changedInThisTerm) returnTimes.record(view.now() - changedAt);
   }
 
-  /** A lender whose saving never ends does not keep the borrower waiting for ever. */
+  /** Ends attempts whose saving takes too long, so that the borrower does not wait forever. */
   private endOverdueSaving(loan: Loan): void {
     const { view, clock } = this.options;
     const job = view.job(loan.lender);
@@ -168,8 +168,8 @@
   }
 
   /**
-   * A lender with a place elsewhere needs nothing: a machine was added for it, or others have left. Else
-   * the borrower's replica is moved, where that has a free place with its image and others answer.
+   * Migrates a replica off the machine of a recalled loan, if there is a free place with its image and other replicas
+   * of its service run meanwhile. A loan whose lender has got a place elsewhere is not recalled any more.
    */
   private migrateBorrower(loan: Loan): void {
     const { view } = this.options;
@@ -177,7 +177,7 @@
     const attempts = replicasOnMachine(loan, view);
     if (attempts.some((attempt) => attempt.stopRequest !== null)) return;
     for (const { job, index } of attempts) {
-      // What a service misses elsewhere it would take back here: it is the more important of the two.
+      // A service with pending tasks would take these GPUs again: its priority is higher than the lender's.
       if (view.job(job)?.pendingTaskCount !== 0) continue;
       const migration = { job, index, from: loan.machine, mayFetch: this.mayFetchImage(loan) };
       if (view.migrateReplica(migration)) return;
@@ -185,8 +185,8 @@
   }
 
   /**
-   * Half of the time for the recall is over: a place where the image has to be fetched will do too. A new
-   * leader often does not know what idle machines have cached.
+   * Once half of the time for the recall has passed, a machine that has to fetch the image is accepted too. A new
+   * leader often does not know which images idle machines have cached.
    */
   private mayFetchImage(loan: Loan): boolean {
     const { view, clock, returnTimes } = this.options;
--- a/src/lending/loan-safety.ts
+++ b/src/lending/loan-safety.ts
@@ -1,20 +1,20 @@
-/** When a loan is safe, and how much harm it does: pure functions of what is known of the lender. */
+/** Decides whether a loan is safe and what it costs: pure functions of what is known of the lender. */
 
-/** What is known of work that might lend. All durations in seconds. */
+/** What is known of a possible lender. All durations are in seconds. */
 export interface LenderWork {
-  /** The time that is left until it has to be done; Infinity: nothing asks for it. */
+  /** Time until it has to be done; Infinity: no deadline requires it. */
   timeLeftS: number;
-  /** What is left to do of its own task, or of the gang, by its estimate. */
+  /** Estimated remaining time of its own task, or of the gang. */
   ownRemainingS: number;
-  /** What is left to do of the whole job, by its estimate, with as many tasks at a time as now. */
+  /** Estimated remaining time of the whole job while this task does not run. */
   jobRemainingS: number;
   /** Factor by which estimates have to be raised so that most runs are covered, at least 1. */
   margin: number;
   saveS: number;
   fetchS: number;
-  /** From the place being there until the task runs. */
+  /** Time from a place being available until the task runs. */
   restartS: number;
-  /** How long GPUs take to come back once they are asked for. */
+  /** Time from a recall until the GPUs are back. */
   recallDurationS: number;
   /** Whether it saves when it is stopped. */
   savesOnStop: boolean;
@@ -22,7 +22,7 @@
   started: boolean;
   /** Whether its job is within its team's guarantee. */
   guaranteed: boolean;
-  /** Seconds since its job lent last; Infinity: never. */
+  /** Time since its job's latest loan was granted; Infinity: never. */
   sinceLastLoanS: number;
   /** It has an open loan. */
   hasOpenLoan: boolean;
@@ -34,17 +34,17 @@
 export type Refusal =
   'no checkpoints' | 'guaranteed' | 'lending already' | 'saving takes too long' | 'no slack';
 
-/** Whether a loan is safe, until when it has to be back, and how much harm it does, from 0 to 1. */
+/** Whether a loan is safe, in how many seconds it has to be back, and its cost from 0 to 1. */
 export type LoanAssessment =
   { safe: true; latestReturnS: number; cost: number } | { safe: false; refusal: Refusal };
 
-/** Of the harm, what the lack of slack and a recent loan count for. */
+/** Weights of little slack and of a recent loan in the cost. */
 const SLACK_WEIGHT = 0.5;
 const RECENCY_WEIGHT = 0.2;
 
 /**
- * Seconds from now until which the lender can be without its place; Infinity: without end. The margin is
- * on all that is estimated, and what is saved of the present run is not counted as done.
+ * Seconds from now by which the lender needs its place again; Infinity: never. The margin is applied to all of the
+ * estimated remaining work. The job's part of it does not count saved progress of unfinished tasks as done.
  */
 export function latestReturnS(work: LenderWork): number {
   const { timeLeftS: leftS, margin, saveS, fetchS, restartS } = work;
@@ -61,7 +61,7 @@
   return null;
 }
 
-/** Whether it may lend, until when, and the harm of that between 0 and 1. */
+/** Decides whether it may lend, until when, and at what cost from 0 to 1. */
 export function assessLoan(work: LenderWork): LoanAssessment {
   const refusal = findRefusal(work);
   if (refusal !== null) return { safe: false, refusal };
--- a/src/lending/loan-steps.ts
+++ b/src/lending/loan-steps.ts
@@ -1,9 +1,9 @@
-/** The next change of a loan: a pure function of its state and of what is known. */
+/** Determines the next change of a loan: a pure function of its state and the evidence. */
 
 import type { Loan, LoanEvent } from './loan.js';
 import type { LoanEvidence } from './loan-evidence.js';
 
-/** Null: nothing changes. */
+/** Returns the next event of the loan; null: nothing changes. */
 export function nextEvent(loan: Loan, evidence: LoanEvidence): LoanEvent | null {
   const { lenderEndReason } = evidence;
   if (lenderEndReason !== null) return { kind: 'cancelled', reason: lenderEndReason };
@@ -38,12 +38,7 @@
 }
 
 function whileLent(loan: Loan, evidence: LoanEvidence): LoanEvent | null {
-  const {
-    laterAttempts,
-    borrower,
-    machineGone,
-    recallReason,
-  } = evidence;
+  const { laterAttempts, borrower, machineGone, recallReason } = evidence;
   if (laterAttempts === 'running') return resumedEvent(evidence);
   if (laterAttempts === 'placed') return returnedEvent('the lender has a place', evidence);
   if (machineGone) return { kind: 'lost', reason: 'the machine is gone' };
@@ -56,7 +51,7 @@
   return null;
 }
 
-/** What comes late is told with it. */
+/** The part of a reason that states by how much a return is late; empty if it is not. */
 function latenessSuffix({ lateS }: LoanEvidence): string {
   return lateS > 0 ? `, ${Math.ceil(lateS)} s late` : '';
 }
@@ -71,10 +66,7 @@
   reason: `the lender runs again${latenessSuffix(evidence)}`,
 });
 
-function waivedEvent({
-  brokenReason,
-  laterAttempts,
-}: LoanEvidence): LoanEvent | null {
+function waivedEvent({ brokenReason, laterAttempts }: LoanEvidence): LoanEvent | null {
   if (brokenReason === null || laterAttempts !== 'nowhere') return null;
   return { kind: 'waived', reason: brokenReason };
 }
--- a/src/lending/loan-table.ts
+++ b/src/lending/loan-table.ts
@@ -1,4 +1,4 @@
-/** The loans of a term: what the store holds of them, and the changes on their way into it. */
+/** The loans of a term: their stored values, and the changes that are still to be stored. */
 
 import type { OwnedRecord, OwnedWrite } from '../subsystems/subsystem.js';
 import { RecordTable, type RecordForm, type TableEntry } from '../subsystems/record-table.js';
@@ -14,7 +14,7 @@
   type LoanEvent,
 } from './loan.js';
 
-/** A loan as it is, and as the store holds it. */
+/** The current and the stored value of a loan. */
 export type LoanEntry = TableEntry<Loan>;
 
 const LOAN_FORM: RecordForm<Loan> = {
@@ -28,22 +28,22 @@
 
 const isRequested = ({ current }: LoanEntry): boolean => current.state === 'requested';
 
-/** What a `LoanTable` works with. */
+/** What a `LoanTable` depends on. */
 export interface LoanTableOptions {
   /** Time of day in ms. */
   nowMs: () => number;
-  /** The store holds a loan's latest change. */
+  /** Called when a loan's latest change is stored. */
   onStored: (entry: LoanEntry) => void;
-  /** A loan has changed; `before`: as it was, null for a new one. */
+  /** Called when a loan has changed; `before`: its previous value, null for a new loan. */
   onChange: (loan: Loan, before: Loan | null) => void;
-  /** A loan was never stored, or its record is removed. */
+  /** Called when a loan is dropped that was never stored, or its record is to be removed. */
   onRemoved: (id: string) => void;
 }
 
-/** Loans by name, and what is derived of all of them. */
+/** Loans by id, and what is derived from them. */
 export class LoanTable {
   private readonly table: RecordTable<Loan>;
-  /** Loans by lender; null: to be derived anew. Victims are weighed many times between two changes. */
+  /** Loans by lender, cached because victims are assessed many times between two changes; null: to be rebuilt. */
   private byLender: Map<string, LoanEntry[]> | null = null;
 
   constructor(private readonly options: LoanTableOptions) {
@@ -59,22 +59,22 @@
     this.table.reconcile(records);
   }
 
-  /** The loan of this name. */
+  /** The loan with this id. */
   get(id: string): LoanEntry | undefined {
     return this.table.get(id);
   }
 
-  /** All loans, also those that are over. */
+  /** All loans, including ended ones. */
   values(): IterableIterator<LoanEntry> {
     return this.table.values();
   }
 
-  /** Loans of which something is still owed. */
+  /** Loans that have not ended. */
   *open(): IterableIterator<LoanEntry> {
     for (const entry of this.table.values()) if (isOpen(entry.current)) yield entry;
   }
 
-  /** A new loan; it is stored later. */
+  /** Adds a loan; it is stored later. */
   add(loan: Loan): LoanEntry {
     const entry = this.table.add(loan);
     this.options.onChange(loan, null);
@@ -89,7 +89,7 @@
     if (event.kind !== 'borrower-seen') this.options.onChange(loan, before);
   }
 
-  /** A loan that was never stored, as far as is known. If it is after all, `reconcile` finds it. */
+  /** Drops a loan that is not known to be stored. If it has been stored after all, `reconcile` adds it again. */
   dropUnstored(entry: LoanEntry): void {
     this.table.removed(entry.id);
     this.options.onRemoved(entry.id);
@@ -109,7 +109,7 @@
     return gpus;
   }
 
-  /** The open loan of one of a job's tasks; of a gang, whichever task is asked for. */
+  /** The open loan that names this task of a job; the loan of a gang names all of its tasks. */
   openLoanOf(lender: string, index: number): LoanEntry | undefined {
     return this.loansOf(lender).find(
       ({ current }) => isOpen(current) && current.tasks.some((task) => task.index === index),
@@ -128,7 +128,7 @@
     return this.byLender.get(lender) ?? NO_LOANS;
   }
 
-  /** When a job lent last, in ms of the time of day; null: never, as far as is stored. */
+  /** When a job's latest loan was granted, in ms of the time of day, cancelled loans aside; null: none is known. */
   lastGrantedAtMs(lender: string): number | null {
     let latest: number | null = null;
     for (const { current } of this.loansOf(lender)) {
@@ -138,7 +138,7 @@
     return latest;
   }
 
-  /** Removes what has been over for so long. */
+  /** Removes loans that ended longer than `retentionMs` ago. */
   removeEnded(retentionMs: number): void {
     const nowMs = this.options.nowMs();
     for (const entry of this.table.values()) {
@@ -149,7 +149,7 @@
     }
   }
 
-  /** Grants go with the leader's most urgent writes: the borrower waits for them. */
+  /** Grants are stored with the leader's most urgent writes, because the borrower waits for them. */
   dueWrites(): OwnedWrite[] {
     return this.table.dueWrites().map((write) => {
       const entry = this.table.get(write.key.slice(LOAN_PREFIX.length));
--- a/src/lending/loan-times.ts
+++ b/src/lending/loan-times.ts
@@ -1,6 +1,6 @@
 /**
- * When open loans changed and when they are due, by the steady clock of the term. Times of day in their records name these
- * moments across terms; within one nothing is the difference of two of them.
+ * When open loans changed and when they are due, by the steady clock of the term. The times of day in their records
+ * identify these moments across terms; within a term, no time that has passed is computed from two times of day.
  */
 
 import type { TermView } from '../subsystems/subsystem.js';
@@ -8,17 +8,17 @@
 
 /** Times of one loan, in seconds of the steady clock. */
 export interface LoanTimes {
-  /** When it came into its present state, or when this term first saw it there. */
+  /** When it entered its present state, or when this term first saw it in that state. */
   changedAt: number;
-  /** When its present state began in this term; false: an earlier one brought it there, at a time that is not known. */
+  /** Whether it entered its present state in this term; false: in an earlier one, at an unknown time. */
   changedInThisTerm: boolean;
-  /** When the lender needs its place again, as far as is known; null: no deadline asks for it. */
+  /** When the lender needs its place again, as far as is known; null: no deadline requires it. */
   dueAt: number | null;
-  /** The latest moment at which it may be due: what a term cannot know it does not hold against a loan. */
+  /** The latest moment at which it may be due. Only after it does a return count as late, since `dueAt` may be inexact. */
   latestDueAt: number | null;
 }
 
-/** A loan's times, and the change that they belong to. */
+/** A loan's times, and the change to which they belong. */
 interface RecordedTimes extends LoanTimes {
   changedMs: number;
   state: Loan['state'];
@@ -30,14 +30,14 @@
 
   constructor(private readonly view: Pick<TermView, 'now' | 'timeOfDay' | 'settings'>) {}
 
-  /** A loan is granted by this term, or changed; `before`: as it was, null for a new one. */
+  /** Records that this term granted or changed a loan; `before`: its previous value, null for a new loan. */
   recordChange(loan: Loan, before: Loan | null): void {
     const { dueAt, latestDueAt } =
       before === null ? this.timesOfNewLoan(loan) : this.timesOf(before);
     this.setTimes(loan, { changedInThisTerm: true, dueAt, latestDueAt });
   }
 
-  /** The times of an open loan; one that is not known was stored by an earlier term. */
+  /** The times of an open loan; a loan without recorded times was stored by an earlier term. */
   timesOf(loan: Loan): LoanTimes {
     const known = this.known.get(loanId(loan));
     if (known?.changedMs === loan.changedMs && known.state === loan.state) return known;
@@ -47,7 +47,7 @@
     return this.setTimes(loan, { changedInThisTerm: false, dueAt, latestDueAt });
   }
 
-  /** A loan that is over, or was never stored. */
+  /** Drops the times of a loan that has ended or was never stored. */
   forget(id: string): void {
     this.known.delete(id);
   }
@@ -66,14 +66,14 @@
     return { dueAt, latestDueAt: dueAt };
   }
 
-  /** It is due no later than if its latest change had happened just now: both times are of one clock. */
+  /** The due time if the latest change happened just now, which is the upper bound: both times are of one clock. */
   private inheritedLatestDueAt({ dueMs, changedMs }: Loan): number {
     return this.view.now() + Math.max(0, (dueMs ?? changedMs) - changedMs) / 1000;
   }
 
   /**
-   * By this machine's clock. A change that is still to come by it shows that the two clocks differ by an unknown time:
-   * then it is due at once, which costs the borrower at the most, and keeps the promise.
+   * The due time by this machine's clock. A latest change in the future shows that the two machines' clocks differ by
+   * an unknown time: the loan is then due at once, which at worst moves the borrower early, and keeps the deadline.
    */
   private inheritedDueAt({ dueMs, changedMs }: Loan): number | null {
     const { view } = this;
--- a/src/lending/loan.ts
+++ b/src/lending/loan.ts
@@ -1,18 +1,18 @@
-/** A loan: GPUs that running finite work gave up for a service, and until when they have to be back. */
+/** A loan: GPUs that a finite job gives up for a service, and the time by which it needs them again. */
 
 import { IllegalTransitionError } from '../illegal-transition.js';
 import * as v from 'valibot';
 
 /**
- *   requested  stored; the lender may not know of it yet
- *   saving     the lender was told to stop and has not exited
- *   lent       the lender is gone from the machine
- *   recalled   the GPUs, or others in their place, have to come back now
- *   returned   the borrower has left them, or the lender has been given another place
+ *   requested  granted; the lender may not have received its stop command yet
+ *   saving     the lender is being stopped and has not exited
+ *   lent       the lender has left the machine
+ *   recalled   the GPUs, or others in place of them, have to be returned now
+ *   returned   the borrower has left the GPUs, or the lender has been given another place
  *   resumed    the lender runs again
- *   lost       the machine is gone, and with it what was lent
- *   cancelled  nothing is owed any more: one of the two is over, or the lender was never stopped
- *   waived     the promise was not kept; the reason says why
+ *   lost       the machine is gone, and with it the GPUs
+ *   cancelled  no return is needed any more: one of the two jobs has ended, or the lender was never stopped
+ *   waived     the GPUs were not returned; the reason says why
  *
  * The last four are final.
  */
@@ -31,7 +31,7 @@
 /** The states of a loan, see `LOAN_STATES`. */
 export type LoanState = (typeof LOAN_STATES)[number];
 
-/** A task of the lender, and the attempt of it that was to stop. */
+/** A task of the lender, and its attempt that is stopped for the loan. */
 export interface LentTask {
   index: number;
   attempt: number;
@@ -44,25 +44,25 @@
   /** One task of an array, or all tasks of a gang. */
   tasks: readonly LentTask[];
   borrower: string;
-  /** Where the borrower's task goes. */
+  /** The machine that the borrower's task gets. */
   machine: string;
-  /** GPUs that the lender gives up there. */
+  /** GPUs that the lender gives up on that machine. */
   gpus: number;
   state: LoanState;
-  /** Time of day in ms by which the lender needs its place again; null: no deadline asks for it. */
+  /** Time of day in ms by which the lender needs its place again; null: no deadline requires it. */
   dueMs: number | null;
   grantedMs: number;
   /** Time of day in ms of the latest change. */
   changedMs: number;
   /** Whether a task of the borrower was seen on the machine. */
   used: boolean;
-  /** Why it was granted and, once it is over, why it ended. */
+  /** Why it was granted or, after that, the reason of the latest change that has one. */
   reason: string;
 }
 
-/** What a loan meets. */
+/** Events that change a loan. */
 export type LoanEvent =
-  /** Chosen anew for another borrower by a later leader, which finds the lender running. */
+  /** A later leader finds the lender running and chooses it for another borrower. */
   | { kind: 'granted-again'; borrower: string; reason: string }
   | { kind: 'told' }
   | { kind: 'vacated' }
@@ -77,13 +77,13 @@
 const OPEN_STATES: readonly LoanState[] = ['requested', 'saving', 'lent', 'recalled', 'returned'];
 const AWAY_STATES: readonly LoanState[] = ['lent', 'recalled', 'returned'];
 
-/** The states in which a loan can meet an event. */
+/** The states in which each event is allowed. */
 const ALLOWED_STATES: Record<LoanEvent['kind'], readonly LoanState[]> = {
   'granted-again': ['requested', 'saving'],
   told: ['requested'],
   vacated: ['requested', 'saving'],
   'borrower-seen': ['lent', 'recalled'],
-  // A borrower without another place may come back to what it had left.
+  // A borrower without another place may return to the machine that it had left.
   recalled: ['lent', 'returned'],
   returned: ['lent', 'recalled'],
   resumed: AWAY_STATES,
@@ -92,7 +92,7 @@
   waived: AWAY_STATES,
 };
 
-/** The one function by which a loan changes. Throws IllegalTransitionError. */
+/** The only function that changes a loan. Throws IllegalTransitionError. */
 export function advanceLoan(loan: Loan, event: LoanEvent, atMs: number): Loan {
   if (!ALLOWED_STATES[event.kind].includes(loan.state)) {
     throw new IllegalTransitionError(`loan ${loanId(loan)}`, loan.state, event.kind);
@@ -112,23 +112,23 @@
   }
 }
 
-/** Whether something is still owed. */
+/** Whether the loan is open: its state is not final. */
 export const isOpen = ({ state }: Loan): boolean => OPEN_STATES.includes(state);
 
-/** Whether the GPUs are spoken for: no second loan may name them. */
+/** Whether the loan reserves its GPUs, so that no second loan may name them. */
 export const holdsGpus = ({ state }: Loan): boolean =>
   isOpen({ state } as Loan) && state !== 'returned';
 
 /** Whether the lender is off its machine and waits for a place. */
 export const isAway = ({ state }: Loan): boolean => AWAY_STATES.includes(state);
 
-/** Attempt numbers of a task never recur, so a loan's name does not either. */
+/** A loan's id. It is unique because attempt numbers of a task are never reused. */
 export function loanId({ lender, tasks }: Pick<Loan, 'lender' | 'tasks'>): string {
   const { index, attempt } = tasks[0]!;
   return `${lender}/${index}/${attempt}`;
 }
 
-/** Keys of loans begin with it, below the subsystem's own prefix. */
+/** Prefix of the keys of loans, below the subsystem's own prefix. */
 export const LOAN_PREFIX = 'loan/';
 
 /** A count of 0 for each state. */
@@ -170,11 +170,11 @@
   };
 }
 
-/** The size of its record. */
+/** The size of a loan's record in bytes. */
 export const loanBytes = (loan: Loan): number =>
   Buffer.byteLength(JSON.stringify(encodeLoan(loan)));
 
-/** Null: a record of another form, which is left alone. */
+/** Decodes a record. Null: it has another format, and is not changed. */
 export function decodeLoan(value: unknown): Loan | null {
   const result = v.safeParse(loanSchema, value);
   if (!result.success) return null;
--- a/src/lending/recall-plan.ts
+++ b/src/lending/recall-plan.ts
@@ -1,28 +1,28 @@
-/** When recalls have to begin so that all are over in time, with a bounded number of them at once. */
+/** Plans when recalls have to begin so that all of them end in time, with a bounded number in progress. */
 
 /** A loan that may have to be recalled. */
 export interface DueLoan {
   id: string;
-  /** When the lender needs its place, in ms of a clock that is never set; null: no deadline asks for it. */
+  /** When the lender needs its place, in ms of a clock that is never set; null: no deadline requires it. */
   dueMs: number | null;
-  /** Borrowers of one group are moved one after the other. */
+  /** Borrowers of one group are migrated one after the other. */
   group: string;
 }
 
 /** How fast loans can be recalled; times in ms. */
 export interface RecallPace {
-  /** What one recall takes. */
+  /** Duration of one recall. */
   recallDurationMs: number;
-  /** Recalls under way at a time. */
+  /** Maximum number of recalls in progress. */
   maxConcurrent: number;
-  /** Between the beginnings of two recalls of one group. */
+  /** Minimum time between the starts of two recalls of one group. */
   gapMs: (group: string) => number;
 }
 
 /**
- * The moment, in ms of the same clock, at which each recall has to begin, by loan, the earliest due first: each is over when it is
- * due, and before the one `atOnce` places later has to begin; within a group they keep the gap. Loans without
- * a due time are left out.
+ * Returns the time, in ms of the same clock, at which each recall has to begin, by loan id, the earliest due first.
+ * Each recall ends by its due time, and before the one `maxConcurrent` positions later begins; within a group, recalls
+ * begin at least the gap apart. Loans without a due time are left out.
  */
 export function planRecalls(
   loans: readonly DueLoan[],
--- a/src/lending/return-holds.ts
+++ b/src/lending/return-holds.ts
@@ -1,4 +1,4 @@
-/** Capacity that came back for a lender is not taken by work that is no more important. */
+/** Reserves returned capacity for its lender, against work whose priority is not higher. */
 
 import { fits, type JobSpec } from '../jobs/types.js';
 import { isAllowedOn, type FreeCapacity } from '../scheduler/bin-packing.js';
@@ -9,9 +9,9 @@
 import type { LoanTable } from './loan-table.js';
 import type { LoanClock } from './loan-times.js';
 
-/** What came back is kept for so long, so that a lender that may not start keeps nobody from it. */
+/** Returned capacity is reserved for so long at most, so that a lender that may not start does not block it. */
 const HOLD_LEASES = 2;
-/** A borrower goes where it was asked to leave only if that saves it so many leases. */
+/** A borrower is placed on a machine that it had to leave only if that saves it so many leases. */
 const AVOID_LEASES = 100;
 
 interface Hold {
@@ -21,10 +21,10 @@
   gpus: number;
 }
 
-/** Capacity that came back is kept for the lender whose it was. */
+/** Reserves recalled and returned capacity for its lender. */
 export class ReturnHolds {
   private byMachine = new Map<string, Hold[]>();
-  /** Replicas that have to leave what was recalled. */
+  /** Jobs of replicas that have to leave recalled GPUs, once for each replica. */
   private recalledBorrowers: JobSpec[] = [];
 
   constructor(
@@ -33,7 +33,7 @@
     private readonly clock: LoanClock,
   ) {}
 
-  /** Looks again which loans hold capacity. */
+  /** Determines anew which loans reserve capacity. */
   update(): void {
     this.byMachine = new Map();
     this.recalledBorrowers = [];
@@ -65,7 +65,7 @@
     return heldS <= this.view.settings.workers.lease_s * HOLD_LEASES;
   }
 
-  /** A place to which a borrower may have to be moved is not given back either. */
+  /** Whether a machine must not be removed: it has reserved capacity, or a recalled borrower may be migrated to it. */
   retainsMachine(machine: string): boolean {
     return this.byMachine.has(machine) || this.isRecallTarget(machine);
   }
@@ -80,8 +80,8 @@
   }
 
   /**
-   * A replica that has been moved had better not come back, where there is another place for it. It once
-   * did as soon as its booking had expired.
+   * A replica that has been migrated should not return if there is another place for it. Without this preference it
+   * returned as soon as the reservation of its new place had expired.
    */
   preferenceS(spec: JobSpec, capacity: FreeCapacity): number {
     const isRecalledFromBorrower = this.byMachine
@@ -90,7 +90,7 @@
     return isRecalledFromBorrower === true ? -this.view.settings.workers.lease_s * AVOID_LEASES : 0;
   }
 
-  /** More important work may always use it: a loan forbids nothing that preemption would allow. */
+  /** Work with a higher priority may always use the capacity: a loan forbids nothing that preemption would allow. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
     const holds = this.byMachine.get(capacity.id);
     if (holds === undefined) return true;
--- a/src/lending/return-times.ts
+++ b/src/lending/return-times.ts
@@ -1,31 +1,31 @@
-/** How long GPUs take to come back once they are recalled: measured, or what a boot takes. */
+/** Estimates how long a recall takes, from measured recalls or, while there are few, from the boot time. */
 
 import type { TermView } from '../subsystems/subsystem.js';
 import { covering, remember } from '../subsystems/samples.js';
 
-/** What the protocol leads to expect of slow boots, as a share of the nominal time. */
+/** Expected duration of slow boots as a multiple of the nominal time, by the protocol. */
 const SLOW_BOOT_FACTOR = 1.6;
-/** Report intervals until a stop is told, carried out and heard of, and a start likewise. */
+/** Heartbeat intervals until a stop command is sent, carried out and reported, and then a start command. */
 const COMMAND_HEARTBEATS = 4;
 
-/** How long it takes to bring lent GPUs back, from what was measured. */
+/** Estimates the duration of recalls from measured ones. */
 export class ReturnTimes {
   private readonly samples: number[] = [];
 
   constructor(private readonly view: TermView) {}
 
-  /** A recall took so many seconds. */
+  /** Records the duration of a recall. */
   record(seconds: number): void {
     remember(this.samples, seconds);
   }
 
-  /** Seconds that cover most recalls. */
+  /** Seconds within which most recalls end. */
   get recallDurationS(): number {
     const bootS = Math.max(0, ...[...this.view.machineTypes().values()].map((type) => type.bootS));
     return covering(this.samples, bootS * SLOW_BOOT_FACTOR + this.commandDelayS);
   }
 
-  /** Seconds from a place being there until the task was told to start and has shown itself. */
+  /** Seconds from a place being available until the task's start has been sent and reported. */
   get commandDelayS(): number {
     return this.view.settings.workers.report_s * COMMAND_HEARTBEATS;
   }
--- a/src/lending/view.ts
+++ b/src/lending/view.ts
@@ -1,9 +1,9 @@
-/** What operators are shown: a function of the records alone, the same on every controller. */
+/** The view of loans for operators: a function of the records alone, so that every controller shows the same. */
 
 import type { OwnedRecord } from '../subsystems/subsystem.js';
 import { decodeLoan, isOpen, LOAN_PREFIX, loanId, type Loan, type LoanState } from './loan.js';
 
-/** A loan as operators are shown it. */
+/** A loan as shown to operators. */
 export interface LoanRow {
   loan: string;
   lender: string;
@@ -12,16 +12,16 @@
   machine: string;
   gpus: number;
   state: LoanState;
-  /** ISO 8601; null: no deadline asks for it. */
+  /** ISO 8601; null: no deadline requires it. */
   due: string | null;
   granted: string;
   changed: string;
   reason: string;
 }
 
-/** All loans as operators are shown them. */
+/** All loans as shown to operators. */
 export interface LoansView {
-  /** Open ones first, the earliest due first; then those that are over, the latest first. */
+  /** Open loans first, the earliest due first; then ended loans, the latest first. */
   loans: LoanRow[];
 }
 
@@ -60,7 +60,7 @@
   return loans;
 }
 
-/** What the records of the subsystem say. */
+/** Builds the view from the records of the subsystem. */
 export function loansView(records: ReadonlyMap<string, OwnedRecord>): LoansView {
   return { loans: storedLoans(records).sort(compareLoans).map(rowOf) };
 }
--- a/src/subsystems/active-subsystems.ts
+++ b/src/subsystems/active-subsystems.ts
@@ -1,4 +1,4 @@
-/** The subsystems of a term as one: what the leader's parts ask. */
+/** Combines the subsystems of a term for the other parts of the leader. */
 
 import type { JobSpec } from '../jobs/types.js';
 import type { Log } from '../log.js';
@@ -21,24 +21,24 @@
   term: SubsystemTerm;
 }
 
-/** A write and the subsystem whose record it is of. */
+/** A write and the subsystem that owns its record. */
 export interface NamedWrite {
   subsystem: string;
   write: OwnedWrite;
 }
 
 /**
- * Without subsystems every answer is the neutral one, at no cost. A subsystem that throws is logged and
- * left out of this answer: it must not keep the leader from its work.
+ * The combined results of all subsystems. Without subsystems every result is neutral and costs nothing. If a
+ * subsystem throws, the error is logged and the result is combined without it: it must not stop the leader's work.
  */
 export class ActiveSubsystems {
   private readonly active: ActiveSubsystem[] = [];
-  /** Those that have something to say of preemptions. */
+  /** Subsystems that take part in preemptions. */
   private readonly preemptionRules: { name: string; rules: PreemptionRules }[] = [];
 
   constructor(private readonly log: Log | null = null) {}
 
-  /** Begins the term of each; one that throws is left out. */
+  /** Begins the term of each subsystem; one that throws takes no part in the term. */
   begin(subsystems: readonly Subsystem[], view: (subsystem: Subsystem) => TermView): void {
     for (const subsystem of subsystems) {
       const term = this.callGuarded(subsystem.name, null, () =>
@@ -68,14 +68,14 @@
     );
   }
 
-  /** Whether any subsystem keeps the machine. */
+  /** Whether any subsystem retains the machine. */
   keeps(machine: string): boolean {
     return this.active.some(({ name, term }) =>
       this.callGuarded(name, false, () => term.keeps(machine)),
     );
   }
 
-  /** What all subsystems keep, in machines. */
+  /** Free capacity that all subsystems reserve together, in machines. */
   keptMachines(): number {
     let sum = 0;
     for (const { name, term } of this.active) {
@@ -84,7 +84,7 @@
     return sum;
   }
 
-  /** Whether all subsystems allow it. */
+  /** Whether all subsystems allow the placement. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean {
     return this.active.every(({ name, term }) =>
       this.callGuarded(name, true, () => term.mayUse(spec, capacity)),
@@ -100,7 +100,7 @@
     return sum;
   }
 
-  /** How much worse it is to stop a task than by its lost work, in shares of the most; 0 without rules. */
+  /** The sum of all subsystems' extra costs of stopping a task, see `PreemptionRules.extraCost`; 0 without rules. */
   preemptionHarm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
     let sum = 0;
     for (const { name, rules } of this.preemptionRules) {
@@ -116,7 +116,7 @@
     );
   }
 
-  /** Carries an preemption out, unless a subsystem does so itself. */
+  /** Carries out a preemption, unless a subsystem takes it over. */
   preempt(preemption: Preemption): void {
     const takenOver = this.preemptionRules.some(({ name, rules }) =>
       this.callGuarded(name, false, () => rules.takesOver(preemption)),
@@ -124,7 +124,7 @@
     if (!takenOver) preemption.carryOut();
   }
 
-  /** What subsystems want to store, the most urgent of each first. */
+  /** The writes of all subsystems, the most urgent of each first. */
   dueWrites(): NamedWrite[] {
     return this.active.flatMap(({ name, term }) =>
       this.callGuarded(name, [], () => term.dueWrites()).map((write) => ({
@@ -134,7 +134,7 @@
     );
   }
 
-  /** Figures of all subsystems. */
+  /** Statistics of all subsystems. */
   statistics(): Record<string, number | string> {
     const all = this.active.map(({ name, term }) =>
       this.callGuarded(name, {}, () => term.statistics()),
@@ -151,7 +151,7 @@
     try {
       return call();
     } catch (error) {
-      this.log?.error({ subsystem: name, err: error }, 'subsystem');
+      this.log?.error({ subsystem: name, err: error }, 'subsystem call failed');
       return fallback;
     }
   }
--- a/src/subsystems/record-table.ts
+++ b/src/subsystems/record-table.ts
@@ -1,49 +1,49 @@
-/** Records of a subsystem in a term: what the store holds of them, and the changes on their way into it. */
+/** The records of a subsystem in a term: their stored values, and the changes that are still to be stored. */
 
 import type { OwnedRecord, OwnedWrite } from './subsystem.js';
 
-/** Changes that are offered to the store at a time: no transaction takes more. */
+/** Maximum number of changes returned at a time; no transaction takes more. */
 const MAX_WRITES_PER_BATCH = 64;
 
-/** How values of one kind are kept in the store. */
+/** How values of one kind are stored. */
 export interface RecordForm<T> {
-  /** Keys of this kind begin with it; what follows it names the value and never changes. */
+  /** Prefix of the keys of this kind; the rest of a key is the value's id and never changes. */
   readonly prefix: string;
   idOf(value: T): string;
   encode(value: T): unknown;
-  /** Null: a record of another form, which is left alone. */
+  /** Null: the record has another format, and is not changed. */
   decode(stored: unknown): T | null;
 }
 
-/** A value as it is, and as the store holds it. */
+/** The current and the stored value of a record. */
 export interface TableEntry<T> {
   readonly id: string;
-  /** As the store holds it; null: not stored yet. What leaves the controller rests on this alone. */
+  /** The stored value; null: not stored yet. What leaves the controller depends on this value alone. */
   stored: T | null;
   /** Revision of its record; 0: there is none. */
   revision: number;
-  /** As it is once all changes are stored. */
+  /** The value once all changes are stored. */
   current: T;
 }
 
-/** What a `RecordTable` works with. */
+/** Options of a `RecordTable`. */
 export interface RecordTableOptions<T> {
-  /** Changes that go first, before all others. */
+  /** Whether the change of an entry is stored before all others. */
   isUrgent: (entry: TableEntry<T>) => boolean;
-  /** Something in the table has changed. */
+  /** Called when something in the table has changed. */
   onChange?: () => void;
-  /** The store holds the entry's latest change. */
+  /** Called when the entry's latest change is stored. */
   onStored?: (entry: TableEntry<T>) => void;
 }
 
 /**
- * Every change is one guarded commit. Changes that come while one is on its way go out together with the
- * next. A commit that was not answered is read back; a change that it shows not to be carried out is
- * tried again on what the store holds.
+ * The records of one kind. Every change is guarded by the revision of its record. Changes made to a record while a
+ * commit is in progress are stored together by the next one. After a commit without an answer the record is read
+ * back; a change that was not carried out is retried on what the store holds.
  */
 export class RecordTable<T> {
   private readonly entries = new Map<string, TableEntry<T>>();
-  /** Ids with changes that are not stored, in the order in which they came. */
+  /** Ids with changes that are not stored, in the order of the changes. */
   private readonly unstoredIds = new Set<string>();
   /** Ids whose records are to be removed. */
   private readonly removalIds = new Set<string>();
@@ -53,7 +53,7 @@
     private readonly options: RecordTableOptions<T>,
   ) {}
 
-  /** Takes in records that are newer than what is known: a commit of this term that was carried out late. */
+  /** Adopts records that are newer than the known ones, for instance of a commit of this term that was carried out late. */
   reconcile(records: ReadonlyMap<string, OwnedRecord>): void {
     const { prefix } = this.codec;
     for (const [key, { value, revision }] of records) {
@@ -73,7 +73,7 @@
     this.options.onChange?.();
   }
 
-  /** Entries of the table. */
+  /** Number of entries. */
   get size(): number {
     return this.entries.size;
   }
@@ -83,12 +83,12 @@
     return this.entries.values();
   }
 
-  /** The entry of this name. */
+  /** The entry with this id. */
   get(id: string): TableEntry<T> | undefined {
     return this.entries.get(id);
   }
 
-  /** A new value, or the entry that has its name already. */
+  /** Adds a value, or returns the entry that already has its id. */
   add(value: T): TableEntry<T> {
     const id = this.codec.idOf(value);
     const known = this.entries.get(id);
@@ -112,7 +112,7 @@
     return !this.unstoredIds.has(entry.id);
   }
 
-  /** Its record was removed. */
+  /** Drops an entry whose record was removed or never stored. */
   removed(id: string): void {
     this.entries.delete(id);
     this.unstoredIds.delete(id);
@@ -120,7 +120,7 @@
     this.options.onChange?.();
   }
 
-  /** Its record goes once its latest change is stored. */
+  /** Removes the entry's record once its latest change is stored. */
   scheduleRemoval(entry: TableEntry<T>): void {
     this.removalIds.add(entry.id);
   }
@@ -185,7 +185,7 @@
       entry.revision = 0;
       return;
     }
-    // Nothing has changed: the same change is tried again.
+    // The record is unchanged: the same change is retried.
     if (record.revision === entry.revision) return;
     const value = this.codec.decode(record.value);
     if (value === null) return;
--- a/src/subsystems/samples.ts
+++ b/src/subsystems/samples.ts
@@ -1,19 +1,19 @@
-/** Measured values: the latest ones, and what covers most of them. */
+/** Keeps the latest measured values and derives estimates that cover most of them. */
 
-/** Samples kept of each kind, the latest ones. */
+/** Number of latest samples that are kept of each kind. */
 const MAX_SAMPLES = 24;
-/** Fewer than this are mixed with what is expected beforehand. */
+/** With fewer samples, an estimate is no lower than the value expected without measurements. */
 const MIN_SUFFICIENT_SAMPLES = 6;
-/** The share of cases that are covered. */
+/** Share of cases that an estimate covers. */
 const COVERED_SHARE = 0.9;
 
-/** The value that so large a share of the samples does not exceed. */
+/** The value that this share of the samples does not exceed. */
 export function quantile(samples: readonly number[], share: number): number {
   const sorted = [...samples].sort((a, b) => a - b);
   return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
 }
 
-/** What covers most cases; few samples do not outweigh what is expected of the slow ones. */
+/** A value that covers most cases. With few samples it is at least `expected`, the expectation for slow cases. */
 export function covering(samples: readonly number[], expected: number): number {
   if (samples.length === 0) return expected;
   const measured = quantile(samples, COVERED_SHARE);
@@ -21,7 +21,7 @@
   return Math.max(measured, expected);
 }
 
-/** Adds a sample, to a thousandth, in place of the oldest one. */
+/** Adds a sample, rounded to a thousandth; the oldest one is dropped once there are too many. */
 export function remember(samples: number[], value: number): void {
   samples.push(Math.round(value * 1000) / 1000);
   if (samples.length > MAX_SAMPLES) samples.shift();
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -1,8 +1,8 @@
 /**
- * What a subsystem and the leader know of each other: the only way by which a subsystem takes part in a
- * term. A subsystem never commands a worker and never places a task. It owns records below a prefix of
- * its own, asks for machines, keeps machines from being given back and from work that should not use
- * them, and says where a task had better go.
+ * The interface between a subsystem and the leader: a subsystem takes part in a term only through it. A subsystem
+ * never sends commands to workers and never places tasks. It owns records below a prefix of its own, requests
+ * machines, protects machines from removal and from work that should not use them, and states preferences for the
+ * placement of tasks.
  */
 
 import type { Settings } from '../config/settings.js';
@@ -16,31 +16,31 @@
 import type { Attempt } from '../workers/attempt.js';
 import type { Machine } from '../workers/machine.js';
 
-/** A record of a subsystem as the store holds it. */
+/** A stored record of a subsystem. */
 export interface OwnedRecord {
   value: unknown;
   /** Revision of its latest change. */
   revision: number;
 }
 
-/** A put (value) or removal (null) of one record, guarded by the revision that is known of it. */
+/** A put (value) or removal (null) of one record, guarded by the record's known revision. */
 export interface OwnedChange {
   /** Below the subsystem's own prefix. */
   key: string;
-  /** 0: there is none. */
+  /** 0: there is no record. */
   revision: number;
   value: unknown;
 }
 
-/** Changes of one transaction, guarded by the leader's key too, and what follows from its outcome. */
+/** Changes of one transaction, which is also guarded by the leader's key, and callbacks for its outcome. */
 export interface OwnedWrite extends OwnedChange {
   /** Records that change in the same transaction, all or none. */
   alsoChanges: readonly OwnedChange[];
-  /** It goes with the leader's most urgent writes: somebody waits for it. */
+  /** Whether it is stored with the leader's most urgent writes, because other work waits for it. */
   urgent?: boolean;
-  /** Carried out, with this revision. */
+  /** Called when it was carried out, with its revision. */
   stored(revision: number): void;
-  /** Refused by a guard, or not answered: this is what the store holds under `key`. */
+  /** Called when a guard refused it or there was no answer, with what the store holds under `key`. */
   readBack(record: OwnedRecord | null): void;
 }
 
@@ -92,39 +92,39 @@
   attempt: AttemptView;
 }
 
-/** Capacity that the leader has decided to make on one machine. */
+/** A decision of the leader to free capacity on one machine by stopping tasks. */
 export interface Preemption {
   machine: string;
-  /** The job whose task gets it. */
+  /** The job whose task gets the capacity. */
   borrower: LiveJobView;
   victims: readonly PreemptionVictim[];
-  /** Whether those that can save may do so first. */
+  /** Whether victims that can save may do so first. */
   saves: boolean;
-  /** Stops the victims that are still there, if the borrower still wants the capacity; false: it does not. */
+  /** Stops the victims that still run, if the borrower still needs the capacity; false: it does not. */
   carryOut(): boolean;
 }
 
-/** A replica that had better be elsewhere. */
+/** A replica that should run on another machine. */
 export interface ReplicaMigration {
   job: string;
   index: number;
-  /** Where it is. */
+  /** Its present machine. */
   from: string;
-  /** Whether its image may have to be fetched there. */
+  /** Whether the new machine may be one that has to fetch its image. */
   mayFetch: boolean;
 }
 
-/** What a subsystem has to say of capacity that is made by stopping lower-priority work. */
+/** How a subsystem takes part in preemptions. */
 export interface PreemptionRules {
-  /** How much worse than by its lost work it is to stop a task, from 0 to 1. It forbids nothing. */
+  /** Cost of stopping a task on top of its lost work, from 0 to 1. No cost forbids a preemption. */
   extraCost(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number;
-  /** Whether it is about to be stopped by an preemption that this subsystem has taken over. */
+  /** Whether an attempt is about to be stopped by a preemption that this subsystem has taken over. */
   isStopping(attempt: AttemptView): boolean;
-  /** True: the subsystem calls `carryOut` itself, soon. */
+  /** Whether the subsystem takes over a preemption. True: it soon calls `carryOut` itself. */
   takesOver(preemption: Preemption): boolean;
 }
 
-/** What a team's tasks use. */
+/** Resources that a team's tasks use. */
 export interface TeamUsage {
   cores: number;
   gpus: number;
@@ -134,84 +134,84 @@
 export interface TermView {
   readonly settings: Settings;
   readonly log: Log;
-  /** Token of the term: higher than that of every earlier one. */
+  /** Fencing token of the term: higher than that of every earlier one. */
   readonly token: number;
-  /** Names that begin with it never recur. */
+  /** Names with this prefix are unique across all terms. */
   readonly uniquePrefix: string;
   /** Seconds of the steady clock. */
   now(): number;
-  /** Names moments to people and other processes; what takes time is measured by `now`. */
+  /** Identifies moments for people and other processes; durations are measured by `now`. */
   readonly timeOfDay: TermTimeOfDay;
-  /** Whether it may store and place. */
+  /** Whether the term may store records and place tasks. */
   canWrite(): boolean;
   machineTypes(): ReadonlyMap<string, MachineType>;
-  /** Undefined: nothing is known of it, or no longer. */
+  /** Undefined: the machine is not known, or not any more. */
   machine(id: string): MachineView | undefined;
   /** Whether a machine that was added is still expected to send heartbeats. */
   isPending(id: string): boolean;
   /** Whether the cloud's latest list names it; null: there has been no list yet. */
   isListed(id: string): boolean | null;
-  /** Whether the cloud has just had no ordinary machine of this type in this zone. */
+  /** Whether the cloud recently had no ordinary machine of this type in this zone. */
   isShort(type: string, zone: string): boolean;
   spec(job: string): JobSpec | null;
-  /** An open job; undefined: it is over, or not known. */
+  /** An open job; undefined: it has ended or is not known. */
   job(id: string): LiveJobView | undefined;
   jobs(): Iterable<LiveJobView>;
-  /** Time of day in ms by which a job has to be done for all deadlines after it; Infinity: none. */
+  /** Time of day in ms by which a job has to end so that it and its dependents meet all deadlines; Infinity: none. */
   latestEndMs(job: string): number;
-  /** Moves a replica to a free place; false: there is none now, or too many move. */
+  /** Migrates a replica to a free place; false: there is none now, too many migrate, or no other replica runs. */
   migrateReplica(move: ReplicaMigration): boolean;
-  /** Seconds between two moves of replicas of a class, at least. */
+  /** Minimum number of seconds between two migrations of replicas of a class. */
   migrationGapS(jobClass: string): number;
-  /** Ends an attempt that was told to stop, or is saving, without waiting for it any longer. */
+  /** Stops an attempt immediately that has been asked to stop, or is saving. */
   endStopped(attempt: AttemptView): void;
-  /** What is free after the latest scheduling cycle. */
+  /** Free capacity after the latest scheduling cycle. */
   freeCapacities(): readonly FreeCapacity[];
-  /** What a team's tasks used at the latest scheduling cycle. */
+  /** Resources that a team's tasks used at the latest scheduling cycle. */
   usage(team: string): TeamUsage;
   /** The subsystem's own records as they are in this controller's replica of the store, by key. */
   records(): ReadonlyMap<string, OwnedRecord>;
-  /** There is something to store. */
+  /** Signals that there is something to store. */
   wakeWriter(): void;
-  /** There is something to ask the cloud for. */
+  /** Signals that there is something to request from the cloud. */
   wakeProvisioner(): void;
 }
 
-/** A request to the cloud under a name that is stored. It may be sent again by any later term. */
+/** A request to the cloud under a stored name. Any later term may send it again. */
 export interface StoredScaleOutRequest {
   request: ScaleOutRequest;
-  /** It is about to be sent. */
+  /** Called when it is about to be sent. */
   sending(): void;
   answered(result: ScaleOutResult): void;
 }
 
-/** A subsystem's part in one term. All of it is asked often: nothing here may wait. */
+/** A subsystem's part in one term. All methods are called often and must not block. */
 export interface SubsystemTerm {
   /** Called about twice a heartbeat interval. */
   tick(): void;
   /** Requests to the cloud that are due. */
   scaleOutRequests(): StoredScaleOutRequest[];
-  /** Whether a machine stays although nothing runs on it. */
+  /** Whether a machine must be retained although it may be idle: it is neither removed nor drained. */
   keeps(machine: string): boolean;
-  /** Free capacity on ordinary machines that is spoken for, in machines. */
+  /** Reserved free capacity on ordinary machines, in machines. */
   keptMachines(): number;
-  /** Whether a task may be placed there. */
+  /** Whether a task may be placed on the machine of this capacity. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean;
-  /** Seconds by which a task had better be placed there than on the same machine without a subsystem. */
+  /** Seconds by which placing a task there is better than on the same machine without a subsystem; negative: worse. */
   preferenceS(spec: JobSpec, capacity: FreeCapacity): number;
-  /** What is to be stored, the most urgent first. It goes after all writes of the leader itself. */
+  /** Writes that are due, the most urgent first. Unless `urgent`, they follow all writes of the leader itself. */
   dueWrites(): OwnedWrite[];
   statistics(): Record<string, number | string>;
-  /** Missing: it has nothing to say of preemptions. */
+  /** Missing: the subsystem takes no part in preemptions. */
   readonly preemption?: PreemptionRules;
   stop(): void;
 }
 
-/** What a controller offers beside its term. */
+/** A part of a controller that can be switched on, such as lending or warm pools. */
 export interface Subsystem {
-  /** In keys of the store and in figures. */
+  /** Used in keys of the store and in statistics. */
   readonly name: string;
   beginTerm(term: TermView): SubsystemTerm;
-  /** For operators: what the records say, whoever leads. */
+  /** The view for operators, computed from the records alone: the same on every controller. */
   view(records: ReadonlyMap<string, OwnedRecord>, settings: Settings, wallMs: number): unknown;
 }
--- a/src/subsystems/view-command.ts
+++ b/src/subsystems/view-command.ts
@@ -1,4 +1,4 @@
-/** Commands of the program that print what a running controller says of a subsystem. */
+/** Common parts of the commands that print a running controller's view of a subsystem. */
 
 import * as v from 'valibot';
 import { parseEndpoint } from '../config/endpoint.js';
@@ -7,19 +7,19 @@
 const RESPONSE_TIMEOUT_S = 5;
 const HOST_PORT_PATTERN = /^[^\s:]+:\d{1,5}$/;
 
-/** What went wrong, in one line. */
+/** A failed command; the message is one line. */
 export class CommandError extends Error {}
 
-/** What a command asks a controller, and the form of the answer. */
+/** The view that a command requests from a controller, and the schema of the response. */
 export interface ViewQuestion<T> {
-  /** In the path of the question. */
+  /** Used in the path of the request. */
   subsystem: string;
-  /** In messages: what is switched off. */
+  /** Used in messages as the subject and verb of "switched off". */
   title: string;
   schema: v.GenericSchema<unknown, T>;
 }
 
-/** Asks a controller. Any of them has the same answer. Throws CommandError. */
+/** Fetches a view from a controller; every controller returns the same one. Throws CommandError. */
 export async function fetchView<T>(
   address: string,
   { subsystem, title, schema }: ViewQuestion<T>,
@@ -47,7 +47,7 @@
 /** A cell of a table. */
 export type Cell = string | number;
 
-/** Columns as wide as their widest cell; numbers to the right. */
+/** Formats a table. Columns are as wide as their widest cell; numbers are right-aligned. */
 export function table(header: readonly string[], rows: readonly (readonly Cell[])[]): string {
   const widths = header.map((title, column) =>
     Math.max(title.length, ...rows.map((row) => String(row[column]).length)),
