--- a/src/lending/grants.ts
+++ b/src/lending/grants.ts
@@ -58,10 +58,10 @@
     const { job, attempt } = victim;
     const open = table.openLoanOf(job.spec.id, attempt.index);
     const loanOfAttempt = table.get(loanIdOf(victim));
-    const lending =
+    const hasOpenLoan =
       (loanOfAttempt !== undefined && !isNotYetLent(loanOfAttempt)) ||
       (open !== undefined && open !== loanOfAttempt);
-    const history = { lending, lentAtMs: table.lastGrantedAtMs(job.spec.id) };
+    const history = { hasOpenLoan, lentAtMs: table.lastGrantedAtMs(job.spec.id) };
     return assessLoan(lenderWork(victim, saves, history, this.options));
   }
 
--- a/src/lending/lender-work.ts
+++ b/src/lending/lender-work.ts
@@ -32,8 +32,8 @@
 /** `lentAtMs`: when the job's latest loan was granted, in ms of the time of day; null: never. */
 export function lenderWork(
   victim: PreemptionVictim,
-  borrowerWaits: boolean,
-  { lending, lentAtMs }: { lending: boolean; lentAtMs: number | null },
+  borrowerCanWait: boolean,
+  { hasOpenLoan, lentAtMs }: { hasOpenLoan: boolean; lentAtMs: number | null },
   { view, errors, returnTimes }: LenderWorkContext,
 ): LenderWork {
   const { job, attempt } = victim;
@@ -55,8 +55,8 @@
       attempt.state !== 'fetching' && attempt.state !== 'waiting' && occupiesCapacity(attempt),
     guaranteed: job.isGuaranteed,
     sinceLastLoanS: lentAtMs === null ? Infinity : (nowMs - lentAtMs) / 1000,
-    hasOpenLoan: lending,
-    borrowerCanWait: borrowerWaits,
+    hasOpenLoan,
+    borrowerCanWait,
   };
 }
 
--- a/src/lending/loan-monitor.ts
+++ b/src/lending/loan-monitor.ts
@@ -12,7 +12,7 @@
 import { planRecalls } from './recall-plan.js';
 import type { ReturnTimes } from './return-times.js';
 
-/** If a lender still runs so long after the start of a term, no leader has sent it a stop command. */
+/** If a lender still runs this many leases after the start of a term, no leader has sent it a stop command. */
 const NOT_STOPPED_LEASES = 1;
 /** Saving may take this multiple of the time that the job declares, and this many leases more. */
 const SAVE_FACTOR = 1.5;
@@ -123,9 +123,9 @@
   }
 
   /**
-   * A return is waived only after this leader has been able to act for as long as a recall takes, plus a grace period:
-   * a late return is still better than none. Waived at the due time, a lender lost its place for good after an outage,
-   * or after several leaders in a row that were too short-lived to recall the loan.
+   * A return is waived only once this leader has been able to act, past the due time, for as long as a recall takes
+   * plus a grace period: a late return is better than none. Waived at the due time, a lender lost its place for good
+   * after an outage, or after several leaders in a row that were too short-lived to recall the loan.
    */
   private brokenReason(loan: Loan, observed: Pick<LoanEvidence, 'borrower'>): string | null {
     const { view, returnTimes, clock } = this.options;
--- a/src/lending/loan-times.ts
+++ b/src/lending/loan-times.ts
@@ -73,7 +73,7 @@
 
   /**
    * The due time by this machine's clock. A latest change in the future shows that the two machines' clocks differ by
-   * an unknown time: the loan is then due at once, which at worst moves the borrower early, and keeps the deadline.
+   * an unknown time: the loan is then due at once, which at worst migrates the borrower early, but meets the deadline.
    */
   private inheritedDueAt({ dueMs, changedMs }: Loan): number | null {
     const { view } = this;
--- a/src/lending/return-holds.ts
+++ b/src/lending/return-holds.ts
@@ -9,9 +9,9 @@
 import type { LoanTable } from './loan-table.js';
 import type { LoanClock } from './loan-times.js';
 
-/** Returned capacity is reserved for so long at most, so that a lender that may not start does not block it. */
+/** Returned capacity is reserved for at most this many leases, so that a lender that may not start does not block it. */
 const HOLD_LEASES = 2;
-/** A borrower is placed on a machine that it had to leave only if that saves it so many leases. */
+/** A borrower is placed on a machine that it had to leave only if that saves it this many leases. */
 const AVOID_LEASES = 100;
 
 interface Hold {
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -191,7 +191,7 @@
   tick(): void;
   /** Requests to the cloud that are due. */
   scaleOutRequests(): StoredScaleOutRequest[];
-  /** Whether a machine must be retained although it may be idle: it is neither removed nor drained. */
+  /** Whether a healthy machine is retained, even if it is idle: it is neither removed nor drained. */
   keeps(machine: string): boolean;
   /** Reserved free capacity on ordinary machines, in machines. */
   keptMachines(): number;
--- a/test/lending-failures.test.ts
+++ b/test/lending-failures.test.ts
@@ -304,14 +304,12 @@
   assert.ok(world.store.keys().some((key) => key.startsWith(prefix)));
 }
 
-for (const [name, troubles] of Object.entries({ LEADERS, STORE, MACHINES, JOBS })) {
-  for (const trouble of troubles) {
-    test(`${name.toLowerCase()}: ${trouble.name}, between any two steps of a loan`, async () => {
+for (const [name, faults] of Object.entries({ LEADERS, STORE, MACHINES, JOBS })) {
+  for (const fault of faults) {
+    test(`${name.toLowerCase()}: ${fault.name}, between any two steps of a loan`, async () => {
       const failures: string[] = [];
-      for (const point of trouble.points ?? POINTS) {
-        await runFault(trouble, point).catch((e: unknown) =>
-          failures.push(`${point}: ${String(e)}`),
-        );
+      for (const point of fault.points ?? POINTS) {
+        await runFault(fault, point).catch((e: unknown) => failures.push(`${point}: ${String(e)}`));
       }
       assert.deepEqual(failures, []);
     });
