--- a/src/lending/grants.ts
+++ b/src/lending/grants.ts
@@ -1,4 +1,4 @@
-/** Granting: the loan is stored before the lender is told to stop. */
+/** Grants loans: a loan is stored before its lender is stopped. */
 
 import type {
   AttemptView,
@@ -17,10 +17,10 @@
 import { assessLoan, type LoanAssessment } from './loan-safety.js';
 import type { ReturnTimes } from './return-times.js';
 
-/** Report intervals within which a grant has to be stored; then capacity is made without a promise. */
-const STORE_HEARTBEATS = 1;
+/** Heartbeat intervals within which a grant has to be stored; after that, the lender is preempted without a loan. */
+const STORE_TIMEOUT_HEARTBEATS = 1;
 
-/** An preemption whose loans are on their way into the store. */
+/** A preemption whose loans are being stored. */
 interface PendingGrant {
   preemption: Preemption;
   loans: LoanEntry[];
@@ -29,7 +29,7 @@
   since: number;
 }
 
-/** What `Grants` work with. */
+/** What `Grants` depends on. */
 export interface GrantOptions {
   view: TermView;
   table: LoanTable;
@@ -38,49 +38,51 @@
   returnTimes: ReturnTimes;
 }
 
-/** Weighs whom to preempt for a service, and stores loans before anybody is told to stop. */
+/** Rates possible lenders for a service, and stores their loans before they are stopped. */
 export class Grants implements PreemptionRules {
   private pending: PendingGrant[] = [];
-  /** Preemptions of services by which capacity was made without any promise. */
-  withoutPromise = 0;
+  /** Preemptions for services that were carried out without a loan. */
+  preemptionsWithoutLoan = 0;
 
   constructor(private readonly options: GrantOptions) {}
 
-  /** See `PreemptionRules.harm`. */
-  harm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
-    if (!isLoan(borrower, victim)) return 0;
-    const judgement = this.assess(victim, saves);
-    return judgement.safe ? judgement.harm : 1;
+  /** See `PreemptionRules.extraCost`. */
+  extraCost(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
+    if (!isLoanable(borrower, victim)) return 0;
+    const assessment = this.assess(victim, saves);
+    return assessment.safe ? assessment.cost : 1;
   }
 
   private assess(victim: PreemptionVictim, saves: boolean): LoanAssessment {
     const { table } = this.options;
     const { job, attempt } = victim;
     const open = table.openLoanOf(job.spec.id, attempt.index);
-    const own = table.get(nameOf(victim));
-    const lending = (own !== undefined && !isUntold(own)) || (open !== undefined && open !== own);
-    const known = { lending, lentAtMs: table.lentAtMs(job.spec.id) };
-    return assessLoan(lenderWork(victim, saves, known, this.options));
+    const loanOfAttempt = table.get(loanIdOf(victim));
+    const hasOpenLoan =
+      (loanOfAttempt !== undefined && !isNotYetLent(loanOfAttempt)) ||
+      (open !== undefined && open !== loanOfAttempt);
+    const history = { hasOpenLoan, lentAtMs: table.lastGrantedAtMs(job.spec.id) };
+    return assessLoan(lenderWork(victim, saves, history, this.options));
   }
 
   /** See `PreemptionRules.isStopping`. */
   isStopping({ job, index, number, state }: AttemptView): boolean {
     const key = attemptKey(job, index, number);
     if (this.pending.some(({ attempts }) => attempts.has(key))) return true;
-    // Told by an earlier leader.
+    // An earlier leader has sent the stop command.
     return state === 'saving' && this.options.table.openLoanOf(job, index) !== undefined;
   }
 
-  /** Where not all victims may lend, the capacity is made at once and nothing is promised. */
+  /** Unless all victims may lend, the preemption is carried out at once without a loan. */
   takesOver(preemption: Preemption): boolean {
     const { borrower, victims } = preemption;
-    if (!victims.every((victim) => isLoan(borrower, victim))) return false;
+    if (!victims.every((victim) => isLoanable(borrower, victim))) return false;
     const loans = this.loansOf(preemption);
     if (loans === null) {
-      this.withoutPromise++;
+      this.preemptionsWithoutLoan++;
       return false;
     }
-    const entries = loans.map((loan) => this.request(loan));
+    const entries = loans.map((loan) => this.addOrRegrant(loan));
     const attempts = new Set(loans.flatMap(attemptKeys));
     const since = this.options.view.now();
     this.pending.push({ preemption, loans: entries, attempts, since });
@@ -89,39 +91,39 @@
     return true;
   }
 
-  /** One loan for each lender; null: one of them may not lend. */
+  /** One loan for each lender; null: one of them may not lend, or a limit is reached. */
   private loansOf(preemption: Preemption): Loan[] | null {
     const { view, table, config } = this.options;
-    const byName = new Map<string, Loan>();
+    const byId = new Map<string, Loan>();
     for (const victim of preemption.victims) {
-      const judgement = this.assess(victim, preemption.saves);
-      if (!judgement.safe) return null;
-      const loan = makeLoan(victim, preemption, view.timeOfDay.nowMs(), judgement.latestReturnS);
-      byName.set(loanId(loan), loan);
+      const assessment = this.assess(victim, preemption.saves);
+      if (!assessment.safe) return null;
+      const loan = makeLoan(victim, preemption, view.timeOfDay.nowMs(), assessment.latestReturnS);
+      byId.set(loanId(loan), loan);
     }
-    const loans = [...byName.values()];
+    const loans = [...byId.values()];
     const open = [...table.open()].length;
     if (open + loans.length > config.maxOpen) return null;
-    const mostBytes = view.settings.state.value_kb * 1024;
-    if (loans.some((loan) => loanBytes(loan) > mostBytes)) return null;
-    return this.hasGpus(preemption.machine, loans) ? loans : null;
+    const maxBytes = view.settings.state.value_kb * 1024;
+    if (loans.some((loan) => loanBytes(loan) > maxBytes)) return null;
+    return this.hasUnlentGpus(preemption.machine, loans) ? loans : null;
   }
 
-  /** No GPU may be named by two open loans. */
-  private hasGpus(machine: string, loans: readonly Loan[]): boolean {
+  /** Whether the machine has enough GPUs that no other open loan names. */
+  private hasUnlentGpus(machine: string, loans: readonly Loan[]): boolean {
     const { view, table } = this.options;
-    const whole = view.machineTypes().get(view.machine(machine)?.type ?? '')?.gpus ?? 0;
-    const fresh = loans.filter((loan) => table.get(loanId(loan)) === undefined);
-    const gpus = fresh.reduce((sum, loan) => sum + loan.gpus, table.lentGpus(machine));
-    return gpus <= whole + 1e-6;
+    const machineGpus = view.machineTypes().get(view.machine(machine)?.type ?? '')?.gpus ?? 0;
+    const newLoans = loans.filter((loan) => table.get(loanId(loan)) === undefined);
+    const gpus = newLoans.reduce((sum, loan) => sum + loan.gpus, table.lentGpus(machine));
+    return gpus <= machineGpus + 1e-6;
   }
 
   /**
-   * A new loan, or the one that an earlier term stored and did not carry out. One that is being granted stays
-   * as it is: both machines of a gang were once wanted in one scheduling cycle, and its loan named the second borrower
-   * with the first one's machine.
+   * Adds a new loan, or grants the one again that an earlier term stored and did not carry out. A loan whose grant is
+   * pending is not changed: if two borrowers take both machines of a gang in one scheduling cycle, its loan would
+   * name the second borrower with the machine of the first.
    */
-  private request(loan: Loan): LoanEntry {
+  private addOrRegrant(loan: Loan): LoanEntry {
     const { table } = this.options;
     const known = table.get(loanId(loan));
     if (known === undefined) return table.add(loan);
@@ -132,24 +134,24 @@
     return known;
   }
 
-  /** Stops the lenders whose loans are all stored. */
+  /** Carries out the preemptions whose loans are all stored. */
   carryOutStored(): void {
     const { table } = this.options;
     this.carryOutReady(({ loans }) => loans.every((loan) => table.isStored(loan)));
   }
 
   /**
-   * What could not be stored in time is carried out without a promise: critical work gets what it would
-   * without lending. A record that the store takes after all is a loan like any other.
+   * Carries out preemptions without a loan where the loans could not be stored in time: critical work must not wait
+   * longer than without lending. If the store has accepted such a record after all, it is an ordinary loan.
    */
-  giveUpLate(): void {
+  carryOutOverdue(): void {
     const { view } = this.options;
-    const mostS = view.settings.workers.report_s * STORE_HEARTBEATS;
-    const isLate = ({ since }: PendingGrant): boolean => view.now() - since > mostS;
-    const loans = this.pending.filter(isLate).flatMap((pending) => pending.loans);
-    this.withoutPromise += this.carryOutReady(isLate);
-    // What the store will not take is not offered to it for ever.
-    for (const loan of loans) if (loan.stored === null) this.options.table.forget(loan);
+    const maxWaitS = view.settings.workers.report_s * STORE_TIMEOUT_HEARTBEATS;
+    const isOverdue = ({ since }: PendingGrant): boolean => view.now() - since > maxWaitS;
+    const loans = this.pending.filter(isOverdue).flatMap((pending) => pending.loans);
+    this.preemptionsWithoutLoan += this.carryOutReady(isOverdue);
+    // Loans that the store does not accept are not retried forever.
+    for (const loan of loans) if (loan.stored === null) this.options.table.dropUnstored(loan);
   }
 
   /** Carries out the preemptions that are ready. Returns how many. */
@@ -159,31 +161,31 @@
     this.pending = this.pending.filter((pending) => !ready.includes(pending));
     for (const { preemption, loans } of ready) {
       if (preemption.carryOut()) continue;
-      for (const loan of loans) this.withdraw(loan);
+      for (const loan of loans) this.cancelGrant(loan);
     }
     return ready.length;
   }
 
-  private withdraw(loan: LoanEntry): void {
+  private cancelGrant(loan: LoanEntry): void {
     if (loan.current.state !== 'requested') return;
     this.options.table.apply(loan, { kind: 'cancelled', reason: 'the borrower needs it no more' });
   }
 
-  /** Whether a loan is on its way into the store or about to be carried out. */
+  /** Whether a loan is being stored as part of a grant, or its preemption is about to be carried out. */
   isPending(entry: LoanEntry): boolean {
     return this.pending.some(({ loans }) => loans.includes(entry));
   }
 }
 
-/** Serving borrows from finite work. Anything else that makes capacity does so without a loan. */
-const isLoan = (borrower: LiveJobView, { job }: PreemptionVictim): boolean =>
+/** Only services borrow, and only from finite jobs. All other preemptions are made without a loan. */
+const isLoanable = (borrower: LiveJobView, { job }: PreemptionVictim): boolean =>
   borrower.spec.kind === 'service' && job.spec.kind !== 'service';
 
-/** A loan whose lender may not have been told, and runs. */
-const isUntold = ({ current: { state } }: LoanEntry): boolean =>
+/** Whether the lender may still be on its machine. */
+const isNotYetLent = ({ current: { state } }: LoanEntry): boolean =>
   state === 'requested' || state === 'saving';
 
-/** A gang lends whole. */
+/** All tasks of a gang are lent together. */
 function lentTasks({ job, attempt }: PreemptionVictim): LentTask[] {
   const attempts = job.isGang ? [...job.attemptsByTask.values()].flat() : [attempt];
   const same = attempts.filter((each) => each.number === attempt.number);
@@ -192,7 +194,7 @@
     .sort((a, b) => a.index - b.index);
 }
 
-const nameOf = (victim: PreemptionVictim): string =>
+const loanIdOf = (victim: PreemptionVictim): string =>
   loanId({ lender: victim.job.spec.id, tasks: lentTasks(victim) });
 
 const attemptKeys = ({ lender, tasks }: Loan): string[] =>
@@ -206,13 +208,13 @@
 ): Loan {
   const { spec } = victim.job;
   const tasks = lentTasks(victim);
-  const here = tasks.filter((task) => task.machine === machine).length;
+  const tasksOnMachine = tasks.filter((task) => task.machine === machine).length;
   return {
     lender: spec.id,
     tasks,
     borrower: borrower.spec.id,
     machine,
-    gpus: spec.gpus * here,
+    gpus: spec.gpus * tasksOnMachine,
     state: 'requested',
     dueMs: latestReturnS === Infinity ? null : Math.round(nowMs + latestReturnS * 1000),
     grantedMs: nowMs,
--- a/src/lending/recall-plan.ts
+++ b/src/lending/recall-plan.ts
@@ -1,43 +1,46 @@
-/** When recalls have to begin so that all are over in time, with a bounded number of them at once. */
+/** Plans when recalls have to begin so that all of them end in time, with a bounded number in progress. */
 
 /** A loan that may have to be recalled. */
 export interface DueLoan {
   id: string;
-  /** When the lender needs its place, in ms of a clock that is never set; null: no deadline asks for it. */
+  /** When the lender needs its place, in ms of a clock that is never set; null: no deadline requires it. */
   dueMs: number | null;
-  /** Borrowers of one group are moved one after the other. */
+  /** Borrowers of one group are migrated one after the other. */
   group: string;
 }
 
 /** How fast loans can be recalled; times in ms. */
 export interface RecallPace {
-  /** What one recall takes. */
-  wayBackMs: number;
-  /** Recalls under way at a time. */
-  atOnce: number;
-  /** Between the beginnings of two recalls of one group. */
+  /** Duration of one recall. */
+  recallDurationMs: number;
+  /** Maximum number of recalls in progress. */
+  maxConcurrent: number;
+  /** Minimum time between the starts of two recalls of one group. */
   gapMs: (group: string) => number;
 }
 
 /**
- * The moment, in ms of the same clock, at which each recall has to begin, by loan, the earliest due first: each is over when it is
- * due, and before the one `atOnce` places later has to begin; within a group they keep the gap. Loans without
- * a due time are left out.
+ * Returns the time, in ms of the same clock, at which each recall has to begin, by loan id, the earliest due first.
+ * Each recall ends by its due time, and before the one `maxConcurrent` positions later begins; within a group, recalls
+ * begin at least the gap apart. Loans without a due time are left out.
  */
 export function planRecalls(
   loans: readonly DueLoan[],
-  { wayBackMs, atOnce, gapMs }: RecallPace,
+  { recallDurationMs, maxConcurrent, gapMs }: RecallPace,
 ): Map<string, number> {
   const due = loans.filter((loan): loan is DueLoan & { dueMs: number } => loan.dueMs !== null);
   due.sort((a, b) => a.dueMs - b.dueMs || (a.id < b.id ? -1 : 1));
-  const begins: number[] = [];
-  const firstOfGroup = new Map<string, number>();
+  const startsMs: number[] = [];
+  const firstStartOfGroup = new Map<string, number>();
   for (let i = due.length - 1; i >= 0; i--) {
     const { dueMs, group } = due[i]!;
-    const next = begins[i + atOnce] ?? Infinity;
-    const nextOfGroup = firstOfGroup.get(group) ?? Infinity;
-    begins[i] = Math.min(Math.min(dueMs, next) - wayBackMs, nextOfGroup - gapMs(group));
-    firstOfGroup.set(group, begins[i]!);
+    const nextStartMs = startsMs[i + maxConcurrent] ?? Infinity;
+    const nextStartOfGroupMs = firstStartOfGroup.get(group) ?? Infinity;
+    startsMs[i] = Math.min(
+      Math.min(dueMs, nextStartMs) - recallDurationMs,
+      nextStartOfGroupMs - gapMs(group),
+    );
+    firstStartOfGroup.set(group, startsMs[i]!);
   }
-  return new Map(due.map(({ id }, i) => [id, begins[i]!]));
+  return new Map(due.map(({ id }, i) => [id, startsMs[i]!]));
 }
--- a/test/support/batch-fleet.ts
+++ b/test/support/batch-fleet.ts
@@ -1,4 +1,4 @@
-/** Workers whose finite tasks make progress, save it, and go on from it on another machine. */
+/** Simulated workers whose finite tasks make progress, save it, and continue from it on another machine. */
 import type { JobSpec } from '../../src/jobs/types.js';
 import type { TaskStatus } from '../../src/wire/workers.js';
 import { settings } from '../helpers.js';
@@ -6,18 +6,18 @@
 
 const { report_s: REPORT_S } = settings().workers;
 
-/** What the stand-ins know of a job beyond what its owner says. */
+/** What the simulation knows of a job beyond its specification. */
 export interface Work {
   spec: JobSpec;
-  /** Seconds that each task takes in truth; Infinity: a service. */
+  /** Actual duration of each task in seconds; Infinity: a service. */
   workS: number;
   submittedAt: number;
-  /** When its last task was done; null: it is not. */
+  /** When its last task was done; null: it is not done yet. */
   doneAt: number | null;
   cancelled: boolean;
 }
 
-/** Progress of finite tasks, which outlives their machines where it was saved. */
+/** Simulates the progress of finite tasks; saved progress survives the loss of a machine. */
 export class BatchFleet extends Fleet {
   readonly work = new Map<string, Work>();
   /** Seconds of work that are saved, by `job/index`. */
@@ -25,9 +25,9 @@
   readonly doneTasks = new Set<string>();
   /** Seconds of work that were done more than once. */
   repeatedS = 0;
-  /** Machines that were taken away for good, and when. */
-  readonly goneAt = new Map<string, number>();
-  /** How saving goes. */
+  /** Machines that were removed permanently, and when. */
+  readonly removedAt = new Map<string, number>();
+  /** The outcome of saving. */
   saving: 'works' | 'never ends' | 'fails' = 'works';
 
   /** A worker whose tasks make progress. */
@@ -35,32 +35,32 @@
     return new BatchWorker(id, this, zone);
   }
 
-  /** The machine is gone from one moment to the next. */
+  /** Removes a machine without notice. */
   kill(id: string): void {
-    (this.workers.get(id) as BatchWorker | undefined)?.loseAll();
+    (this.workers.get(id) as BatchWorker | undefined)?.loseUnsaved();
     this.workers.delete(id);
-    this.goneAt.set(id, this.now);
+    this.removedAt.set(id, this.now);
   }
 
-  /** A task is done; its job is, once all are. */
-  done(job: string, index: number): void {
+  /** Records that a task is done; its job is done once all of its tasks are. */
+  recordTaskDone(job: string, index: number): void {
     const work = this.work.get(job)!;
     this.doneTasks.add(`${job}/${index}`);
     const { kind, tasks } = work.spec;
-    const over =
+    const isJobDone =
       kind === 'gang' || [...Array(tasks).keys()].every((i) => this.doneTasks.has(`${job}/${i}`));
-    if (over) work.doneAt ??= this.now;
+    if (isJobDone) work.doneAt ??= this.now;
   }
 }
 
-interface Run {
+interface TaskRun {
   progressS: number;
-  /** When it will have saved; null: it is not saving. */
+  /** When saving ends; Infinity: never; null: it is not saving. */
   savedAt: number | null;
 }
 
 class BatchWorker extends Worker {
-  private readonly runs = new Map<TaskStatus, Run>();
+  private readonly runs = new Map<TaskStatus, TaskRun>();
   private readonly batch: BatchFleet;
 
   constructor(id: string, fleet: BatchFleet, zone: string) {
@@ -68,23 +68,23 @@
     this.batch = fleet;
   }
 
-  /** Its tasks go on by a heartbeat interval; its lease may expire. */
+  /** Advances its tasks by a heartbeat interval; its lease may expire. */
   override tick(): void {
-    for (const task of this.tasks.values()) this.proceed(task);
+    for (const task of this.tasks.values()) this.advance(task);
     const before = [...this.tasks.values()];
     super.tick();
     if (this.tasks.size > 0) return;
-    // Its lease has expired: what was not saved is lost.
-    for (const task of before) this.fallBack(task);
+    // Its lease has expired: unsaved progress is lost.
+    for (const task of before) this.revertToCheckpoint(task);
   }
 
-  /** Its tasks fall back to what is saved. */
-  loseAll(): void {
-    for (const task of this.tasks.values()) this.fallBack(task);
+  /** Removes its tasks; their progress reverts to what is saved. */
+  loseUnsaved(): void {
+    for (const task of this.tasks.values()) this.revertToCheckpoint(task);
     this.tasks.clear();
   }
 
-  private proceed(task: TaskStatus): void {
+  private advance(task: TaskStatus): void {
     const work = this.batch.work.get(task.job);
     if (work === undefined || task.state === 'ended') return;
     const run = this.runs.get(task) ?? { progressS: this.saved(task), savedAt: null };
@@ -93,15 +93,15 @@
       run.progressS += REPORT_S;
       if (run.progressS < work.workS) return;
       this.end(task, 'done');
-      this.batch.done(task.job, task.index);
+      this.batch.recordTaskDone(task.job, task.index);
     } else if (run.savedAt === Infinity && this.batch.saving !== 'never ends') {
       run.savedAt = this.fleet.now + work.spec.saveS;
     } else if (run.savedAt !== null && this.fleet.now >= run.savedAt) this.finishSaving(task, run);
   }
 
-  private finishSaving(task: TaskStatus, run: Run): void {
+  private finishSaving(task: TaskStatus, run: TaskRun): void {
     if (this.batch.saving === 'fails') {
-      this.fallBack(task);
+      this.revertToCheckpoint(task);
     } else {
       this.batch.savedS.set(`${task.job}/${task.index}`, run.progressS);
       task.saved = true;
@@ -113,21 +113,22 @@
     return this.batch.savedS.get(`${job}/${index}`) ?? 0;
   }
 
-  /** To the last checkpoint, which is at a multiple of the interval. */
-  private fallBack(task: TaskStatus): void {
+  /** Reverts a task's progress to its last checkpoint, which is at a multiple of the checkpoint interval. */
+  private revertToCheckpoint(task: TaskStatus): void {
     const run = this.runs.get(task);
     const work = this.batch.work.get(task.job);
     if (run === undefined || work === undefined || work.workS === Infinity) return;
     this.runs.delete(task);
     if (task.state === 'ended') return;
     const { checkpointS } = work.spec;
-    const kept = checkpointS > 0 ? Math.floor(run.progressS / checkpointS) * checkpointS : 0;
-    const savedS = Math.max(kept, this.saved(task));
+    const checkpointedS =
+      checkpointS > 0 ? Math.floor(run.progressS / checkpointS) * checkpointS : 0;
+    const savedS = Math.max(checkpointedS, this.saved(task));
     this.batch.repeatedS += run.progressS - savedS;
     this.batch.savedS.set(`${task.job}/${task.index}`, savedS);
   }
 
-  /** Saves first if there is time for it. */
+  /** Stops a task; it saves first if the grace period is long enough. */
   protected override stop(task: TaskStatus, graceS: number): void {
     const work = this.batch.work.get(task.job);
     if (task.state === 'ended') return;
@@ -141,7 +142,7 @@
       this.runs.set(task, run);
       return;
     }
-    this.fallBack(task);
+    this.revertToCheckpoint(task);
     this.end(task, 'stopped');
   }
 }
