--- a/test/cluster-users.test.ts
+++ b/test/cluster-users.test.ts
@@ -7,39 +7,39 @@
 import { submission } from './standins/users.js';
 
 const LEASE = 2;
-/** Times in a row that users ask all controllers. */
-const LOOKS = 5;
+/** Number of rounds in which users ask all controllers. */
+const POLL_ROUNDS = 5;
 
-/** Users ask at all controllers and repeat the submission, again and again within milliseconds. */
-async function look(cluster: Cluster, ref: string): Promise<void> {
-  const looks: Promise<unknown>[] = [];
-  for (let i = 0; i < LOOKS; i++) {
+/** Polls and repeats the submission at all controllers, in rounds 2 ms apart. */
+async function pollEverywhere(cluster: Cluster, ref: string): Promise<void> {
+  const requests: Promise<unknown>[] = [];
+  for (let i = 0; i < POLL_ROUNDS; i++) {
     for (const at of cluster.indexes) {
-      looks.push(cluster.users.poll(at, ref), cluster.users.submitOnce(at, submission(ref)));
+      requests.push(cluster.users.poll(at, ref), cluster.users.submitOnce(at, submission(ref)));
     }
     await wait(2);
   }
-  await Promise.all(looks);
+  await Promise.all(requests);
 }
 
 async function acceptedThenEnded(cluster: Cluster, at: number, ref: string): Promise<void> {
   await cluster.users.submit(at, ref, {}, 0.1);
-  await look(cluster, ref);
+  await pollEverywhere(cluster, ref);
   await until(`${ref} ends`, async () => {
     const replies = await Promise.all(cluster.indexes.map((i) => cluster.users.poll(i, ref)));
     return replies.some((reply) => reply.state === 'done');
   });
-  await look(cluster, ref);
+  await pollEverywhere(cluster, ref);
 }
 
 async function acceptedThenCancelled(cluster: Cluster, at: number, ref: string): Promise<void> {
   await cluster.users.submit(at, ref, {}, 60);
-  await Promise.all([cluster.users.cancel((at + 1) % 3, ref), look(cluster, ref)]);
-  await look(cluster, ref);
+  await Promise.all([cluster.users.cancel((at + 1) % 3, ref), pollEverywhere(cluster, ref)]);
+  await pollEverywhere(cluster, ref);
   await cluster.gone(ref);
 }
 
-/** The cancellation meets the end of the last task. */
+/** Cancels the job as soon as its last task has ended. */
 async function cancelledAtTheEnd(cluster: Cluster, at: number, ref: string): Promise<void> {
   await cluster.users.submit(at, ref, {}, 0.2);
   await until(`${ref} ends`, () => cluster.rules.jobs.get(ref)!.completed.size === 1);
@@ -48,31 +48,46 @@
     await Promise.all(cluster.indexes.map((i) => cluster.users.cancelOnce(i, ref)));
     return final();
   });
-  await look(cluster, ref);
+  await pollEverywhere(cluster, ref);
 }
 
-interface Troubled extends Row {
-  trouble(state: StateService): void;
+interface FaultRow extends Row {
+  injectFault(state: StateService): void;
 }
 
-test('users ask everywhere right after a job was accepted, ended or cancelled: no answer is older', async () => {
+test('right after a job is accepted, ends or is cancelled, no controller gives an older answer', async () => {
   const lost = { how: 'answer_lost' } as const;
   const late = { how: 'late', afterS: 0.3 } as const;
   const doubled = { how: 'doubled', afterS: 0.3 } as const;
-  const rows: Troubled[] = [
-    { name: 'no trouble', trouble: () => undefined },
-    { name: 'the key-value store is slow', trouble: (store) => (store.slowMs = 30) },
+  const rows: FaultRow[] = [
+    { name: 'no fault', injectFault: () => undefined },
+    { name: 'the key-value store is slow', injectFault: (store) => (store.slowMs = 30) },
     {
-      name: 'answers to what users asked are lost',
-      trouble: (store) => store.disturb(JOBS, lost, 6),
+      name: "answers to users' writes are lost",
+      injectFault: (store) => store.disturb(JOBS, lost, 6),
+    },
+    {
+      name: 'answers to progress writes are lost',
+      injectFault: (store) => store.disturb(PROGRESS, lost, 6),
+    },
+    {
+      name: "users' writes are stored late",
+      injectFault: (store) => store.disturb(JOBS, late, 6),
+    },
+    {
+      name: 'progress writes are stored late',
+      injectFault: (store) => store.disturb(PROGRESS, late, 6),
+    },
+    {
+      name: "users' writes are stored twice",
+      injectFault: (store) => store.disturb(JOBS, doubled),
+    },
+    {
+      name: 'progress writes are stored twice',
+      injectFault: (store) => store.disturb(PROGRESS, doubled),
     },
-    { name: 'answers to ends are lost', trouble: (store) => store.disturb(PROGRESS, lost, 6) },
-    { name: 'what users asked is stored late', trouble: (store) => store.disturb(JOBS, late, 6) },
-    { name: 'ends are stored late', trouble: (store) => store.disturb(PROGRESS, late, 6) },
-    { name: 'what users asked is stored twice', trouble: (store) => store.disturb(JOBS, doubled) },
-    { name: 'ends are stored twice', trouble: (store) => store.disturb(PROGRESS, doubled) },
   ];
-  await playAll(rows, { leaseS: LEASE }, async (cluster, { trouble }) => {
+  await playAll(rows, { leaseS: LEASE }, async (cluster, { injectFault: trouble }) => {
     await cluster.newLeader();
     trouble(cluster.state);
     for (const [round, at] of cluster.indexes.entries()) {
@@ -82,7 +97,7 @@
         cancelledAtTheEnd(cluster, at, `wk-00003${round}`),
       ]);
     }
-    // One that reads the whole store anew sees the same.
+    // A controller that reads the whole store anew reports the same states.
     const returned = await cluster.endLeader();
     await cluster.startController(returned);
     await cluster.newLeader();
@@ -92,7 +107,7 @@
   });
 });
 
-test('a cancellation stored after the end, whose answers are lost, leaves the job done', async () => {
+test('a cancellation stored after the end of the job, whose answers are lost, leaves the job done', async () => {
   const rows = [{ name: 'late cancellation' }];
   await playAll(rows, { leaseS: LEASE }, async (cluster) => {
     const { users, state } = cluster;
@@ -104,7 +119,7 @@
     const cancelling = users.cancelOnce(1, ref);
     await users.sees(2, ref, 'done');
     await cancelling;
-    // The late cancellation has come by now, and an end written again would be younger than it.
+    // The late cancellation is stored by now; an end that was written again would be newer than it.
     await wait(2000);
     state.settle();
     const old = await cluster.endLeader();
@@ -114,7 +129,7 @@
   });
 });
 
-test('a leader whose election was not answered leads, and nobody beside it', async () => {
+test('a leader whose election was not answered leads, and no other controller does', async () => {
   const rows = [
     { name: 'carried out at once', fate: { how: 'answer_lost' } as const },
     { name: 'carried out twice', fate: { how: 'doubled', afterS: 0.2 } as const },
--- a/test/controller-stop.test.ts
+++ b/test/controller-stop.test.ts
@@ -25,24 +25,24 @@
   }
 }
 
-/** Counts what reaches the key-value store. */
-class CountingState extends StateService {
-  requests = 0;
+/** A key-value store that counts its requests. */
+class CountingStore extends StateService {
+  requestCount = 0;
 
-  /** Counts the requests that come. */
+  /** Counts and handles a request. */
   override handle(
     ...request: Parameters<StateService['handle']>
   ): ReturnType<StateService['handle']> {
-    this.requests++;
+    this.requestCount++;
     return super.handle(...request);
   }
 }
 
-/** A controller that stops after so long; returns whether it led, and what it still asked later. */
+/** Stops a controller after `ms`; returns whether it still leads, and the requests that it sent after that. */
 async function stopAfter(ms: number): Promise<{ led: boolean; asked: number }> {
   const rules = new RuleChecker({ cancelS: 1, teams: new Map(), machineGpus: 8 });
   const cloud = new Cloud(rules, { leaseS: LEASE_S, gangPeerS: 1 });
-  const state = new CountingState();
+  const state = new CountingStore();
   state.slowMs = 40;
   const access = new StateAccess(state);
   await Promise.all([cloud.listen(), access.listen()]);
@@ -52,18 +52,18 @@
   await controller.start();
   await wait(ms);
   controller.stop();
-  // What was on its way arrives.
+  // Lets requests in flight arrive.
   await wait(LEASE_S * 200);
-  const before = state.requests;
+  const before = state.requestCount;
   await wait(LEASE_S * 1000);
-  const outcome = { led: controller.leader !== null, asked: state.requests - before };
+  const outcome = { led: controller.leader !== null, asked: state.requestCount - before };
   controller.stop();
   for (const standIn of [cloud, access, state, rules]) standIn.close();
   return outcome;
 }
 
-// One that stopped as it was being elected led on, unseen, and kept its process alive for ever.
-test('a controller that is stopped does nothing more, whatever it was doing', async () => {
+// A controller that was stopped during its election once became leader and kept its process alive for ever.
+test('a stopped controller sends no more requests, at whichever moment it was stopped', async () => {
   const moments = Array.from({ length: 40 }, (_, i) => i * 10);
   const outcomes = await Promise.all(moments.map(stopAfter));
   outcomes.forEach((outcome, i) => {
@@ -71,7 +71,7 @@
   });
 });
 
-test('a controller that cannot have one of its addresses gives up the other', async () => {
+test('a controller that cannot bind one of its addresses releases the other', async () => {
   const bind = await freePort();
   const taken = createServer();
   const peer = await freePort();
--- a/test/latency-histograms.test.ts
+++ b/test/latency-histograms.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { LatencyHistograms } from '../src/latency-histograms.js';
 
-test('figures of costs are in microseconds, whatever is measured', () => {
+test('latency statistics are in microseconds for every kind of work', () => {
   const latencies = new LatencyHistograms(() => 0);
   for (let i = 1; i <= 100; i++) latencies.record('report', i / 1e4);
   for (const seconds of [-1, 0, 1e-9, 1e6]) latencies.record('lag', seconds);
--- a/test/parser.test.ts
+++ b/test/parser.test.ts
@@ -12,7 +12,7 @@
   return got;
 };
 
-const good: [string, string, { method?: string; body?: string; keepAlive?: boolean }][] = [
+const validRequests: [string, string, { method?: string; body?: string; keepAlive?: boolean }][] = [
   [
     'no body',
     'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n',
@@ -28,8 +28,8 @@
   ['1.0 closes', 'GET / HTTP/1.0\r\n\r\n', { keepAlive: false }],
 ];
 
-test('requests are read whole or byte by byte', () => {
-  for (const [name, bytes, want] of good) {
+test('requests are parsed at once or byte by byte', () => {
+  for (const [name, bytes, want] of validRequests) {
     for (const step of [Infinity, 7, 1]) {
       const message = read('request', bytes, step);
       assert.ok(message, name);
@@ -40,7 +40,7 @@
   }
 });
 
-const bad: [string, string, number][] = [
+const malformedRequests: [string, string, number][] = [
   [
     'both length and chunked',
     'POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n',
@@ -61,8 +61,8 @@
   ['other coding', 'POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n', 400],
 ];
 
-test('malformed requests are told by status', () => {
-  for (const [name, bytes, status] of bad) {
+test('malformed requests are rejected with their status', () => {
+  for (const [name, bytes, status] of malformedRequests) {
     assert.throws(
       () => read('request', bytes),
       (e) => e instanceof HttpError && e.status === status,
@@ -71,7 +71,7 @@
   }
 });
 
-test('a second request behind the first stays unread', () => {
+test('a second request after the first stays unparsed', () => {
   const p = new HttpParser('request');
   p.push(Buffer.from('GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n'));
   assert.equal(p.next()?.target, '/a');
--- a/test/program.test.ts
+++ b/test/program.test.ts
@@ -10,7 +10,7 @@
 
 const MAIN = new URL('../src/main.js', import.meta.url).pathname;
 
-/** Exchanges all of many small objects many times over. Tells the largest heap, and what is live, in MB. */
+/** Replaces many small objects many times. Prints the largest heap size and the live size, in MB. */
 const CHURN = `
   import { setFlagsFromString } from 'node:v8';
   import { runInNewContext } from 'node:vm';
@@ -30,15 +30,22 @@
   const live = process.memoryUsage().heapUsed;
   process.stdout.write(JSON.stringify([peak / 1e6, live / 1e6, held.length]));
 `;
-/** The memory of a small controller. */
-const LEAST_MB = 88;
-/** What is new, and what comes while a collection is under way on a busy machine, in MB. */
+/** Memory limit of a small controller. */
+const MEMORY_LIMIT_MB = 88;
+/** New space, and allocations during a collection on a busy machine. */
 const SLACK_MB = 24;
 
-test('the heap stays in proportion to what it holds, whatever the machine has', () => {
+test('the heap stays in proportion to its live size, whatever memory the machine has', () => {
   const heap = new URL('../src/controller/heap.js', import.meta.url).href;
   for (const objects of [60_000, 240_000]) {
-    const args = ['--input-type=module', '-e', CHURN, heap, String(objects), String(LEAST_MB)];
+    const args = [
+      '--input-type=module',
+      '-e',
+      CHURN,
+      heap,
+      String(objects),
+      String(MEMORY_LIMIT_MB),
+    ];
     const output = String(spawnSync(process.execPath, args).stdout);
     const [peak, live] = JSON.parse(output) as [number, number];
     assert.ok(live > 8 && peak > live, `${peak} and ${live} MB`);
@@ -46,7 +53,7 @@
   }
 });
 
-test('the program as it is deployed starts from code that was compiled by the build, and tells its profile', async () => {
+test('the deployed program starts from the code cache of the build and prints its profile', async () => {
   const { run: line } = parse(readFileSync('deploy/service.toml', 'utf8')) as { run: string };
   const dir = mkdtempSync(join(tmpdir(), 'shelf-'));
   const ports = [{ bind: await freePort(), peer: await freePort() }];
@@ -65,8 +72,8 @@
     return response?.status === 200;
   };
   await until('answers', answers);
-  // A code cache that V8 refuses would be told first. An idle program has next to no samples of its
-  // own functions: it is asked all the time.
+  // If V8 rejected the code cache, that would be reported first. Requests are sent all the time, because the
+  // profile of an idle program has almost no samples of its own functions.
   await until('profile', async () => {
     for (let i = 0; i < 20 && err === ''; i++) await answers();
     return err !== '';
@@ -77,7 +84,7 @@
   assert.match(err, /% {2}src\/\w+\/\w+\.ts\n/);
 });
 
-test('what keeps a controller from starting is told in one line', async () => {
+test('the reason why a controller cannot start is printed in one line', async () => {
   const dir = mkdtempSync(join(tmpdir(), 'shelf-'));
   const ports = [{ bind: await freePort(), peer: await freePort() }];
   const config = join(dir, 'settings.toml');
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -16,8 +16,8 @@
 
 type Peers = Record<string, ReplyAnswer | null>;
 
-/** A forwarder over stand-ins: `own` is what this controller can answer by itself. */
-function forwarder(
+/** A forwarder over fakes. `own`: the status with which this controller itself answers. */
+function makeForwarder(
   health: StoreHealth,
   own: number,
   peers: Peers,
@@ -56,53 +56,57 @@
   return { f: requestForwarder, asked, clock, state };
 }
 
-test("users' requests reach a controller that is served, if there is one", async () => {
-  // A controller that alone was refused once answered 503 to all its users for as long as that took.
+test("users' requests reach a controller that the key-value store serves, if there is one", async () => {
+  // If the store refused only one controller, that one answered 503 to all its users until it was served again.
   const cases: [string, StoreHealth, number, Peers, boolean, number, string[]][] = [
     ['served here', 'served', 201, { a: { status: 500 } }, false, 201, []],
-    ['shed here: not passed on', 'served', 503, { a: { status: 201 } }, false, 503, []],
+    ['shed here: not forwarded', 'served', 503, { a: { status: 201 } }, false, 503, []],
     ['refused here, served there', 'refused', 503, { a: { status: 201 } }, false, 201, ['a']],
-    ['silent for here', 'silent', 503, { a: { status: 200 } }, false, 200, ['a']],
+    ['store silent here', 'silent', 503, { a: { status: 200 } }, false, 200, ['a']],
     ['the first is refused too', 'refused', 503, { a: {}, b: { status: 404 } }, false, 404, ['a', 'b']],
     ['the first is cut off', 'refused', 503, { a: null, b: { status: 200 } }, false, 200, ['a', 'b']],
-    ['an outage for all', 'refused', 503, { a: {}, b: {} }, false, 503, ['a', 'b']],
-    ['no status is no answer', 'refused', 503, { a: { body: '{}' } }, false, 503, ['a']],
-    ['final: nobody is asked', 'refused', 200, { a: {} }, true, 200, []],
+    ['refused everywhere', 'refused', 503, { a: {}, b: {} }, false, 503, ['a', 'b']],
+    ['an answer without status', 'refused', 503, { a: { body: '{}' } }, false, 503, ['a']],
+    ['final state: no peer is asked', 'refused', 200, { a: {} }, true, 200, []],
   ]; // prettier-ignore
   for (const [name, health, own, peers, final, status, asked] of cases) {
-    const scene = forwarder(health, own, peers, final);
+    const scene = makeForwarder(health, own, peers, final);
     assert.equal((await scene.f.serve({ to: 'poll', id: 'wk-1' })).status, status, name);
     assert.deepEqual(scene.asked, asked, name);
   }
 });
 
-test('a job that needs others is passed on only to controllers that know such jobs', async () => {
-  // One of an old version would take it for a job that needs none, and start it too early.
+test('a job with dependencies is forwarded only to controllers that support pipelines', async () => {
+  // A controller of an old version would ignore the dependencies and start the job too early.
   const cases: [string, string, string[]][] = [
-    ['none needed', '{"ref":"wk-1"}', ['old']],
+    ['no dependencies', '{"ref":"wk-1"}', ['old']],
     ['a list', '{"ref":"wk-1","awaits":["wk-2"]}', ['new']],
-    ['a list, named with an escape', '{"ref":"wk-1","\\u0061waits":["wk-2"]}', ['new']],
+    ['a list, its key with an escape sequence', '{"ref":"wk-1","\\u0061waits":["wk-2"]}', ['new']],
   ];
   for (const [name, text, asked] of cases) {
     const peers = { old: { status: 201 }, new: { status: 201 } };
-    const scene = forwarder('refused', 503, peers, false, (node) => node === 'new');
+    const scene = makeForwarder('refused', 503, peers, false, (node) => node === 'new');
     const reply = await scene.f.serve({ to: 'submit', body: Buffer.from(text) });
     assert.equal(reply.status, 201, name);
     assert.deepEqual(scene.asked, asked, name);
   }
-  const t = forwarder('refused', 503, { old: { status: 201 } }, false, () => false);
+  const t = makeForwarder('refused', 503, { old: { status: 201 } }, false, () => false);
   const body = Buffer.from('{"awaits":["wk-2"]}');
-  assert.equal((await t.f.serve({ to: 'submit', body })).status, 503, 'nobody knows them');
+  assert.equal(
+    (await t.f.serve({ to: 'submit', body })).status,
+    503,
+    'no controller supports pipelines',
+  );
 });
 
-test('a controller that can help nobody sends users elsewhere, but not in an outage for all', async () => {
+test('an isolated controller directs users elsewhere, but not in an outage of the store', async () => {
   const cases: [string, Peers, boolean][] = [
-    ['cut off from all', { a: null, b: null }, false],
+    ['cut off from all peers', { a: null, b: null }, false],
     ['an outage', { a: {}, b: null }, true],
     ['served by another', { a: { status: 200 } }, true],
   ];
   for (const [name, peers, ready] of cases) {
-    const t = forwarder('silent', 503, peers);
+    const t = makeForwarder('silent', 503, peers);
     await t.f.serve({ to: 'poll', id: 'wk-1' });
     assert.equal(t.f.isReady(), true, `${name}: not at once`);
     t.clock.now = 10;
@@ -112,7 +116,7 @@
   }
 });
 
-test('what is passed on goes no further, and is taken only where it can be answered', async () => {
+test('a forwarded request is not forwarded again, and is answered only by a served controller', async () => {
   const cases: [
     string,
     StoreHealth,
@@ -127,13 +131,13 @@
     ['shed', 'served', 503, 'submit', '{}', 503],
   ];
   for (const [name, health, own, to, text, status] of cases) {
-    const t = forwarder(health, own, { a: { status: 200 } });
+    const t = makeForwarder(health, own, { a: { status: 200 } });
     assert.equal((await t.f.serveForwarded(to, text)).status, status, name);
     assert.deepEqual(t.asked, [], name);
   }
 });
 
-test('a submission that cannot be stored is given up at once, not held back', async () => {
+test('a submission that cannot be stored fails at once and is not queued', async () => {
   const cases: [string, () => Error, number][] = [
     ['outage', () => new RequestRejectedError(503), 1],
     ['malformed', () => new RequestRejectedError(400), 1],
@@ -161,14 +165,14 @@
       clock: steadyClock,
       log: silentLog(),
     });
-    // A minute would be the time allowed: the test ends long before if it is not used up.
+    // The time-out is a minute; the test ends long before unless the writer waits for it.
     assert.equal(await requestWriter.accept({ spec: spec(), atMs: 0 }, 60), null, name);
     assert.equal(commits, tries, name);
   }
 });
 
-test('what waits to be stored is bounded by what can be stored in the time allowed', async () => {
-  // By number, five hundred: far too many for one small value a second, too few for a large fleet.
+test('the queue of submissions is bounded by what can be stored within the time-out', async () => {
+  // A fixed limit of 500 jobs would be far too high for one small value a second and too low for a large fleet.
   const cases: [string, number, number, number, boolean][] = [
     ['a value of 8 KiB a second', 1, 8192, 500, true],
     ['nine of them', 9, 8192, 500, false],
--- a/test/script.test.ts
+++ b/test/script.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { loadScript, runScript, ScriptError } from '../src/operator/script.js';
 
-test('a script overrides factors, by computing them too', () => {
+test('a script overrides factors, also with computed values', () => {
   const policy = runScript(
     'eta = 1 + 0.5\nomega = {1, 2, 3}\nlocal x = math.max(2, 3)\nepsilon = x',
   );
@@ -13,7 +13,7 @@
   );
 });
 
-test('what a script may not do is refused with its line', () => {
+test('an invalid script is refused with the line of the error', () => {
   const cases: [string, string, RegExp][] = [
     ['syntax', 'eta = = 1', /script:1/],
     ['error', 'eta = 1\nerror("no")', /script:2/],
@@ -22,10 +22,10 @@
     ['not a number', 'eta = "1"', /script:1: eta/],
     ['not finite', 'eta = 0/0', /eta/],
     ['omega too short', 'omega = {1}', /omega/],
-    ['endless', 'while true do end', /too many steps/],
+    ['endless loop', 'while true do end', /too many steps/],
     ['files', 'io.open("x")', /script:1/],
     ['processes', 'os.execute("x")', /script:1/],
-    ['loading', 'load("x = 1")()', /script:1/],
+    ['loading code', 'load("x = 1")()', /script:1/],
     ['require', 'require("fs")', /script:1/],
   ];
   for (const [name, text, says] of cases) {
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -6,7 +6,7 @@
 import type { Json } from './standins/http.js';
 import { submission } from './standins/users.js';
 
-/** The main job end to end: three controllers against stand-ins that watch the rules. */
+/** End-to-end tests of three controllers against stand-ins that check the rules of the protocol. */
 const LEASE = 4;
 let cluster: Cluster;
 
@@ -23,7 +23,7 @@
   for (let i = 0; i < count; i++) assert.equal(cluster.rules.starts.get(`${ref}/${i}`), 1);
 };
 
-test('arrays and gangs run to their end, each task once; any node tells', async () => {
+test('job arrays and gangs run to completion, each task once, and every controller reports it', async () => {
   const { users } = cluster;
   await until('ready', ready(0));
   await Promise.all([
@@ -38,7 +38,7 @@
   cluster.assertRules();
 });
 
-test('repetitions, unknown jobs and bad input', async () => {
+test('repeated submissions, unknown jobs and invalid input', async () => {
   const cases: [string, string, string, Json | undefined, number][] = [
     ['known job', 'POST', '/submissions', submission('wk-000001', { pieces: 20 }), 200],
     ['known job, now malformed', 'POST', '/submissions', { ref: 'wk-000001' }, 200],
@@ -74,7 +74,7 @@
   }
 });
 
-test('a worker that knows a later leader is sent on, not held with answers that it drops', async () => {
+test('a heartbeat with a later fencing token gets 503, not an answer that the worker would ignore', async () => {
   const report = {
     bench: 'host-999999', addr: '127.0.0.1:1', casting: 'g8', yard: 'z1', loaner: false, shift: 1,
     tally: 1, hallmark: 1e9, recall_s: null, pieces: [],
@@ -84,7 +84,7 @@
   }
 });
 
-test('malformed HTTP is answered with 400 and close, and the node lives', async () => {
+test('malformed HTTP is answered with 400 and closed, and the controller keeps running', async () => {
   for (const bytes of ['x\r\n\r\n', 'GET /ready HTTP/1.1\r\n\r\nGET /ready HTTP/1.1\r\n\r\n']) {
     const got = await new Promise<string>((resolve) => {
       const socket = connect(cluster.ports[0]!.bind, '127.0.0.1', () => socket.write(bytes));
@@ -97,7 +97,7 @@
   assert.ok(await ready(0)());
 });
 
-test('a service runs until cancelled, and stays cancelled', async () => {
+test('a service runs until it is cancelled, and stays cancelled', async () => {
   const { users } = cluster;
   await users.submit(2, 'wk-000003', { form: 'daemon', pieces: 2 });
   await until('replicas', () => cluster.tasks('wk-000003').length === 2);
@@ -108,7 +108,7 @@
   }
 });
 
-test("a leader's end: running work goes on, nothing starts twice", async () => {
+test('after the leader stops, running work continues and no task starts twice', async () => {
   const { users } = cluster;
   await users.submit(0, 'wk-000004', { form: 'daemon', pieces: 3 });
   await users.submit(0, 'wk-000005', { pieces: 30 }, 0.5);
@@ -125,19 +125,19 @@
   cluster.assertRules();
 });
 
-test('an outage of the key-value store longer than the lease: running work is kept', async () => {
+test('running work survives an outage of the key-value store longer than the lease', async () => {
   const starts = new Map(cluster.rules.starts);
   cluster.state.down = true;
   await wait(LEASE * 2000);
   assert.equal(cluster.tasks('wk-000004').length, 3);
-  // Unsure is 503, what is final is known.
+  // An uncertain state is answered with 503, a final one is reported.
   assert.equal((await cluster.users.poll(0, 'wk-000903')).status, 503);
   cluster.state.down = false;
   await cluster.users.sees(0, 'wk-000004', 'running');
   assert.deepEqual(cluster.rules.starts, starts);
 });
 
-test('a leader that ends in an outage: the others keep the leases, nothing else', async () => {
+test('if the leader stops in an outage, the other controllers renew the leases and do nothing else', async () => {
   const starts = new Map(cluster.rules.starts);
   const old = await cluster.newLeader();
   cluster.state.down = true;
@@ -153,7 +153,7 @@
   cluster.assertRules();
 });
 
-test('a machine that is cut off is replaced once its lease has run out, not before', async () => {
+test('a machine that is cut off is replaced after its lease has expired, not before', async () => {
   const host = cluster.hosts('wk-000004')[0]!;
   host.mute = true;
   const others = () => cluster.workers.filter((worker) => worker !== host);
@@ -161,8 +161,8 @@
   cluster.assertRules();
 });
 
-test('with nothing to do, every machine goes back', async () => {
-  // The capacity kept warm once stayed rented for ever after the last job.
+test('without work, every machine is returned', async () => {
+  // Warm capacity was once never returned after the last job.
   for (const worker of cluster.workers) worker.mute = false;
   await cluster.users.cancel(0, 'wk-000004');
   await until('no machines', () => cluster.workers.length === 0, 60);
--- a/test/support/user-api-world.ts
+++ b/test/support/user-api-world.ts
@@ -1,4 +1,4 @@
-/** A controller's side for users over a key-value store in memory. */
+/** A controller's user API over an in-memory key-value store. */
 import type { TokenBucket } from '../../src/clock.js';
 import { UserApi, type UserApiOptions } from '../../src/api/user-api.js';
 import { silentLog } from '../../src/log.js';
@@ -9,7 +9,7 @@
 import type { MemoryStore } from './memory-store.js';
 import { fake } from './fake.js';
 
-/** Id of the job that is submitted. */
+/** Id of the submitted job. */
 export const JOB = 'wk-000412';
 /** A valid submission. */
 export const VALID = {
@@ -18,23 +18,23 @@
   scatter: false, loaner: true, reckon_s: 240.0, stamp_s: 30.0, stamping_s: 4.0, due_s: 900.0,
 }; // prettier-ignore
 
-/** The valid submission with changes, as bytes. */
+/** Encodes the valid submission with changes. */
 export const body = (change: Record<string, unknown> = {}): Buffer =>
   Buffer.from(JSON.stringify({ ...VALID, ...change }));
 
-/** A user API with what it works with. */
-export interface UsersSide {
+/** A user API with its replica and sync. */
+export interface UserApiWorld {
   userApi: UserApi;
   replicaSync: ReplicaSync;
   replica: Replica;
 }
 
-/** It knows of the store what it reads when it has to. */
-export function usersSide(
+/** Builds a user API whose replica reads the store only when a request requires it. */
+export function makeUserApiWorld(
   store: MemoryStore,
   name: string,
   over: Partial<UserApiOptions> = {},
-): UsersSide {
+): UserApiWorld {
   const clock = { now: () => 0 };
   const log = silentLog();
   const replica = store.listed();
@@ -75,8 +75,10 @@
   return { userApi, replicaSync, replica };
 }
 
-/** What a user is told: the status, and the state of the job. */
-export async function told(reply: Promise<{ status: number; body?: unknown }>): Promise<string> {
+/** The status of a reply and the job's state in it, as text. */
+export async function replyText(
+  reply: Promise<{ status: number; body?: unknown }>,
+): Promise<string> {
   const { status, body: text } = await reply;
   const { temper = '' } = JSON.parse(String(text ?? '{}')) as { temper?: string };
   return `${status} ${temper}`.trim();
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -13,7 +13,7 @@
 const body = (change: Record<string, unknown>): Buffer =>
   Buffer.from(JSON.stringify({ ...valid, ...change }));
 
-test('a submission is read into internal terms', () => {
+test('a submission is parsed into a job specification', () => {
   const spec = parseSubmission(body({ extra: 1, yard: undefined }));
   assert.deepEqual(
     [spec.id, spec.kind, spec.priority, spec.tasks, spec.zone, spec.spot, spec.deadlineS],
@@ -32,18 +32,18 @@
     ['not finite', Buffer.from(JSON.stringify(valid).replace('"cores":1', '"cores":1e999'))],
     ['no tasks', body({ pieces: 0 })],
     ['too many tasks', body({ pieces: 100_001 })],
-    ['half a task', body({ pieces: 1.5 })],
+    ['fractional tasks', body({ pieces: 1.5 })],
     ['bad id', body({ ref: 'job-1' })],
     ['id with a slash', body({ ref: 'wk-1/2' })],
     ['unknown kind', body({ form: 'swarm' })],
     ['unknown priority', body({ rank: 'urgent' })],
     ['flag as a number', body({ scatter: 1 })],
-    ['types as a word', body({ castings: 'g8' })],
+    ['types as a string', body({ castings: 'g8' })],
   ];
   for (const [name, data] of cases) assert.throws(() => parseSubmission(data), BadMessage, name);
 });
 
-test('what can never run is told', () => {
+test('jobs that can never run are recognised', () => {
   const { teams } = settings();
   const cases: [string, Partial<Parameters<typeof spec>[0]>, boolean][] = [
     ['fits', {}, true],
@@ -51,7 +51,7 @@
     ['too large for any machine', { gpus: 9 }, false],
     ['no such type', { types: ['h1'] }, false],
     ['no such zone', { zone: 'z9' }, false],
-    ['array over the limit in all but not each', { tasks: 100 }, true],
+    ['array over the limit in total but not per task', { tasks: 100 }, true],
     ['gang over the limit', { kind: 'gang', tasks: 13 }, false],
     ['service over the limit', { kind: 'service', tasks: 13 }, false],
     ['gang at the limit', { kind: 'gang', tasks: 12 }, true],
