--- a/src/cloud/demand-forecast.ts
+++ b/src/cloud/demand-forecast.ts
@@ -9,7 +9,7 @@
 const LOOKAHEAD_BOOTS = 1.2;
 /** Largest number of images, with task sizes, that are tracked as needed soon. */
 const MAX_HOT_IMAGES = 32;
-/** Share of the capacity that ended services free which new jobs can use. */
+/** Share of the capacity freed by ended services that new jobs can use. */
 const REUSED_SHARE = 0.7;
 /** Tasks of one job that are counted at most: no warm capacity is kept for the rest of a larger job. */
 const MAX_TASKS_PER_JOB = 50;
--- a/src/cloud/warm-capacity.ts
+++ b/src/cloud/warm-capacity.ts
@@ -14,7 +14,7 @@
   mean: number;
   deviations: number;
   least: number;
-  /** Share of the capacity freed in the window which new jobs can use. */
+  /** Share of the capacity freed in the window that new jobs can use. */
   reused: number;
 }
 
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -40,7 +40,7 @@
   subsystems: readonly Subsystem[];
 }
 
-/** A controller without process-wide state, so that tests can run several in one process. */
+/** A controller without the parts that belong to the whole process, so that tests can run several in one. */
 export class Controller {
   private readonly parts: Composition;
   private readonly clock: Clock;
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -3,7 +3,7 @@
 import { HttpParser } from './parser.js';
 import type { Endpoint } from '../config/endpoint.js';
 
-/** A response, its body in memory. */
+/** A response with its body in memory. */
 export interface Response {
   status: number;
   body: Buffer;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -203,7 +203,7 @@
     return address !== null && typeof address === 'object' ? address.port : 0;
   }
 
-  /** Closes all connections. */
+  /** Stops listening and closes all connections. */
   close(): void {
     clearInterval(this.idleTimer);
     this.server.close();
--- a/src/random.ts
+++ b/src/random.ts
@@ -1,7 +1,7 @@
 import { unsafeUniformIntDistribution, xoroshiro128plus, type RandomGenerator } from 'pure-rand';
 
 /**
- * 32 unpredictable bits. V8 seeds `Math.random` from the system's entropy for each process; loading Node's
+ * 32 bits that cannot be reproduced. V8 seeds `Math.random` from the system's entropy for each process; loading Node's
  * crypto module instead would take a tenth of the processor time of a start.
  */
 const randomInt32 = (): number => Math.floor(Math.random() * 2 ** 32) | 0;
