--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -26,7 +26,7 @@
 /** Jobs with dependencies are refused while a controller runs a version that does not support them. */
 const UPGRADE_IN_PROGRESS: Reply = { status: 503, retryAfter: 2 };
 /** The job can never run. */
-const unprocessable = (why: string): Reply => ({ status: 422, body: encodeError(why) });
+const unprocessable = (reason: string): Reply => ({ status: 422, body: encodeError(reason) });
 const JOB_TOO_LARGE = 'larger than what the state service takes of one job';
 
 /** Dependencies of a `UserApi`. */
@@ -89,8 +89,8 @@
       const reply = { status: 400, body: encodeError(error.message) };
       return this.refuse(this.parseJobId(body), reply, error.message);
     }
-    const known = this.replica.jobs.get(spec.id);
-    if (known !== undefined) return this.replyWithCurrentState(spec.id);
+    const existing = this.replica.jobs.get(spec.id);
+    if (existing !== undefined) return this.replyWithCurrentState(spec.id);
     const types = this.types();
     if (!this.replicaSync.ready || types === null || this.requestWriter.full(STORE_TIMEOUT_S))
       return RETRY_LATER;
@@ -126,12 +126,12 @@
     spec: JobSpec,
   ): Promise<{ reason: string } | 'unsure' | null> {
     if (spec.dependencies.includes(spec.id)) return { reason: 'awaits itself' };
-    const known = (id: string): boolean => this.replica.jobs.has(id);
-    if (!spec.dependencies.every(known) && !(await this.replicaSync.sync())) return 'unsure';
+    const isAccepted = (id: string): boolean => this.replica.jobs.has(id);
+    if (!spec.dependencies.every(isAccepted) && !(await this.replicaSync.sync())) return 'unsure';
     for (const id of spec.dependencies) {
-      const needed = this.replica.jobs.get(id);
-      if (needed === undefined) return { reason: `awaits ${id}, which was never accepted` };
-      if (needed.spec.kind === 'service') return { reason: `awaits ${id}, which is a service` };
+      const dependency = this.replica.jobs.get(id);
+      if (dependency === undefined) return { reason: `awaits ${id}, which was never accepted` };
+      if (dependency.spec.kind === 'service') return { reason: `awaits ${id}, which is a service` };
     }
     return null;
   }
@@ -173,8 +173,8 @@
 
   /** The job after a new read, which a final state does not need; undefined: never submitted; null: the read failed. */
   private async readCurrent(id: string): Promise<StoredJob | undefined | null> {
-    const before = this.replica.jobs.get(id);
-    if (before !== undefined && outcome(before) !== 'open' && this.replicaSync.ready) return before;
+    const known = this.replica.jobs.get(id);
+    if (known !== undefined && outcome(known) !== 'open' && this.replicaSync.ready) return known;
     if (!(await this.replicaSync.sync())) return null;
     return this.replica.jobs.get(id);
   }
--- a/src/controller/controller-versions.ts
+++ b/src/controller/controller-versions.ts
@@ -113,8 +113,8 @@
     const { replica, node, others, file } = this.options;
     const leader = replica.leader?.node;
     if (leader === undefined) return [];
-    const hashOf = (of: string): string | undefined =>
-      of === node ? file?.hash : replica.versions.get(of)?.record.file?.hash;
+    const hashOf = (controller: string): string | undefined =>
+      controller === node ? file?.hash : replica.versions.get(controller)?.record.file?.hash;
     return [node, ...others].filter((of) => hashOf(of) !== hashOf(leader)).sort();
   }
 
--- a/src/controller/run.ts
+++ b/src/controller/run.ts
@@ -30,9 +30,9 @@
   } catch (error) {
     exitWithError(`cannot listen: ${(error as Error).message}`);
   }
-  const reviewHeap = limitHeapGrowth(settings.limits.mem_mb);
+  const limitNewSpace = limitHeapGrowth(settings.limits.mem_mb);
   const timer = setInterval(() => {
-    if (reviewHeap()) clearInterval(timer);
+    if (limitNewSpace()) clearInterval(timer);
   }, HEAP_REVIEW_INTERVAL_MS);
 }
 
--- a/test/cluster-users.test.ts
+++ b/test/cluster-users.test.ts
@@ -6,7 +6,7 @@
 import type { StateService } from './standins/state.js';
 import { submission } from './standins/users.js';
 
-const LEASE = 2;
+const LEASE_S = 2;
 /** Number of rounds in which users ask all controllers. */
 const POLL_ROUNDS = 5;
 
@@ -22,7 +22,7 @@
   await Promise.all(requests);
 }
 
-async function acceptedThenEnded(cluster: Cluster, at: number, ref: string): Promise<void> {
+async function submitUntilDone(cluster: Cluster, at: number, ref: string): Promise<void> {
   await cluster.users.submit(at, ref, {}, 0.1);
   await pollEverywhere(cluster, ref);
   await until(`${ref} ends`, async () => {
@@ -32,7 +32,7 @@
   await pollEverywhere(cluster, ref);
 }
 
-async function acceptedThenCancelled(cluster: Cluster, at: number, ref: string): Promise<void> {
+async function submitThenCancel(cluster: Cluster, at: number, ref: string): Promise<void> {
   await cluster.users.submit(at, ref, {}, 60);
   await Promise.all([cluster.users.cancel((at + 1) % 3, ref), pollEverywhere(cluster, ref)]);
   await pollEverywhere(cluster, ref);
@@ -40,7 +40,7 @@
 }
 
 /** Cancels the job as soon as its last task has ended. */
-async function cancelledAtTheEnd(cluster: Cluster, at: number, ref: string): Promise<void> {
+async function cancelAfterLastTask(cluster: Cluster, at: number, ref: string): Promise<void> {
   await cluster.users.submit(at, ref, {}, 0.2);
   await until(`${ref} ends`, () => cluster.rules.jobs.get(ref)!.completed.size === 1);
   const final = (): boolean => cluster.rules.jobs.get(ref)!.final !== null;
@@ -87,14 +87,14 @@
       injectFault: (store) => store.disturb(PROGRESS, doubled),
     },
   ];
-  await playAll(rows, { leaseS: LEASE }, async (cluster, { injectFault: trouble }) => {
+  await playAll(rows, { leaseS: LEASE_S }, async (cluster, { injectFault }) => {
     await cluster.newLeader();
-    trouble(cluster.state);
+    injectFault(cluster.state);
     for (const [round, at] of cluster.indexes.entries()) {
       await Promise.all([
-        acceptedThenEnded(cluster, at, `wk-00001${round}`),
-        acceptedThenCancelled(cluster, at, `wk-00002${round}`),
-        cancelledAtTheEnd(cluster, at, `wk-00003${round}`),
+        submitUntilDone(cluster, at, `wk-00001${round}`),
+        submitThenCancel(cluster, at, `wk-00002${round}`),
+        cancelAfterLastTask(cluster, at, `wk-00003${round}`),
       ]);
     }
     // A controller that reads the whole store anew reports the same states.
@@ -109,7 +109,7 @@
 
 test('a cancellation stored after the end of the job, whose answers are lost, leaves the job done', async () => {
   const rows = [{ name: 'late cancellation' }];
-  await playAll(rows, { leaseS: LEASE }, async (cluster) => {
+  await playAll(rows, { leaseS: LEASE_S }, async (cluster) => {
     const { users, state } = cluster;
     const ref = 'wk-000001';
     await users.submit(0, ref, {}, 0.3);
@@ -135,7 +135,7 @@
     { name: 'carried out twice', fate: { how: 'doubled', afterS: 0.2 } as const },
     { name: 'carried out late', fate: { how: 'late', afterS: 0.2 } as const },
   ];
-  await playAll(rows, { leaseS: LEASE }, async (cluster, { fate }) => {
+  await playAll(rows, { leaseS: LEASE_S }, async (cluster, { fate }) => {
     const ref = 'wk-000001';
     await cluster.users.submit(0, ref, { form: 'daemon', pieces: 2 });
     await cluster.runs(ref, 2);
--- a/test/program.test.ts
+++ b/test/program.test.ts
@@ -11,7 +11,7 @@
 const MAIN = new URL('../src/main.js', import.meta.url).pathname;
 
 /** Replaces many small objects many times. Prints the largest heap size and the live size, in MB. */
-const CHURN = `
+const HEAP_CHURN_SCRIPT = `
   import { setFlagsFromString } from 'node:v8';
   import { runInNewContext } from 'node:vm';
   const { limitHeapGrowth } = await import(process.argv[1]);
@@ -33,7 +33,7 @@
 /** Memory limit of a small controller. */
 const MEMORY_LIMIT_MB = 88;
 /** New space, and allocations during a collection on a busy machine. */
-const SLACK_MB = 24;
+const HEAP_SLACK_MB = 24;
 
 test('the heap stays in proportion to its live size, whatever memory the machine has', () => {
   const heap = new URL('../src/controller/heap.js', import.meta.url).href;
@@ -41,7 +41,7 @@
     const args = [
       '--input-type=module',
       '-e',
-      CHURN,
+      HEAP_CHURN_SCRIPT,
       heap,
       String(objects),
       String(MEMORY_LIMIT_MB),
@@ -49,7 +49,7 @@
     const output = String(spawnSync(process.execPath, args).stdout);
     const [peak, live] = JSON.parse(output) as [number, number];
     assert.ok(live > 8 && peak > live, `${peak} and ${live} MB`);
-    assert.ok(peak < SLACK_MB + live * 2.1, `${live} MB live, ${peak} at the most`);
+    assert.ok(peak < HEAP_SLACK_MB + live * 2.1, `${live} MB live, ${peak} at the most`);
   }
 });
 
@@ -98,21 +98,24 @@
     const end = new Promise<number | null>((r) => p.on('close', r));
     return { p, end, err: () => err };
   };
-  const says = async (args: string[], what: RegExp): Promise<void> => {
+  const assertFailsWith = async (args: string[], what: RegExp): Promise<void> => {
     const { end, err } = run(args);
     assert.equal(await end, 2, args.join(' '));
     assert.match(err(), what);
-    const told = err()
+    const messages = err()
       .trim()
       .split('\n')
       .filter((line) => !line.startsWith('{'));
-    assert.equal(told.length, 1, err());
+    assert.equal(messages.length, 1, err());
   };
-  await says(['--config', join(dir, 'none.toml')], /cannot be read/);
-  await says(['--config', config, '--operator-script', script], /script:1: eta/);
-  await says(['--config', config, '--operator-script', script, '--check'], /script:1: eta/);
+  await assertFailsWith(['--config', join(dir, 'none.toml')], /cannot be read/);
+  await assertFailsWith(['--config', config, '--operator-script', script], /script:1: eta/);
+  await assertFailsWith(
+    ['--config', config, '--operator-script', script, '--check'],
+    /script:1: eta/,
+  );
   const taken = createServer().listen(ports[0]!.bind, '127.0.0.1').unref();
   await until('taken', () => taken.listening);
-  await says(['--config', config], /cannot listen/);
+  await assertFailsWith(['--config', config], /cannot listen/);
   await new Promise((r) => taken.close(r));
 });
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -34,7 +34,7 @@
     poll: () => Promise.resolve({ status: own }),
     cancel: () => Promise.resolve({ status: own }),
   });
-  const net = fake<PeerNetwork>({
+  const peerNetwork = fake<PeerNetwork>({
     byLatestAnswer: () => Object.keys(peers),
     ask: (node: string) => {
       asked.push(node);
@@ -48,12 +48,12 @@
     userApi,
     store: state,
     replicaSync: follower,
-    peers: net,
+    peers: peerNetwork,
     workers: times,
     now,
     knowsPipelines,
   });
-  return { f: requestForwarder, asked, clock, state };
+  return { forwarder: requestForwarder, asked, clock, state };
 }
 
 test("users' requests reach a controller that the key-value store serves, if there is one", async () => {
@@ -71,7 +71,7 @@
   ]; // prettier-ignore
   for (const [name, health, own, peers, final, status, asked] of cases) {
     const scene = makeForwarder(health, own, peers, final);
-    assert.equal((await scene.f.serve({ to: 'poll', id: 'wk-1' })).status, status, name);
+    assert.equal((await scene.forwarder.serve({ to: 'poll', id: 'wk-1' })).status, status, name);
     assert.deepEqual(scene.asked, asked, name);
   }
 });
@@ -86,14 +86,14 @@
   for (const [name, text, asked] of cases) {
     const peers = { old: { status: 201 }, new: { status: 201 } };
     const scene = makeForwarder('refused', 503, peers, false, (node) => node === 'new');
-    const reply = await scene.f.serve({ to: 'submit', body: Buffer.from(text) });
+    const reply = await scene.forwarder.serve({ to: 'submit', body: Buffer.from(text) });
     assert.equal(reply.status, 201, name);
     assert.deepEqual(scene.asked, asked, name);
   }
-  const t = makeForwarder('refused', 503, { old: { status: 201 } }, false, () => false);
+  const scene = makeForwarder('refused', 503, { old: { status: 201 } }, false, () => false);
   const body = Buffer.from('{"awaits":["wk-2"]}');
   assert.equal(
-    (await t.f.serve({ to: 'submit', body })).status,
+    (await scene.forwarder.serve({ to: 'submit', body })).status,
     503,
     'no controller supports pipelines',
   );
@@ -106,13 +106,13 @@
     ['served by another', { a: { status: 200 } }, true],
   ];
   for (const [name, peers, ready] of cases) {
-    const t = makeForwarder('silent', 503, peers);
-    await t.f.serve({ to: 'poll', id: 'wk-1' });
-    assert.equal(t.f.isReady(), true, `${name}: not at once`);
-    t.clock.now = 10;
-    assert.equal(t.f.isReady(), ready, name);
-    t.state.health = 'served';
-    assert.equal(t.f.isReady(), true, `${name}: served again`);
+    const scene = makeForwarder('silent', 503, peers);
+    await scene.forwarder.serve({ to: 'poll', id: 'wk-1' });
+    assert.equal(scene.forwarder.isReady(), true, `${name}: not at once`);
+    scene.clock.now = 10;
+    assert.equal(scene.forwarder.isReady(), ready, name);
+    scene.state.health = 'served';
+    assert.equal(scene.forwarder.isReady(), true, `${name}: served again`);
   }
 });
 
@@ -131,9 +131,9 @@
     ['shed', 'served', 503, 'submit', '{}', 503],
   ];
   for (const [name, health, own, to, text, status] of cases) {
-    const t = makeForwarder(health, own, { a: { status: 200 } });
-    assert.equal((await t.f.serveForwarded(to, text)).status, status, name);
-    assert.deepEqual(t.asked, [], name);
+    const scene = makeForwarder(health, own, { a: { status: 200 } });
+    assert.equal((await scene.forwarder.serveForwarded(to, text)).status, status, name);
+    assert.deepEqual(scene.asked, [], name);
   }
 });
 
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -7,25 +7,25 @@
 import { submission } from './standins/users.js';
 
 /** End-to-end tests of three controllers against stand-ins that check the rules of the protocol. */
-const LEASE = 4;
+const LEASE_S = 4;
 let cluster: Cluster;
 
 before(async () => {
-  cluster = await Cluster.start({ leaseS: LEASE });
+  cluster = await Cluster.start({ leaseS: LEASE_S });
 });
 
 after(() => cluster.close());
 
-const ready = (at: number) => async (): Promise<boolean> =>
+const isReady = (at: number) => async (): Promise<boolean> =>
   (await cluster.users.request(at, 'GET', '/ready')).status === 200;
 
-const tasksOnce = (ref: string, count: number): void => {
+const assertTasksStartedOnce = (ref: string, count: number): void => {
   for (let i = 0; i < count; i++) assert.equal(cluster.rules.starts.get(`${ref}/${i}`), 1);
 };
 
 test('job arrays and gangs run to completion, each task once, and every controller reports it', async () => {
   const { users } = cluster;
-  await until('ready', ready(0));
+  await until('ready', isReady(0));
   await Promise.all([
     users.submit(0, 'wk-000001', { pieces: 20 }),
     users.submit(1, 'wk-000002', { form: 'group', pieces: 3 }),
@@ -34,7 +34,7 @@
     await users.sees(at, 'wk-000001', 'done');
     await users.sees(at, 'wk-000002', 'done');
   }
-  tasksOnce('wk-000001', 20);
+  assertTasksStartedOnce('wk-000001', 20);
   cluster.assertRules();
 });
 
@@ -94,7 +94,7 @@
     });
     assert.match(got, /^HTTP\/1\.1 400 /);
   }
-  assert.ok(await ready(0)());
+  assert.ok(await isReady(0)());
 });
 
 test('a service runs until it is cancelled, and stays cancelled', async () => {
@@ -113,22 +113,22 @@
   await users.submit(0, 'wk-000004', { form: 'daemon', pieces: 3 });
   await users.submit(0, 'wk-000005', { pieces: 30 }, 0.5);
   await until('running', () => cluster.tasks('wk-000004').length === 3);
-  const old = await cluster.newLeader();
-  cluster.stopController(old);
-  await cluster.newLeader(old);
-  await users.sees((old + 1) % 3, 'wk-000005', 'done');
+  const oldLeader = await cluster.newLeader();
+  cluster.stopController(oldLeader);
+  await cluster.newLeader(oldLeader);
+  await users.sees((oldLeader + 1) % 3, 'wk-000005', 'done');
   assert.equal(cluster.tasks('wk-000004').length, 3);
-  tasksOnce('wk-000004', 3);
-  await cluster.startController(old);
-  await until('back', ready(old));
-  assert.equal((await users.poll(old, 'wk-000005')).state, 'done');
+  assertTasksStartedOnce('wk-000004', 3);
+  await cluster.startController(oldLeader);
+  await until('back', isReady(oldLeader));
+  assert.equal((await users.poll(oldLeader, 'wk-000005')).state, 'done');
   cluster.assertRules();
 });
 
 test('running work survives an outage of the key-value store longer than the lease', async () => {
   const starts = new Map(cluster.rules.starts);
   cluster.state.down = true;
-  await wait(LEASE * 2000);
+  await wait(LEASE_S * 2000);
   assert.equal(cluster.tasks('wk-000004').length, 3);
   // An uncertain state is answered with 503, a final one is reported.
   assert.equal((await cluster.users.poll(0, 'wk-000903')).status, 503);
@@ -139,17 +139,17 @@
 
 test('if the leader stops in an outage, the other controllers renew the leases and do nothing else', async () => {
   const starts = new Map(cluster.rules.starts);
-  const old = await cluster.newLeader();
+  const oldLeader = await cluster.newLeader();
   cluster.state.down = true;
-  await wait(LEASE * 500);
-  cluster.stopController(old);
-  await wait(LEASE * 2000);
+  await wait(LEASE_S * 500);
+  cluster.stopController(oldLeader);
+  await wait(LEASE_S * 2000);
   assert.equal(cluster.tasks('wk-000004').length, 3);
   cluster.state.down = false;
-  await cluster.newLeader(old);
-  await cluster.users.sees((old + 1) % 3, 'wk-000004', 'running');
+  await cluster.newLeader(oldLeader);
+  await cluster.users.sees((oldLeader + 1) % 3, 'wk-000004', 'running');
   assert.deepEqual(cluster.rules.starts, starts);
-  await cluster.startController(old);
+  await cluster.startController(oldLeader);
   cluster.assertRules();
 });
 
