--- a/test/program.test.ts
+++ b/test/program.test.ts
@@ -10,8 +10,8 @@
 
 const MAIN = new URL('../src/main.js', import.meta.url).pathname;
 
-/** Exchanges all of many small objects many times over. Tells the largest heap, and what is live, in MB. */
-const CHURN = `
+/** Replaces many small objects many times. Prints the largest heap size and the live size, in MB. */
+const HEAP_CHURN_SCRIPT = `
   import { setFlagsFromString } from 'node:v8';
   import { runInNewContext } from 'node:vm';
   const { limitHeapGrowth } = await import(process.argv[1]);
@@ -30,23 +30,30 @@
   const live = process.memoryUsage().heapUsed;
   process.stdout.write(JSON.stringify([peak / 1e6, live / 1e6, held.length]));
 `;
-/** The memory of a small controller. */
-const LEAST_MB = 88;
-/** What is new, and what comes while a collection is under way on a busy machine, in MB. */
-const SLACK_MB = 24;
+/** Memory limit of a small controller. */
+const MEMORY_LIMIT_MB = 88;
+/** New space, and allocations during a collection on a busy machine. */
+const HEAP_SLACK_MB = 24;
 
-test('the heap stays in proportion to what it holds, whatever the machine has', () => {
+test('the heap stays in proportion to its live size, whatever memory the machine has', () => {
   const heap = new URL('../src/controller/heap.js', import.meta.url).href;
   for (const objects of [60_000, 240_000]) {
-    const args = ['--input-type=module', '-e', CHURN, heap, String(objects), String(LEAST_MB)];
+    const args = [
+      '--input-type=module',
+      '-e',
+      HEAP_CHURN_SCRIPT,
+      heap,
+      String(objects),
+      String(MEMORY_LIMIT_MB),
+    ];
     const output = String(spawnSync(process.execPath, args).stdout);
     const [peak, live] = JSON.parse(output) as [number, number];
     assert.ok(live > 8 && peak > live, `${peak} and ${live} MB`);
-    assert.ok(peak < SLACK_MB + live * 2.1, `${live} MB live, ${peak} at the most`);
+    assert.ok(peak < HEAP_SLACK_MB + live * 2.1, `${live} MB live, ${peak} at the most`);
   }
 });
 
-test('the program as it is deployed starts from code that was compiled by the build, and tells its profile', async () => {
+test('the deployed program starts from the code cache of the build and prints its profile', async () => {
   const { run: line } = parse(readFileSync('deploy/service.toml', 'utf8')) as { run: string };
   const dir = mkdtempSync(join(tmpdir(), 'shelf-'));
   const ports = [{ bind: await freePort(), peer: await freePort() }];
@@ -65,8 +72,8 @@
     return response?.status === 200;
   };
   await until('answers', answers);
-  // A code cache that V8 refuses would be told first. An idle program has next to no samples of its
-  // own functions: it is asked all the time.
+  // If V8 rejected the code cache, that would be reported first. Requests are sent all the time, because the
+  // profile of an idle program has almost no samples of its own functions.
   await until('profile', async () => {
     for (let i = 0; i < 20 && err === ''; i++) await answers();
     return err !== '';
@@ -77,7 +84,7 @@
   assert.match(err, /% {2}src\/\w+\/\w+\.ts\n/);
 });
 
-test('what keeps a controller from starting is told in one line', async () => {
+test('the reason why a controller cannot start is printed in one line', async () => {
   const dir = mkdtempSync(join(tmpdir(), 'shelf-'));
   const ports = [{ bind: await freePort(), peer: await freePort() }];
   const config = join(dir, 'settings.toml');
@@ -91,21 +98,24 @@
     const end = new Promise<number | null>((r) => p.on('close', r));
     return { p, end, err: () => err };
   };
-  const says = async (args: string[], what: RegExp): Promise<void> => {
+  const assertFailsWith = async (args: string[], what: RegExp): Promise<void> => {
     const { end, err } = run(args);
     assert.equal(await end, 2, args.join(' '));
     assert.match(err(), what);
-    const told = err()
+    const messages = err()
       .trim()
       .split('\n')
       .filter((line) => !line.startsWith('{'));
-    assert.equal(told.length, 1, err());
+    assert.equal(messages.length, 1, err());
   };
-  await says(['--config', join(dir, 'none.toml')], /cannot be read/);
-  await says(['--config', config, '--operator-script', script], /script:1: eta/);
-  await says(['--config', config, '--operator-script', script, '--check'], /script:1: eta/);
+  await assertFailsWith(['--config', join(dir, 'none.toml')], /cannot be read/);
+  await assertFailsWith(['--config', config, '--operator-script', script], /script:1: eta/);
+  await assertFailsWith(
+    ['--config', config, '--operator-script', script, '--check'],
+    /script:1: eta/,
+  );
   const taken = createServer().listen(ports[0]!.bind, '127.0.0.1').unref();
   await until('taken', () => taken.listening);
-  await says(['--config', config], /cannot listen/);
+  await assertFailsWith(['--config', config], /cannot listen/);
   await new Promise((r) => taken.close(r));
 });
