--- a/scripts/costs.ts
+++ b/scripts/costs.ts
@@ -37,30 +37,30 @@
 /** Nobody keeps this zone, so that no machine is sent to its zone's controller. */
 const MACHINE_ZONE = 'z2';
 const SETTLE_S = 3;
-const PASSED_ON_S = 3;
+const FORWARDED_S = 3;
 const DIRECT_S = 3;
 const SLOW_S = 2;
 const USERS_S = 2;
 /** Heartbeats in the slow phase, of those in the others. */
 const SLOW_SHARE = 0.25;
-const SUBMITTED_PER_S = 20;
+const SUBMISSIONS_PER_S = 20;
 /** A measurement in which leadership changed, or heartbeats went unanswered, is repeated so often. */
 const ATTEMPTS = 3;
 /** Heartbeats that may go without an answer by the end of a phase: those under way, at least some. */
 const UNANSWERED_SHARE = 0.02;
-const UNDER_WAY = 5;
+const MIN_IN_FLIGHT = 5;
 
 /** The costs of one build, of one measurement. */
 interface Costs {
   /** Processor seconds for a thousand reports. */
   direct: number;
   leaderAll: number;
-  passedOn: number;
-  fromPeers: number;
+  forwarding: number;
+  forwardedAnswer: number;
   /** Processor milliseconds. */
   submission: number;
   /** Milliseconds of elapsed time, median. */
-  pass: number;
+  cycle: number;
   /** Processor seconds until it is ready, mean of three controllers. */
   start: number;
   /** Most resident memory, MB. */
@@ -71,10 +71,10 @@
 const TITLES: [keyof Costs, string][] = [
   ['direct', 'leader, 1000 reports answered directly, s'],
   ['leaderAll', 'leader, all that it does, for 1000 of these, s'],
-  ['passedOn', 'follower, 1000 reports passed on, s'],
-  ['fromPeers', 'leader, 1000 reports passed on to it, s'],
+  ['forwarding', 'follower, 1000 reports passed on, s'],
+  ['forwardedAnswer', 'leader, 1000 reports passed on to it, s'],
   ['submission', 'a submission, ms'],
-  ['pass', 'a pass, elapsed, median, ms'],
+  ['cycle', 'a pass, elapsed, median, ms'],
   ['start', 'a start, s'],
   ['leaderMb', 'leader, peak memory, MB'],
   ['followerMb', 'follower, peak memory, MB'],
@@ -89,7 +89,7 @@
   submissions: number;
 }
 
-class Unusable extends Error {}
+class UnusableMeasurementError extends Error {}
 
 /** One measurement of one build. */
 class Measurement {
@@ -103,7 +103,7 @@
     const fleet = new Fleet({ machines, checkout, zones: ZONES, machineZone: MACHINE_ZONE });
     try {
       await fleet.start();
-      const stop = fleet.report(machines);
+      const stop = fleet.startHeartbeats(machines);
       await wait(SETTLE_S * 1000);
       stop();
       return await new Measurement(fleet, await leaderOf(fleet)).costs();
@@ -114,15 +114,16 @@
 
   private async costs(): Promise<Costs> {
     const { fleet, leader } = this;
-    const relay = (leader + 1) % ZONES.length;
+    const follower = (leader + 1) % ZONES.length;
     const idle = (leader + 2) % ZONES.length;
     const full = fleet.machines.length;
-    const passedOn = await this.phase(PASSED_ON_S, relay, full);
+    const forwarded = await this.phase(FORWARDED_S, follower, full);
     const direct = await this.phase(DIRECT_S, leader, full);
     const slow = await this.phase(SLOW_S, leader, full * SLOW_SHARE);
-    const users = await this.phase(USERS_S, leader, full * SLOW_SHARE, relay);
-    if ((await leaderOf(fleet)) !== leader) throw new Unusable('another controller leads');
-    const beyondIdle = (phase: Phase): number => phase.cpu[relay]! - phase.cpu[idle]!;
+    const users = await this.phase(USERS_S, leader, full * SLOW_SHARE, follower);
+    if ((await leaderOf(fleet)) !== leader)
+      throw new UnusableMeasurementError('another controller leads');
+    const beyondIdle = (phase: Phase): number => phase.cpu[follower]! - phase.cpu[idle]!;
     const slope = (direct.cpu[leader]! - slow.cpu[leader]!) / (direct.reports - slow.reports);
     const leaderBase = slow.cpu[leader]! - slope * slow.reports;
     const forUsers = beyondIdle(users) + users.cpu[leader]! - slow.cpu[leader]!;
@@ -131,13 +132,13 @@
     return {
       direct: slope * 1000,
       leaderAll: (direct.cpu[leader]! / direct.reports) * 1000,
-      passedOn: (beyondIdle(passedOn) / passedOn.reports) * 1000,
-      fromPeers: ((passedOn.cpu[leader]! - leaderBase) / passedOn.reports) * 1000,
+      forwarding: (beyondIdle(forwarded) / forwarded.reports) * 1000,
+      forwardedAnswer: ((forwarded.cpu[leader]! - leaderBase) / forwarded.reports) * 1000,
       submission: (forUsers / users.submissions) * 1000,
-      pass: Number((await fleet.figures(leader)).pass_us_p50) / 1000,
+      cycle: Number((await fleet.metrics(leader)).pass_us_p50) / 1000,
       start: fleet.controllers.reduce((sum, c) => sum + c.startS, 0) / ZONES.length,
       leaderMb: peakMb(leader),
-      followerMb: peakMb(relay),
+      followerMb: peakMb(follower),
     };
   }
 
@@ -153,7 +154,7 @@
     submitTo?: number,
   ): Promise<Phase> {
     const { fleet } = this;
-    for (const machine of fleet.machines) machine.at = reportTo;
+    for (const machine of fleet.machines) machine.controllerIndex = reportTo;
     let sent = 0;
     let answered = 0;
     const refused: number[] = [];
@@ -161,7 +162,7 @@
     const before = this.processorSeconds();
     const began = performance.now();
     const stops = [
-      fleet.report(
+      fleet.startHeartbeats(
         reportsPerS,
         () => sent++,
         (status) => {
@@ -174,15 +175,17 @@
       const submit = async (): Promise<void> => {
         if (await fleet.submit(submitTo)) submissions++;
       };
-      stops.push(paced(SUBMITTED_PER_S, submit));
+      stops.push(paced(SUBMISSIONS_PER_S, submit));
     }
     await wait(seconds * 1000);
     for (const stop of stops) stop();
     const elapsed = (performance.now() - began) / 1000;
     const cpu = this.processorSeconds().map((after, i) => (after - before[i]!) / elapsed);
-    if (sent - answered > Math.max(UNDER_WAY, sent * UNANSWERED_SHARE)) {
+    if (sent - answered > Math.max(MIN_IN_FLIGHT, sent * UNANSWERED_SHARE)) {
       const statuses = [...new Set(refused)].join(', ');
-      throw new Unusable(`${sent - answered} of ${sent} reports unanswered, ${statuses}`);
+      throw new UnusableMeasurementError(
+        `${sent - answered} of ${sent} reports unanswered, ${statuses}`,
+      );
     }
     return { cpu, reports: answered / elapsed, submissions: submissions / elapsed };
   }
@@ -190,9 +193,10 @@
 
 /** The index of the controller that leads. */
 async function leaderOf(fleet: Fleet): Promise<number> {
-  const figures = await Promise.all(fleet.controllers.map((_, i) => fleet.figures(i)));
+  const figures = await Promise.all(fleet.controllers.map((_, i) => fleet.metrics(i)));
   const leaders = figures.flatMap((f, i) => (f.role === 'leading' ? [i] : []));
-  if (leaders.length !== 1) throw new Unusable(`${leaders.length} controllers lead`);
+  if (leaders.length !== 1)
+    throw new UnusableMeasurementError(`${leaders.length} controllers lead`);
   return leaders[0]!;
 }
 
@@ -201,7 +205,7 @@
     try {
       return await Measurement.run(checkout, machines);
     } catch (error) {
-      if (!(error instanceof Unusable) || attempt === ATTEMPTS) throw error;
+      if (!(error instanceof UnusableMeasurementError) || attempt === ATTEMPTS) throw error;
       process.stdout.write(`discarded, repeated: ${error.message}\n`);
     }
   }
@@ -218,13 +222,13 @@
 }
 
 /** Each measurement by itself, in the order of the table's titles. */
-function tellSingle(name: string, costs: Costs): void {
+function printMeasurement(name: string, costs: Costs): void {
   const figures = TITLES.map(([key]) => costs[key].toPrecision(DIGITS));
   process.stdout.write(`${name}: ${figures.join('  ')}\n`);
 }
 
 /** Of one build: least, median and greatest of its measurements. */
-function tellOne(runs: Costs[]): void {
+function printSummary(runs: Costs[]): void {
   process.stdout.write(row('', ['least', 'median', 'greatest']));
   for (const [key, title] of TITLES) {
     const { least, median, greatest } = summary(runs.map((c) => c[key]));
@@ -233,7 +237,7 @@
 }
 
 /** Of two builds: their medians, and the ratios within pairs. */
-function tellTwo(runs: Costs[], baselines: Costs[]): void {
+function printComparison(runs: Costs[], baselines: Costs[]): void {
   process.stdout.write(row('', ['baseline', 'this', 'ratio', 'least', 'greatest']));
   for (const [key, title] of TITLES) {
     const ours = runs.map((c) => c[key]);
@@ -256,22 +260,22 @@
 }>();
 const runs: Costs[] = [];
 const baselines: Costs[] = [];
-const measureThis = async (): Promise<void> => {
+const measureThisBuild = async (): Promise<void> => {
   runs.push(await measure('.', machines));
-  tellSingle('this    ', runs.at(-1)!);
+  printMeasurement('this    ', runs.at(-1)!);
 };
 const measureBaseline = async (): Promise<void> => {
   if (baseline === undefined) return;
   baselines.push(await measure(baseline, machines));
-  tellSingle('baseline', baselines.at(-1)!);
+  printMeasurement('baseline', baselines.at(-1)!);
 };
 process.stdout.write(`${machines} machines; ${TITLES.map(([, title]) => title).join('; ')}\n`);
 for (let pair = 0; pair < pairs; pair++) {
   // Whichever goes first may find the machine in another state: each does so in every other pair.
-  const order = [measureThis, measureBaseline];
+  const order = [measureThisBuild, measureBaseline];
   if (pair % 2 === 1) order.reverse();
   for (const one of order) await one();
 }
 process.stdout.write('\n');
-if (baseline === undefined) tellOne(runs);
-else tellTwo(runs, baselines);
+if (baseline === undefined) printSummary(runs);
+else printComparison(runs, baselines);
--- a/scripts/fleet-load.ts
+++ b/scripts/fleet-load.ts
@@ -29,7 +29,7 @@
 /** Linux accounts processor time in hundredths of a second. */
 const TICKS_PER_S = 100;
 /** Milliseconds between two looks at what is due, and at whether a controller has started. */
-const PACE_MS = 5;
+const POLL_INTERVAL_MS = 5;
 
 export interface FleetOptions {
   machines: number;
@@ -58,7 +58,7 @@
   startS: number;
 }
 
-interface Piece {
+interface Task {
   piece: string;
   pour: number;
   temper: string;
@@ -82,30 +82,30 @@
 
 /** Spreads calls evenly over time, however coarse the timers are. Returns what ends them. */
 export function paced(perSecond: number, work: () => unknown): () => void {
-  const began = performance.now();
+  const startedAt = performance.now();
   let done = 0;
   const timer = setInterval(() => {
-    const due = ((performance.now() - began) / 1000) * perSecond;
+    const due = ((performance.now() - startedAt) / 1000) * perSecond;
     for (; done < due; done++) void work();
-  }, PACE_MS);
+  }, POLL_INTERVAL_MS);
   return () => clearInterval(timer);
 }
 
 /** A machine that heartbeats, and runs what it is told to. */
 class Machine {
-  private readonly pieces: Piece[];
-  private tally = 0;
-  private hallmark = 1;
+  private readonly tasks: Task[];
+  private sequence = 0;
+  private token = 1;
 
   constructor(
     private readonly index: number,
     private readonly zone: string,
     /** The controller to which it reports, by index. */
-    public at: number,
+    public controllerIndex: number,
     private readonly post: (controller: number, path: string, body: string) => Promise<HttpAnswer>,
     claims: records.Claim[],
   ) {
-    this.pieces = claims.map((claim) => ({
+    this.tasks = claims.map((claim) => ({
       piece: `${claim.job}/0`,
       pour: 1,
       temper: 'running',
@@ -113,38 +113,38 @@
   }
 
   /** The answer's status; 0: there was none. */
-  async report(): Promise<number> {
+  async sendHeartbeat(): Promise<number> {
     const body = JSON.stringify({
       bench: hostId(this.index), addr: '127.0.0.1:1', casting: 'g8', yard: this.zone, loaner: false,
-      shift: 1, tally: ++this.tally, hallmark: this.hallmark, recall_s: null, pieces: this.pieces,
+      shift: 1, tally: ++this.sequence, hallmark: this.token, recall_s: null, pieces: this.tasks,
     }); // prettier-ignore
-    const { status, body: text } = await this.post(this.at, '/checkin', body);
+    const { status, body: text } = await this.post(this.controllerIndex, '/checkin', body);
     const answer = (text === '' ? {} : JSON.parse(text)) as {
       hallmark?: number;
       orders?: { verb: string; piece: string; pour: number }[];
       foreman?: string;
     };
     if (status === 421 && answer.foreman !== undefined) {
-      this.at = Number(answer.foreman.split('-')[1]);
+      this.controllerIndex = Number(answer.foreman.split('-')[1]);
     }
     if (status !== 200) return status;
-    this.hallmark = answer.hallmark!;
-    for (const order of answer.orders!) this.obey(order.verb, order.piece, order.pour);
+    this.token = answer.hallmark!;
+    for (const order of answer.orders!) this.execute(order.verb, order.piece, order.pour);
     return status;
   }
 
-  private obey(verb: string, piece: string, pour: number): void {
-    const at = this.pieces.findIndex((p) => p.piece === piece && p.pour === pour);
+  private execute(verb: string, piece: string, pour: number): void {
+    const at = this.tasks.findIndex((p) => p.piece === piece && p.pour === pour);
     if (verb === 'start' && at < 0) {
-      const started: Piece = { piece, pour, temper: 'running' };
-      this.pieces.push(started);
-      const runs = 5000 + Math.random() * 20000;
-      setTimeout(() => Object.assign(started, { temper: 'ended', cause: 'done' }), runs);
+      const started: Task = { piece, pour, temper: 'running' };
+      this.tasks.push(started);
+      const runMs = 5000 + Math.random() * 20000;
+      setTimeout(() => Object.assign(started, { temper: 'ended', cause: 'done' }), runMs);
     }
     if (verb === 'kill' && at >= 0) {
-      Object.assign(this.pieces[at]!, { temper: 'ended', cause: 'halted' });
+      Object.assign(this.tasks[at]!, { temper: 'ended', cause: 'halted' });
     }
-    if (verb === 'reap' && at >= 0) this.pieces.splice(at, 1);
+    if (verb === 'reap' && at >= 0) this.tasks.splice(at, 1);
   }
 }
 
@@ -194,13 +194,13 @@
     }
   }
 
-  private get jobsOver(): number {
+  private get endedJobCount(): number {
     return this.options.machines * (JOBS_PER_MACHINE - SERVICES_PER_MACHINE);
   }
 
   private claimsOf(machine: number): records.Claim[] {
     return Array.from({ length: SERVICES_PER_MACHINE }, (_, k) => ({
-      job: jobId(this.jobsOver + machine * SERVICES_PER_MACHINE + k),
+      job: jobId(this.endedJobCount + machine * SERVICES_PER_MACHINE + k),
       index: 0,
       attempt: 1,
     }));
@@ -215,7 +215,7 @@
     };
     put(records.MACHINE_TYPES, records.encodeMachineTypes([g8]));
     for (let i = 0; i < options.machines * JOBS_PER_MACHINE; i++) {
-      const isOver = i < this.jobsOver;
+      const isOver = i < this.endedJobCount;
       const kind = isOver ? 'array' : 'service';
       const jobs = [{ spec: spec({ id: jobId(i), kind, cores: 0.1 }), atMs: Date.now() - 300_000 }];
       const cancelledIds = isOver ? [jobId(i)] : [];
@@ -246,7 +246,7 @@
       );
       this.controllers.push(this.spawnController(`n-${i}`, ports[i]!.bind, config));
     });
-    await Promise.all(this.controllers.map((_, i) => this.started(i)));
+    await Promise.all(this.controllers.map((_, i) => this.waitUntilReady(i)));
   }
 
   private spawnController(name: string, port: number, config: string): Controller {
@@ -261,7 +261,7 @@
     return controller;
   }
 
-  private async started(index: number): Promise<void> {
+  private async waitUntilReady(index: number): Promise<void> {
     const controller = this.controllers[index]!;
     await until(`${controller.name} is ready`, async () => {
       if (controller.process.exitCode !== null) throw new Error(`it ended: ${controller.output}`);
@@ -276,18 +276,18 @@
     const { agent } = this;
     return new Promise((done) => {
       const headers = { 'content-length': Buffer.byteLength(body) };
-      const r = request({ host: '127.0.0.1', port, method, path, headers, agent }, (res) => {
+      const outgoing = request({ host: '127.0.0.1', port, method, path, headers, agent }, (res) => {
         let text = '';
         res.on('data', (data: Buffer) => (text += data.toString()));
         res.on('end', () => done({ status: res.statusCode ?? 0, body: text }));
       });
-      r.on('error', () => done({ status: 0, body: '' }));
-      r.end(body);
+      outgoing.on('error', () => done({ status: 0, body: '' }));
+      outgoing.end(body);
     });
   }
 
   /** Has machines report by turns, `perSecond` reports in all. Returns what ends it. */
-  report(
+  startHeartbeats(
     perSecond: number,
     onSent: () => unknown = () => undefined,
     onAnswer: (status: number) => unknown = () => undefined,
@@ -295,7 +295,7 @@
     let turn = 0;
     return paced(perSecond, async () => {
       onSent();
-      onAnswer(await this.machines[turn++ % this.machines.length]!.report());
+      onAnswer(await this.machines[turn++ % this.machines.length]!.sendHeartbeat());
     });
   }
 
@@ -313,7 +313,7 @@
   }
 
   /** A controller's figures: `GET /metrics`. */
-  async figures(controller: number): Promise<Record<string, number | string | null>> {
+  async metrics(controller: number): Promise<Record<string, number | string | null>> {
     const { body } = await this.call(controller, 'GET', '/metrics');
     return JSON.parse(body) as Record<string, number | string | null>;
   }
@@ -321,7 +321,7 @@
   /** Ends the controllers and the stand-ins. */
   async close(): Promise<void> {
     for (const c of this.controllers) c.process.kill();
-    await Promise.all(this.controllers.map((c) => exited(c.process)));
+    await Promise.all(this.controllers.map((c) => waitForExit(c.process)));
     this.agent.destroy();
     this.cloud.close();
     this.rules.close();
@@ -329,6 +329,6 @@
   }
 }
 
-async function exited(child: ChildProcess): Promise<void> {
-  while (child.exitCode === null && child.signalCode === null) await wait(PACE_MS);
+async function waitForExit(child: ChildProcess): Promise<void> {
+  while (child.exitCode === null && child.signalCode === null) await wait(POLL_INTERVAL_MS);
 }
--- a/scripts/lending.ts
+++ b/scripts/lending.ts
@@ -15,7 +15,7 @@
 const outcomes: Record<Condition, ScenarioOutcome[]> = { lending: [], ordinary: [] };
 
 /** A pair: the same trouble and the same order of submissions, with and without lending. */
-async function playPair(pair: number): Promise<void> {
+async function runPair(pair: number): Promise<void> {
   const order: Condition[] = pair % 4 < 2 ? ['lending', 'ordinary'] : ['ordinary', 'lending'];
   for (const condition of order) {
     const scenario = new Scenario({
@@ -65,7 +65,7 @@
 const options = program.opts<{ pairs: number; atOnce: number }>();
 for (let pair = 0; pair < options.pairs; pair += options.atOnce) {
   const count = Math.min(options.atOnce, options.pairs - pair);
-  await Promise.all(Array.from({ length: count }, (_, i) => playPair(pair + i)));
+  await Promise.all(Array.from({ length: count }, (_, i) => runPair(pair + i)));
 }
 report('lending');
 report('ordinary');
--- a/scripts/load-lines.ts
+++ b/scripts/load-lines.ts
@@ -13,42 +13,42 @@
 interface Column {
   title: string;
   value: (line: LoadLine) => number;
-  join: (a: number, b: number) => number;
+  merge: (a: number, b: number) => number;
 }
 
 const sum = (a: number, b: number): number => a + b;
 
-const counted = (title: string, value: (line: LoadLine) => number): Column => ({
+const counterColumn = (title: string, value: (line: LoadLine) => number): Column => ({
   title,
   value,
-  join: sum,
+  merge: sum,
 });
 
-const level = (title: string, value: (line: LoadLine) => number): Column => ({
+const gaugeColumn = (title: string, value: (line: LoadLine) => number): Column => ({
   title,
   value,
-  join: Math.max,
+  merge: Math.max,
 });
 
 /** What is shown of each controller, besides its role. */
 const COLUMNS: Column[] = [
-  counted('ans', (l) => l.reports_answered),
-  counted('peers', (l) => l.reports_answered_for_peers),
-  counted('kept', (l) => l.reports_kept),
-  counted('on', (l) => l.reports_passed_on),
-  counted('fail', (l) => l.reports_passed_on_failed),
-  counted('drop', (l) => l.reports_dropped),
-  counted('refu', (l) => l.submissions_refused + l.polls_refused + l.cancellations_refused),
-  counted('lost', (l) => l.machines_lost),
-  level('wait', (l) => l.requests_waiting),
-  level('delay', (l) => l.delay_ms),
-  level('late', (l) => l.late_ms),
-  counted('stKB', (l) => (l.state_sent_bytes + l.state_received_bytes) / 1000),
-  counted('pass', (l) => l.passes),
-  counted('passMs', (l) => l.pass_ms),
-  counted('gcMs', (l) => l.gc_ms),
-  counted('cpuMs', (l) => l.cpu_ms),
-  level('rssMB', (l) => l.rss_mb),
+  counterColumn('ans', (l) => l.reports_answered),
+  counterColumn('peers', (l) => l.reports_answered_for_peers),
+  counterColumn('kept', (l) => l.reports_kept),
+  counterColumn('on', (l) => l.reports_passed_on),
+  counterColumn('fail', (l) => l.reports_passed_on_failed),
+  counterColumn('drop', (l) => l.reports_dropped),
+  counterColumn('refu', (l) => l.submissions_refused + l.polls_refused + l.cancellations_refused),
+  counterColumn('lost', (l) => l.machines_lost),
+  gaugeColumn('wait', (l) => l.requests_waiting),
+  gaugeColumn('delay', (l) => l.delay_ms),
+  gaugeColumn('late', (l) => l.late_ms),
+  counterColumn('stKB', (l) => (l.state_sent_bytes + l.state_received_bytes) / 1000),
+  counterColumn('pass', (l) => l.passes),
+  counterColumn('passMs', (l) => l.pass_ms),
+  counterColumn('gcMs', (l) => l.gc_ms),
+  counterColumn('cpuMs', (l) => l.cpu_ms),
+  gaugeColumn('rssMB', (l) => l.rss_mb),
 ];
 
 const ROLE_LETTERS = 4;
@@ -90,9 +90,9 @@
   figures: COLUMNS.map((c) => c.value(line)),
 });
 
-const joined = (a: Cell, b: Cell): Cell => ({
+const mergeCells = (a: Cell, b: Cell): Cell => ({
   role: b.role,
-  figures: COLUMNS.map((c, i) => c.join(a.figures[i]!, b.figures[i]!)),
+  figures: COLUMNS.map((c, i) => c.merge(a.figures[i]!, b.figures[i]!)),
 });
 
 /** A row's texts, a group for each controller; a controller without a line has an empty group. */
@@ -113,7 +113,7 @@
     const cells = seconds.get(second) ?? new Map<string, Cell>();
     const before = cells.get(entry.node);
     const cell = cellOf(entry);
-    cells.set(entry.node, before === undefined ? cell : joined(before, cell));
+    cells.set(entry.node, before === undefined ? cell : mergeCells(before, cell));
     seconds.set(second, cells);
   }
   const titles = ['role', ...COLUMNS.map((c) => c.title)];
--- a/scripts/mixed-versions.ts
+++ b/scripts/mixed-versions.ts
@@ -21,11 +21,11 @@
 const LEASE_S = 3;
 const CANCEL_S = LEASE_S * 3;
 const NEXT_LIMITS = 'value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 150.0';
-const LOGS = 'target/mixed-versions';
-const LONG_S = 600;
+const LOG_DIRECTORY = 'target/mixed-versions';
+const LONG_TASK_S = 600;
 
 /** A pipeline's jobs by their place in it; `round` keeps ids apart. */
-const refOf = (round: number, pipeline: number, stage: number): string =>
+const jobIdOf = (round: number, pipeline: number, stage: number): string =>
   `wk-${String(round * 1000 + pipeline * 10 + stage).padStart(6, '0')}`;
 
 class Rollout extends ProcessCluster {
@@ -38,7 +38,7 @@
       leaseS: LEASE_S,
       cancelS: CANCEL_S,
       nextLimits: NEXT_LIMITS,
-      directory: LOGS,
+      directory: LOG_DIRECTORY,
       label: String(round),
     });
   }
@@ -47,14 +47,14 @@
     this.start(index, this.builds[version]);
   }
 
-  async replace(index: number, version: 'old' | 'now'): Promise<void> {
+  async replaceWith(index: number, version: 'old' | 'now'): Promise<void> {
     await this.end(index);
     await wait(LEASE_S * 200);
     this.startVersion(index, version);
     await this.serves(index);
   }
 
-  runs(ref: string, tasks: number): boolean {
+  isRunning(ref: string, tasks: number): boolean {
     const running = [...this.rules.workers.values()].flatMap((worker) => worker.tasks);
     return (
       running.filter((t) => t.piece.startsWith(`${ref}/`) && t.temper === 'running').length >= tasks
@@ -62,11 +62,11 @@
   }
 }
 
-async function playRound(builds: { old: string; now: string }, round: number): Promise<void> {
+async function runRound(builds: { old: string; now: string }, round: number): Promise<void> {
   const rollout = new Rollout(builds, round);
   const { users, state, rules } = rollout;
-  const service = refOf(round, 90, 0);
-  const array = refOf(round, 90, 1);
+  const service = jobIdOf(round, 90, 0);
+  const array = jobIdOf(round, 90, 1);
   const nodes = [...Array(CONTROLLERS).keys()];
   try {
     await rollout.listen();
@@ -74,35 +74,38 @@
     for (const index of nodes) await rollout.serves(index);
     await users.submit(0, service, { form: 'daemon', pieces: 2 });
     await users.submit(1, array, { pieces: 4 }, LEASE_S * 4);
-    await until('the old work runs', () => rollout.runs(service, 2) && rollout.runs(array, 4));
+    await until(
+      'the old work runs',
+      () => rollout.isRunning(service, 2) && rollout.isRunning(array, 4),
+    );
 
-    await rollout.replace(0, 'now');
-    await rollout.replace(1, 'old');
-    const early = await users.submitOnce(0, submission(refOf(round, 80, 1), { awaits: [array] }));
+    await rollout.replaceWith(0, 'now');
+    await rollout.replaceWith(1, 'old');
+    const early = await users.submitOnce(0, submission(jobIdOf(round, 80, 1), { awaits: [array] }));
     assert.equal(early.status, pipelinesKnown ? 201 : 503, 'a pipeline while both are present');
     for (const index of [1, 2]) {
-      const mixed = refOf(round, 91, index);
+      const mixed = jobIdOf(round, 91, index);
       await users.submit(index, mixed, {}, 0.3);
-      await rollout.replace(index, 'now');
+      await rollout.replaceWith(index, 'now');
       for (const at of nodes) await users.sees(at, mixed, 'done');
     }
 
-    await submitPipeline(rollout, round, 1, LONG_S);
+    await submitPipeline(rollout, round, 1, LONG_TASK_S);
     await submitPipeline(rollout, round, 2, 0.3);
-    await until('the first job runs', () => rollout.runs(refOf(round, 1, 0), 2));
+    await until('the first job runs', () => rollout.isRunning(jobIdOf(round, 1, 0), 2));
     state.limits = { valueBytes: 2048, operations: 4 };
     await Promise.all([
-      users.cancel(1, refOf(round, 1, 0)),
-      rollout.replace(round % CONTROLLERS, 'now'),
+      users.cancel(1, jobIdOf(round, 1, 0)),
+      rollout.replaceWith(round % CONTROLLERS, 'now'),
     ]);
     for (const at of nodes) {
       for (const stage of [0, 1, 2]) {
-        await users.sees(at, refOf(round, 1, stage), 'cancelled');
-        await users.sees(at, refOf(round, 2, stage), 'done');
+        await users.sees(at, jobIdOf(round, 1, stage), 'cancelled');
+        await users.sees(at, jobIdOf(round, 2, stage), 'done');
       }
       await users.sees(at, array, 'done');
     }
-    assert.ok(rollout.runs(service, 2), 'the service that the old version started still runs');
+    assert.ok(rollout.isRunning(service, 2), 'the service that the old version started still runs');
     assert.equal(rules.starts.get(`${service}/0`), 1, 'and was started once');
     assert.equal(state.tooLarge, 0, 'nothing was refused for its size');
   } finally {
@@ -119,11 +122,11 @@
   firstS: number,
 ): Promise<void> {
   for (const stage of [0, 1, 2]) {
-    const awaits = stage === 0 ? null : [refOf(round, pipeline, stage - 1)];
+    const awaits = stage === 0 ? null : [jobIdOf(round, pipeline, stage - 1)];
     const runS = stage === 0 ? firstS : 0.3;
     await rollout.users.submit(
       stage % CONTROLLERS,
-      refOf(round, pipeline, stage),
+      jobIdOf(round, pipeline, stage),
       { pieces: 2, awaits },
       runS,
     );
@@ -141,7 +144,7 @@
 const pipelinesKnown = options.pipelines === true;
 for (let round = 1; round <= rounds; round++) {
   const began = Date.now();
-  await playRound(builds, round);
+  await runRound(builds, round);
   process.stdout.write(
     `round ${round}: no rule broken, ${Math.round((Date.now() - began) / 1000)} s\n`,
   );
--- a/scripts/production-build.ts
+++ b/scripts/production-build.ts
@@ -4,9 +4,9 @@
 import { parse } from 'smol-toml';
 
 /** Where the builds of earlier versions are kept, below the project. */
-const BUILDS = 'target/production';
+const BUILDS_DIRECTORY = 'target/production';
 /** Written into a build's folder once it is whole. */
-const COMPLETE = 'complete';
+const COMPLETE_MARKER = 'complete';
 
 /** The commit of the version in production, by the deploy file. */
 export function productionCommit(): string {
@@ -25,8 +25,8 @@
  * unless that was done before. Returns its folder, with the program below `target/`.
  */
 export function buildVersion(commit: string): string {
-  const dir = resolve(BUILDS, commit);
-  if (existsSync(join(dir, COMPLETE))) return dir;
+  const dir = resolve(BUILDS_DIRECTORY, commit);
+  if (existsSync(join(dir, COMPLETE_MARKER))) return dir;
   rmSync(dir, { recursive: true, force: true });
   mkdirSync(dir, { recursive: true });
   const sources = ['package.json', 'tsconfig.json', 'src', 'scripts', 'deploy'];
@@ -34,6 +34,6 @@
   execFileSync('tar', ['-x', '-C', dir], { input: archive });
   symlinkSync(resolve('node_modules'), join(dir, 'node_modules'));
   execFileSync('npm', ['run', '--silent', 'build'], { cwd: dir, stdio: 'inherit' });
-  writeFileSync(join(dir, COMPLETE), '');
+  writeFileSync(join(dir, COMPLETE_MARKER), '');
   return dir;
 }
--- a/scripts/profile.ts
+++ b/scripts/profile.ts
@@ -15,7 +15,7 @@
 const SECONDS = Number(process.argv[3] ?? 30);
 /** Seconds before samples are taken; 0: the start and the reading of the store are in them. */
 const SETTLE_S = Number(process.argv[4] ?? 10);
-const SUBMITTED_PER_S = 2;
+const SUBMISSIONS_PER_S = 2;
 const POLLS_PER_S = 10;
 const ZONES = ['z1', 'z2', 'z1'];
 
@@ -39,15 +39,15 @@
 const { controllers } = fleet;
 let turn = 0;
 const stops = [
-  fleet.report(MACHINES),
-  paced(SUBMITTED_PER_S, () => fleet.submit(turn++ % ZONES.length)),
+  fleet.startHeartbeats(MACHINES),
+  paced(SUBMISSIONS_PER_S, () => fleet.submit(turn++ % ZONES.length)),
   paced(POLLS_PER_S, () => fleet.poll(turn++ % ZONES.length)),
 ];
 await until('profiles', () => controllers.every((c) => c.output !== ''), SETTLE_S + SECONDS + 30);
 await wait(200);
 process.stdout.write(`${MACHINES} machines, ${fleet.submitted} jobs submitted\n`);
 for (const [i, c] of controllers.entries()) {
-  const { role } = await fleet.figures(i);
+  const { role } = await fleet.metrics(i);
   process.stdout.write(`\n== ${c.name}, ${role}: ${usage(c.process.pid!)}\n${c.output}`);
 }
 for (const stop of stops) stop();
--- a/scripts/warm-pools.ts
+++ b/scripts/warm-pools.ts
@@ -16,12 +16,12 @@
 
 const LEASE_S = 3;
 const BOOT_MS = 2000;
-const LOAD_MS = 1500;
+const MODEL_LOAD_MS = 1500;
 const REPLICAS = 3;
 const SLOT_SHARE = 0.5;
 /** Seconds from the start of the controllers to the burst. */
 const BURST_AFTER_S = 14;
-const EARLY_S = 2;
+const EARLY_BURST_S = 2;
 const MODEL = 'tutor';
 const REF = 'wk-000001';
 const SAMPLE_MS = 5;
@@ -33,14 +33,14 @@
   /** Milliseconds from the submission until each replica answers. */
   answersMs: number[];
   /** Machine-seconds by the bill and by the stand-ins; null: without a pool, or not comparable. */
-  bill: { billedS: number; reckonedS: number; uncertainS: number } | null;
+  bill: { billedS: number; expectedS: number; uncertainS: number } | null;
   violations: string[];
 }
 
 const features = (burstMs: number, port: number): string =>
   burstFeatures({ image: MODEL, port, slots: REPLICAS, burstMs, holdS: 60, aheadS: 7 });
 
-const answering = (workers: Worker[]): number =>
+const answeringReplicas = (workers: Worker[]): number =>
   workers.reduce((sum, worker) => {
     const model = worker.modelServer?.models.get(MODEL);
     return sum + (model?.state === 'ready' ? model.users : 0);
@@ -64,12 +64,12 @@
     });
   }
 
-  async play(): Promise<Outcome> {
+  async execute(): Promise<Outcome> {
     const { cluster } = this;
     try {
       await this.start();
-      await this.trouble();
-      const submitMs = this.burstMs - (this.condition === 'early burst' ? EARLY_S * 1000 : 0);
+      await this.injectFault();
+      const submitMs = this.burstMs - (this.condition === 'early burst' ? EARLY_BURST_S * 1000 : 0);
       await wait(submitMs - Date.now());
       const answersMs = await this.burst();
       const bill = this.pooled ? await this.compareBill() : null;
@@ -84,7 +84,7 @@
     await cluster.listen();
     const port = await freePort();
     const hostOf = (id: string): string => `127.2.${number % 250}.${Number(id.split('-')[1])}`;
-    cluster.cloud.around.modelServers = { port, loadMs: () => LOAD_MS, hostOf };
+    cluster.cloud.around.modelServers = { port, loadMs: () => MODEL_LOAD_MS, hostOf };
     cluster.cloud.bootMs = BOOT_MS;
     cluster.cloud.nominalBootS = BOOT_MS / 1000;
     this.burstMs = Math.ceil(Date.now() / 1000 + BURST_AFTER_S) * 1000;
@@ -94,7 +94,7 @@
   }
 
   /** Four seconds ahead of the burst: machines boot or load where there is a pool. */
-  private async trouble(): Promise<void> {
+  private async injectFault(): Promise<void> {
     const { cluster, condition } = this;
     await wait(this.burstMs - 4500 - Date.now());
     if (condition === 'leader killed') await cluster.end(await cluster.newLeader());
@@ -113,7 +113,7 @@
     const submitted = cluster.users.submit(at, REF, { ...shape, cores: 4, gpus: 4, mem_gb: 8 });
     const answersMs: number[] = [];
     while (answersMs.length < REPLICAS && Date.now() - began < 30_000) {
-      while (answersMs.length < answering(workers())) answersMs.push(Date.now() - began);
+      while (answersMs.length < answeringReplicas(workers())) answersMs.push(Date.now() - began);
       await wait(SAMPLE_MS);
     }
     await submitted;
@@ -127,13 +127,13 @@
     const rentedAt = new Map(pooled.flatMap(({ ids, at }) => ids.map((id) => [id, at] as const)));
     const starts = cluster.rules.startLog.filter(({ piece }) => piece.startsWith(`${REF}/`));
     if (starts.some(({ machine }) => !rentedAt.has(machine))) return null;
-    let reckonedS = 0;
+    let expectedS = 0;
     for (const { machine, at } of starts) {
-      reckonedS += ((at - rentedAt.get(machine)!) / 1000) * SLOT_SHARE;
+      expectedS += ((at - rentedAt.get(machine)!) / 1000) * SLOT_SHARE;
     }
     const row = await this.settledRow();
     if (row === null) return null;
-    return { billedS: row.machineS, reckonedS, uncertainS: row.uncertainS };
+    return { billedS: row.machineS, expectedS: expectedS, uncertainS: row.uncertainS };
   }
 
   /** The bill once every slot is used; null: that has not come within two leases. */
@@ -158,13 +158,15 @@
     const [median, p95, p99] = [0.5, 0.95, 0.99].map((share) => seconds(quantile(all, share)));
     const missing = list.length * REPLICAS - all.length;
     const bills = list.flatMap(({ bill }) => (bill === null ? [] : [bill]));
-    const off = bills.map(({ billedS, reckonedS }) => Math.abs(billedS - reckonedS));
-    const said = bills.map(({ uncertainS }) => uncertainS);
+    const billErrorsS = bills.map(({ billedS, expectedS: reckonedS }) =>
+      Math.abs(billedS - reckonedS),
+    );
+    const uncertaintiesS = bills.map(({ uncertainS }) => uncertainS);
     const broken = list.flatMap(({ violations }) => violations);
     process.stdout.write(
       `${condition.padEnd(14)} ${name.padEnd(8)} runs ${list.length}, first answers: median ${median} s, ` +
-        `95th ${p95} s, 99th ${p99} s, none ${missing}; bill off by at most ${Math.max(0, ...off).toFixed(2)} ` +
-        `machine s in ${bills.length} runs (said: ${Math.max(0, ...said).toFixed(2)}), rules broken ${broken.length}\n`,
+        `95th ${p95} s, 99th ${p99} s, none ${missing}; bill off by at most ${Math.max(0, ...billErrorsS).toFixed(2)} ` +
+        `machine s in ${bills.length} runs (said: ${Math.max(0, ...uncertaintiesS).toFixed(2)}), rules broken ${broken.length}\n`,
     );
   }
 }
@@ -183,8 +185,8 @@
     const batch = Array.from(
       { length: Math.min(options.atOnce, options.pairs - pair) },
       async () => {
-        outcomes.pooled.push(await new Run(condition, true, runs++).play());
-        outcomes.without.push(await new Run(condition, false, runs++).play());
+        outcomes.pooled.push(await new Run(condition, true, runs++).execute());
+        outcomes.without.push(await new Run(condition, false, runs++).execute());
       },
     );
     await Promise.all(batch);
--- a/test/cluster-pipelines.test.ts
+++ b/test/cluster-pipelines.test.ts
@@ -5,7 +5,7 @@
 import { until, wait } from './helpers.js';
 import { Cluster, playAll, type Row } from './standins/cluster.js';
 
-const LEASE = 2;
+const LEASE_S = 2;
 /** Longer than the troubles. */
 const TASK_S = 0.5;
 const LONG_S = 60;
@@ -23,34 +23,34 @@
 ];
 
 /** The controllers that are there. */
-const present = ({ indexes, controllers }: Cluster): number[] =>
+const runningControllers = ({ indexes, controllers }: Cluster): number[] =>
   indexes.filter((at) => controllers[at] !== null);
 
 /** Each job at another controller, as a balancer would. */
 async function submitAll(cluster: Cluster, long: string[] = []): Promise<void> {
-  const at = present(cluster);
+  const at = runningControllers(cluster);
   for (const [i, [ref, over]] of STAGES.entries()) {
     const runS = long.includes(ref) ? LONG_S : TASK_S;
     await cluster.users.submit(at[i % at.length]!, ref, over, runS);
   }
 }
 
-async function allSee(cluster: Cluster, ref: string, state: string): Promise<void> {
-  for (const at of present(cluster)) await cluster.users.sees(at, ref, state);
+async function waitForStateEverywhere(cluster: Cluster, ref: string, state: string): Promise<void> {
+  for (const at of runningControllers(cluster)) await cluster.users.sees(at, ref, state);
 }
 
-interface Trouble extends Row {
+interface FaultRow extends Row {
   /** What happens once the first job runs. */
   during?: (cluster: Cluster) => Promise<void>;
   /** What happens once it is done. */
   between?: (cluster: Cluster) => Promise<void>;
 }
 
-const endLeader = async (cluster: Cluster): Promise<void> => void (await cluster.endLeader());
+const stopLeader = async (cluster: Cluster): Promise<void> => void (await cluster.endLeader());
 
 async function outage(cluster: Cluster): Promise<void> {
   cluster.state.down = true;
-  await wait(LEASE * 600);
+  await wait(LEASE_S * 600);
   cluster.state.down = false;
 }
 
@@ -66,29 +66,29 @@
 }
 
 test('the jobs of a pipeline run one after another, whatever happens between them', async () => {
-  const rows: Trouble[] = [
+  const rows: FaultRow[] = [
     { name: 'nothing' },
-    { name: 'the leader ends while the first job runs', during: endLeader },
-    { name: 'the leader ends when it is done', between: endLeader },
+    { name: 'the leader ends while the first job runs', during: stopLeader },
+    { name: 'the leader ends when it is done', between: stopLeader },
     { name: 'an outage while the first job runs', during: outage },
     { name: 'an outage when it is done', between: outage },
     { name: 'answers of the key-value store are lost', during: loseAnswers, between: loseAnswers },
-    { name: 'limits are lowered, then the leader ends', during: lowerLimits, between: endLeader },
+    { name: 'limits are lowered, then the leader ends', during: lowerLimits, between: stopLeader },
   ];
   const nextLimits = 'value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 150.0';
-  await playAll(rows, { leaseS: LEASE, nextLimits }, async (cluster, { during, between }) => {
+  await playAll(rows, { leaseS: LEASE_S, nextLimits }, async (cluster, { during, between }) => {
     await submitAll(cluster);
     await until('the first job runs', () => cluster.tasks(FIRST).length > 0);
     await during?.(cluster);
     await until('it is done', () => cluster.rules.jobs.get(FIRST)!.completed.size === 3);
     await between?.(cluster);
-    for (const [ref] of STAGES) await allSee(cluster, ref, 'done');
+    for (const [ref] of STAGES) await waitForStateEverywhere(cluster, ref, 'done');
     assert.equal(cluster.state.tooLarge, 0, 'nothing is refused for its size');
   });
 });
 
 test('each controller tells what its version can do, and learns it of the others, also after their ends', async () => {
-  const cluster = await Cluster.start({ leaseS: LEASE });
+  const cluster = await Cluster.start({ leaseS: LEASE_S });
   const known = (at: number): boolean =>
     cluster.controllers[at]!.metrics().pipelines_known === true;
   try {
@@ -106,39 +106,39 @@
   }
 });
 
-interface Called extends Row {
+interface CancellationRow extends Row {
   job: string;
   /** Jobs that run for long, so that the cancellation meets them. */
-  long: string[];
+  longJobs: string[];
   /** What happens beside the cancellation. */
-  beside?: (cluster: Cluster) => Promise<void>;
+  during?: (cluster: Cluster) => Promise<void>;
   cancelled: string[];
   done: string[];
 }
 
 test('a cancellation in the middle of a pipeline reaches all that need the job, and nothing else', async () => {
   const rest = [SECOND, GANG, LAST];
-  const rows: Called[] = [
-    { name: 'the first job', job: FIRST, long: [FIRST], cancelled: [FIRST, ...rest], done: [] },
-    { name: 'a job of two in the middle', job: SECOND, long: [SECOND], cancelled: [SECOND, LAST], done: [FIRST, GANG] },
-    { name: 'the last, while it waits', job: LAST, long: [SECOND, GANG], cancelled: [LAST], done: [FIRST] },
-    { name: 'the leader ends beside it', job: FIRST, long: [FIRST], beside: endLeader, cancelled: [FIRST, ...rest], done: [] },
-    { name: 'an outage beside it', job: SECOND, long: [SECOND], beside: outage, cancelled: [SECOND, LAST], done: [FIRST, GANG] },
+  const rows: CancellationRow[] = [
+    { name: 'the first job', job: FIRST, longJobs: [FIRST], cancelled: [FIRST, ...rest], done: [] },
+    { name: 'a job of two in the middle', job: SECOND, longJobs: [SECOND], cancelled: [SECOND, LAST], done: [FIRST, GANG] },
+    { name: 'the last, while it waits', job: LAST, longJobs: [SECOND, GANG], cancelled: [LAST], done: [FIRST] },
+    { name: 'the leader ends beside it', job: FIRST, longJobs: [FIRST], during: stopLeader, cancelled: [FIRST, ...rest], done: [] },
+    { name: 'an outage beside it', job: SECOND, longJobs: [SECOND], during: outage, cancelled: [SECOND, LAST], done: [FIRST, GANG] },
   ]; // prettier-ignore
-  await playAll(rows, { leaseS: LEASE }, async (cluster, row) => {
-    await submitAll(cluster, row.long);
-    await until('it runs', () => cluster.tasks(row.long[0]!).length > 0);
-    const beside = row.beside?.(cluster);
-    const at = present(cluster).find((index) => index !== cluster.leader()) ?? 0;
+  await playAll(rows, { leaseS: LEASE_S }, async (cluster, row) => {
+    await submitAll(cluster, row.longJobs);
+    await until('it runs', () => cluster.tasks(row.longJobs[0]!).length > 0);
+    const fault = row.during?.(cluster);
+    const at = runningControllers(cluster).find((index) => index !== cluster.leader()) ?? 0;
     await cluster.users.cancel(at, row.job);
-    await beside;
-    for (const ref of row.cancelled) await allSee(cluster, ref, 'cancelled');
-    for (const ref of row.done) await allSee(cluster, ref, 'done');
+    await fault;
+    for (const ref of row.cancelled) await waitForStateEverywhere(cluster, ref, 'cancelled');
+    for (const ref of row.done) await waitForStateEverywhere(cluster, ref, 'done');
     for (const ref of row.cancelled) await cluster.gone(ref);
     // One that is submitted afterwards is cancelled with them.
     const late = 'wk-000105';
     await cluster.users.submit(at, late, { awaits: [row.cancelled.at(-1)!] });
-    await allSee(cluster, late, 'cancelled');
+    await waitForStateEverywhere(cluster, late, 'cancelled');
     assert.equal(cluster.rules.starts.get(`${late}/0`), undefined);
   });
 });
--- a/test/frozen-controllers-random.test.ts
+++ b/test/frozen-controllers-random.test.ts
@@ -23,7 +23,7 @@
   leaseS * FREEZE_STEP_LEASES * (1 + Math.floor(number / CONTROLLERS));
 
 const FREEZES: Record<string, Trouble> = {
-  'the leader freezes': (world, number) => {
+  'leader freeze': (world, number) => {
     const leader = world.leader ?? world.controllers[0]!;
     leader.frozenUntil = world.now + freezeS(world.times.leaseS, number);
   },
@@ -54,22 +54,22 @@
 const anyTroubles = fc.tuple(
   anyEvents(3),
   event(...Object.keys(FREEZES)),
-  event('outage', 'a controller is refused alone', 'a controller is cut from the others'),
+  event('outage', 'a controller is refused alone', 'partition of a controller from its peers'),
   anyEvents(3),
-  event('a machine is deaf', 'a machine is mute'),
+  event('lost messages to a worker', 'lost heartbeats of a worker'),
   anyEvents(2),
-  event('the outage is over', 'links are whole', 'the leader ends', 'outage'),
+  event('end of the outage', 'controller links restored', 'leader crash', 'outage'),
   anyEvents(4),
 );
 
 /** The leader is frozen for most of an outage, and a machine is not reached from its end on. */
 const frozenInOutage = fc.tuple(
   anyEvents(1),
-  event('the leader freezes'),
+  event('leader freeze'),
   event('outage'),
   anyEvents(1),
-  event('the outage is over'),
-  event('a machine is deaf', 'a machine is mute'),
+  event('end of the outage'),
+  event('lost messages to a worker', 'lost heartbeats of a worker'),
   anyEvents(1),
 );
 
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -125,14 +125,14 @@
 const BLOCKS = 220;
 
 /** The first port of the block that this process holds, once it has asked for a port. */
-let block: Promise<number> | null = null;
-let portsGiven = 0;
+let blockFirstPort: Promise<number> | null = null;
+let portsIssued = 0;
 
 /** A port that nobody else is given: neither by this function nor by listening on port 0. */
 export async function freePort(): Promise<number> {
-  const first = await (block ??= holdBlock());
+  const first = await (blockFirstPort ??= reserveBlock());
   for (;;) {
-    const port = first + 1 + (portsGiven++ % (BLOCK_PORTS - 1));
+    const port = first + 1 + (portsIssued++ % (BLOCK_PORTS - 1));
     if (await isFree(port)) return port;
   }
 }
@@ -141,11 +141,11 @@
  * Holds a block until the process exits, by listening on its first port. Blocks were once chosen by
  * the process's number alone: two test files with the same block took each other's ports now and then.
  */
-async function holdBlock(): Promise<number> {
+async function reserveBlock(): Promise<number> {
   for (let i = 0; i < BLOCKS; i++) {
     const first = FIRST_PORT + ((process.pid + i) % BLOCKS) * BLOCK_PORTS;
     const holder = createServer();
-    if (await listens(holder, first)) {
+    if (await canListen(holder, first)) {
       holder.unref();
       return first;
     }
@@ -155,12 +155,12 @@
 
 async function isFree(port: number): Promise<boolean> {
   const server = createServer();
-  const free = await listens(server, port);
+  const free = await canListen(server, port);
   if (free) await new Promise((resolve) => server.close(resolve));
   return free;
 }
 
-function listens(server: Server, port: number): Promise<boolean> {
+function canListen(server: Server, port: number): Promise<boolean> {
   return new Promise((resolve) => {
     server.once('error', () => resolve(false));
     server.listen(port, '127.0.0.1', () => resolve(true));
@@ -174,11 +174,11 @@
 /** Waits until something is so; fails after `s` seconds, with its name. */
 export async function until(
   what: string,
-  is: () => boolean | Promise<boolean>,
-  s = 30,
+  condition: () => boolean | Promise<boolean>,
+  timeoutS = 30,
 ): Promise<void> {
-  const end = Date.now() + s * 1000;
-  while (!(await is())) {
+  const end = Date.now() + timeoutS * 1000;
+  while (!(await condition())) {
     assert.ok(Date.now() < end, `in time: ${what}`);
     await wait(20);
   }
--- a/test/late-starts-random.test.ts
+++ b/test/late-starts-random.test.ts
@@ -51,7 +51,7 @@
     fc.array(anyEvent, { maxLength: 2 }),
     event('the newest job is cancelled'),
     fc.array(anyEvent, { maxLength: 2 }),
-    event('outage', 'commits are late', 'answers to commits are lost', 'the leader ends'),
+    event('outage', 'commits are late', 'answers to commits are lost', 'leader crash'),
     fc.array(anyEvent, { maxLength: 6 }),
   )
   .map((parts) => parts.flat());
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -8,11 +8,11 @@
 import { LeaderWorld } from './support/leader-world.js';
 import type { Worker } from './support/simulated-fleet.js';
 
-const DAYS = 60;
+const SIMULATIONS = 60;
 const STEP_S = 0.2;
 /** Troubles come for so long; then all must be well within the time after it. */
-const TROUBLES_S = 40;
-const AFTER_S = 60;
+const FAULTS_S = 40;
+const RECOVERY_S = 60;
 const LATEST_JOB_S = 35;
 const GPUS_MAX = 20;
 const CANCEL_S = 6;
@@ -35,21 +35,22 @@
   ends: Map<string, number>;
 }
 
-class Day {
-  readonly w = new LeaderWorld(GPUS_MAX);
+class Simulation {
+  readonly world = new LeaderWorld(GPUS_MAX);
   readonly jobs = new Map<string, Job>();
   readonly cancelledAt = new Map<string, number>();
-  readonly broken = new Set<string>();
-  private late: { at: number; arrive(): void }[] = [];
+  readonly violations = new Set<string>();
+  private delayed: { at: number; arrive(): void }[] = [];
 
   constructor(private readonly random: () => number) {
-    for (const id of ['a', 'b']) this.w.fleet.add(id, 'z1');
-    for (const id of ['c', 'd']) this.w.fleet.add(id, 'z2');
-    const started = this.w.fleet.noteStart.bind(this.w.fleet);
-    this.w.fleet.noteStart = (on, command) => {
+    for (const id of ['a', 'b']) this.world.fleet.add(id, 'z1');
+    for (const id of ['c', 'd']) this.world.fleet.add(id, 'z2');
+    const started = this.world.fleet.noteStart.bind(this.world.fleet);
+    this.world.fleet.noteStart = (on, command) => {
       started(on, command);
       const at = this.cancelledAt.get(command.job) ?? Infinity;
-      if (this.w.now - at > CANCEL_S) this.broken.add(`start after cancellation: ${command.job}`);
+      if (this.world.now - at > CANCEL_S)
+        this.violations.add(`start after cancellation: ${command.job}`);
     };
   }
 
@@ -62,12 +63,12 @@
   }
 
   private delay(inS: number, arrive: () => void): void {
-    this.late.push({ at: this.w.now + inS, arrive });
+    this.delayed.push({ at: this.world.now + inS, arrive });
   }
 
   /** What users and troubles bring about. */
-  private happen(): void {
-    const { w: world } = this;
+  private injectEvents(): void {
+    const { world } = this;
     if (this.chance(0.1) && world.now < LATEST_JOB_S) {
       const id = `wk-${1000 + this.jobs.size}`;
       const kind = this.pick(['array', 'array', 'gang', 'service'] as const);
@@ -88,15 +89,15 @@
   }
 
   private cancel(id: string): void {
-    const { w: world } = this;
+    const { world } = this;
     if (outcome(world.store.feed(world.replica).jobs.get(id)!) !== 'open') return;
     world.store.cancel(id);
     this.cancelledAt.set(id, world.now);
   }
 
   /** Tasks of arrays and whole gangs end after a while. */
-  private work(worker: Worker, troubles: boolean): void {
-    const { w: world } = this;
+  private endDueTasks(worker: Worker, troubles: boolean): void {
+    const { world } = this;
     for (const task of worker.tasks.values()) {
       const job = this.jobs.get(task.job)!;
       if (task.state === 'ended' || job.kind === 'service') continue;
@@ -110,20 +111,20 @@
   }
 
   private endGang(job: Job, { job: id, attempt }: TaskStatus): void {
-    const workers = [...this.w.fleet.workers.values()];
-    const mates = workers.flatMap((worker) =>
+    const workers = [...this.world.fleet.workers.values()];
+    const peers = workers.flatMap((worker) =>
       worker.running(id).filter((task) => task.attempt === attempt),
     );
-    const whole = mates.length === job.tasks;
+    const isComplete = peers.length === job.tasks;
     for (const worker of workers)
-      for (const task of mates) worker.end(task, whole ? 'done' : 'peers');
+      for (const task of peers) worker.end(task, isComplete ? 'done' : 'peers');
   }
 
-  private reports(troubles: boolean): void {
-    const { w: world } = this;
+  private exchangeHeartbeats(troubles: boolean): void {
+    const { world } = this;
     for (const worker of world.fleet.workers.values()) {
       worker.tick();
-      this.work(worker, troubles);
+      this.endDueTasks(worker, troubles);
       if (troubles && this.chance(0.03)) {
         const copy: Heartbeat = worker.heartbeat();
         this.delay(this.random() * 6, () => void world.leader.answerHeartbeat(copy));
@@ -133,25 +134,25 @@
   }
 
   /** Direct commands: answered, unanswered, late or lost. */
-  private direct(machine: Machine, troubles: boolean): void {
-    const { w: world } = this;
+  private sendDirectCommands(machine: Machine, troubles: boolean): void {
+    const { world } = this;
     const worker = world.fleet.workers.get(machine.id)!;
     const commands = machine.dueCommands((attempt) => world.term.mayStart(attempt), false);
     if (commands.every((command) => command.kind === 'forget')) return;
     const { agentEpoch } = machine;
     const { token } = world;
     machine.markSent(commands, 'direct', world.now);
-    const how = worker.deaf ? 'lost' : troubles ? this.random() : 'answered';
-    if (how === 'lost' || Number(how) > 0.85) {
+    const delivery = worker.deaf ? 'lost' : troubles ? this.random() : 'answered';
+    if (delivery === 'lost' || Number(delivery) > 0.85) {
       machine.directCommandsEnded(commands, 'unknown', agentEpoch, world.now);
-    } else if (Number(how) > 0.7) {
+    } else if (Number(delivery) > 0.7) {
       this.delay(this.random() * 8, () => void worker.takeDirect(token, agentEpoch, commands));
       machine.directCommandsEnded(commands, 'unknown', agentEpoch, world.now);
     } else {
       const heartbeat = worker.takeDirect(token, agentEpoch, commands);
-      const answered = Number(how) > 0.6 ? 'unknown' : heartbeat === null ? 'refused' : 'done';
-      machine.directCommandsEnded(commands, answered, agentEpoch, world.now);
-      if (answered === 'unknown') return;
+      const result = Number(delivery) > 0.6 ? 'unknown' : heartbeat === null ? 'refused' : 'done';
+      machine.directCommandsEnded(commands, result, agentEpoch, world.now);
+      if (result === 'unknown') return;
       world.term.reconcile(
         machine,
         machine.applyHeartbeat(heartbeat ?? worker.heartbeat(), 'direct-answer', world.now),
@@ -159,8 +160,8 @@
     }
   }
 
-  private async lead(troubles: boolean): Promise<void> {
-    const { w: world } = this;
+  private async runLeader(troubles: boolean): Promise<void> {
+    const { world } = this;
     world.runCycle();
     if (troubles && this.chance(0.1)) world.store.mode = this.pick(['lose answers', 'hold back']);
     await world.parts.writer.writeBatch();
@@ -169,63 +170,64 @@
     for (const id of [...world.term.machinesToCommand]) {
       world.term.machinesToCommand.delete(id);
       const machine = world.term.machines.get(id);
-      if (machine?.state === 'ready') this.direct(machine, troubles);
+      if (machine?.state === 'ready') this.sendDirectCommands(machine, troubles);
     }
     world.leader.tick();
   }
 
   /** A second of the day, with the troubles of that second. */
   async step(troubles: boolean): Promise<void> {
-    const { w: world } = this;
+    const { world } = this;
     world.fleet.now += STEP_S;
-    if (troubles) this.happen();
-    const due = this.late.filter((late) => late.at <= world.now);
-    this.late = this.late.filter((late) => late.at > world.now);
+    if (troubles) this.injectEvents();
+    const due = this.delayed.filter((late) => late.at <= world.now);
+    this.delayed = this.delayed.filter((late) => late.at > world.now);
     for (const late of due) late.arrive();
-    this.reports(troubles);
-    await this.lead(troubles);
+    this.exchangeHeartbeats(troubles);
+    await this.runLeader(troubles);
     let used = 0;
     for (const id of this.jobs.keys()) used += world.fleet.running(id);
-    if (used > GPUS_MAX) this.broken.add(`quota: ${used}`);
+    if (used > GPUS_MAX) this.violations.add(`quota: ${used}`);
     for (const [id, at] of this.cancelledAt) {
       if (world.now - at > CANCEL_S && world.fleet.running(id) > 0)
-        this.broken.add(`cancelled, runs: ${id}`);
+        this.violations.add(`cancelled, runs: ${id}`);
     }
     for (const rule of world.fleet.violations)
-      if (rule.startsWith('ran_twice')) this.broken.add(rule);
+      if (rule.startsWith('ran_twice')) this.violations.add(rule);
   }
 
   /** All troubles end; what is held back arrives. */
-  endTroubles(): void {
-    for (const worker of this.w.fleet.workers.values()) worker.deaf = worker.mute = false;
+  clearFaults(): void {
+    for (const worker of this.world.fleet.workers.values()) worker.deaf = worker.mute = false;
   }
 
   /** What is not as it must be in the end. */
-  left(): string[] {
-    const { w: world } = this;
+  unfinished(): string[] {
+    const { world } = this;
     world.store.feed(world.replica);
     const open = [...this.jobs].filter(([id]) => outcome(world.replica.jobs.get(id)!) === 'open');
     const wanted = open.reduce((n, [, job]) => n + job.tasks, 0);
-    const left: string[] = [];
+    const problems: string[] = [];
     for (const id of this.jobs.keys()) {
       const told = outcome(world.replica.jobs.get(id)!);
-      if (told === 'cancelled' && !this.cancelledAt.has(id)) left.push(`never cancelled: ${id}`);
+      if (told === 'cancelled' && !this.cancelledAt.has(id))
+        problems.push(`never cancelled: ${id}`);
     }
     for (const [id, job] of open) {
-      if (job.kind !== 'service' && wanted <= GPUS_MAX) left.push(`not done: ${id}`);
+      if (job.kind !== 'service' && wanted <= GPUS_MAX) problems.push(`not done: ${id}`);
       const missing = job.tasks - world.fleet.running(id);
-      if (wanted <= GPUS_MAX && missing > 0) left.push(`waits: ${id}, ${missing} tasks`);
+      if (wanted <= GPUS_MAX && missing > 0) problems.push(`waits: ${id}, ${missing} tasks`);
     }
-    return left;
+    return problems;
   }
 }
 
 test('whatever troubles meet at random, no rule is broken, and everything runs in the end', async () => {
-  for (let seed = 1; seed <= DAYS; seed++) {
-    const day = new Day(randomFrom(seed));
-    while (day.w.now < TROUBLES_S) await day.step(true);
-    day.endTroubles();
-    while (day.w.now < TROUBLES_S + AFTER_S) await day.step(false);
-    assert.deepEqual([...day.broken, ...day.left()], [], `seed ${seed}`);
+  for (let seed = 1; seed <= SIMULATIONS; seed++) {
+    const day = new Simulation(randomFrom(seed));
+    while (day.world.now < FAULTS_S) await day.step(true);
+    day.clearFaults();
+    while (day.world.now < FAULTS_S + RECOVERY_S) await day.step(false);
+    assert.deepEqual([...day.violations, ...day.unfinished()], [], `seed ${seed}`);
   }
 });
--- a/test/renewals-random.test.ts
+++ b/test/renewals-random.test.ts
@@ -44,8 +44,8 @@
   // Terms stay short until every cancellation that was told has had its time.
   const until = Math.max(...world.toldAt.values(), world.now) + day.times.cancelS + stepS;
   for (let i = 0; world.now < until; i++) {
-    if (i % 7 === 3) TROUBLES['the leader ends']!(world, i);
-    if (i % 7 === 6) TROUBLES['those that ended are back']!(world, i);
+    if (i % 7 === 3) TROUBLES['leader crash']!(world, i);
+    if (i % 7 === 6) TROUBLES['restart of crashed controllers']!(world, i);
     await world.runUntil(world.now + stepS);
     check(world);
   }
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RuleChecker, type Question, type Submission } from './standins/rules.js';
+import { RuleChecker, type RequestKind, type Submission } from './standins/rules.js';
 import { submission } from './standins/users.js';
-import { Worker, type Place, type Task } from './standins/worker.js';
+import { Worker, type MachineProperties, type Task } from './standins/worker.js';
 
 /** A checker, one job and a way to put tasks on machines. */
-class Scene {
+class Scenario {
   readonly rules = new RuleChecker({ cancelS: 0.05, teams: new Map([['t', 3]]), machineGpus: 2 });
   private machines = 0;
 
@@ -17,7 +17,7 @@
   }
 
   /** A task starts on a machine of its own. */
-  start(index: number, place: Partial<Place> = {}): void {
+  start(index: number, place: Partial<MachineProperties> = {}): void {
     const id = `host-${this.machines++}`;
     const times = { leaseS: 1, gangPeerS: 1 };
     const around = { rules: this.rules, times, gpus: 2, controllers: [], unreachable: [] };
@@ -34,16 +34,16 @@
     };
     worker.tasks.push(task);
     this.rules.workers.set(id, worker);
-    this.rules.started(worker, task, false);
+    this.rules.noteStart(worker, task, false);
   }
 
   /** A user is answered. */
-  answer(question: Question, status: number, state = '', ref = 'wk-1'): void {
-    this.rules.answered(question, ref, this.rules.told(ref), status, state);
+  answer(question: RequestKind, status: number, state = '', ref = 'wk-1'): void {
+    this.rules.checkAnswer(question, ref, this.rules.reportedState(ref), status, state);
   }
 
   /** A job that this one needs; cancelled so long ago, or not. */
-  needed(cancelledAgoMs?: number): void {
+  addDependency(cancelledAgoMs?: number): void {
     const cancelledAt = cancelledAgoMs === undefined ? null : Date.now() - cancelledAgoMs;
     this.rules.jobs.set('wk-0', {
       submission: submission('wk-0'), runS: 1, accepted: true, final: null,
@@ -52,7 +52,7 @@
   }
 
   /** The user was told so long ago that the job is cancelled. */
-  cancelled(agoMs = 0): void {
+  reportCancelled(agoMs = 0): void {
     this.rules.jobs.get('wk-1')!.cancelAsked = true;
     this.answer('cancel', 200, 'cancelled');
     this.rules.jobs.get('wk-1')!.cancelledAt = Date.now() - agoMs;
@@ -60,7 +60,7 @@
 }
 
 test('the checker sees each rule that is broken, and none where all is well', async (context) => {
-  const cases: [string, Partial<Submission>, (scene: Scene) => void, string | null][] = [
+  const cases: [string, Partial<Submission>, (scene: Scenario) => void, string | null][] = [
     ['one task', {}, (scene) => scene.start(0), null],
     ['one task twice', {}, (scene) => [0, 0].forEach((i) => scene.start(i)), 'ran_twice'],
     ['at the limit', {}, (scene) => [0, 1, 2].forEach((i) => scene.start(i)), null],
@@ -72,24 +72,24 @@
     ['two zones', { one_zone: true }, (scene) => (scene.start(0), scene.start(1, { zone: 'z2' })), 'wrong_place'],
     ['not scattered', { scatter: true, pieces: 3 }, (scene) => [0, 1, 2].forEach((i) => scene.start(i)), 'wrong_place'],
     ['scattered', { scatter: true, pieces: 3 }, (scene) => [0, 1].forEach((i) => scene.start(i)), null],
-    ['on a machine for too long', {}, (scene) => (scene.start(0), scene.cancelled()), 'ran_cancelled'],
-    ['started long after', {}, (scene) => (scene.cancelled(1000), scene.start(0)), 'started_cancelled'],
+    ['on a machine for too long', {}, (scene) => (scene.start(0), scene.reportCancelled()), 'ran_cancelled'],
+    ['started long after', {}, (scene) => (scene.reportCancelled(1000), scene.start(0)), 'started_cancelled'],
     ['unknown later', {}, (scene) => scene.answer('poll', 404), 'forgotten'],
     ['refused later', {}, (scene) => scene.answer('submit', 422), 'forgotten'],
     ['never submitted', {}, (scene) => scene.answer('poll', 200, 'queued', 'wk-2'), 'invented'],
     ['done too early', {}, (scene) => scene.answer('poll', 200, 'done'), 'not_done'],
     ['cancelled by nobody', {}, (scene) => scene.answer('poll', 200, 'cancelled'), 'went_back'],
-    ['cancelled, then running', {}, (scene) => (scene.cancelled(), scene.answer('poll', 200, 'running')), 'went_back'],
-    ['cancelled, then done', {}, (scene) => (scene.cancelled(), scene.rules.completed('wk-1/0'), scene.answer('poll', 200, 'done')), 'went_back'],
-    ['before what it needs', { awaits: ['wk-0'] }, (scene) => (scene.needed(), scene.start(0)), 'too_early'],
-    ['after what it needs', { awaits: ['wk-0'] }, (scene) => (scene.needed(), scene.rules.completed('wk-0/0'), scene.start(0)), null],
-    ['cancelled with what it needs', { awaits: ['wk-0'] }, (scene) => (scene.needed(1000), scene.answer('poll', 200, 'cancelled')), null],
-    ['queued long after what it needs was cancelled', { awaits: ['wk-0'] }, (scene) => (scene.needed(1000), scene.answer('poll', 200, 'queued')), 'orphaned'],
-    ['queued right after that', { awaits: ['wk-0'] }, (scene) => (scene.needed(0), scene.answer('poll', 200, 'queued')), null],
+    ['cancelled, then running', {}, (scene) => (scene.reportCancelled(), scene.answer('poll', 200, 'running')), 'went_back'],
+    ['cancelled, then done', {}, (scene) => (scene.reportCancelled(), scene.rules.noteCompletion('wk-1/0'), scene.answer('poll', 200, 'done')), 'went_back'],
+    ['before what it needs', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(), scene.start(0)), 'too_early'],
+    ['after what it needs', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(), scene.rules.noteCompletion('wk-0/0'), scene.start(0)), null],
+    ['cancelled with what it needs', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(1000), scene.answer('poll', 200, 'cancelled')), null],
+    ['queued long after what it needs was cancelled', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(1000), scene.answer('poll', 200, 'queued')), 'orphaned'],
+    ['queued right after that', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(0), scene.answer('poll', 200, 'queued')), null],
     ['accepted, over the limit', { form: 'group', pieces: 4 }, (scene) => ((scene.rules.jobs.get('wk-1')!.accepted = false), scene.answer('submit', 201, 'queued')), 'cannot_run'],
   ]; // prettier-ignore
   const scenes = cases.map(([name, over, play, rule]) => {
-    const scene = new Scene(over);
+    const scene = new Scenario(over);
     context.after(() => scene.rules.close());
     play(scene);
     return { name, scene, rule };
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -1,6 +1,6 @@
 import { HttpStandIn, type Answer, type Json } from './http.js';
 import type { RuleChecker } from './rules.js';
-import { Worker, type FleetTimes, type Surroundings } from './worker.js';
+import { Worker, type FleetTimes, type FleetContext } from './worker.js';
 
 /** GPUs of the only machine type. */
 export const MACHINE_GPUS = 8;
@@ -12,7 +12,7 @@
 
 /** The cloud: rents machines of one type, each with its worker. */
 export class Cloud extends HttpStandIn {
-  readonly around: Surroundings;
+  readonly around: FleetContext;
   bootMs = 200;
   /** Machines that it has in all. */
   most = Infinity;
@@ -22,7 +22,7 @@
   readonly rentals: { hire: string; ids: string[]; at: number }[] = [];
   /** When each machine was rented, in ms. */
   private readonly rentedAt = new Map<string, number>();
-  private readonly hires = new Map<string, string[]>();
+  private readonly machinesByRequest = new Map<string, string[]>();
   /** Machines that were ever rented. */
   counted = 0;
 
@@ -49,12 +49,12 @@
 
   private rent(body: Json): Answer {
     const hire = body.hire as string;
-    const known = this.hires.get(hire);
+    const known = this.machinesByRequest.get(hire);
     if (known !== undefined) return [200, { benches: known }];
     const count = Math.min(body.number as number, this.most - this.counted);
     if (count <= 0) return [503, { error: 'no capacity' }];
     const benches = Array.from({ length: count }, () => this.boot(body));
-    this.hires.set(hire, benches);
+    this.machinesByRequest.set(hire, benches);
     this.rentals.push({ hire, ids: benches, at: Date.now() });
     return [200, { benches }];
   }
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -15,7 +15,7 @@
   type Ports,
 } from '../helpers.js';
 import { Cloud, MACHINE_GPUS } from './cloud.js';
-import { Gate } from './gate.js';
+import { CuttableProxy } from './gate.js';
 import { RuleChecker } from './rules.js';
 import { StateAccess, StateService } from './state.js';
 import { Users } from './users.js';
@@ -52,9 +52,9 @@
   readonly ports: Ports[] = [];
   readonly controllers: (Controller | null)[] = [];
   /** The way to the state service of each controller. */
-  readonly stateGates: Gate[] = [];
+  readonly stateGates: CuttableProxy[] = [];
   /** The way from one controller to another. */
-  private readonly links: { from: number; to: number; gate: Gate }[] = [];
+  private readonly links: { from: number; to: number; gate: CuttableProxy }[] = [];
 
   private constructor(private readonly options: ClusterOptions) {
     const { leaseS, cancelS } = options;
@@ -86,7 +86,7 @@
       this.ports.push({ bind: await freePort(), peer: await freePort() });
       const access = new StateAccess(this.state);
       await access.listen();
-      const gate = new Gate(access.port);
+      const gate = new CuttableProxy(access.port);
       await gate.listen();
       this.access[index] = access;
       this.stateGates[index] = gate;
@@ -94,7 +94,7 @@
     for (const from of this.indexes)
       for (const to of this.indexes) {
         if (from === to) continue;
-        const gate = new Gate(this.ports[to]!.peer);
+        const gate = new CuttableProxy(this.ports[to]!.peer);
         await gate.listen();
         this.links.push({ from, to, gate });
       }
@@ -112,21 +112,26 @@
   async startController(index: number): Promise<void> {
     const { leaseS, cancelS, zones, nextLimits } = this.options;
     // Each of the others is known by its gate.
-    const seen = this.ports.map((own, to) => {
+    const reachablePorts = this.ports.map((own, to) => {
       const link = this.links.find((l) => l.from === index && l.to === to);
       return { ...own, peer: link?.gate.port ?? own.peer };
     });
-    const stateGate = this.stateGates[index]!.port;
+    const storeProxyPort = this.stateGates[index]!.port;
     const text = settingsText(
-      index, seen, this.cloud.port, stateGate, leaseS, zones, cancelS, nextLimits,
+      index, reachablePorts, this.cloud.port, storeProxyPort, leaseS, zones, cancelS, nextLimits,
     ); // prettier-ignore
     const settings = parseSettings(text);
-    const controller = new Controller(settings, DEFAULT_POLICY, silentLog(), this.extras(settings));
+    const controller = new Controller(
+      settings,
+      DEFAULT_POLICY,
+      silentLog(),
+      this.controllerOptions(settings),
+    );
     await controller.start();
     this.controllers[index] = controller;
   }
 
-  private extras(settings: Settings): ControllerOptions {
+  private controllerOptions(settings: Settings): ControllerOptions {
     const { features, wallMs } = this.options;
     if (features === '') return { wallMs };
     const parsed = parseFeatures(features, settings, Date.now());
@@ -254,7 +259,7 @@
 }
 
 /** Rows that are played at once: more would make a busy machine late for their leases. */
-const AT_ONCE = 3;
+const PARALLEL_ROWS = 3;
 
 /** Plays every row with a cluster of its own; names the rows that fail. */
 export async function playAll<R extends Row>(
@@ -263,9 +268,9 @@
   play: (cluster: Cluster, row: R) => Promise<void>,
 ): Promise<void> {
   const failures: string[] = [];
-  for (let i = 0; i < rows.length; i += AT_ONCE) {
-    const batch = rows.slice(i, i + AT_ONCE).map((row) =>
-      playOne(options, row, play).catch((error) => {
+  for (let i = 0; i < rows.length; i += PARALLEL_ROWS) {
+    const batch = rows.slice(i, i + PARALLEL_ROWS).map((row) =>
+      runScenario(options, row, play).catch((error) => {
         failures.push(`${row.name}: ${String(error)}`);
       }),
     );
@@ -274,7 +279,7 @@
   assert.deepEqual(failures, []);
 }
 
-async function playOne<R extends Row>(
+async function runScenario<R extends Row>(
   options: Partial<ClusterOptions>,
   row: R,
   play: (cluster: Cluster, row: R) => Promise<void>,
--- a/test/standins/gate.ts
+++ b/test/standins/gate.ts
@@ -1,7 +1,7 @@
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 
 /** A way between two processes that can be cut: connections are reset, and new ones refused. */
-export class Gate {
+export class CuttableProxy {
   port = 0;
   private cut = false;
   private readonly sockets = new Set<Socket>();
--- a/test/standins/rules.ts
+++ b/test/standins/rules.ts
@@ -32,13 +32,13 @@
 }
 
 /** What had been told of a job when a question was sent: no answer to it may be older. */
-export interface Told {
+export interface ReportedState {
   accepted: boolean;
   final: string | null;
 }
 
 /** What users ask of a controller. */
-export type Question = 'submit' | 'poll' | 'cancel';
+export type RequestKind = 'submit' | 'poll' | 'cancel';
 
 /** Bounds that the rules name. */
 export interface Limits {
@@ -49,14 +49,14 @@
   machineGpus: number;
 }
 
-const WATCH_MS = 20;
+const CHECK_INTERVAL_MS = 20;
 /** Tasks are looked at so often; answers and timers are late by as much. */
-const SLACK_MS = 100;
+const TOLERANCE_MS = 100;
 /** A command may have been on its way when a user was told that the job is cancelled. */
-const ON_THE_WAY_MS = 500;
+const IN_FLIGHT_MS = 500;
 
 const isComplete = ({ completed, submission }: Job): boolean => completed.size >= submission.pieces;
-const nameOf = (piece: string): string => piece.slice(0, piece.lastIndexOf('/'));
+const jobIdOf = (piece: string): string => piece.slice(0, piece.lastIndexOf('/'));
 const indexOf = (piece: string): number => Number(piece.slice(piece.lastIndexOf('/') + 1));
 
 /** Watches every rule of the protocol that can be seen, whatever a test is about. */
@@ -70,7 +70,7 @@
   readonly startLog: { piece: string; machine: string; at: number }[] = [];
   /** Seconds of work that tasks have saved. */
   readonly savedS = new Map<string, number>();
-  private readonly timer = setInterval(() => this.watchCancelled(), WATCH_MS);
+  private readonly timer = setInterval(() => this.checkCancelled(), CHECK_INTERVAL_MS);
 
   constructor(private readonly limits: Limits) {}
 
@@ -79,7 +79,7 @@
     clearInterval(this.timer);
   }
 
-  private broken(rule: string, what: string): void {
+  private addViolation(rule: string, what: string): void {
     const violation = `${rule}: ${what}`;
     if (!this.violations.includes(violation)) this.violations.push(violation);
   }
@@ -92,43 +92,45 @@
 
   // Tasks
 
-  private watchCancelled(): void {
+  private checkCancelled(): void {
     for (const { worker, task } of this.occupying()) {
-      const at = this.jobs.get(nameOf(task.piece))?.cancelledAt ?? Infinity;
-      const lived = Date.now() - at;
-      if (lived <= this.limits.cancelS * 1000 + SLACK_MS) continue;
-      this.broken('ran_cancelled', `${task.piece} on ${worker.id}`);
+      const at = this.jobs.get(jobIdOf(task.piece))?.cancelledAt ?? Infinity;
+      const elapsedMs = Date.now() - at;
+      if (elapsedMs <= this.limits.cancelS * 1000 + TOLERANCE_MS) continue;
+      this.addViolation('ran_cancelled', `${task.piece} on ${worker.id}`);
     }
   }
 
   /** `heldUp`: the command was on its way for long, through no fault of its sender. */
-  started(worker: Worker, task: Task, heldUp: boolean): void {
+  noteStart(worker: Worker, task: Task, isDelayed: boolean): void {
     const { piece } = task;
     this.starts.set(piece, (this.starts.get(piece) ?? 0) + 1);
     this.startLog.push({ piece, machine: worker.id, at: Date.now() });
     const others = [...this.occupying()].filter((other) => other.worker !== worker);
-    if (others.some((other) => other.task.piece === piece)) this.broken('ran_twice', piece);
-    const job = this.jobs.get(nameOf(piece))!;
+    if (others.some((other) => other.task.piece === piece)) this.addViolation('ran_twice', piece);
+    const job = this.jobs.get(jobIdOf(piece))!;
     this.checkQuota(job.submission.crew);
     this.checkPlace(worker, job.submission);
-    if (!this.needed(job).every((needed) => isComplete(needed))) this.broken('too_early', piece);
+    if (!this.dependenciesOf(job).every((needed) => isComplete(needed)))
+      this.addViolation('too_early', piece);
     const late = Date.now() - (job.cancelledAt ?? Infinity);
-    if (late > ON_THE_WAY_MS && !heldUp) this.broken('started_cancelled', piece);
+    if (late > IN_FLIGHT_MS && !isDelayed) this.addViolation('started_cancelled', piece);
   }
 
   private checkQuota(team: string): void {
     let used = 0;
     for (const { task } of this.occupying()) {
-      const { crew, gpus } = this.jobs.get(nameOf(task.piece))!.submission;
+      const { crew, gpus } = this.jobs.get(jobIdOf(task.piece))!.submission;
       if (crew === team) used += gpus;
     }
-    if (used > (this.limits.teams.get(team) ?? 0)) this.broken('quota', `${team} uses ${used}`);
+    if (used > (this.limits.teams.get(team) ?? 0))
+      this.addViolation('quota', `${team} uses ${used}`);
   }
 
   private checkPlace(worker: Worker, submission: Submission): void {
     const { ref, castings, yard, loaner, one_zone, scatter, pieces } = submission;
     const zones = [...this.occupying()]
-      .filter((other) => nameOf(other.task.piece) === ref)
+      .filter((other) => jobIdOf(other.task.piece) === ref)
       .map((other) => other.worker.zone);
     const here = zones.filter((zone) => zone === worker.zone).length;
     const wrong =
@@ -137,12 +139,12 @@
       (worker.spot && !loaner) ||
       (one_zone && here < zones.length) ||
       (scatter && here > Math.ceil(pieces / 2));
-    if (wrong) this.broken('wrong_place', `${ref} on ${worker.id}`);
+    if (wrong) this.addViolation('wrong_place', `${ref} on ${worker.id}`);
   }
 
   /** A task was done for its last time. */
-  completed(piece: string): void {
-    const { completed, submission } = this.jobs.get(nameOf(piece))!;
+  noteCompletion(piece: string): void {
+    const { completed, submission } = this.jobs.get(jobIdOf(piece))!;
     completed.add(indexOf(piece));
     // A gang completes together.
     if (submission.form === 'group') for (let i = 0; i < submission.pieces; i++) completed.add(i);
@@ -151,52 +153,60 @@
   // Users
 
   /** What users were told of a job so far. */
-  told(ref: string): Told {
+  reportedState(ref: string): ReportedState {
     const job = this.jobs.get(ref);
     return { accepted: job?.accepted ?? false, final: job?.final ?? null };
   }
 
   /** An answer to a question; `before` is what had been told when the question was sent. */
-  answered(question: Question, ref: string, before: Told, status: number, state: string): void {
+  checkAnswer(
+    question: RequestKind,
+    ref: string,
+    before: ReportedState,
+    status: number,
+    state: string,
+  ): void {
     const refusals = question === 'submit' ? [400, 422] : [404];
-    if (before.accepted && refusals.includes(status)) this.broken('forgotten', `${ref} ${status}`);
+    if (before.accepted && refusals.includes(status))
+      this.addViolation('forgotten', `${ref} ${status}`);
     if (status !== 200 && status !== 201) return;
     const job = this.jobs.get(ref);
     if (job === undefined) {
-      this.broken('invented', ref);
+      this.addViolation('invented', ref);
       return;
     }
-    if (!job.accepted && !this.canRun(job.submission)) this.broken('cannot_run', ref);
+    if (!job.accepted && !this.canRun(job.submission)) this.addViolation('cannot_run', ref);
     job.accepted = true;
-    const behind = this.behind(job);
+    const behind = this.withDependencies(job);
     if (state === 'cancelled' && !behind.some((one) => one.cancelAsked))
-      this.broken('went_back', `${ref} not asked`);
+      this.addViolation('went_back', `${ref} not asked`);
     if (state === 'queued' || state === 'running') this.checkOrphaned(ref, behind);
     if (state === 'done' && job.completed.size < job.submission.pieces)
-      this.broken('not_done', ref);
+      this.addViolation('not_done', ref);
     const final = state === 'done' || state === 'cancelled' ? state : null;
     const known = final === null ? before.final : job.final;
-    if (known !== null && known !== state) this.broken('went_back', `${ref} ${known}, ${state}`);
+    if (known !== null && known !== state)
+      this.addViolation('went_back', `${ref} ${known}, ${state}`);
     job.final ??= final;
     if (final === 'cancelled') job.cancelledAt ??= Date.now();
   }
 
   /** The jobs that a job names. */
-  private needed({ submission }: Job): Job[] {
+  private dependenciesOf({ submission }: Job): Job[] {
     return (submission.awaits ?? []).flatMap((ref) => this.jobs.get(ref) ?? []);
   }
 
   /** A job and all that it needs, directly or through others. */
-  private behind(job: Job): Job[] {
+  private withDependencies(job: Job): Job[] {
     const all = new Set([job]);
-    for (const one of all) for (const needed of this.needed(one)) all.add(needed);
+    for (const one of all) for (const needed of this.dependenciesOf(one)) all.add(needed);
     return [...all];
   }
 
-  private checkOrphaned(ref: string, behind: Job[]): void {
-    const cancelledAt = Math.min(...behind.map((one) => one.cancelledAt ?? Infinity));
-    if (Date.now() - cancelledAt > this.limits.cancelS * 1000 + SLACK_MS)
-      this.broken('orphaned', ref);
+  private checkOrphaned(ref: string, jobs: Job[]): void {
+    const cancelledAt = Math.min(...jobs.map((one) => one.cancelledAt ?? Infinity));
+    if (Date.now() - cancelledAt > this.limits.cancelS * 1000 + TOLERANCE_MS)
+      this.addViolation('orphaned', ref);
   }
 
   private canRun({ crew, form, gpus, pieces, guild }: Submission): boolean {
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -20,9 +20,9 @@
  */
 export type Fate = { how: 'answer_lost' } | { how: 'late' | 'doubled'; afterS: number };
 
-interface Trouble {
+interface TransactionFault {
   prefix: string;
-  fate: Fate;
+  effect: Fate;
   left: number;
 }
 
@@ -48,9 +48,9 @@
   carriedOutLate = 0;
   readonly keys = new Map<string, Entry>();
   private readonly log: Json[] = [];
-  private readonly loans = new Map<number, { until: number; life: number }>();
-  private nextLoan = 1;
-  private troubles: Trouble[] = [];
+  private readonly leases = new Map<number, { until: number; life: number }>();
+  private nextLeaseId = 1;
+  private faults: TransactionFault[] = [];
   private closed = false;
   private readonly timer = setInterval(() => this.expire(), EXPIRY_MS);
 
@@ -59,18 +59,18 @@
   }
 
   /** The next `times` transactions that touch a key with the prefix meet this fate. */
-  disturb(prefix: string, fate: Fate, times = Infinity): void {
-    this.troubles.push({ prefix, fate, left: times });
+  disturb(prefix: string, effect: Fate, times = Infinity): void {
+    this.faults.push({ prefix, effect: effect, left: times });
   }
 
   /** From now on transactions are carried out as they come. */
   settle(): void {
-    this.troubles = [];
+    this.faults = [];
   }
 
   private expire(): void {
     const now = Date.now();
-    for (const [id, loan] of this.loans) {
+    for (const [id, loan] of this.leases) {
       // Leases stand still in an outage and have their full time after it.
       if (this.down) loan.until = now + loan.life;
       else if (loan.until < now) this.endLease(id);
@@ -78,7 +78,7 @@
   }
 
   private endLease(id: number): void {
-    this.loans.delete(id);
+    this.leases.delete(id);
     for (const [key, entry] of this.keys) {
       if (entry.loan !== id) continue;
       this.keys.delete(key);
@@ -91,7 +91,7 @@
     const path = url.pathname;
     if (this.slowMs > 0) await wait(this.slowMs);
     if (this.down) return [503, { error: 'trouble' }];
-    if (path === '/commit') return this.disturbedCommit(body);
+    if (path === '/commit') return this.commitWithFaults(body);
     if (path === '/grants') return this.grant(body.life_ms as number);
     const grant = /^\/grants\/(\d+)(\/extend)?$/.exec(path);
     if (grant !== null) return this.renew(method, Number(grant[1]));
@@ -105,13 +105,13 @@
   }
 
   private grant(life: number): Answer {
-    const id = this.nextLoan++;
-    this.loans.set(id, { until: Date.now() + life, life });
+    const id = this.nextLeaseId++;
+    this.leases.set(id, { until: Date.now() + life, life });
     return [200, { loan: id }];
   }
 
   private renew(method: string, id: number): Answer {
-    const loan = this.loans.get(id);
+    const loan = this.leases.get(id);
     if (loan === undefined) return [404, {}];
     loan.until = method === 'DELETE' ? 0 : Date.now() + loan.life;
     return [200, {}];
@@ -146,15 +146,15 @@
     return [200, { items, more: names.length > this.page, ledger: this.ledger }];
   }
 
-  private disturbedCommit(body: Json): Answer | null {
+  private commitWithFaults(body: Json): Answer | null {
     const apply = body.apply as Operation[];
     const touches = (prefix: string): boolean =>
       apply.some((operation) => (operation.put ?? operation.remove!).startsWith(prefix));
-    const trouble = this.troubles.find((each) => each.left > 0 && touches(each.prefix));
+    const trouble = this.faults.find((each) => each.left > 0 && touches(each.prefix));
     if (trouble === undefined) return this.commit(body);
     trouble.left--;
     this.disturbed++;
-    const { fate } = trouble;
+    const { effect: fate } = trouble;
     if (fate.how !== 'answer_lost')
       setTimeout(() => void this.commitLate(body), fate.afterS * 1000);
     const answer = fate.how === 'late' ? null : this.commit(body);
@@ -176,7 +176,7 @@
       .map((guard) => guard.path);
     if (failed.length > 0) return [409, { failed, ledger: this.ledger }];
     if (
-      apply.some((operation) => operation.loan !== undefined && !this.loans.has(operation.loan))
+      apply.some((operation) => operation.loan !== undefined && !this.leases.has(operation.loan))
     ) {
       return [400, { error: 'no such lease' }];
     }
--- a/test/standins/users.ts
+++ b/test/standins/users.ts
@@ -1,9 +1,9 @@
 import { until, type Ports } from '../helpers.js';
 import type { Json } from './http.js';
-import type { Question, RuleChecker, Submission } from './rules.js';
+import type { RequestKind, RuleChecker, Submission } from './rules.js';
 
 /** Users give up waiting after so long. */
-const PATIENCE_MS = 5000;
+const ANSWER_TIMEOUT_MS = 5000;
 
 /** What a user was answered. */
 export interface Reply {
@@ -31,20 +31,20 @@
 
   /** Any request at a controller. */
   async request(at: number, method: string, path: string, body?: Json): Promise<Reply> {
-    const asked = this.questionOf(method, path, body);
-    const before = this.rules.told(asked?.ref ?? '');
+    const asked = this.requestKindOf(method, path, body);
+    const before = this.rules.reportedState(asked?.ref ?? '');
     const reply = await this.send(at, method, path, body);
     if (asked !== null) {
-      this.rules.answered(asked.question, asked.ref, before, reply.status, reply.state);
+      this.rules.checkAnswer(asked.question, asked.ref, before, reply.status, reply.state);
     }
     return reply;
   }
 
-  private questionOf(
+  private requestKindOf(
     method: string,
     path: string,
     body?: Json,
-  ): { question: Question; ref: string } | null {
+  ): { question: RequestKind; ref: string } | null {
     const [, root, ref, action] = path.split('/');
     if (root !== 'submissions') return null;
     if (ref === undefined) {
@@ -61,7 +61,7 @@
       const response = await fetch(`http://127.0.0.1:${this.ports[at]!.bind}${path}`, {
         method,
         body: body === undefined ? undefined : JSON.stringify(body),
-        signal: AbortSignal.timeout(PATIENCE_MS),
+        signal: AbortSignal.timeout(ANSWER_TIMEOUT_MS),
       });
       const answer = (await response.json().catch(() => ({}))) as Json;
       return { status: response.status, state: String(answer.temper ?? '') };
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -19,7 +19,7 @@
 export const occupies = (task: Task): boolean => task.temper !== 'ended';
 
 /** What a machine is, and where. */
-export interface Place {
+export interface MachineProperties {
   type: string;
   zone: string;
   spot: boolean;
@@ -32,7 +32,7 @@
 }
 
 /** What the workers of a fleet have in common. */
-export interface Surroundings {
+export interface FleetContext {
   rules: RuleChecker;
   times: FleetTimes;
   gpus: number;
@@ -54,8 +54,8 @@
 }
 
 /** In leases. */
-const REPORT_INTERVAL = 0.05;
-const ANSWER_WAIT = 0.4;
+const REPORT_INTERVAL_LEASES = 0.05;
+const ANSWER_TIMEOUT_LEASES = 0.4;
 const LEASE_CHECK_MS = 10;
 
 /** One machine's worker. */
@@ -72,27 +72,27 @@
   /** Direct commands that were held up on their way, and how many of those have come since. */
   heldUp = 0;
   arrivedLate = 0;
-  private hanging = false;
-  private heldUpMs = 0;
-  private shift = 1;
-  private tally = 0;
-  private hallmark = 0;
+  private isFrozen = false;
+  private directDelayMs = 0;
+  private agentEpoch = 1;
+  private sequence = 0;
+  private highestToken = 0;
   /** Only where machines have them. */
   readonly modelServer: ModelServer | null;
   private readonly host: string;
-  private ended = false;
-  private target = 0;
-  private renewed = Date.now();
+  private isTerminated = false;
+  private controllerIndex = 0;
+  private renewedAt = Date.now();
   private leaseTimer: NodeJS.Timeout | undefined;
 
   constructor(
-    private readonly around: Surroundings,
+    private readonly context: FleetContext,
     readonly id: string,
-    readonly place: Place,
+    readonly place: MachineProperties,
   ) {
     super((_method, url, body) => this.answer(url.pathname, body));
-    this.unreachable = new Set(around.unreachable);
-    const { modelServers } = around;
+    this.unreachable = new Set(context.unreachable);
+    const { modelServers } = context;
     this.host = modelServers?.hostOf(id) ?? '127.0.0.1';
     const { host } = this;
     this.modelServer =
@@ -101,7 +101,7 @@
 
   /** The highest token that it was given. */
   get token(): number {
-    return this.hallmark;
+    return this.highestToken;
   }
 
   /** Its machine type. */
@@ -121,24 +121,24 @@
 
   /** Begins to listen and to send heartbeats. */
   async start(): Promise<void> {
-    if (this.ended) return;
+    if (this.isTerminated) return;
     await this.listen(0, this.host);
     await this.modelServer?.start();
-    this.renewed = Date.now();
+    this.renewedAt = Date.now();
     this.leaseTimer = setInterval(() => this.checkLease(), LEASE_CHECK_MS);
-    void this.run();
+    void this.reportLoop();
   }
 
   // Troubles
 
   /** It stops doing anything at all, with its tasks on it. */
   hang(): void {
-    this.hanging = true;
+    this.isFrozen = true;
   }
 
   /** It goes on where it stopped, but for what its lease has ended. */
   goOn(): void {
-    this.hanging = false;
+    this.isFrozen = false;
   }
 
   /**
@@ -146,114 +146,115 @@
    * by a machine that is deaf when they are sent.
    */
   holdUpDirect(ms: number): void {
-    this.heldUpMs = ms;
+    this.directDelayMs = ms;
   }
 
-  private async awake(): Promise<void> {
-    while (this.hanging && !this.ended) await wait(LEASE_CHECK_MS);
+  private async untilThawed(): Promise<void> {
+    while (this.isFrozen && !this.isTerminated) await wait(LEASE_CHECK_MS);
   }
 
   // Direct commands
 
   private async answer(path: string, body: Json): Promise<Answer | null> {
-    if (path === '/do' && this.heldUpMs > 0) {
+    if (path === '/do' && this.directDelayMs > 0) {
       this.heldUp++;
-      setTimeout(() => this.arriveLate(body), this.heldUpMs);
+      setTimeout(() => this.deliverLate(body), this.directDelayMs);
       return null;
     }
     if (this.deaf) return null;
-    await this.awake();
+    await this.untilThawed();
     if (path === '/status') return [200, this.report()];
     return [this.executeDirect(body, false) ? 200 : 409, this.report()];
   }
 
-  private arriveLate(body: Json): void {
+  private deliverLate(body: Json): void {
     this.arrivedLate++;
     this.executeDirect(body, true);
   }
 
-  private executeDirect(body: Json, heldUp: boolean): boolean {
+  private executeDirect(body: Json, isDelayed: boolean): boolean {
     const hallmark = body.hallmark as number;
-    if (this.ended || hallmark < this.hallmark || body.shift !== this.shift) return false;
-    this.hallmark = hallmark;
-    this.execute(body.orders as Json[], heldUp);
+    if (this.isTerminated || hallmark < this.highestToken || body.shift !== this.agentEpoch)
+      return false;
+    this.highestToken = hallmark;
+    this.execute(body.orders as Json[], isDelayed);
     return true;
   }
 
   // Reports
 
   private report(): Json {
-    const { id, port, type, zone, spot, shift, hallmark } = this;
+    const { id, port, type, zone, spot, agentEpoch: shift, highestToken: hallmark } = this;
     const pieces = this.tasks.map(({ piece, pour, temper, cause, saved }) => ({
       piece, pour, temper, cause, saved,
     })); // prettier-ignore
     return {
       bench: id, addr: `${this.host}:${port}`, casting: type, yard: zone, loaner: spot, shift,
-      tally: ++this.tally, hallmark, recall_s: null, pieces,
+      tally: ++this.sequence, hallmark, recall_s: null, pieces,
     }; // prettier-ignore
   }
 
   /** Tasks of a hanging machine too are gone for good when its lease ends: they never go on. */
   private checkLease(): void {
-    if (Date.now() - this.renewed <= this.around.times.leaseS * 1000) return;
-    for (const task of this.tasks) this.exit(task, 'halted');
+    if (Date.now() - this.renewedAt <= this.context.times.leaseS * 1000) return;
+    for (const task of this.tasks) this.endTask(task, 'halted');
     this.tasks = [];
-    this.shift++;
-    this.renewed = Date.now();
+    this.agentEpoch++;
+    this.renewedAt = Date.now();
   }
 
-  private async run(): Promise<void> {
-    while (!this.ended) {
-      await wait(this.around.times.leaseS * REPORT_INTERVAL * 1000);
-      await this.awake();
-      if (this.ended || this.mute) continue;
+  private async reportLoop(): Promise<void> {
+    while (!this.isTerminated) {
+      await wait(this.context.times.leaseS * REPORT_INTERVAL_LEASES * 1000);
+      await this.untilThawed();
+      if (this.isTerminated || this.mute) continue;
       try {
-        await this.checkIn();
+        await this.sendHeartbeat();
       } catch {
-        this.target++;
+        this.controllerIndex++;
       }
     }
   }
 
-  private async checkIn(): Promise<void> {
-    const { controllers, times } = this.around;
-    const index = this.target % controllers.length;
+  private async sendHeartbeat(): Promise<void> {
+    const { controllers, times } = this.context;
+    const index = this.controllerIndex % controllers.length;
     if (this.unreachable.has(index)) throw new Error('unreachable');
     const sentAt = Date.now();
-    const { shift } = this;
+    const { agentEpoch: shift } = this;
     this.lastReport = JSON.stringify(this.report());
     const response = await fetch(`http://127.0.0.1:${controllers[index]}/checkin`, {
       method: 'POST',
       body: this.lastReport,
-      signal: AbortSignal.timeout(Math.round(times.leaseS * ANSWER_WAIT * 1000)),
+      signal: AbortSignal.timeout(Math.round(times.leaseS * ANSWER_TIMEOUT_LEASES * 1000)),
     });
     const body = (await response.json()) as Json;
-    await this.awake();
-    const late = Date.now() - sentAt > times.leaseS * ANSWER_WAIT * 1000;
+    await this.untilThawed();
+    const late = Date.now() - sentAt > times.leaseS * ANSWER_TIMEOUT_LEASES * 1000;
     if (this.deaf || late) throw new Error('no answer in time');
-    if (response.status === 200) this.accept(body, sentAt, shift);
+    if (response.status === 200) this.applyReply(body, sentAt, shift);
     else if (response.status === 421 && typeof body.foreman === 'string') {
-      this.target = Number(body.foreman.split('-')[1]);
-    } else this.target++;
+      this.controllerIndex = Number(body.foreman.split('-')[1]);
+    } else this.controllerIndex++;
   }
 
-  private accept(body: Json, sentAt: number, shift: number): void {
-    if ((body.hallmark as number) < this.hallmark || shift !== this.shift) return;
-    this.hallmark = body.hallmark as number;
-    this.renewed = sentAt;
+  private applyReply(body: Json, sentAt: number, agentEpoch: number): void {
+    if ((body.hallmark as number) < this.highestToken || agentEpoch !== this.agentEpoch) return;
+    this.highestToken = body.hallmark as number;
+    this.renewedAt = sentAt;
     this.execute(body.orders as Json[], false);
   }
 
   // Tasks
 
-  private execute(orders: Json[], heldUp: boolean): void {
+  private execute(orders: Json[], isDelayed: boolean): void {
     for (const { verb, piece, pour, cooling_s } of orders) {
       const task = this.tasks.find((task) => task.piece === piece && task.pour === pour);
       if (verb === 'start' && task === undefined) {
-        this.begin(piece as string, pour as number, heldUp);
+        this.startTask(piece as string, pour as number, isDelayed);
       }
       if (verb === 'kill' && task !== undefined && occupies(task)) {
-        this.kill(task, Number(cooling_s));
+        this.stopTask(task, Number(cooling_s));
       }
       if (verb === 'reap' && task?.temper === 'ended') {
         this.tasks.splice(this.tasks.indexOf(task), 1);
@@ -261,47 +262,47 @@
     }
   }
 
-  private begin(piece: string, pour: number, heldUp: boolean): void {
-    const { rules } = this.around;
-    const refusal = this.refusal(piece);
+  private startTask(piece: string, pour: number, isDelayed: boolean): void {
+    const { rules } = this.context;
+    const cause = this.refusalCause(piece);
     const task: Task = {
       ...{ piece, pour, temper: 'running', cause: undefined, timer: undefined },
       ...{ runsSince: null, saved: false },
     };
     this.tasks.push(task);
-    if (refusal !== null) {
+    if (cause !== null) {
       task.temper = 'ended';
-      task.cause = refusal;
+      task.cause = cause;
       return;
     }
     const { submission, runS } = rules.jobs.get(jobOf(task))!;
     if (submission.form === 'group') task.temper = 'gathering';
-    rules.started(this, task, heldUp);
+    rules.noteStart(this, task, isDelayed);
     this.modelServer?.use(String(submission.mould));
-    if (submission.form === 'group') this.gather(jobOf(task), pour);
+    if (submission.form === 'group') this.startCompleteGang(jobOf(task), pour);
     else if (submission.form === 'batch') this.runFor(task, runS);
   }
 
-  private refusal(piece: string): string | null {
-    const { jobs } = this.around.rules;
+  private refusalCause(piece: string): string | null {
+    const { jobs } = this.context.rules;
     const job = jobs.get(piece.split('/')[0]!);
     if (job === undefined) return 'no_such';
     const here = this.tasks.filter(occupies);
     if (here.some((task) => task.piece === piece)) return 'in_use';
     const used = here.reduce((sum, task) => sum + jobs.get(jobOf(task))!.submission.gpus, 0);
-    return used + job.submission.gpus > this.around.gpus ? 'full' : null;
+    return used + job.submission.gpus > this.context.gpus ? 'full' : null;
   }
 
   /** Gangs run once all tasks of an attempt wait. */
-  private gather(job: string, pour: number): void {
-    const { submission, runS } = this.around.rules.jobs.get(job)!;
+  private startCompleteGang(job: string, pour: number): void {
+    const { submission, runS } = this.context.rules.jobs.get(job)!;
     const waiting = this.gang(job, pour).filter(({ task }) => task.temper === 'gathering');
     if (waiting.length < submission.pieces) return;
     for (const { worker, task } of waiting) worker.runFor(task, runS);
   }
 
   private gang(job: string, pour: number): { worker: Worker; task: Task }[] {
-    return [...this.around.rules.workers.values()].flatMap((worker) =>
+    return [...this.context.rules.workers.values()].flatMap((worker) =>
       worker.tasks
         .filter((task) => jobOf(task) === job && task.pour === pour)
         .map((task) => ({ worker, task })),
@@ -310,19 +311,19 @@
 
   /** What was saved of it need not be run again. */
   private runFor(task: Task, runS: number): void {
-    const leftS = runS - (this.around.rules.savedS.get(task.piece) ?? 0);
+    const leftS = runS - (this.context.rules.savedS.get(task.piece) ?? 0);
     task.temper = 'running';
     task.runsSince = Date.now();
     task.timer = setTimeout(() => void this.complete(task), leftS * 1000);
   }
 
   /** One that can save does so first, if it is given the time. */
-  private kill(task: Task, coolingS: number): void {
-    const { stamp_s, stamping_s } = this.around.rules.jobs.get(jobOf(task))!.submission;
+  private stopTask(task: Task, coolingS: number): void {
+    const { stamp_s, stamping_s } = this.context.rules.jobs.get(jobOf(task))!.submission;
     const saveS = Number(stamping_s ?? 0);
     if (task.temper === 'flushing' && coolingS > 0) return;
     if (task.temper !== 'running' || !(Number(stamp_s) > 0) || coolingS < saveS) {
-      this.exit(task, 'halted');
+      this.endTask(task, 'halted');
       return;
     }
     clearTimeout(task.timer);
@@ -332,45 +333,45 @@
   }
 
   private save(task: Task, ranS: number): void {
-    const { savedS } = this.around.rules;
+    const { savedS } = this.context.rules;
     savedS.set(task.piece, (savedS.get(task.piece) ?? 0) + ranS);
     task.saved = true;
-    this.exit(task, 'halted');
+    this.endTask(task, 'halted');
   }
 
   private async complete(task: Task): Promise<void> {
-    await this.awake();
+    await this.untilThawed();
     if (!occupies(task)) return;
-    this.around.rules.completed(task.piece);
-    this.exit(task, 'done');
+    this.context.rules.noteCompletion(task.piece);
+    this.endTask(task, 'done');
   }
 
-  private exit(task: Task, cause: string): void {
+  private endTask(task: Task, cause: string): void {
     clearTimeout(task.timer);
     const ran = task.temper === 'running' || task.temper === 'flushing';
     task.temper = 'ended';
     task.cause = cause;
-    const job = this.around.rules.jobs.get(jobOf(task));
+    const job = this.context.rules.jobs.get(jobOf(task));
     if (ran && job !== undefined) this.modelServer?.leave(String(job.submission.mould));
-    if (job?.submission.form === 'group' && ran && cause !== 'done') this.leaveGang(task);
+    if (job?.submission.form === 'group' && ran && cause !== 'done') this.endGangPeers(task);
   }
 
   /** The other tasks of a running gang notice that one is gone. */
-  private leaveGang(gone: Task): void {
+  private endGangPeers(gone: Task): void {
     setTimeout(() => {
       for (const { worker, task } of this.gang(jobOf(gone), gone.pour)) {
-        if (task.temper === 'running') worker.exit(task, 'mates_gone');
+        if (task.temper === 'running') worker.endTask(task, 'mates_gone');
       }
-    }, this.around.times.gangPeerS * 1000);
+    }, this.context.times.gangPeerS * 1000);
   }
 
   /** The machine is gone from one moment to the next. */
   end(): void {
-    this.ended = true;
+    this.isTerminated = true;
     clearInterval(this.leaseTimer);
-    for (const task of this.tasks) this.exit(task, 'halted');
+    for (const task of this.tasks) this.endTask(task, 'halted');
     this.tasks = [];
-    this.around.rules.workers.delete(this.id);
+    this.context.rules.workers.delete(this.id);
     this.modelServer?.close();
     this.close();
   }
--- a/test/support/control-plane-world.ts
+++ b/test/support/control-plane-world.ts
@@ -41,7 +41,7 @@
 }
 
 /** A direct command that is held back on its way. */
-interface HeldBackCommand {
+interface DelayedCommand {
   worker: Worker;
   token: number;
   agentEpoch: number;
@@ -77,7 +77,7 @@
   deliverBeforeAnswer = (): void => undefined;
   /** Direct commands are held back on their way from now on. */
   holdsDirectCommands = false;
-  private readonly heldBack: HeldBackCommand[] = [];
+  private readonly delayedCommands: DelayedCommand[] = [];
   private readonly unconfirmed = new Set<string>();
   private leaderKeyUntil = -Infinity;
 
@@ -218,8 +218,8 @@
   /** Looks whether an answer that renews a lease stops all tasks there that are told to be cancelled. */
   private noteOmittedStops(heartbeat: Heartbeat, token: number, commands: Command[]): void {
     for (const task of heartbeat.tasks) {
-      const toldAt = this.toldAt.get(task.job);
-      if (toldAt === undefined || task.state === 'ended') continue;
+      const confirmedAt = this.toldAt.get(task.job);
+      if (confirmedAt === undefined || task.state === 'ended') continue;
       const isStopped = commands.some(
         ({ kind, job, index }) => kind === 'stop' && job === task.job && index === task.index,
       );
@@ -227,9 +227,9 @@
       const readByAll = this.controllers.every(
         (each) => !each.isRunning || each.knowsCancelled(task.job),
       );
-      const sinceToldS = this.now - toldAt;
+      const sinceConfirmedS = this.now - confirmedAt;
       this.omittedStops.push({
-        at: this.now, machine: heartbeat.machine, token, job: task.job, sinceToldS, readByAll,
+        at: this.now, machine: heartbeat.machine, token, job: task.job, sinceToldS: sinceConfirmedS, readByAll,
       }); // prettier-ignore
     }
   }
@@ -239,7 +239,7 @@
     const worker = this.fleet.workers.get(id);
     if (worker === undefined) return null;
     if (this.holdsDirectCommands) {
-      this.heldBack.push({ worker, token, agentEpoch: epoch, commands });
+      this.delayedCommands.push({ worker, token, agentEpoch: epoch, commands });
       return null;
     }
     return worker.deaf ? null : worker.takeDirect(token, epoch, commands);
@@ -248,7 +248,7 @@
   /** Direct commands that were held back arrive. */
   deliverHeldBack(): void {
     this.fleet.violations.push(...this.lateStarts());
-    for (const { worker, token, agentEpoch, commands } of this.heldBack.splice(0))
+    for (const { worker, token, agentEpoch, commands } of this.delayedCommands.splice(0))
       worker.takeDirect(token, agentEpoch, commands);
   }
 
@@ -263,13 +263,15 @@
   /** Starts of cancelled tasks that are still on their way after their time, and would be carried out. */
   lateStarts(): string[] {
     const late: string[] = [];
-    for (const { worker, token, agentEpoch, commands } of this.heldBack) {
+    for (const { worker, token, agentEpoch, commands } of this.delayedCommands) {
       if (token < worker.token || agentEpoch !== worker.agentEpoch) continue;
       for (const { kind, job, index, attempt } of commands) {
-        const toldAt = this.toldAt.get(job) ?? Infinity;
-        if (kind !== 'start' || this.now <= toldAt + this.times.cancelS) continue;
+        const confirmedAt = this.toldAt.get(job) ?? Infinity;
+        if (kind !== 'start' || this.now <= confirmedAt + this.times.cancelS) continue;
         if (worker.tasks.has(attemptKey(job, index, attempt))) continue;
-        late.push(`start of ${job}/${index} on ${worker.id}, told at ${toldAt}, now ${this.now}`);
+        late.push(
+          `start of ${job}/${index} on ${worker.id}, told at ${confirmedAt}, now ${this.now}`,
+        );
       }
     }
     return late;
@@ -285,11 +287,13 @@
   /** Cancelled tasks that are still on machines after their time. */
   overdueTasks(): string[] {
     const overdue: string[] = [];
-    for (const [job, toldAt] of this.toldAt) {
-      if (this.now <= toldAt + this.times.cancelS) continue;
+    for (const [job, confirmedAt] of this.toldAt) {
+      if (this.now <= confirmedAt + this.times.cancelS) continue;
       for (const worker of this.fleet.workers.values()) {
         for (const task of worker.running(job))
-          overdue.push(`${job}/${task.index} on ${worker.id}, told at ${toldAt}, now ${this.now}`);
+          overdue.push(
+            `${job}/${task.index} on ${worker.id}, told at ${confirmedAt}, now ${this.now}`,
+          );
       }
     }
     return overdue;
--- a/test/support/day-search.ts
+++ b/test/support/day-search.ts
@@ -5,9 +5,9 @@
 import { beginDay, type Trouble, type TroubledDay } from './troubled-days.js';
 
 /** At most so many tenths of a heartbeat interval pass between two looks. */
-const LOOK_TENTHS = 5;
+const CHECK_INTERVAL_TENTHS = 5;
 /** How long it may be until the next event, in tenths: a start is repeated, and fenced off, within an interval. */
-const GAPS = [0, 1, 2, 3, 5, 10, 20];
+const GAP_CHOICES_TENTHS = [0, 1, 2, 3, 5, 10, 20];
 
 /** Something that happens, and the time after it. */
 export interface DayEvent {
@@ -18,12 +18,12 @@
 }
 
 /** A day of events, and how workers report on it. */
-export interface EventDay extends Omit<TroubledDay, 'events'> {
+export interface TimedFaultScenario extends Omit<TroubledDay, 'events'> {
   events: readonly DayEvent[];
 }
 
 /** What must hold at any moment. */
-function checkRules(world: ControlPlaneWorld): void {
+function checkInvariants(world: ControlPlaneWorld): void {
   assert.deepEqual(world.lateStarts(), []);
   assert.deepEqual(world.overdueTasks(), []);
   assert.deepEqual(world.overQuota(), []);
@@ -31,37 +31,39 @@
 }
 
 /** Time passes, with looks in between. */
-async function watch(world: ControlPlaneWorld, tenths: number): Promise<void> {
-  for (let left = tenths; left > 0; left -= LOOK_TENTHS) {
-    await world.runUntil(world.now + (Math.min(left, LOOK_TENTHS) * world.times.reportS) / 10);
-    checkRules(world);
+async function runWithChecks(world: ControlPlaneWorld, tenths: number): Promise<void> {
+  for (let left = tenths; left > 0; left -= CHECK_INTERVAL_TENTHS) {
+    await world.runUntil(
+      world.now + (Math.min(left, CHECK_INTERVAL_TENTHS) * world.times.reportS) / 10,
+    );
+    checkInvariants(world);
   }
 }
 
 /** Plays a day, and as it is then until every cancellation that was told, and every lease, has had its time. */
-async function playDay(
-  { events, ...day }: EventDay,
+async function runScenario(
+  { events, ...day }: TimedFaultScenario,
   troubles: Record<string, Trouble>,
 ): Promise<void> {
   const world = await beginDay({ ...day, events: [] });
   for (const { what, number, gap } of events) {
     troubles[what]!(world, number);
-    await watch(world, gap);
+    await runWithChecks(world, gap);
   }
   const until = Math.max(...world.toldAt.values(), world.now) + day.times.cancelS;
-  while (world.now <= until) await watch(world, LOOK_TENTHS);
+  while (world.now <= until) await runWithChecks(world, CHECK_INTERVAL_TENTHS);
   world.deliverHeldBack();
-  checkRules(world);
+  checkInvariants(world);
 }
 
 /** Plays so many random days; fails with the shortest one found on which a rule is broken. */
 export async function assertDays(
-  day: fc.Arbitrary<EventDay>,
+  day: fc.Arbitrary<TimedFaultScenario>,
   troubles: Record<string, Trouble>,
   { seed, runs }: { seed: number; runs: number },
 ): Promise<void> {
   await fc.assert(
-    fc.asyncProperty(day, (each) => playDay(each, troubles)),
+    fc.asyncProperty(day, (each) => runScenario(each, troubles)),
     {
       seed,
       numRuns: runs,
@@ -76,6 +78,6 @@
   return fc.record({
     what: fc.constantFrom(...names),
     number: fc.nat(largest),
-    gap: fc.constantFrom(...GAPS),
+    gap: fc.constantFrom(...GAP_CHOICES_TENTHS),
   });
 }
--- a/test/support/report-loop.ts
+++ b/test/support/report-loop.ts
@@ -7,7 +7,7 @@
 const NEXT_CONTROLLER_S = 1;
 
 /** What a worker does by itself. */
-export interface ReportLoopOptions {
+export interface HeartbeatLoopOptions {
   /** A higher token makes it report early. The protocol says so; the machines of the incident did not. */
   reportsNewToken: boolean;
 }
@@ -21,7 +21,7 @@
   constructor(
     private readonly world: ControlPlaneWorld,
     readonly worker: Worker,
-    private readonly options: ReportLoopOptions,
+    private readonly options: HeartbeatLoopOptions,
     private controllerIndex = 0,
   ) {
     this.nextAt = world.now;
@@ -37,12 +37,12 @@
     if (reply === null) {
       // A process that is gone refuses the connection; one that is there keeps the worker waiting.
       this.tryNext(sentAt + (alive ? ANSWER_WAIT_S : 0));
-    } else if (reply.status === 200) this.stay(sentAt);
-    else if (reply.status === 421) this.follow(String(reply.body), sentAt);
+    } else if (reply.status === 200) this.onAccepted(sentAt);
+    else if (reply.status === 421) this.onRedirected(String(reply.body), sentAt);
     else this.tryNext(sentAt);
   }
 
-  private stay(sentAt: number): void {
+  private onAccepted(sentAt: number): void {
     const { worker, world, options } = this;
     const { reportS, leaseS } = world.times;
     this.nextAt = sentAt + reportS;
@@ -53,7 +53,7 @@
     this.nextAt = sentAt + MIN_HEARTBEAT_GAP_S;
   }
 
-  private follow(body: string, sentAt: number): void {
+  private onRedirected(body: string, sentAt: number): void {
     const { foreman } = JSON.parse(body) as { foreman?: string };
     const index = this.world.controllers.findIndex(({ node }) => node === foreman);
     if (index < 0 || index === this.controllerIndex) return this.tryNext(sentAt);
--- a/test/support/simulated-controller.ts
+++ b/test/support/simulated-controller.ts
@@ -42,7 +42,7 @@
 const MAX_BATCHES = 20;
 
 /** What runs from timers in a leader, driven by hand here. */
-interface LeaderParts {
+interface LeaderInternals {
   scheduleCycle(): void;
   log: { began(): void };
   runCycle(): void;
@@ -117,7 +117,7 @@
 
   /** The process ends with all that it has in memory. */
   kill(): void {
-    this.depose();
+    this.endTerm();
     this.alive = false;
     this.ready = false;
   }
@@ -126,7 +126,7 @@
   restart(): void {
     const clock = { now: () => this.world.now };
     const { log } = this.world;
-    this.depose();
+    this.endTerm();
     this.alive = true;
     this.frozenUntil = -Infinity;
     this.ready = false;
@@ -154,7 +154,7 @@
       replica: this.replica,
       peers: () => this.peers,
       events: {
-        onKnownCancelled: (ids) => this.cancellationsHeard(ids),
+        onKnownCancelled: (ids) => this.noteCancellations(ids),
         cancelledSince: (revision) => this.cancellations.storedSince(revision),
       },
       leads: () => this.term !== null,
@@ -224,7 +224,7 @@
   private storeClient(): KeyValueStoreClient {
     const { store } = this.world;
     const rejectedSince = (): number | null => this.rejectedSince;
-    const reached = async <T>(answer: () => Promise<T>): Promise<T> => {
+    const ifServed = async <T>(answer: () => Promise<T>): Promise<T> => {
       const health = this.storeHealth;
       if (health === 'refused') {
         this.rejectedSince ??= this.world.now;
@@ -239,9 +239,9 @@
       get rejectedSince() {
         return rejectedSince();
       },
-      get: (key: string) => reached(() => store.get(key)),
+      get: (key: string) => ifServed(() => store.get(key)),
       compareAndSwap: (...args: Parameters<KeyValueStoreClient['compareAndSwap']>) =>
-        reached(() => store.compareAndSwap(args[0], args[1])),
+        ifServed(() => store.compareAndSwap(args[0], args[1])),
     });
   }
 
@@ -269,7 +269,7 @@
       case 'refused':
         return this.outage.answer(question.token, question.forMs, question.applied);
       case 'cancelled':
-        this.cancellationsHeard([question.job]);
+        this.noteCancellations([question.job]);
         return { noted: true };
       case 'elected':
         return { remainsS: this.acknowledge(question.token) };
@@ -296,7 +296,7 @@
     },
   };
 
-  private cancellationsHeard(ids: readonly string[]): void {
+  private noteCancellations(ids: readonly string[]): void {
     for (const id of ids) {
       this.cancellations.noteStored(id);
       this.cancellationTimes.note(id);
@@ -305,7 +305,7 @@
   }
 
   private acknowledge(token: number): number {
-    if (this.term !== null && token > this.term.token) this.depose();
+    if (this.term !== null && token > this.term.token) this.endTerm();
     return this.outage.acknowledge(token) - this.world.now;
   }
 
@@ -332,13 +332,13 @@
   /** Its regular turn: reads, renews or stands, and acts as the leader if it is. */
   async step(): Promise<void> {
     if (!this.isRunning) return;
-    this.read();
-    if (this.term === null) this.stand();
+    this.syncReplica();
+    if (this.term === null) this.campaign();
     else await this.continueTerm();
-    await this.act();
+    await this.runLeader();
   }
 
-  private read(): void {
+  private syncReplica(): void {
     if (this.storeHealth !== 'served') {
       if (this.storeHealth === 'refused') this.rejectedSince ??= this.world.now;
       return;
@@ -354,17 +354,17 @@
       this.acknowledge(known.revision);
   }
 
-  private stand(): void {
+  private campaign(): void {
     if (!this.stands || !this.ready || this.storeHealth !== 'served') return;
     if (this.world.now < this.outage.promisedUntil) return;
     const { leader } = this.replica;
     if (leader !== null && leader.node !== this.node) return;
     const token = this.world.acquireLeaderKey(this.node, this.leaderTtlS);
     this.world.store.feed(this.replica);
-    this.begin(token);
+    this.beginTerm(token);
   }
 
-  private begin(token: number): void {
+  private beginTerm(token: number): void {
     const clock = { now: () => this.world.now };
     const { controllerCount } = this.settings;
     const acknowledged = new QuorumAcknowledgement(token, controllerCount, clock);
@@ -391,12 +391,12 @@
       {
         store: this.storeClient(),
         cloud: fake<CloudClient>({ listMachines: () => Promise.resolve([]) }),
-        onLeadershipLost: () => this.depose(),
+        onLeadershipLost: () => this.endTerm(),
         latencies: new LatencyHistograms(clock.now),
         directTransport: this.directTransport,
       },
     );
-    const parts = leader as unknown as LeaderParts;
+    const parts = leader as unknown as LeaderInternals;
     parts.scheduleCycle = () => undefined;
     parts.capacity.provisioner.listedOnce = true;
     this.replica.listener = {
@@ -411,7 +411,7 @@
     parts.log.began();
   }
 
-  private depose(): void {
+  private endTerm(): void {
     if (this.term === null) return;
     this.outage.noteRenewals(Math.min(this.world.now, this.term.entitlement.validUntil));
     this.term = null;
@@ -424,13 +424,13 @@
     const { now } = this.world;
     const health = this.storeHealth;
     if (health === 'served') {
-      if (!this.world.renewLeaderKey(term.token, this.leaderTtlS)) return this.depose();
+      if (!this.world.renewLeaderKey(term.token, this.leaderTtlS)) return this.endTerm();
       if (term.entitlement.extend(leaseEnd(now, this.leaderTtlS))) term.inOutage = false;
     }
     if (health === 'refused') await this.continueInOutage(term);
     if (this.isEntitled) return;
     if (health === 'served') this.world.removeLeaderKey(term.token);
-    this.depose();
+    this.endTerm();
   }
 
   private async askElected(node: string, token: number): Promise<ElectedAnswer | null> {
@@ -456,10 +456,10 @@
     if (term.entitlement.extend(until)) term.inOutage = true;
   }
 
-  private async act(): Promise<void> {
+  private async runLeader(): Promise<void> {
     const { term } = this;
     if (term === null || !this.isEntitled) return;
-    const parts = term.leader as unknown as LeaderParts;
+    const parts = term.leader as unknown as LeaderInternals;
     parts.runCycle();
     // What a store that does not serve would have taken stays due. The writer would wait for it in real time.
     for (let i = 0; i < MAX_BATCHES && this.storeHealth === 'served' && !term.inOutage; i++) {
--- a/test/support/simulated-fleet.ts
+++ b/test/support/simulated-fleet.ts
@@ -129,7 +129,7 @@
   }
 }
 
-const OPS = { start: 'start', kill: 'stop', reap: 'forget' } as const;
+const KIND_BY_VERB = { start: 'start', kill: 'stop', reap: 'forget' } as const;
 
 /** A command as it stands in the answer to a heartbeat. */
 interface EncodedCommand {
@@ -139,15 +139,15 @@
   cooling_s?: number;
 }
 
-function asCommand(order: EncodedCommand): Command {
+function decodeCommand(order: EncodedCommand): Command {
   const [job, index] = order.piece.split('/') as [string, string];
   const base = { job, index: Number(index), attempt: order.pour };
-  const kind = OPS[order.verb as keyof typeof OPS];
+  const kind = KIND_BY_VERB[order.verb as keyof typeof KIND_BY_VERB];
   return kind === 'stop' ? { kind, ...base, graceS: order.cooling_s ?? 0 } : { kind, ...base };
 }
 
 /** The body of a 200 to a heartbeat. */
 export function decodeHeartbeatReply(body: string): { token: number; commands: Command[] } {
   const { hallmark, orders } = JSON.parse(body) as { hallmark: number; orders: EncodedCommand[] };
-  return { token: hallmark, commands: orders.map(asCommand) };
+  return { token: hallmark, commands: orders.map(decodeCommand) };
 }
--- a/test/support/troubled-days.ts
+++ b/test/support/troubled-days.ts
@@ -15,47 +15,48 @@
 ];
 
 /** Names one of the day's jobs. */
-const idOf = (number: number): string => `wk-${String(number % JOBS).padStart(6, '0')}`;
+const jobIdOf = (number: number): string => `wk-${String(number % JOBS).padStart(6, '0')}`;
 
 /** Something that happens; `number` chooses to whom. */
 export type Trouble = (world: ControlPlaneWorld, number: number) => void;
 
-const some = (world: ControlPlaneWorld, number: number): SimulatedController =>
+const controllerAt = (world: ControlPlaneWorld, number: number): SimulatedController =>
   world.controllers[number % world.controllers.length]!;
-const leading = (world: ControlPlaneWorld, number: number): SimulatedController =>
-  world.leader ?? some(world, number);
+const leaderOrControllerAt = (world: ControlPlaneWorld, number: number): SimulatedController =>
+  world.leader ?? controllerAt(world, number);
 
 /** Troubles of controllers, store, links and machines, and cancellations. */
 export const TROUBLES: Record<string, Trouble> = {
-  'the leader ends': (world, number) => leading(world, number).kill(),
-  'the leader ends again': (world, number) => leading(world, number).kill(),
-  'a controller ends': (world, number) => some(world, number).kill(),
-  'all controllers end': (world) => world.controllers.forEach((each) => each.kill()),
-  'those that ended are back': (world) => {
+  'leader crash': (world, number) => leaderOrControllerAt(world, number).kill(),
+  'second leader crash': (world, number) => leaderOrControllerAt(world, number).kill(),
+  'controller crash': (world, number) => controllerAt(world, number).kill(),
+  'crash of all controllers': (world) => world.controllers.forEach((each) => each.kill()),
+  'restart of crashed controllers': (world) => {
     for (const each of world.controllers) if (!each.alive) each.restart();
   },
-  'the leader freezes': (world, number) => {
-    leading(world, number).frozenUntil = world.now + (world.times.leaseS * (1 + number)) / 6;
+  'leader freeze': (world, number) => {
+    leaderOrControllerAt(world, number).frozenUntil =
+      world.now + (world.times.leaseS * (1 + number)) / 6;
   },
-  'the leader is refused alone': (world, number) => {
-    leading(world, number).ownStoreHealth = 'refused';
+  'store refuses only the leader': (world, number) => {
+    leaderOrControllerAt(world, number).ownStoreHealth = 'refused';
   },
-  'the leader is cut from the store': (world, number) => {
-    leading(world, number).ownStoreHealth = 'silent';
+  'partition of the leader from the store': (world, number) => {
+    leaderOrControllerAt(world, number).ownStoreHealth = 'silent';
   },
-  'the reads of the leader are lost': (world, number) => {
-    leading(world, number).readsLost = true;
+  'lost reads of the leader': (world, number) => {
+    leaderOrControllerAt(world, number).readsLost = true;
   },
-  'a controller is cut from the others': (world, number) => {
-    some(world, number).peersReachable = false;
+  'partition of a controller from its peers': (world, number) => {
+    controllerAt(world, number).peersReachable = false;
   },
-  'answers between controllers are lost': (world, number) => {
-    const asker = some(world, number);
+  'lost answers between controllers': (world, number) => {
+    const asker = controllerAt(world, number);
     for (const { node } of world.controllers)
       if (node !== asker.node && number % 2 === 0) asker.answersLostFrom.add(node);
-    if (number % 2 === 1) asker.answersLostFrom.add(leading(world, number).node);
+    if (number % 2 === 1) asker.answersLostFrom.add(leaderOrControllerAt(world, number).node);
   },
-  'links are whole': (world) => {
+  'controller links restored': (world) => {
     for (const each of world.controllers) {
       each.ownStoreHealth = 'served';
       each.readsLost = false;
@@ -64,22 +65,22 @@
     }
   },
   outage: (world) => void (world.storeOutage = true),
-  'the outage is over': (world) => void (world.storeOutage = false),
-  'a machine is deaf': (world, number) => void (machine(world, number).deaf = true),
-  'a machine is mute': (world, number) => void (machine(world, number).mute = true),
-  'machines are whole': (world) => {
+  'end of the outage': (world) => void (world.storeOutage = false),
+  'lost messages to a worker': (world, number) => void (workerAt(world, number).deaf = true),
+  'lost heartbeats of a worker': (world, number) => void (workerAt(world, number).mute = true),
+  'worker links restored': (world) => {
     for (const worker of world.fleet.workers.values()) worker.deaf = worker.mute = false;
   },
-  'direct commands are held back': (world) => void (world.holdsDirectCommands = true),
-  'direct commands arrive': (world) => {
+  'delayed direct commands': (world) => void (world.holdsDirectCommands = true),
+  'delivery of delayed direct commands': (world) => {
     world.holdsDirectCommands = false;
     world.deliverHeldBack();
   },
-  'a job is cancelled': (world, number) => world.cancel(idOf(number)),
-  'another job is cancelled': (world, number) => world.cancel(idOf(number + 1)),
+  'a job is cancelled': (world, number) => world.cancel(jobIdOf(number)),
+  'another job is cancelled': (world, number) => world.cancel(jobIdOf(number + 1)),
 };
 
-const machine = (world: ControlPlaneWorld, number: number) =>
+const workerAt = (world: ControlPlaneWorld, number: number) =>
   [...world.fleet.workers.values()][number % MACHINES]!;
 
 /** A day: how workers report, and what happens, each followed by so many steps. */
@@ -105,7 +106,7 @@
   await world.runUntil(times.leaseS / 2);
   for (let i = 0; i < JOBS; i++) {
     const kind = i % 2 === 0 ? 'service' : 'array';
-    world.submitJob({ id: idOf(i), kind, tasks: 2, gpus: 1, cores: 1 });
+    world.submitJob({ id: jobIdOf(i), kind, tasks: 2, gpus: 1, cores: 1 });
   }
   await world.runUntil(times.leaseS * 1.5);
   return world;
--- a/test/tools/known-red.ts
+++ b/test/tools/known-red.ts
@@ -77,9 +77,9 @@
   const failed = results.filter((result) => !result.passed);
   for (const { name } of failed) if (!listed.has(name)) errors.push(`fails: ${name}`);
   for (const { test } of known) {
-    const mine = results.filter((result) => result.name === test);
-    if (mine.length === 0) errors.push(`listed, but no such test: ${test}`);
-    else if (mine.every((result) => result.passed)) errors.push(`listed, but passes: ${test}`);
+    const matching = results.filter((result) => result.name === test);
+    if (matching.length === 0) errors.push(`listed, but no such test: ${test}`);
+    else if (matching.every((result) => result.passed)) errors.push(`listed, but passes: ${test}`);
   }
   if (exitStatus !== 0 && failed.length === 0) errors.push(`the test run ended with ${exitStatus}`);
   const passedOver = known.filter(({ test }) => failed.some((result) => result.name === test));
