--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -3,9 +3,9 @@
 import { parseSettings, type Settings } from '../src/config/settings.js';
 import type { JobSpec, MachineType } from '../src/jobs/types.js';
 
-/** GPUs that the only team may use at most. */
+/** GPU quota of the only team. */
 export const TEAMS_GPUS_MAX = 12;
-/** Seconds for which tasks of a gang wait for one another. */
+/** Seconds within which tasks of a gang detect the loss of a peer (`gang_peer_s`). */
 export const GANG_PEER_S = 1;
 
 /** Ports of a controller: for users and workers, and for the other controllers. */
@@ -14,7 +14,7 @@
   peer: number;
 }
 
-/** A settings file like the platform's, with short times. */
+/** Text of a settings file like the platform's, with short times. */
 export function settingsText(
   index = 0,
   ports: Ports[] = [{ bind: 1, peer: 2 }],
@@ -23,7 +23,7 @@
   leaseS = 2,
   zones = ports.map(() => 'z1'),
   cancelS = 6,
-  /** Limits of the key-value store that come later, TOML. */
+  /** Announced future limits of the key-value store, TOML. */
   nextLimits = '',
 ): string {
   const seeds = ports
@@ -79,7 +79,7 @@
 /** The settings of `settingsText`, parsed. */
 export const settings = (): Settings => parseSettings(settingsText());
 
-/** A job array with one task on one GPU, but for what is given. */
+/** A job array with one task on one GPU, with the given fields replaced. */
 export const spec = (over: Partial<JobSpec> = {}): JobSpec => ({
   id: 'wk-000001',
   class: 'c',
@@ -119,16 +119,16 @@
   zones: ['z1', 'z2'],
 };
 
-/** Ports below those that the system gives out by itself, in blocks: one for each process. */
+/** Blocks of ports, one for each process, below the ephemeral ports of the system. */
 const FIRST_PORT = 10_000;
 const BLOCK_PORTS = 100;
 const BLOCKS = 220;
 
-/** The first port of the block that this process holds, once it has asked for a port. */
+/** The first port of the block that this process has reserved; null until the first call of `freePort`. */
 let blockFirstPort: Promise<number> | null = null;
 let portsIssued = 0;
 
-/** A port that nobody else is given: neither by this function nor by listening on port 0. */
+/** Returns a free port that no other caller is given, neither by this function nor by listening on port 0. */
 export async function freePort(): Promise<number> {
   const first = await (blockFirstPort ??= reserveBlock());
   for (;;) {
@@ -138,8 +138,8 @@
 }
 
 /**
- * Holds a block until the process exits, by listening on its first port. Blocks were once chosen by
- * the process's number alone: two test files with the same block took each other's ports now and then.
+ * Reserves a block until the process exits, by listening on its first port. The process id alone would not
+ * do: test files whose processes selected the same block would sometimes take each other's ports.
  */
 async function reserveBlock(): Promise<number> {
   for (let i = 0; i < BLOCKS; i++) {
@@ -150,7 +150,7 @@
       return first;
     }
   }
-  throw new Error('no block of ports is free');
+  throw new Error('no free block of ports: all are reserved by other processes');
 }
 
 async function isFree(port: number): Promise<boolean> {
@@ -167,11 +167,11 @@
   });
 }
 
-/** Waits for so many milliseconds. */
+/** Waits for this number of milliseconds. */
 export const wait = (ms: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, ms));
 
-/** Waits until something is so; fails after `s` seconds, with its name. */
+/** Polls until the condition holds; fails after `timeoutS` seconds with the text `what`. */
 export async function until(
   what: string,
   condition: () => boolean | Promise<boolean>,
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -10,20 +10,20 @@
   hourly: 10, spot_price: 3, startup_s: 0.3, yards: ['z1', 'z2'],
 }; // prettier-ignore
 
-/** The cloud: rents machines of one type, each with its worker. */
+/** Stand-in of the cloud: rents machines of one type, each with a worker. */
 export class Cloud extends HttpStandIn {
   readonly around: FleetContext;
   bootMs = 200;
-  /** Machines that it has in all. */
+  /** Greatest number of machines that it ever rents. */
   most = Infinity;
-  /** The nominal boot that it tells, in seconds. */
+  /** Nominal boot time that it reports for the machine type, in seconds. */
   nominalBootS = MACHINE_TYPE.startup_s;
-  /** What was rented when, in ms, by the name of its request. */
+  /** Machines of each rental, with the name of the request and the time in ms. */
   readonly rentals: { hire: string; ids: string[]; at: number }[] = [];
   /** When each machine was rented, in ms. */
   private readonly rentedAt = new Map<string, number>();
   private readonly machinesByRequest = new Map<string, string[]>();
-  /** Machines that were ever rented. */
+  /** Number of machines rented so far. */
   counted = 0;
 
   constructor(
@@ -78,7 +78,7 @@
     return [200, { benches, more: false }];
   }
 
-  /** Ends the cloud with all its machines. */
+  /** Closes the cloud and ends all its machines. */
   override close(): void {
     for (const worker of this.rules.workers.values()) worker.end();
     super.close();
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -21,17 +21,17 @@
 import { Users } from './users.js';
 import { occupies, type Task, type Worker } from './worker.js';
 
-/** How many controllers there are, where, and with which times. */
+/** Number, zones and settings of the controllers. */
 export interface ClusterOptions {
   leaseS: number;
   cancelS: number;
-  /** The zone of each controller. */
+  /** The zone of each controller; there is one controller for each entry. */
   zones: string[];
-  /** Limits of the state service that its settings announce, TOML. */
+  /** Announced future limits of the key-value store in the settings, TOML. */
   nextLimits: string;
-  /** The features file of each controller; empty: it has none. */
+  /** Text of the features file of each controller; empty: none. */
   features: string;
-  /** Time of day, in ms, as each controller's machine shows it. */
+  /** Time of day of each controller's machine, in ms. */
   wallMs: () => number;
 }
 
@@ -39,10 +39,10 @@
   ...{ leaseS: 2, zones: ['z1', 'z1', 'z1'], nextLimits: '', features: '' },
   wallMs: (): number => Date.now(),
 };
-/** Where a test gives no `cancelS`: in leases. */
+/** Default of `cancelS`, in leases. */
 const CANCEL_LEASES = 3;
 
-/** Controllers and all that surrounds them. Every way between them can be cut. */
+/** Controllers in this process, with stand-ins of the outside systems. Each connection to the store and between controllers can be cut. */
 export class Cluster {
   readonly state = new StateService();
   readonly access: StateAccess[] = [];
@@ -51,9 +51,9 @@
   readonly users: Users;
   readonly ports: Ports[] = [];
   readonly controllers: (Controller | null)[] = [];
-  /** The way to the state service of each controller. */
+  /** The proxy between each controller and the key-value store. */
   readonly stateGates: CuttableProxy[] = [];
-  /** The way from one controller to another. */
+  /** The proxies from one controller to another. */
   private readonly links: { from: number; to: number; gate: CuttableProxy }[] = [];
 
   private constructor(private readonly options: ClusterOptions) {
@@ -72,7 +72,7 @@
       await cluster.listen();
       for (const index of cluster.indexes) await cluster.startController(index);
     } catch (error) {
-      // What has begun would keep the process alive.
+      // Servers and timers that have been started would keep the process alive.
       cluster.close();
       throw error;
     }
@@ -101,17 +101,17 @@
     this.cloud.around.controllers = this.ports.map((port) => port.bind);
   }
 
-  /** The controllers' numbers. */
+  /** Indexes of the controllers. */
   get indexes(): number[] {
     return [...this.options.zones.keys()];
   }
 
   // Controllers
 
-  /** Starts a controller anew, on the same ports. */
+  /** Starts a new controller on the ports of this index. */
   async startController(index: number): Promise<void> {
     const { leaseS, cancelS, zones, nextLimits } = this.options;
-    // Each of the others is known by its gate.
+    // Controllers reach each other through the proxies.
     const reachablePorts = this.ports.map((own, to) => {
       const link = this.links.find((l) => l.from === index && l.to === to);
       return { ...own, peer: link?.gate.port ?? own.peer };
@@ -138,30 +138,30 @@
     return { wallMs, features: controllerFeatures(parsed, steadyClock) };
   }
 
-  /** Stops a controller from one moment to the next. */
+  /** Stops a controller at once. */
   stopController(index: number): void {
     this.controllers[index]?.stop();
     this.controllers[index] = null;
   }
 
-  /** Whether a controller takes itself for the leader. */
+  /** Whether a controller regards itself as the leader. */
   leads(index: number): boolean {
     return (this.controllers[index]?.leader ?? null) !== null;
   }
 
-  /** The only leader; -1 when there is none, or more than one. */
+  /** Index of the only leader; -1 when there is none or more than one. */
   leader(): number {
     const leading = this.indexes.filter((index) => this.leads(index));
     return leading.length === 1 ? leading[0]! : -1;
   }
 
-  /** Waits for a leader other than the given one. */
+  /** Waits for a leader other than the given one. Returns its index. */
   async newLeader(other = -1): Promise<number> {
     await until('a leader', () => this.leader() >= 0 && this.leader() !== other);
     return this.leader();
   }
 
-  /** Waits until every machine that is up has had an answer from the only leader. */
+  /** Waits until every worker has received the token of the only leader. */
   async leaderIsHeard(): Promise<void> {
     await until('the leader is heard', () => {
       const token = this.controllers[this.leader()]?.election.token;
@@ -176,14 +176,14 @@
     }
   }
 
-  /** Ends the leader; returns its number. */
+  /** Stops the leader. Returns its index. */
   async endLeader(): Promise<number> {
     const old = await this.newLeader();
     this.stopController(old);
     return old;
   }
 
-  /** Delivers a copy of a report to every controller that is there. */
+  /** Sends a copy of a heartbeat to every running controller. */
   async deliver(report: string): Promise<void> {
     await Promise.all(
       this.ports.map(({ bind }) =>
@@ -196,24 +196,24 @@
 
   // Machines
 
-  /** All workers that are there. */
+  /** Workers of all machines. */
   get workers(): Worker[] {
     return [...this.rules.workers.values()];
   }
 
-  /** Machines with tasks of a job on them. */
+  /** Workers that run tasks of a job. */
   hosts(ref: string): Worker[] {
     return this.workers.filter((worker) => this.tasks(ref, [worker]).length > 0);
   }
 
-  /** Tasks of a job that are on machines. */
+  /** Tasks of a job that occupy machines. */
   tasks(ref: string, workers = this.workers): Task[] {
     return workers.flatMap((worker) =>
       worker.tasks.filter((task) => task.piece.startsWith(`${ref}/`) && occupies(task)),
     );
   }
 
-  /** Waits until exactly so many tasks of a job run. */
+  /** Waits until exactly this number of tasks of a job run. */
   async runs(ref: string, count: number): Promise<void> {
     await until(
       `${count} of ${ref} run`,
@@ -221,21 +221,21 @@
     );
   }
 
-  /** Waits until no task of a job is on a machine. */
+  /** Waits until no task of a job occupies a machine. */
   async gone(ref: string): Promise<void> {
     await until(`${ref} is gone`, () => this.tasks(ref).length === 0);
   }
 
-  // The end
+  // Shutdown
 
-  /** Fails if any rule of the protocol was broken. */
+  /** Fails if any rule of the protocol was violated. */
   assertRules(): void {
     assert.deepEqual(this.rules.violations, []);
   }
 
-  /** Ends everything; fails if any rule of the protocol was broken. */
+  /** Stops everything; fails if any rule of the protocol was violated. */
   close(): void {
-    // What is held back would keep the process alive.
+    // Requests that still wait would keep the process alive.
     for (const access of this.access) access.refuses = access.holdsWatches = false;
     this.state.down = false;
     for (const index of this.indexes) this.stopController(index);
@@ -253,15 +253,15 @@
   }
 }
 
-/** A row of a table of meetings. */
+/** A row of a table of test scenarios. */
 export interface Row {
   name: string;
 }
 
-/** Rows that are played at once: more would make a busy machine late for their leases. */
+/** Rows that run in parallel; with more, a busy machine would be too late for their leases. */
 const PARALLEL_ROWS = 3;
 
-/** Plays every row with a cluster of its own; names the rows that fail. */
+/** Runs every row with its own cluster; fails with the names of the rows that failed. */
 export async function playAll<R extends Row>(
   rows: R[],
   options: Partial<ClusterOptions>,
@@ -291,7 +291,7 @@
   } catch (error) {
     failure = error;
   }
-  // A broken rule says more than what followed from it.
+  // A violation of a rule takes precedence: it explains more than the failures that follow from it.
   cluster.close();
   if (failure !== null) throw failure as Error;
 }
--- a/test/standins/gate.ts
+++ b/test/standins/gate.ts
@@ -1,6 +1,6 @@
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 
-/** A way between two processes that can be cut: connections are reset, and new ones refused. */
+/** A TCP proxy between two processes. While it is cut, connections are destroyed and new ones closed at once. */
 export class CuttableProxy {
   port = 0;
   private cut = false;
@@ -26,20 +26,20 @@
 
   constructor(private readonly target: number) {}
 
-  /** Begins to pass connections on. Returns the port. */
+  /** Starts to forward connections. Returns the port. */
   async listen(): Promise<number> {
     await new Promise<void>((resolve) => this.server.listen(0, '127.0.0.1', resolve));
     this.port = (this.server.address() as AddressInfo).port;
     return this.port;
   }
 
-  /** Cuts all connections, or lets new ones through again. */
+  /** Cuts all connections, or allows new ones again. */
   set(cut: boolean): void {
     this.cut = cut;
     if (cut) for (const socket of this.sockets) socket.destroy();
   }
 
-  /** Ends the gate with its connections. */
+  /** Closes the proxy and its connections. */
   close(): void {
     this.set(true);
     this.server.close();
--- a/test/standins/http.ts
+++ b/test/standins/http.ts
@@ -8,7 +8,7 @@
 /** Null: the connection is closed without an answer. */
 export type Handler = (method: string, url: URL, body: Json) => Promise<Answer | null> | Answer;
 
-/** An HTTP server on a free port of the loopback interface: the base of all stand-ins. */
+/** An HTTP server on the loopback interface: the base class of all stand-ins. */
 export class HttpStandIn {
   port = 0;
   private readonly server: Server;
@@ -37,7 +37,7 @@
     response.end(JSON.stringify(answer[1]));
   }
 
-  /** Rejects when the port is taken. 0: any free one. */
+  /** Starts to listen; port 0 selects a free port. Rejects when the port is in use. */
   async listen(port = 0, host = '127.0.0.1'): Promise<void> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -46,7 +46,7 @@
     this.port = (this.server.address() as AddressInfo).port;
   }
 
-  /** Ends the server with its connections. */
+  /** Closes the server and its connections. */
   close(): void {
     this.server.closeAllConnections();
     this.server.close();
--- a/test/standins/process-cluster.ts
+++ b/test/standins/process-cluster.ts
@@ -14,19 +14,19 @@
 import { StateService } from './state.js';
 import { Users } from './users.js';
 
-/** How many processes there are, and with which settings. */
+/** Number and settings of the processes. */
 export interface ProcessClusterOptions {
   controllers: number;
   leaseS: number;
   cancelS: number;
-  /** Limits of the state service that its settings announce, TOML. */
+  /** Announced future limits of the key-value store in the settings, TOML. */
   nextLimits?: string;
-  /** Where settings and logs go; names begin with the label. */
+  /** Directory of settings files and logs; their names begin with the label. */
   directory: string;
   label: string;
 }
 
-/** Controllers as real processes on loopback, with all that surrounds them. */
+/** Controllers as real processes on loopback, with stand-ins of the outside systems. */
 export class ProcessCluster {
   readonly state = new StateService();
   readonly rules: RuleChecker;
@@ -43,12 +43,12 @@
     this.users = new Users(this.ports, this.rules);
   }
 
-  /** The controllers' numbers. */
+  /** Indexes of the controllers. */
   get indexes(): number[] {
     return [...Array(this.options.controllers).keys()];
   }
 
-  /** Starts the stand-ins and finds ports for the controllers. */
+  /** Starts the stand-ins and reserves ports for the controllers. */
   async listen(): Promise<void> {
     await this.state.listen();
     await this.cloud.listen();
@@ -58,7 +58,7 @@
     this.cloud.around.controllers = this.ports.map((port) => port.bind);
   }
 
-  /** `build`: the folder of the version; `features`: a features file, TOML; empty: none. */
+  /** Starts a controller. `build`: the folder of the version; `features`: text of a features file, TOML; empty: none. */
   start(index: number, build = resolve('.'), features = ''): void {
     const { leaseS, cancelS, nextLimits, directory, label } = this.options;
     const zones = this.ports.map(() => 'z1');
@@ -82,7 +82,7 @@
     this.processes.set(index, child);
   }
 
-  /** Without a signal that it could handle. */
+  /** Kills a controller with SIGKILL and waits for its exit. */
   async end(index: number): Promise<void> {
     const child = this.processes.get(index);
     if (child === undefined || child.exitCode !== null || child.signalCode !== null) return;
@@ -91,17 +91,17 @@
     await gone;
   }
 
-  /** It does nothing at all until it is thawed. */
+  /** Freezes a controller with SIGSTOP. */
   freeze(index: number): void {
     this.processes.get(index)!.kill('SIGSTOP');
   }
 
-  /** A frozen process goes on. */
+  /** Resumes a frozen controller with SIGCONT. */
   thaw(index: number): void {
     this.processes.get(index)!.kill('SIGCONT');
   }
 
-  /** Waits until a controller answers that it is ready. */
+  /** Waits until a controller reports that it is ready. */
   async serves(index: number): Promise<void> {
     const url = `http://127.0.0.1:${this.ports[index]!.bind}/ready`;
     const isReady = (): Promise<boolean> =>
@@ -112,7 +112,7 @@
     await until(`controller ${index} is ready`, isReady);
   }
 
-  /** What a controller answers to a GET; null: nothing, or no JSON. */
+  /** The JSON answer of a controller to a GET; null: no answer, or not JSON. */
   async ask(index: number, path: string): Promise<Record<string, unknown> | null> {
     try {
       const response = await fetch(`http://127.0.0.1:${this.ports[index]!.bind}${path}`, {
@@ -124,7 +124,7 @@
     }
   }
 
-  /** The controller that leads, as it says itself; -1: none does. */
+  /** Index of the first controller that reports to be the leader; -1: none does. */
   async leader(): Promise<number> {
     for (const index of this.indexes) {
       const figures = await this.ask(index, '/metrics');
@@ -133,7 +133,7 @@
     return -1;
   }
 
-  /** Waits for a leader other than the one given. Returns its number. */
+  /** Waits for a leader other than the given one. Returns its index. */
   async newLeader(other = -1): Promise<number> {
     let leader = -1;
     await until('a leader', async () => {
@@ -143,7 +143,7 @@
     return leader;
   }
 
-  /** Ends all processes and stand-ins. */
+  /** Kills all processes and closes the stand-ins. */
   async close(): Promise<void> {
     for (const index of this.processes.keys()) await this.end(index);
     this.cloud.close();
--- a/test/standins/rules.ts
+++ b/test/standins/rules.ts
@@ -1,7 +1,7 @@
 import type { Json } from './http.js';
 import { occupies, type Task, type Worker } from './worker.js';
 
-/** What a user submits, in the words of the protocol. */
+/** What a user submits, with the field names of the protocol. */
 export interface Submission extends Json {
   ref: string;
   crew: string;
@@ -16,31 +16,31 @@
   awaits?: string[] | null;
 }
 
-/** A submission as workers and rules know it. */
+/** A submitted job, as workers and the rule checker know it. */
 export interface Job {
   submission: Submission;
   /** How long each task runs. */
   runS: number;
   accepted: boolean;
-  /** The final state that a user was told. */
+  /** The final state that a user was answered. */
   final: string | null;
   cancelAsked: boolean;
-  /** When a user was first told that it is cancelled. */
+  /** When the cancellation was first confirmed to a user. */
   cancelledAt: number | null;
-  /** Numbers of the tasks that completed. */
+  /** Indexes of the tasks that completed. */
   completed: Set<number>;
 }
 
-/** What had been told of a job when a question was sent: no answer to it may be older. */
+/** The state of a job that users had been answered when a request was sent; the answer may not be older. */
 export interface ReportedState {
   accepted: boolean;
   final: string | null;
 }
 
-/** What users ask of a controller. */
+/** Kinds of users' requests. */
 export type RequestKind = 'submit' | 'poll' | 'cancel';
 
-/** Bounds that the rules name. */
+/** Limits that the rules refer to. */
 export interface Limits {
   cancelS: number;
   /** GPUs that each team's tasks may use. */
@@ -50,16 +50,16 @@
 }
 
 const CHECK_INTERVAL_MS = 20;
-/** Tasks are looked at so often; answers and timers are late by as much. */
+/** Allowance for the interval between checks and for late answers and timers. */
 const TOLERANCE_MS = 100;
-/** A command may have been on its way when a user was told that the job is cancelled. */
+/** A start may still be in flight for this long after the cancellation was confirmed. */
 const IN_FLIGHT_MS = 500;
 
 const isComplete = ({ completed, submission }: Job): boolean => completed.size >= submission.pieces;
 const jobIdOf = (piece: string): string => piece.slice(0, piece.lastIndexOf('/'));
 const indexOf = (piece: string): number => Number(piece.slice(piece.lastIndexOf('/') + 1));
 
-/** Watches every rule of the protocol that can be seen, whatever a test is about. */
+/** Checks every observable rule of the protocol, in all tests. */
 export class RuleChecker {
   readonly violations: string[] = [];
   readonly jobs = new Map<string, Job>();
@@ -74,7 +74,7 @@
 
   constructor(private readonly limits: Limits) {}
 
-  /** Stops looking. */
+  /** Stops the periodic checks. */
   close(): void {
     clearInterval(this.timer);
   }
@@ -84,7 +84,7 @@
     if (!this.violations.includes(violation)) this.violations.push(violation);
   }
 
-  /** All tasks that take room, with their machines. */
+  /** All tasks that occupy machines, with their workers. */
   private *occupying(): Generator<{ worker: Worker; task: Task }> {
     for (const worker of this.workers.values())
       for (const task of worker.tasks) if (occupies(task)) yield { worker, task };
@@ -101,7 +101,7 @@
     }
   }
 
-  /** `heldUp`: the command was on its way for long, through no fault of its sender. */
+  /** Checks the start of a task. `isDelayed`: the network delayed the command, so a late start is not a violation. */
   noteStart(worker: Worker, task: Task, isDelayed: boolean): void {
     const { piece } = task;
     this.starts.set(piece, (this.starts.get(piece) ?? 0) + 1);
@@ -142,7 +142,7 @@
     if (wrong) this.addViolation('wrong_place', `${ref} on ${worker.id}`);
   }
 
-  /** A task was done for its last time. */
+  /** Records that a task completed. */
   noteCompletion(piece: string): void {
     const { completed, submission } = this.jobs.get(jobIdOf(piece))!;
     completed.add(indexOf(piece));
@@ -152,13 +152,13 @@
 
   // Users
 
-  /** What users were told of a job so far. */
+  /** The state of a job that users have been answered so far. */
   reportedState(ref: string): ReportedState {
     const job = this.jobs.get(ref);
     return { accepted: job?.accepted ?? false, final: job?.final ?? null };
   }
 
-  /** An answer to a question; `before` is what had been told when the question was sent. */
+  /** Checks the answer to a request; `before` is the reported state when the request was sent. */
   checkAnswer(
     question: RequestKind,
     ref: string,
@@ -191,12 +191,12 @@
     if (final === 'cancelled') job.cancelledAt ??= Date.now();
   }
 
-  /** The jobs that a job names. */
+  /** The direct dependencies of a job. */
   private dependenciesOf({ submission }: Job): Job[] {
     return (submission.awaits ?? []).flatMap((ref) => this.jobs.get(ref) ?? []);
   }
 
-  /** A job and all that it needs, directly or through others. */
+  /** A job with its direct and transitive dependencies. */
   private withDependencies(job: Job): Job[] {
     const all = new Set([job]);
     for (const one of all) for (const needed of this.dependenciesOf(one)) all.add(needed);
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * What becomes of a transaction: carried out at once with its answer lost; no answer, and carried
- * out later, after newer ones; carried out, and once more later.
+ * Effect of a fault on a transaction. `answer_lost`: it is applied at once, but its answer is lost. `late`: it
+ * gets no answer and is applied later, after newer ones. `doubled`: it is applied at once and again later.
  */
 export type Fate = { how: 'answer_lost' } | { how: 'late' | 'doubled'; afterS: number };
 
@@ -30,21 +30,22 @@
 const EXPIRY_MS = 20;
 const TRANSACTION_BYTES = 65536;
 
-/** The state service. */
+/** Stand-in of the key-value store. */
 export class StateService extends HttpStandIn {
   ledger = 0;
-  /** An outage for all: requests are refused, leases stand still. */
+  /** An outage: all requests are refused, and leases do not expire. */
   down = false;
-  /** Every answer takes so long. */
+  /** Delay of every answer. */
   slowMs = 0;
-  /** What it takes: bytes of a value, puts and deletes of a transaction. */
+  /** Limits: bytes of a value; puts and deletes in a transaction. */
   limits = { valueBytes: 8192, operations: 8 };
-  /** Transactions that were refused for their size. */
+  /** Number of transactions that were refused for their size. */
   tooLarge = 0;
-  /** Items in a page of a listing: few, so that reading in pages is exercised. */
+  /** Items in a page of a listing; a small number, so that tests cover reading in pages. */
   page = 3;
-  /** Transactions that met a fate, and how many were carried out later than sent. */
+  /** Number of transactions that a fault affected. */
   disturbed = 0;
+  /** Number of delayed transactions that were applied. */
   carriedOutLate = 0;
   readonly keys = new Map<string, Entry>();
   private readonly log: Json[] = [];
@@ -58,12 +59,12 @@
     super((method, url, body) => this.handle(method, url, body));
   }
 
-  /** The next `times` transactions that touch a key with the prefix meet this fate. */
+  /** Injects a fault into the next `times` transactions that touch a key with the prefix. */
   disturb(prefix: string, effect: Fate, times = Infinity): void {
     this.faults.push({ prefix, effect: effect, left: times });
   }
 
-  /** From now on transactions are carried out as they come. */
+  /** Removes all faults. */
   settle(): void {
     this.faults = [];
   }
@@ -71,7 +72,7 @@
   private expire(): void {
     const now = Date.now();
     for (const [id, loan] of this.leases) {
-      // Leases stand still in an outage and have their full time after it.
+      // Leases do not expire in an outage and have their full TTL after it.
       if (this.down) loan.until = now + loan.life;
       else if (loan.until < now) this.endLease(id);
     }
@@ -204,7 +205,7 @@
     } else if (this.keys.delete(remove!)) this.log.push({ remove, mark: this.ledger });
   }
 
-  /** Ends the store; what waits for changes gets no answer. */
+  /** Closes the store with its connections; requests that wait for changes get no answer. */
   override close(): void {
     this.closed = true;
     clearInterval(this.timer);
@@ -212,17 +213,17 @@
   }
 }
 
-/** The state service as one controller sees it: it may refuse that one alone. */
+/** Access of one controller to the key-value store; it can refuse the requests of this controller only. */
 export class StateAccess extends HttpStandIn {
   refuses = false;
-  /** Answers to watches do not come through. */
+  /** Delays the answers to watches. */
   holdsWatches = false;
 
   constructor(state: StateService) {
     super(async (method, url, body) => {
       if (this.refuses) return [503, { error: 'trouble' }];
       const answer = await state.handle(method, url, body);
-      // Open watches wait, as they would in an outage.
+      // Watches that are open wait, as in an outage.
       const watch = Number(url.searchParams.get('block_ms') ?? 0) > 0;
       while (this.refuses || (watch && this.holdsWatches)) await wait(POLL_MS);
       return answer;
--- a/test/standins/users.ts
+++ b/test/standins/users.ts
@@ -2,18 +2,18 @@
 import type { Json } from './http.js';
 import type { RequestKind, RuleChecker, Submission } from './rules.js';
 
-/** Users give up waiting after so long. */
+/** How long a user waits for an answer. */
 const ANSWER_TIMEOUT_MS = 5000;
 
-/** What a user was answered. */
+/** The answer to a user's request. */
 export interface Reply {
   /** 0: no answer. */
   status: number;
-  /** The job's state, or nothing. */
+  /** The job's state; empty if the answer has none. */
   state: string;
 }
 
-/** A submission as it stands on the wire. */
+/** A submission as encoded on the wire. */
 export function submission(ref: string, over: Partial<Submission> = {}): Submission {
   return {
     ref, guild: 'c', crew: 't', form: 'batch', rank: 'standard', pieces: 1, cores: 1, gpus: 1,
@@ -22,14 +22,14 @@
   }; // prettier-ignore
 }
 
-/** The users: every answer that they get goes to the rule checker. */
+/** Sends the requests of users and passes every answer to the rule checker. */
 export class Users {
   constructor(
     private readonly ports: Ports[],
     private readonly rules: RuleChecker,
   ) {}
 
-  /** Any request at a controller. */
+  /** Sends any request to a controller. */
   async request(at: number, method: string, path: string, body?: Json): Promise<Reply> {
     const asked = this.requestKindOf(method, path, body);
     const before = this.rules.reportedState(asked?.ref ?? '');
@@ -70,7 +70,7 @@
     }
   }
 
-  /** One attempt to submit. The description is there for workers from the first one on. */
+  /** Submits once, without a retry. Workers know the job from the first attempt on. */
   submitOnce(at: number, wanted: Submission, runS = 0.3): Promise<Reply> {
     if (!this.rules.jobs.has(wanted.ref)) {
       this.rules.jobs.set(wanted.ref, {
@@ -81,7 +81,7 @@
     return this.request(at, 'POST', '/submissions', wanted);
   }
 
-  /** Submits until it is accepted; each of its tasks takes `runS` seconds. */
+  /** Submits a job until it is accepted; each of its tasks takes `runS` seconds. */
   async submit(at: number, ref: string, over: Partial<Submission> = {}, runS = 0.3): Promise<void> {
     const wanted = submission(ref, over);
     await until(`accepted ${ref}`, async () => {
@@ -90,17 +90,17 @@
     });
   }
 
-  /** Asks once for the state of a job. */
+  /** Requests the state of a job once. */
   poll(at: number, ref: string): Promise<Reply> {
     return this.request(at, 'GET', `/submissions/${ref}`);
   }
 
-  /** Cancels a job, without a second try. */
+  /** Cancels a job once, without a retry. */
   cancelOnce(at: number, ref: string): Promise<Reply> {
     return this.request(at, 'POST', `/submissions/${ref}/withdraw`, {});
   }
 
-  /** Cancels until it is told. */
+  /** Cancels a job until the cancellation is confirmed. */
   async cancel(at: number, ref: string): Promise<void> {
     await until(
       `cancelled ${ref}`,
@@ -108,7 +108,7 @@
     );
   }
 
-  /** Waits until a controller tells this state of a job. */
+  /** Waits until a controller answers with this state of a job. */
   async sees(at: number, ref: string, state: string): Promise<void> {
     await until(`${ref} is ${state}`, async () => (await this.poll(at, ref)).state === state);
   }
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -3,35 +3,35 @@
 import { HttpStandIn, type Answer, type Json } from './http.js';
 import type { RuleChecker } from './rules.js';
 
-/** A task as it stands in a heartbeat. */
+/** A task as encoded in a heartbeat. */
 export interface Task {
   piece: string;
   pour: number;
   temper: 'gathering' | 'running' | 'flushing' | 'ended';
   cause: string | undefined;
   timer: NodeJS.Timeout | undefined;
-  /** When it began to run, in ms; null: it has not. */
+  /** When it began to run, in ms; null: not yet. */
   runsSince: number | null;
   saved: boolean;
 }
 
-/** Whether a task is on its machine. */
+/** Whether a task occupies resources of its machine. */
 export const occupies = (task: Task): boolean => task.temper !== 'ended';
 
-/** What a machine is, and where. */
+/** Type, zone and kind of rental of a machine. */
 export interface MachineProperties {
   type: string;
   zone: string;
   spot: boolean;
 }
 
-/** Times that all workers keep. */
+/** Times that apply to all workers. */
 export interface FleetTimes {
   leaseS: number;
   gangPeerS: number;
 }
 
-/** What the workers of a fleet have in common. */
+/** Data that the workers of a fleet share. */
 export interface FleetContext {
   rules: RuleChecker;
   times: FleetTimes;
@@ -40,44 +40,45 @@
   controllers: number[];
   /** Controllers that new machines cannot reach. */
   unreachable: number[];
-  /** Each machine has a model server and an address of its own; missing: none has. */
+  /** If present, each machine has a model server and its own address. */
   modelServers?: ModelServers;
 }
 
-/** What the workers' model servers have in common. */
+/** Settings that the workers' model servers share. */
 export interface ModelServers {
-  /** The port of all of them, and how long a model takes to load. */
+  /** The port of every model server. */
   port: number;
+  /** How long a model takes to load. */
   loadMs: () => number;
   /** The loopback address of a machine. */
   hostOf: (id: string) => string;
 }
 
-/** In leases. */
-const REPORT_INTERVAL_LEASES = 0.05;
+const HEARTBEAT_INTERVAL_LEASES = 0.05;
 const ANSWER_TIMEOUT_LEASES = 0.4;
 const LEASE_CHECK_MS = 10;
 
-/** One machine's worker. */
+/** The worker of one machine. */
 export class Worker extends HttpStandIn {
   tasks: Task[] = [];
-  /** Its reports reach no controller, direct commands reach it. */
+  /** Its heartbeats are lost; direct commands reach it. */
   mute = false;
-  /** Its reports arrive, answers and direct commands are lost. */
+  /** Its heartbeats arrive; answers and direct commands to it are lost. */
   deaf = false;
   /** Controllers that it cannot reach. */
   readonly unreachable: Set<number>;
-  /** The last report that it sent. */
+  /** Body of the last heartbeat that it sent. */
   lastReport = '{}';
-  /** Direct commands that were held up on their way, and how many of those have come since. */
+  /** Number of requests with direct commands whose delivery was delayed. */
   heldUp = 0;
+  /** Number of these that have been delivered since. */
   arrivedLate = 0;
   private isFrozen = false;
   private directDelayMs = 0;
   private agentEpoch = 1;
   private sequence = 0;
   private highestToken = 0;
-  /** Only where machines have them. */
+  /** Null where machines have no model servers. */
   readonly modelServer: ModelServer | null;
   private readonly host: string;
   private isTerminated = false;
@@ -88,7 +89,7 @@
   constructor(
     private readonly context: FleetContext,
     readonly id: string,
-    readonly place: MachineProperties,
+    readonly properties: MachineProperties,
   ) {
     super((_method, url, body) => this.answer(url.pathname, body));
     this.unreachable = new Set(context.unreachable);
@@ -99,51 +100,51 @@
       modelServers === undefined ? null : new ModelServer({ ...modelServers, host });
   }
 
-  /** The highest token that it was given. */
+  /** The highest fencing token that it has received. */
   get token(): number {
     return this.highestToken;
   }
 
   /** Its machine type. */
   get type(): string {
-    return this.place.type;
+    return this.properties.type;
   }
 
   /** Its zone. */
   get zone(): string {
-    return this.place.zone;
+    return this.properties.zone;
   }
 
-  /** Whether the cloud may take it back. */
+  /** Whether the cloud may reclaim the machine. */
   get spot(): boolean {
-    return this.place.spot;
+    return this.properties.spot;
   }
 
-  /** Begins to listen and to send heartbeats. */
+  /** Starts to listen and to send heartbeats. */
   async start(): Promise<void> {
     if (this.isTerminated) return;
     await this.listen(0, this.host);
     await this.modelServer?.start();
     this.renewedAt = Date.now();
     this.leaseTimer = setInterval(() => this.checkLease(), LEASE_CHECK_MS);
-    void this.reportLoop();
+    void this.heartbeatLoop();
   }
 
-  // Troubles
+  // Faults
 
-  /** It stops doing anything at all, with its tasks on it. */
+  /** Freezes the worker; its tasks stay on it. */
   hang(): void {
     this.isFrozen = true;
   }
 
-  /** It goes on where it stopped, but for what its lease has ended. */
+  /** Ends the freeze. Tasks that ended with the lease in the meantime stay ended. */
   goOn(): void {
     this.isFrozen = false;
   }
 
   /**
-   * Direct commands are not answered, and carried out once so much later if they are still valid: also
-   * by a machine that is deaf when they are sent.
+   * Leaves direct commands unanswered and executes them after this delay if they are still valid by then,
+   * even if messages to the worker are lost when they are sent.
    */
   holdUpDirect(ms: number): void {
     this.directDelayMs = ms;
@@ -163,8 +164,8 @@
     }
     if (this.deaf) return null;
     await this.untilThawed();
-    if (path === '/status') return [200, this.report()];
-    return [this.executeDirect(body, false) ? 200 : 409, this.report()];
+    if (path === '/status') return [200, this.createHeartbeat()];
+    return [this.executeDirect(body, false) ? 200 : 409, this.createHeartbeat()];
   }
 
   private deliverLate(body: Json): void {
@@ -181,9 +182,9 @@
     return true;
   }
 
-  // Reports
+  // Heartbeats
 
-  private report(): Json {
+  private createHeartbeat(): Json {
     const { id, port, type, zone, spot, agentEpoch: shift, highestToken: hallmark } = this;
     const pieces = this.tasks.map(({ piece, pour, temper, cause, saved }) => ({
       piece, pour, temper, cause, saved,
@@ -194,7 +195,7 @@
     }; // prettier-ignore
   }
 
-  /** Tasks of a hanging machine too are gone for good when its lease ends: they never go on. */
+  /** Ends all tasks when the lease expires, also those of a frozen machine: they do not continue after it. */
   private checkLease(): void {
     if (Date.now() - this.renewedAt <= this.context.times.leaseS * 1000) return;
     for (const task of this.tasks) this.endTask(task, 'halted');
@@ -203,9 +204,9 @@
     this.renewedAt = Date.now();
   }
 
-  private async reportLoop(): Promise<void> {
+  private async heartbeatLoop(): Promise<void> {
     while (!this.isTerminated) {
-      await wait(this.context.times.leaseS * REPORT_INTERVAL_LEASES * 1000);
+      await wait(this.context.times.leaseS * HEARTBEAT_INTERVAL_LEASES * 1000);
       await this.untilThawed();
       if (this.isTerminated || this.mute) continue;
       try {
@@ -221,8 +222,8 @@
     const index = this.controllerIndex % controllers.length;
     if (this.unreachable.has(index)) throw new Error('unreachable');
     const sentAt = Date.now();
-    const { agentEpoch: shift } = this;
-    this.lastReport = JSON.stringify(this.report());
+    const { agentEpoch } = this;
+    this.lastReport = JSON.stringify(this.createHeartbeat());
     const response = await fetch(`http://127.0.0.1:${controllers[index]}/checkin`, {
       method: 'POST',
       body: this.lastReport,
@@ -232,7 +233,7 @@
     await this.untilThawed();
     const late = Date.now() - sentAt > times.leaseS * ANSWER_TIMEOUT_LEASES * 1000;
     if (this.deaf || late) throw new Error('no answer in time');
-    if (response.status === 200) this.applyReply(body, sentAt, shift);
+    if (response.status === 200) this.applyReply(body, sentAt, agentEpoch);
     else if (response.status === 421 && typeof body.foreman === 'string') {
       this.controllerIndex = Number(body.foreman.split('-')[1]);
     } else this.controllerIndex++;
@@ -293,7 +294,7 @@
     return used + job.submission.gpus > this.context.gpus ? 'full' : null;
   }
 
-  /** Gangs run once all tasks of an attempt wait. */
+  /** Starts a gang once all tasks of the attempt are waiting. */
   private startCompleteGang(job: string, pour: number): void {
     const { submission, runS } = this.context.rules.jobs.get(job)!;
     const waiting = this.gang(job, pour).filter(({ task }) => task.temper === 'gathering');
@@ -309,7 +310,7 @@
     );
   }
 
-  /** What was saved of it need not be run again. */
+  /** Runs a task for its remaining time; progress that was saved is not repeated. */
   private runFor(task: Task, runS: number): void {
     const leftS = runS - (this.context.rules.savedS.get(task.piece) ?? 0);
     task.temper = 'running';
@@ -317,7 +318,7 @@
     task.timer = setTimeout(() => void this.complete(task), leftS * 1000);
   }
 
-  /** One that can save does so first, if it is given the time. */
+  /** Stops a task. A task with checkpoints saves its progress first if the grace period is long enough. */
   private stopTask(task: Task, coolingS: number): void {
     const { stamp_s, stamping_s } = this.context.rules.jobs.get(jobOf(task))!.submission;
     const saveS = Number(stamping_s ?? 0);
@@ -356,7 +357,7 @@
     if (job?.submission.form === 'group' && ran && cause !== 'done') this.endGangPeers(task);
   }
 
-  /** The other tasks of a running gang notice that one is gone. */
+  /** Ends the other running tasks of a gang after the time in which they detect the loss of a peer. */
   private endGangPeers(gone: Task): void {
     setTimeout(() => {
       for (const { worker, task } of this.gang(jobOf(gone), gone.pour)) {
@@ -365,7 +366,7 @@
     }, this.context.times.gangPeerS * 1000);
   }
 
-  /** The machine is gone from one moment to the next. */
+  /** Ends the machine with all its tasks at once. */
   end(): void {
     this.isTerminated = true;
     clearInterval(this.leaseTimer);
@@ -381,25 +382,25 @@
   return task.piece.split('/')[0]!;
 }
 
-/** A trouble of one machine, for tables of tests. */
+/** A fault of one machine, for tables of tests. */
 export interface MachineTrouble {
   begin(worker: Worker): void;
   end(worker: Worker): void;
 }
 
-/** Its heartbeats do not arrive. */
+/** Its heartbeats are lost. */
 export const mute: MachineTrouble = {
   begin: (worker) => (worker.mute = true),
   end: (worker) => (worker.mute = false),
 };
 
-/** Nothing reaches it. */
+/** Answers and direct commands to it are lost. */
 export const deaf: MachineTrouble = {
   begin: (worker) => (worker.deaf = true),
   end: (worker) => (worker.deaf = false),
 };
 
-/** Its process stands still. */
+/** Its process is frozen. */
 export const hang: MachineTrouble = {
   begin: (worker) => worker.hang(),
   end: (worker) => worker.goOn(),
--- a/test/support/control-plane-world.ts
+++ b/test/support/control-plane-world.ts
@@ -1,6 +1,6 @@
 /**
- * Several controllers, a key-value store and workers in injected time: leaders change, and the heartbeats of workers
- * reach whichever controller they are sent to, straight or forwarded. Nothing opens a socket.
+ * Simulates several controllers, a key-value store and workers in simulated time, without sockets. Leaders
+ * change, and workers send heartbeats to any controller, which answers or forwards them.
  */
 import { pino } from 'pino';
 import { parseSettings } from '../../src/config/settings.js';
@@ -24,23 +24,23 @@
   cancelS: number;
 }
 
-/** Those of the deployment where a cancelled task ran on. */
+/** Times of the deployment in which a cancelled task kept running. */
 export const INCIDENT_TIMES: DeploymentTimes = { reportS: 2.5, leaseS: 10, cancelS: 35 };
 
-/** An answer of 200 that renewed a machine's lease and left out the stop of a cancelled task. */
+/** An answer with status 200 that renewed a machine's lease without a stop command for a cancelled task. */
 export interface OmittedStop {
   at: number;
   machine: string;
-  /** Of the answer. */
+  /** Fencing token of the answer. */
   token: number;
   job: string;
-  /** Seconds since a user was told that the job is cancelled. */
+  /** Seconds since the cancellation of the job was confirmed to a user. */
   sinceToldS: number;
-  /** All controllers that were running then had read the cancellation. */
+  /** Whether all controllers that were running at that time had read the cancellation. */
   readByAll: boolean;
 }
 
-/** A direct command that is held back on its way. */
+/** Direct commands to a worker whose delivery is delayed. */
 interface DelayedCommand {
   worker: Worker;
   token: number;
@@ -49,33 +49,33 @@
 }
 
 const CONTROLLERS = 3;
-/** Controllers take their turns so often in a heartbeat interval. */
+/** Simulation steps per heartbeat interval; each controller runs once in each step. */
 const STEPS_PER_HEARTBEAT = 10;
 const TIME_TOLERANCE_S = 1e-9;
 
-/** Controllers, store and workers. */
+/** The simulated controllers, store and workers. */
 export class ControlPlaneWorld {
   readonly store = new MemoryStore();
   readonly fleet: Fleet;
   readonly controllers: SimulatedController[];
-  /** What all controllers have logged. */
+  /** Log records of all controllers. */
   readonly logLines: Record<string, unknown>[] = [];
   readonly log = pino(
     { level: 'info', base: null },
     { write: (line: string) => void this.logLines.push(JSON.parse(line)) },
   );
-  /** The store refuses everybody; its leases stand still. */
+  /** The store refuses all requests, and its leases do not expire. */
   storeOutage = false;
-  /** Jobs that were accepted, in their order. */
+  /** Ids of accepted jobs, in the order of acceptance. */
   readonly accepted: string[] = [];
-  /** When a user was first told that a job is cancelled, by job. */
+  /** When the cancellation of a job was first confirmed to a user, by job id. */
   readonly toldAt = new Map<string, number>();
   readonly omittedStops: OmittedStop[] = [];
-  /** Workers that report by themselves. */
+  /** Loops of the workers that send heartbeats periodically. */
   readonly reportLoops: ReportLoop[] = [];
-  /** Called between the answer to a heartbeat and its arrival. */
+  /** Called after a controller has answered a heartbeat and before the worker receives the answer. */
   deliverBeforeAnswer = (): void => undefined;
-  /** Direct commands are held back on their way from now on. */
+  /** Whether new direct commands are delayed until `deliverHeldBack`. */
   holdsDirectCommands = false;
   private readonly delayedCommands: DelayedCommand[] = [];
   private readonly unconfirmed = new Set<string>();
@@ -83,7 +83,7 @@
 
   constructor(
     readonly times: DeploymentTimes = INCIDENT_TIMES,
-    /** GPUs that the jobs may hold at most; 0: any number. */
+    /** GPU quota of the jobs; 0: unlimited. */
     private readonly gpusMax = 0,
   ) {
     this.fleet = new Fleet(times.leaseS);
@@ -101,29 +101,29 @@
     for (const controller of this.controllers) controller.connect(names);
   }
 
-  /** Seconds since the beginning. */
+  /** Simulated seconds since the start. */
   get now(): number {
     return this.fleet.now;
   }
 
-  /** Time of day, in ms. */
+  /** Simulated time of day, in ms. */
   wallMs(): number {
     return 1e9 + this.now * 1000;
   }
 
-  /** A controller by its name. */
+  /** The controller with this name. */
   controller(node: string): SimulatedController {
     return this.controllers.find((controller) => controller.node === node)!;
   }
 
-  /** The controller that leads by its own belief, if there is one. */
+  /** The first running controller that regards itself as the entitled leader. */
   get leader(): SimulatedController | undefined {
     return this.controllers.find((each) => each.isRunning && each.term !== null && each.isEntitled);
   }
 
   // The leader's key
 
-  /** A controller has the key; its fencing token is returned. */
+  /** Gives the leader's key to a controller. Returns the fencing token. */
   acquireLeaderKey(node: string, ttlS: number): number {
     const incarnation = `${node}-${this.store.currentRevision}`;
     const token = this.store.put(records.LEADER, records.encodeLeader({ node, incarnation }));
@@ -131,20 +131,20 @@
     return token;
   }
 
-  /** False: the key is not there any more, or is a later leader's. */
+  /** Renews the key. Returns false if it has expired or belongs to a later leader. */
   renewLeaderKey(token: number, ttlS: number): boolean {
     if (this.store.revision(records.LEADER) !== token) return false;
     this.leaderKeyUntil = this.now + ttlS;
     return true;
   }
 
-  /** The key is given up, if it is still that of this token. */
+  /** Removes the key if it still has this token. */
   removeLeaderKey(token: number): void {
     if (this.store.revision(records.LEADER) === token) this.store.remove(records.LEADER);
   }
 
   private expireLeaderKey(): void {
-    // Leases stand still in an outage, and have their full time again after it.
+    // Leases do not expire in an outage and have their full TTL after it.
     const ttlS = this.times.leaseS * LEADER_TTL_LEASES;
     if (this.storeOutage) this.leaderKeyUntil = this.now + ttlS;
     if (this.now <= this.leaderKeyUntil || this.store.revision(records.LEADER) === 0) return;
@@ -153,13 +153,13 @@
 
   // Users
 
-  /** A job is accepted. */
+  /** Stores a job as accepted. */
   submitJob(over: Partial<JobSpec>): void {
     this.store.accept(over, this.wallMs());
     if (over.id !== undefined) this.accepted.push(over.id);
   }
 
-  /** A cancellation is stored; its user is told as soon as some controller may do so. */
+  /** Stores a cancellation. It counts as confirmed to the user as soon as any controller may confirm it. */
   cancel(id: string): void {
     this.store.cancel(id);
     this.unconfirmed.add(id);
@@ -177,7 +177,7 @@
 
   // Time
 
-  /** Time passes until this second. Workers without a loop report only as the caller lets them. */
+  /** Advances time to this second. A worker without a loop sends heartbeats only when the caller does so. */
   async runUntil(at: number): Promise<void> {
     const stepS = this.times.reportS / STEPS_PER_HEARTBEAT;
     while (this.now < at - TIME_TOLERANCE_S) {
@@ -192,7 +192,7 @@
 
   // Workers
 
-  /** A worker's heartbeat goes to a controller. Returns the answer that arrived; null: there was none. */
+  /** Sends a worker's heartbeat to a controller. Returns the answer; null: none reached the worker. */
   async exchangeHeartbeat(
     worker: Worker,
     node: string,
@@ -202,7 +202,7 @@
     const controller = this.controller(node);
     if (worker.mute || !controller.isRunning) return null;
     const reply = await controller.handler.handle(encodeHeartbeat(heartbeat));
-    // What else has come to the worker before the answer does.
+    // Other messages can reach the worker before this answer does.
     this.deliverBeforeAnswer();
     if (worker.deaf) return null;
     if (reply.status === 200) this.takeAnswer(worker, heartbeat, String(reply.body), sentAt);
@@ -215,7 +215,7 @@
     worker.takeAnswer(token, commands, sentAt);
   }
 
-  /** Looks whether an answer that renews a lease stops all tasks there that are told to be cancelled. */
+  /** Records each task with a confirmed cancellation for which an answer that renews the lease has no stop command. */
   private noteOmittedStops(heartbeat: Heartbeat, token: number, commands: Command[]): void {
     for (const task of heartbeat.tasks) {
       const confirmedAt = this.toldAt.get(task.job);
@@ -234,7 +234,7 @@
     }
   }
 
-  /** Null: refused, lost, or held back on its way. */
+  /** Delivers direct commands to a worker. Null: refused, lost or delayed. */
   takeDirect(id: string, token: number, epoch: number, commands: Command[]): Heartbeat | null {
     const worker = this.fleet.workers.get(id);
     if (worker === undefined) return null;
@@ -245,14 +245,14 @@
     return worker.deaf ? null : worker.takeDirect(token, epoch, commands);
   }
 
-  /** Direct commands that were held back arrive. */
+  /** Delivers all delayed direct commands. */
   deliverHeldBack(): void {
     this.fleet.violations.push(...this.lateStarts());
     for (const { worker, token, agentEpoch, commands } of this.delayedCommands.splice(0))
       worker.takeDirect(token, agentEpoch, commands);
   }
 
-  // What must hold
+  // Invariants
 
   /** Seconds for which a controller that does not know of a cancellation may renew leases. */
   get allowanceS(): number {
@@ -260,7 +260,7 @@
     return renewalAllowanceS({ lease_s, cancel_s }, lease_s * LEADER_TTL_LEASES);
   }
 
-  /** Starts of cancelled tasks that are still on their way after their time, and would be carried out. */
+  /** Delayed starts of cancelled tasks that workers would still execute later than `cancel_s` after the confirmation. */
   lateStarts(): string[] {
     const late: string[] = [];
     for (const { worker, token, agentEpoch, commands } of this.delayedCommands) {
@@ -270,21 +270,21 @@
         if (kind !== 'start' || this.now <= confirmedAt + this.times.cancelS) continue;
         if (worker.tasks.has(attemptKey(job, index, attempt))) continue;
         late.push(
-          `start of ${job}/${index} on ${worker.id}, told at ${confirmedAt}, now ${this.now}`,
+          `start of ${job}/${index} on ${worker.id}, cancellation confirmed at ${confirmedAt}, now ${this.now}`,
         );
       }
     }
     return late;
   }
 
-  /** What is running beyond the quota; each task has one GPU. */
+  /** A violation if more tasks run than the quota allows; each task uses one GPU. */
   overQuota(): string[] {
     if (this.gpusMax === 0) return [];
     const running = this.accepted.reduce((sum, id) => sum + this.fleet.running(id), 0);
-    return running <= this.gpusMax ? [] : [`${running} tasks of at most ${this.gpusMax}`];
+    return running <= this.gpusMax ? [] : [`${running} tasks run, at most ${this.gpusMax} allowed`];
   }
 
-  /** Cancelled tasks that are still on machines after their time. */
+  /** Cancelled tasks that still run later than `cancel_s` after the confirmation. */
   overdueTasks(): string[] {
     const overdue: string[] = [];
     for (const [job, confirmedAt] of this.toldAt) {
@@ -292,7 +292,7 @@
       for (const worker of this.fleet.workers.values()) {
         for (const task of worker.running(job))
           overdue.push(
-            `${job}/${task.index} on ${worker.id}, told at ${confirmedAt}, now ${this.now}`,
+            `${job}/${task.index} on ${worker.id}, cancellation confirmed at ${confirmedAt}, now ${this.now}`,
           );
       }
     }
--- a/test/support/day-search.ts
+++ b/test/support/day-search.ts
@@ -1,28 +1,31 @@
-/** Random days for several controllers in injected time: events with gaps between them, and a look at every rule after each step. */
+/** Random fault scenarios for several controllers in simulated time; invariants are checked after every step. */
 import assert from 'node:assert/strict';
 import fc from 'fast-check';
 import type { ControlPlaneWorld } from './control-plane-world.js';
 import { beginDay, type Trouble, type TroubledDay } from './troubled-days.js';
 
-/** At most so many tenths of a heartbeat interval pass between two looks. */
+/** Greatest time between two checks, in tenths of a heartbeat interval. */
 const CHECK_INTERVAL_TENTHS = 5;
-/** How long it may be until the next event, in tenths: a start is repeated, and fenced off, within an interval. */
+/**
+ * Possible gaps between events, in tenths of a heartbeat interval. Most are shorter than an interval,
+ * since a start is repeated, and an old one fenced off, within an interval.
+ */
 const GAP_CHOICES_TENTHS = [0, 1, 2, 3, 5, 10, 20];
 
-/** Something that happens, and the time after it. */
+/** An event and the time that passes after it. */
 export interface DayEvent {
   what: string;
   number: number;
-  /** Until the next event, in tenths of a heartbeat interval. */
+  /** Time until the next event, in tenths of a heartbeat interval. */
   gap: number;
 }
 
-/** A day of events, and how workers report on it. */
+/** A scenario whose events have individual gaps. */
 export interface TimedFaultScenario extends Omit<TroubledDay, 'events'> {
   events: readonly DayEvent[];
 }
 
-/** What must hold at any moment. */
+/** Invariants that hold at all times. */
 function checkInvariants(world: ControlPlaneWorld): void {
   assert.deepEqual(world.lateStarts(), []);
   assert.deepEqual(world.overdueTasks(), []);
@@ -30,7 +33,7 @@
   assert.deepEqual(world.fleet.violations, []);
 }
 
-/** Time passes, with looks in between. */
+/** Advances time and checks the invariants regularly. */
 async function runWithChecks(world: ControlPlaneWorld, tenths: number): Promise<void> {
   for (let left = tenths; left > 0; left -= CHECK_INTERVAL_TENTHS) {
     await world.runUntil(
@@ -40,7 +43,10 @@
   }
 }
 
-/** Plays a day, and as it is then until every cancellation that was told, and every lease, has had its time. */
+/**
+ * Runs a scenario, then goes on without further events until `cancel_s` has passed since the last event
+ * and the last confirmed cancellation; by then every lease that is not renewed has expired too.
+ */
 async function runScenario(
   { events, ...day }: TimedFaultScenario,
   troubles: Record<string, Trouble>,
@@ -56,7 +62,7 @@
   checkInvariants(world);
 }
 
-/** Plays so many random days; fails with the shortest one found on which a rule is broken. */
+/** Runs random scenarios; fails with the shortest one found that violates an invariant. */
 export async function assertDays(
   day: fc.Arbitrary<TimedFaultScenario>,
   troubles: Record<string, Trouble>,
@@ -73,7 +79,7 @@
   );
 }
 
-/** One of these, and some time after it. `largest`: of the numbers that choose to whom, or for how long. */
+/** One of these events with a random gap. `largest`: the greatest number that selects the target or the duration. */
 export function anyOf(names: readonly string[], largest = 5): fc.Arbitrary<DayEvent> {
   return fc.record({
     what: fc.constantFrom(...names),
--- a/test/support/fake.ts
+++ b/test/support/fake.ts
@@ -2,8 +2,8 @@
 type AnyMap = ReadonlyMap<unknown, unknown>;
 
 /**
- * What a stand-in in memory has of a type: any of its members, and any of theirs. The names of members
- * are checked; functions, maps, and words of a union are taken as they are.
+ * The type with all members optional, at every level. The names of members are checked; the signatures of
+ * functions, the types of maps and the literals of a string union are not.
  */
 export type Partially<T> = T extends AnyFunction
   ? AnyFunction
@@ -18,8 +18,8 @@
           : T;
 
 /**
- * A stand-in for `T` with the members that the code under test uses. Any other one is undefined, and a
- * test that reaches it fails there.
+ * A partial test double of `T` with the members that the code under test uses. All other members are
+ * undefined, so a test that uses one fails there.
  */
 export function fake<T>(members: Partially<T>): T {
   return members as T;
--- a/test/support/report-loop.ts
+++ b/test/support/report-loop.ts
@@ -1,18 +1,21 @@
-/** When and to which controller a worker sends its heartbeats, by the protocol. */
+/** Sends the heartbeats of a worker: the times and the choice of a controller follow the protocol. */
 import { ANSWER_WAIT_S, MIN_HEARTBEAT_GAP_S } from '../../src/wire/workers.js';
 import type { ControlPlaneWorld } from './control-plane-world.js';
 import type { Worker } from './simulated-fleet.js';
 
-/** Seconds until a worker without a useful answer tries the next controller (protocol). */
+/** Seconds until a worker that got no usable answer tries the next controller, as the protocol specifies. */
 const NEXT_CONTROLLER_S = 1;
 
-/** What a worker does by itself. */
+/** Behaviour of a worker that the protocol leaves to be chosen. */
 export interface HeartbeatLoopOptions {
-  /** A higher token makes it report early. The protocol says so; the machines of the incident did not. */
+  /**
+   * A higher token makes the worker send its next heartbeat early. The protocol requires this, but the
+   * machines of the incident did not do it.
+   */
   reportsNewToken: boolean;
 }
 
-/** A worker that reports by itself. */
+/** Sends the heartbeats of one worker as simulated time passes. */
 export class ReportLoop {
   private nextAt: number;
   private reportedToken = 0;
@@ -27,7 +30,7 @@
     this.nextAt = world.now;
   }
 
-  /** Its heartbeat, if it is due. */
+  /** Sends a heartbeat if one is due. */
   async step(): Promise<void> {
     const { world, worker } = this;
     if (world.now < this.nextAt) return;
@@ -35,7 +38,7 @@
     const sentAt = world.now;
     const reply = await world.exchangeHeartbeat(worker, node);
     if (reply === null) {
-      // A process that is gone refuses the connection; one that is there keeps the worker waiting.
+      // A crashed process refuses the connection at once; otherwise the worker waits for the timeout.
       this.tryNext(sentAt + (alive ? ANSWER_WAIT_S : 0));
     } else if (reply.status === 200) this.onAccepted(sentAt);
     else if (reply.status === 421) this.onRedirected(String(reply.body), sentAt);
--- a/test/support/simulated-controller.ts
+++ b/test/support/simulated-controller.ts
@@ -1,6 +1,7 @@
 /**
- * One of several controllers in injected time: its replica, heartbeat handler, outage quorum and term are those of
- * the program. Election and lease of the leader's key are stepped by hand, since theirs rest on timers.
+ * One of several controllers in simulated time. Its replica, heartbeat handler, outage quorum and leader are the
+ * production classes. The election and the lease of the leader's key are simulated, since those of the program
+ * depend on timers.
  */
 import { CancellationBroadcast } from '../../src/cancellation/cancellation-broadcast.js';
 import { CancellationQuorum } from '../../src/cancellation/cancellation-quorum.js';
@@ -33,15 +34,15 @@
 import type { ControlPlaneWorld } from './control-plane-world.js';
 import { fake } from './fake.js';
 
-/** How the key-value store is to one controller. */
+/** How the key-value store answers one controller. */
 export type StoreHealth = 'served' | 'refused' | 'silent';
 
-/** Life of a leader's key, in leases of a worker; see `Election`. */
+/** TTL of the leader's key, in leases of a worker; see `Election`. */
 export const LEADER_TTL_LEASES = 0.3;
-/** Batches of a round of writes, at the most. */
+/** Greatest number of batches that are written in one step. */
 const MAX_BATCHES = 20;
 
-/** What runs from timers in a leader, driven by hand here. */
+/** Private members of a leader that timers drive in production and the simulation drives here. */
 interface LeaderInternals {
   scheduleCycle(): void;
   log: { began(): void };
@@ -50,7 +51,7 @@
   capacity: { provisioner: { listedOnce: boolean } };
 }
 
-/** A term of leadership, as this controller believes in it. */
+/** A term of leadership, as this controller sees it. */
 interface SimulatedTerm {
   leader: Leader;
   token: number;
@@ -59,21 +60,21 @@
   acknowledged: QuorumAcknowledgement;
 }
 
-/** A process of a controller; `restart` begins another one of the same name. */
+/** A controller process; `restart` replaces it by a new one with the same name. */
 export class SimulatedController {
   alive = true;
   frozenUntil = -Infinity;
-  /** What the store is to this controller alone; an outage is the world's. */
+  /** How the store answers this controller; an outage of the store affects all of them. */
   ownStoreHealth: StoreHealth = 'served';
-  /** Whether other controllers reach it and it reaches them. */
+  /** Whether messages between this controller and the others arrive, in both directions. */
   peersReachable = true;
-  /** Whether it stands for election when nobody leads. */
+  /** Whether it is a candidate when there is no leader. */
   stands = true;
-  /** What these controllers answer it does not arrive; what it asks does. */
+  /** Controllers whose answers to this one are lost; requests to them arrive. */
   readonly answersLostFrom = new Set<string>();
-  /** Its leases are renewed, its reads are not answered. */
+  /** Its reads of the store are not answered, while its lease renewals are. */
   readsLost = false;
-  /** It finds that its zone is cut off, and renews leases there. */
+  /** It has detected that its zone is partitioned, and renews leases there. */
   aloneInZone = false;
   term: SimulatedTerm | null = null;
   replica!: Replica;
@@ -99,30 +100,30 @@
     this.restart();
   }
 
-  /** Its name. */
+  /** Name of the controller. */
   get node(): string {
     return this.settings.node;
   }
 
-  /** Whether it does anything at this moment. */
+  /** Whether the process is alive and not frozen. */
   get isRunning(): boolean {
     return this.alive && this.world.now >= this.frozenUntil;
   }
 
-  /** How the store answers it now. */
+  /** How the store answers it now, with a general outage taken into account. */
   get storeHealth(): StoreHealth {
     if (this.ownStoreHealth === 'served' && this.world.storeOutage) return 'refused';
     return this.ownStoreHealth;
   }
 
-  /** The process ends with all that it has in memory. */
+  /** Crashes the process; its state in memory is lost. */
   kill(): void {
     this.endTerm();
     this.alive = false;
     this.ready = false;
   }
 
-  /** A process of this name begins: it has read nothing. */
+  /** Starts a new process with an empty replica. */
   restart(): void {
     const clock = { now: () => this.world.now };
     const { log } = this.world;
@@ -220,7 +221,7 @@
     });
   }
 
-  /** The store as this controller finds it. */
+  /** A store client with the health that this controller sees. */
   private storeClient(): KeyValueStoreClient {
     const { store } = this.world;
     const rejectedSince = (): number | null => this.rejectedSince;
@@ -250,7 +251,7 @@
     ask: (node: string, question: Question) => this.ask(node, question),
   });
 
-  /** The other controllers are known from now on. */
+  /** Sets the names of the other controllers. */
   connect(names: readonly string[]): void {
     Object.assign(this.peers, { names: names.filter((name) => name !== this.node) });
   }
@@ -278,7 +279,7 @@
     }
   }
 
-  /** The world's links to workers. */
+  /** Delivers direct commands through the simulated network. */
   private readonly directTransport: DirectTransport = {
     channelTo: ({ id }) => ({
       send: ({ token, agentEpoch, commands }) => {
@@ -309,12 +310,12 @@
     return this.outage.acknowledge(token) - this.world.now;
   }
 
-  /** Whether it has read that a job is cancelled. */
+  /** Whether its replica shows the job as cancelled. */
   knowsCancelled(id: string): boolean {
     return isStoredCancelled(this.replica.jobs.get(id));
   }
 
-  /** Whether users may be told that a job is cancelled, by this controller and now. */
+  /** Whether this controller may now confirm to a user that a job is cancelled. */
   async confirmsCancellation(id: string): Promise<boolean> {
     const storedJob = this.replica.jobs.get(id);
     if (!this.isRunning || !this.ready || this.storeHealth !== 'served') return false;
@@ -322,14 +323,14 @@
     return this.quorum.confirm(storedJob, id);
   }
 
-  /** Whether it may act as the leader at this moment. */
+  /** Whether it may act as the leader now. */
   get isEntitled(): boolean {
     const { term } = this;
     if (term === null || term.entitlement.hasLapsed) return false;
     return term.inOutage || this.world.now < this.freshAt + this.allowanceS;
   }
 
-  /** Its regular turn: reads, renews or stands, and acts as the leader if it is. */
+  /** One simulation step: reads the store, campaigns or renews its term, and runs the leader if it has one. */
   async step(): Promise<void> {
     if (!this.isRunning) return;
     this.syncReplica();
@@ -461,7 +462,7 @@
     if (term === null || !this.isEntitled) return;
     const parts = term.leader as unknown as LeaderInternals;
     parts.runCycle();
-    // What a store that does not serve would have taken stays due. The writer would wait for it in real time.
+    // Writes stay pending while the store does not serve: the writer would wait for it in real time.
     for (let i = 0; i < MAX_BATCHES && this.storeHealth === 'served' && !term.inOutage; i++) {
       if (!(await parts.writer.writeBatch())) break;
     }
--- a/test/support/simulated-fleet.ts
+++ b/test/support/simulated-fleet.ts
@@ -1,15 +1,15 @@
-/** Workers that follow the protocol, and the rules that they can see broken. Time moves by hand. */
+/** Simulated workers that follow the protocol in simulated time and detect violations of invariants. */
 import type { Command, Heartbeat, TaskStatus } from '../../src/wire/workers.js';
 import { attemptKey } from '../../src/workers/attempt.js';
 
-/** A worker by the protocol; images are there at once. */
+/** A worker that follows the protocol; images take no time to load. */
 export class Worker {
   agentEpoch = 1;
   sequence = 0;
   token = 0;
-  /** Its heartbeats arrive, nothing reaches it. */
+  /** All messages to it are lost; its heartbeats arrive. */
   deaf = false;
-  /** Its reports don't arrive. */
+  /** Its heartbeats are lost; direct commands reach it. */
   mute = false;
   reclaimNoticeS: number | null = null;
   answeredAt: number;
@@ -23,7 +23,7 @@
     this.answeredAt = fleet.now;
   }
 
-  /** Its next heartbeat. */
+  /** Creates its next heartbeat. */
   heartbeat(): Heartbeat {
     this.sequence++;
     return {
@@ -33,7 +33,7 @@
     }; // prettier-ignore
   }
 
-  /** Its lease may have expired. */
+  /** Ends all tasks and begins a new agent epoch if the lease has expired. */
   tick(): void {
     if (this.fleet.now - this.answeredAt <= this.fleet.leaseS) return;
     this.tasks.clear();
@@ -41,7 +41,7 @@
     this.answeredAt = this.fleet.now;
   }
 
-  /** The answer to a heartbeat that was sent at `sentAt`. */
+  /** Applies the answer to a heartbeat that was sent at `sentAt`. */
   takeAnswer(token: number, commands: Command[], sentAt: number): void {
     if (this.deaf || token < this.token) return;
     this.token = token;
@@ -49,7 +49,7 @@
     this.execute(commands);
   }
 
-  /** Null: refused, or lost. */
+  /** Executes direct commands. Returns a heartbeat; null: refused for an old token or another agent epoch. */
   takeDirect(token: number, agentEpoch: number, commands: Command[]): Heartbeat | null {
     if (token < this.token || agentEpoch !== this.agentEpoch) return null;
     this.token = token;
@@ -70,12 +70,12 @@
     }
   }
 
-  /** Nothing is saved here. */
+  /** Stops a task without saving its progress. */
   protected stop(task: TaskStatus, _graceS: number): void {
     this.end(task, 'stopped');
   }
 
-  /** A task ends. */
+  /** Ends a task. */
   end(task: TaskStatus, cause: TaskStatus['cause']): void {
     if (task.state === 'ended') return;
     task.state = 'ended';
@@ -88,30 +88,30 @@
   }
 }
 
-/** All workers, and the rules that they can see broken. */
+/** All workers, and the violations that they detected. */
 export class Fleet {
   now = 0;
   readonly workers = new Map<string, Worker>();
   readonly starts = new Map<string, number>();
-  /** Jobs whose users were told that they are cancelled. */
+  /** Jobs whose cancellation was confirmed to a user. */
   readonly cancelled = new Set<string>();
   readonly violations: string[] = [];
 
   constructor(readonly leaseS: number) {}
 
-  /** A machine is there from now on. */
+  /** Adds a machine. */
   add(id: string, zone = 'z1'): Worker {
     const worker = this.makeWorker(id, zone);
     this.workers.set(id, worker);
     return worker;
   }
 
-  /** The kind of worker that this fleet has. */
+  /** Creates a worker; subclasses create other kinds. */
   protected makeWorker(id: string, zone: string): Worker {
     return new Worker(id, this, zone);
   }
 
-  /** A worker starts a task: looks whether a rule is broken. */
+  /** Records the start of a task and any violation that it causes. */
   noteStart(on: Worker, command: Command): void {
     const name = `${command.job}/${command.index}`;
     this.starts.set(name, (this.starts.get(name) ?? 0) + 1);
@@ -123,7 +123,7 @@
     }
   }
 
-  /** How many tasks of a job are on machines. */
+  /** Number of tasks of a job that run on machines. */
   running(job: string): number {
     return [...this.workers.values()].reduce((n, worker) => n + worker.running(job).length, 0);
   }
@@ -131,7 +131,7 @@
 
 const KIND_BY_VERB = { start: 'start', kill: 'stop', reap: 'forget' } as const;
 
-/** A command as it stands in the answer to a heartbeat. */
+/** A command as encoded in the answer to a heartbeat. */
 interface EncodedCommand {
   verb: string;
   piece: string;
@@ -146,7 +146,7 @@
   return kind === 'stop' ? { kind, ...base, graceS: order.cooling_s ?? 0 } : { kind, ...base };
 }
 
-/** The body of a 200 to a heartbeat. */
+/** Decodes the body of an answer with status 200 to a heartbeat. */
 export function decodeHeartbeatReply(body: string): { token: number; commands: Command[] } {
   const { hallmark, orders } = JSON.parse(body) as { hallmark: number; orders: EncodedCommand[] };
   return { token: hallmark, commands: orders.map(decodeCommand) };
--- a/test/support/troubled-days.ts
+++ b/test/support/troubled-days.ts
@@ -1,4 +1,4 @@
-/** Days of troubles in any order, for several controllers in injected time: what may happen, and how a day begins. */
+/** Scenarios of faults in any order, for several controllers in simulated time: the faults and the initial state. */
 import { ControlPlaneWorld, INCIDENT_TIMES, type DeploymentTimes } from './control-plane-world.js';
 import { ReportLoop } from './report-loop.js';
 import type { SimulatedController } from './simulated-controller.js';
@@ -6,7 +6,7 @@
 const MACHINES = 3;
 const JOBS = 5;
 
-/** The incident's times, and other ratios of heartbeats and `cancel_s` to a lease. */
+/** The times of the incident, and other ratios of the heartbeat interval and `cancel_s` to a lease. */
 export const TIMES: DeploymentTimes[] = [
   INCIDENT_TIMES,
   { reportS: 1, leaseS: 10, cancelS: 30 },
@@ -14,10 +14,10 @@
   { reportS: 2.5, leaseS: 15, cancelS: 40 },
 ];
 
-/** Names one of the day's jobs. */
+/** The id of one of the initial jobs. */
 const jobIdOf = (number: number): string => `wk-${String(number % JOBS).padStart(6, '0')}`;
 
-/** Something that happens; `number` chooses to whom. */
+/** Injects a fault or another event; `number` selects its target. */
 export type Trouble = (world: ControlPlaneWorld, number: number) => void;
 
 const controllerAt = (world: ControlPlaneWorld, number: number): SimulatedController =>
@@ -25,7 +25,7 @@
 const leaderOrControllerAt = (world: ControlPlaneWorld, number: number): SimulatedController =>
   world.leader ?? controllerAt(world, number);
 
-/** Troubles of controllers, store, links and machines, and cancellations. */
+/** Faults of controllers, store, links and workers, and cancellations of jobs. */
 export const TROUBLES: Record<string, Trouble> = {
   'leader crash': (world, number) => leaderOrControllerAt(world, number).kill(),
   'second leader crash': (world, number) => leaderOrControllerAt(world, number).kill(),
@@ -83,16 +83,16 @@
 const workerAt = (world: ControlPlaneWorld, number: number) =>
   [...world.fleet.workers.values()][number % MACHINES]!;
 
-/** A day: how workers report, and what happens, each followed by so many steps. */
+/** A scenario: the times, the behaviour of workers, and events, each followed by a number of steps. */
 export interface TroubledDay {
   times: DeploymentTimes;
   reportsNewToken: boolean;
-  /** GPUs that the jobs may hold at most; missing: any number. */
+  /** GPU quota of the jobs; missing: unlimited. */
   gpusMax?: number;
   events: readonly { what: string; steps: number; number: number }[];
 }
 
-/** A fleet with running jobs, before the first trouble. */
+/** Creates a fleet with running jobs, before the first event. */
 export async function beginDay({
   times,
   reportsNewToken,
--- a/test/tools/known-red.ts
+++ b/test/tools/known-red.ts
@@ -1,9 +1,9 @@
 /**
- * Judges a test run against the list of known failures. A listed test may fail, and nothing else may;
- * the list itself must be short and right.
+ * Compares a test run with the list of known failures. Exactly the listed tests must fail; the list must be
+ * short and well-formed.
  */
 
-/** Lines that the list may have. */
+/** Greatest number of lines of the list. */
 const MAX_KNOWN = 3;
 
 /** One line of the list: `test name | command and seed | what was seen | issue`. */
@@ -15,23 +15,23 @@
   issue: string;
 }
 
-/** Fields of a line. */
+/** Number of fields of a line. */
 const FIELDS = 4;
 
-/** A line of the test report. */
+/** One result of the test report. */
 export interface TestResult {
   name: string;
   passed: boolean;
 }
 
-/** What the list and the results say together. */
+/** Outcome of the comparison. */
 export interface Verdict {
   errors: string[];
   /** The listed tests that failed, to be printed. */
   passedOver: KnownFailure[];
 }
 
-/** Reads the list; throws an error that names the line at fault. */
+/** Parses the list; throws an error with the invalid line. */
 export function parseKnownFailures(text: string): KnownFailure[] {
   const lines = text.split('\n').filter((line) => line.trim() !== '');
   if (lines.length > MAX_KNOWN) throw new Error(`${lines.length} lines, at most ${MAX_KNOWN}`);
@@ -48,7 +48,7 @@
   return known;
 }
 
-/** The top-level results of a TAP stream; throws when the stream is not whole. */
+/** The top-level results of a TAP stream; throws when the stream is incomplete. */
 export function parseTap(text: string): TestResult[] {
   const results: TestResult[] = [];
   let planned: number | null = null;
@@ -70,7 +70,7 @@
   return name.replace(/\\([\\#])/g, '$1');
 }
 
-/** `exitStatus` is the test run's own: a failure that no result shows is an error too. */
+/** Compares the results with the list. A non-zero `exitStatus` without a failed result is an error too. */
 export function judge(known: KnownFailure[], results: TestResult[], exitStatus: number): Verdict {
   const errors: string[] = [];
   const listed = new Set(known.map((failure) => failure.test));
