--- a/.ci/known-red.mjs
+++ b/.ci/known-red.mjs
@@ -1,5 +1,5 @@
 // Usage: known-red.mjs LIST TAP EXIT_STATUS
-// Fails unless the tests that failed are just those of the list, which may be empty or missing.
+// Fails unless exactly the listed tests failed. The list may be empty or missing.
 import { existsSync, readFileSync } from 'node:fs';
 import process from 'node:process';
 import { judge, parseKnownFailures, parseTap } from '../target/check/test/tools/known-red.js';
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,6 +1,6 @@
 /**
- * Bundles the program into target/program.cjs and has V8 compile it ahead into target/program.cache.
- * target/launch.cjs starts it from there.
+ * Bundles the program into target/program.cjs and creates its V8 code cache, target/program.cache.
+ * target/launch.cjs starts the program from these files.
  */
 import { execFileSync } from 'node:child_process';
 import process from 'node:process';
@@ -13,10 +13,10 @@
   platform: 'node',
   target: 'node20',
   format: 'iife',
-  // Wanted by hardly any run, and loaded from node_modules then; `require` does that in a script.
+  // Few runs need these modules; they are loaded from node_modules by the script's `require` on first use.
   external: ['commander', 'croner', 'fengari'],
   supported: { 'dynamic-import': false },
-  // src/launch.cts calls the whole file as a function.
+  // src/launch.cts evaluates the file to a function and calls it.
   banner: { js: '(function (require, __filename, __dirname) {' },
   footer: { js: '})' },
   logLevel: 'warning',
--- a/scripts/costs.ts
+++ b/scripts/costs.ts
@@ -5,100 +5,104 @@
 import { summary } from './summary.js';
 
 /**
- * What controllers, as built, cost under a fleet's load on loopback, for one build or for two by turns:
+ * Measures the costs of controllers under the load of a fleet on loopback, for one build or alternately for two:
  *
  *     npm run costs -- --machines 170
  *     npm run costs -- --machines 170 --pairs 10 --baseline DIR
  *
- * A measurement starts three controllers, settles, and then loads them in phases:
+ * A measurement starts three controllers, lets them settle, and then loads them in phases:
  *
- * 1. `forwarded`: all machines report to one follower, once a second each; the other follower idles.
+ * 1. `forwarded`: all machines send heartbeats to one follower, once a second each; the other follower is idle.
  * 2. `direct`: the same heartbeats go to the leader.
- * 3. `slow`: the leader gets a quarter of them.
+ * 3. `slow`: a quarter of them goes to the leader.
  * 4. `users`: as 3, and jobs of three short tasks are submitted to one follower.
  *
- * What it can and what it cannot separate:
+ * What the figures include:
  *
- * - A follower's cost of passing on is its processor time less that of the idle follower in the same phase:
- *   renewals, reading the store, timers and garbage of these are out of it; garbage collected later is not in it.
- * - The leader's cost of a direct heartbeat is the slope between phases 2 and 3. Passes that heartbeats ask for are in it.
- *   `leader, all that it does` is its time divided by its heartbeats: passes, renewals, store and timers too.
- * - The leader's cost of a heartbeat that was forwarded is its time in phase 1 less what it spends in phase 3
- *   without reports. It takes for granted that phases 1 and 3 differ in reports alone.
- * - A submission is what the accepting follower spends beyond the idle one, and the leader beyond phase 3. Placing,
- *   starting and storing its tasks are in it, as far as they fall into the phase; how long the user waits is not.
- * - A scheduling cycle is a median of elapsed time, as `/metrics` has it, since the start: on a busy machine others' time is in it.
- * - Linux accounts processor time in steps of 0.01 s. With few machines a phase holds some tens of these, so
- *   single figures are coarse and a slope may even be below zero; take medians of many pairs.
- * - The stand-ins and the machines run in this process, with the controllers' processors shared by all.
+ * - A follower's cost of forwarding is its processor time minus that of the idle follower in the same phase. This
+ *   excludes renewals, reads of the store, timers and their garbage, and also garbage that is collected later.
+ * - The leader's cost of a direct heartbeat is the slope between phases 2 and 3. It includes scheduling cycles that
+ *   heartbeats request. `leader, all its work` is its processor time divided by its heartbeats, which also includes
+ *   all other cycles, renewals, store and timers.
+ * - The leader's cost of a forwarded heartbeat is its time in phase 1 minus its time in phase 3 without heartbeats.
+ *   This assumes that phases 1 and 3 differ in heartbeats only.
+ * - The cost of a submission is the time of the accepting follower beyond that of the idle one, plus the time of the
+ *   leader beyond that in phase 3. It includes placing, starting and storing the tasks as far as this happens in
+ *   the phase. It excludes the time for which the user waits.
+ * - A scheduling cycle is the median of the elapsed time since the start, as `/metrics` reports it. On a busy machine
+ *   it includes time of other processes.
+ * - Linux accounts processor time in steps of 0.01 s. With few machines a phase has some tens of these, so single
+ *   figures are coarse and a slope can be below zero; use medians of many pairs.
+ * - The stand-ins and the machines run in this process, and all processes share the same processors.
  */
 
 const ZONES = ['z1', 'z1', 'z1'];
-/** Nobody keeps this zone, so that no machine is sent to its zone's controller. */
+/** No controller is in this zone, so machines are not redirected to the controller of their zone. */
 const MACHINE_ZONE = 'z2';
 const SETTLE_S = 3;
 const FORWARDED_S = 3;
 const DIRECT_S = 3;
 const SLOW_S = 2;
 const USERS_S = 2;
-/** Heartbeats in the slow phase, of those in the others. */
+/** Share of the heartbeats that are sent in the slow phase. */
 const SLOW_SHARE = 0.25;
 const SUBMISSIONS_PER_S = 20;
-/** A measurement in which leadership changed, or heartbeats went unanswered, is repeated so often. */
+/** Attempts per measurement; one in which the leader changed or heartbeats were not answered is repeated. */
 const ATTEMPTS = 3;
-/** Heartbeats that may go without an answer by the end of a phase: those under way, at least some. */
+/** Share of the heartbeats that may be unanswered, since in flight, at the end of a phase. */
 const UNANSWERED_SHARE = 0.02;
+/** Number of heartbeats that may be unanswered however few were sent. */
 const MIN_IN_FLIGHT = 5;
 
-/** The costs of one build, of one measurement. */
+/** The costs of one build in one measurement. */
 interface Costs {
-  /** Processor seconds for a thousand reports. */
+  /** Processor seconds for a thousand heartbeats. */
   direct: number;
   leaderAll: number;
   forwarding: number;
   forwardedAnswer: number;
-  /** Processor milliseconds. */
+  /** Processor milliseconds for a submission. */
   submission: number;
-  /** Milliseconds of elapsed time, median. */
+  /** Median of the elapsed time of a scheduling cycle, in milliseconds. */
   cycle: number;
-  /** Processor seconds until it is ready, mean of three controllers. */
+  /** Processor seconds until a controller is ready, mean of the controllers. */
   start: number;
-  /** Most resident memory, MB. */
+  /** Peak resident memory, in MB. */
   leaderMb: number;
   followerMb: number;
 }
 
 const TITLES: [keyof Costs, string][] = [
-  ['direct', 'leader, 1000 reports answered directly, s'],
-  ['leaderAll', 'leader, all that it does, for 1000 of these, s'],
-  ['forwarding', 'follower, 1000 reports passed on, s'],
-  ['forwardedAnswer', 'leader, 1000 reports passed on to it, s'],
+  ['direct', 'leader, 1000 heartbeats answered directly, s'],
+  ['leaderAll', 'leader, all its work, for 1000 of these, s'],
+  ['forwarding', 'follower, 1000 heartbeats forwarded, s'],
+  ['forwardedAnswer', 'leader, 1000 forwarded heartbeats answered, s'],
   ['submission', 'a submission, ms'],
-  ['cycle', 'a pass, elapsed, median, ms'],
+  ['cycle', 'a scheduling cycle, elapsed, median, ms'],
   ['start', 'a start, s'],
   ['leaderMb', 'leader, peak memory, MB'],
   ['followerMb', 'follower, peak memory, MB'],
 ];
 
-/** What a phase cost and did, for a second of it. */
+/** Costs and work of a phase, per second. */
 interface Phase {
-  /** Processor seconds a second, by the controllers' index. */
+  /** Processor seconds per second, by controller index. */
   cpu: number[];
-  /** Answered reports a second. */
-  reports: number;
+  /** Answered heartbeats per second. */
+  heartbeats: number;
   submissions: number;
 }
 
 class UnusableMeasurementError extends Error {}
 
-/** One measurement of one build. */
+/** A measurement of one build. */
 class Measurement {
   private constructor(
     private readonly fleet: Fleet,
     private readonly leader: number,
   ) {}
 
-  /** Throws `Unusable` when leadership changed or heartbeats went unanswered. */
+  /** Throws `UnusableMeasurementError` when the leader changed or too many heartbeats were not answered. */
   static async run(checkout: string, machines: number): Promise<Costs> {
     const fleet = new Fleet({ machines, checkout, zones: ZONES, machineZone: MACHINE_ZONE });
     try {
@@ -122,23 +126,23 @@
     const slow = await this.phase(SLOW_S, leader, full * SLOW_SHARE);
     const users = await this.phase(USERS_S, leader, full * SLOW_SHARE, follower);
     if ((await leaderOf(fleet)) !== leader)
-      throw new UnusableMeasurementError('another controller leads');
+      throw new UnusableMeasurementError('the leader changed during the measurement');
     const beyondIdle = (phase: Phase): number => phase.cpu[follower]! - phase.cpu[idle]!;
-    const slope = (direct.cpu[leader]! - slow.cpu[leader]!) / (direct.reports - slow.reports);
-    const leaderBase = slow.cpu[leader]! - slope * slow.reports;
+    const slope = (direct.cpu[leader]! - slow.cpu[leader]!) / (direct.heartbeats - slow.heartbeats);
+    const leaderBase = slow.cpu[leader]! - slope * slow.heartbeats;
     const forUsers = beyondIdle(users) + users.cpu[leader]! - slow.cpu[leader]!;
-    const peakMb = (index: number): number =>
+    const peakMemoryMb = (index: number): number =>
       memoryMb(fleet.controllers[index]!.process.pid!, 'VmHWM');
     return {
       direct: slope * 1000,
-      leaderAll: (direct.cpu[leader]! / direct.reports) * 1000,
-      forwarding: (beyondIdle(forwarded) / forwarded.reports) * 1000,
-      forwardedAnswer: ((forwarded.cpu[leader]! - leaderBase) / forwarded.reports) * 1000,
+      leaderAll: (direct.cpu[leader]! / direct.heartbeats) * 1000,
+      forwarding: (beyondIdle(forwarded) / forwarded.heartbeats) * 1000,
+      forwardedAnswer: ((forwarded.cpu[leader]! - leaderBase) / forwarded.heartbeats) * 1000,
       submission: (forUsers / users.submissions) * 1000,
       cycle: Number((await fleet.metrics(leader)).pass_us_p50) / 1000,
       start: fleet.controllers.reduce((sum, c) => sum + c.startS, 0) / ZONES.length,
-      leaderMb: peakMb(leader),
-      followerMb: peakMb(follower),
+      leaderMb: peakMemoryMb(leader),
+      followerMb: peakMemoryMb(follower),
     };
   }
 
@@ -146,24 +150,24 @@
     return this.fleet.controllers.map((c) => processorSeconds(c.process.pid!));
   }
 
-  /** All machines report to one controller; `submitTo`: jobs are submitted there. */
+  /** Runs a phase: all machines send heartbeats to one controller; `submitTo`: jobs are submitted there. */
   private async phase(
     seconds: number,
-    reportTo: number,
-    reportsPerS: number,
+    heartbeatTo: number,
+    heartbeatsPerS: number,
     submitTo?: number,
   ): Promise<Phase> {
     const { fleet } = this;
-    for (const machine of fleet.machines) machine.controllerIndex = reportTo;
+    for (const machine of fleet.machines) machine.controllerIndex = heartbeatTo;
     let sent = 0;
     let answered = 0;
     const refused: number[] = [];
     let submissions = 0;
     const before = this.processorSeconds();
-    const began = performance.now();
+    const startedAt = performance.now();
     const stops = [
       fleet.startHeartbeats(
-        reportsPerS,
+        heartbeatsPerS,
         () => sent++,
         (status) => {
           if (status === 200) answered++;
@@ -179,24 +183,24 @@
     }
     await wait(seconds * 1000);
     for (const stop of stops) stop();
-    const elapsed = (performance.now() - began) / 1000;
+    const elapsed = (performance.now() - startedAt) / 1000;
     const cpu = this.processorSeconds().map((after, i) => (after - before[i]!) / elapsed);
     if (sent - answered > Math.max(MIN_IN_FLIGHT, sent * UNANSWERED_SHARE)) {
       const statuses = [...new Set(refused)].join(', ');
       throw new UnusableMeasurementError(
-        `${sent - answered} of ${sent} reports unanswered, ${statuses}`,
+        `${sent - answered} of ${sent} heartbeats unanswered, other statuses: ${statuses}`,
       );
     }
-    return { cpu, reports: answered / elapsed, submissions: submissions / elapsed };
+    return { cpu, heartbeats: answered / elapsed, submissions: submissions / elapsed };
   }
 }
 
-/** The index of the controller that leads. */
+/** Index of the leader. */
 async function leaderOf(fleet: Fleet): Promise<number> {
   const figures = await Promise.all(fleet.controllers.map((_, i) => fleet.metrics(i)));
   const leaders = figures.flatMap((f, i) => (f.role === 'leading' ? [i] : []));
   if (leaders.length !== 1)
-    throw new UnusableMeasurementError(`${leaders.length} controllers lead`);
+    throw new UnusableMeasurementError(`${leaders.length} controllers lead, expected 1`);
   return leaders[0]!;
 }
 
@@ -211,7 +215,7 @@
   }
 }
 
-/** Significant digits of what is printed. */
+/** Significant digits of printed figures. */
 const DIGITS = 3;
 const TITLE_WIDTH = 48;
 const FIGURE_WIDTH = 10;
@@ -221,13 +225,13 @@
   return `${title.padEnd(TITLE_WIDTH)}${texts.map((t) => t.padStart(FIGURE_WIDTH)).join('')}\n`;
 }
 
-/** Each measurement by itself, in the order of the table's titles. */
+/** Prints one measurement, in the order of the table's titles. */
 function printMeasurement(name: string, costs: Costs): void {
   const figures = TITLES.map(([key]) => costs[key].toPrecision(DIGITS));
   process.stdout.write(`${name}: ${figures.join('  ')}\n`);
 }
 
-/** Of one build: least, median and greatest of its measurements. */
+/** Prints least, median and greatest of the measurements of one build. */
 function printSummary(runs: Costs[]): void {
   process.stdout.write(row('', ['least', 'median', 'greatest']));
   for (const [key, title] of TITLES) {
@@ -236,7 +240,7 @@
   }
 }
 
-/** Of two builds: their medians, and the ratios within pairs. */
+/** Prints the medians of two builds, and the ratios within pairs. */
 function printComparison(runs: Costs[], baselines: Costs[]): void {
   process.stdout.write(row('', ['baseline', 'this', 'ratio', 'least', 'greatest']));
   for (const [key, title] of TITLES) {
@@ -271,7 +275,7 @@
 };
 process.stdout.write(`${machines} machines; ${TITLES.map(([, title]) => title).join('; ')}\n`);
 for (let pair = 0; pair < pairs; pair++) {
-  // Whichever goes first may find the machine in another state: each does so in every other pair.
+  // The first of a pair may run under other conditions than the second, so the order alternates.
   const order = [measureThisBuild, measureBaseline];
   if (pair % 2 === 1) order.reverse();
   for (const one of order) await one();
--- a/scripts/fleet-load.ts
+++ b/scripts/fleet-load.ts
@@ -10,40 +10,39 @@
 import { StateService } from '../test/standins/state.js';
 
 /**
- * Three controllers, as built, as processes of their own on loopback, against stand-ins of the outside
- * systems; and a fleet of machines and users that they can be loaded with. The store holds as many jobs
- * as a long day leaves behind.
+ * Runs controllers of a build as separate processes on loopback against stand-ins of the outside systems, with a
+ * simulated fleet of machines and users that load them. The store holds as many jobs as after a long day.
  */
 
 const LEASE_S = 10;
 /**
- * With less than a lease, a leader is entitled for no longer than a life of its own lease after it last read
- * the store, and on a quiet store it loses its leadership again and again.
+ * If this were shorter than a lease, a leader would be entitled for no longer than the TTL of its own lease after
+ * its last read of the store. On a store without changes it would then lose its leadership repeatedly.
  */
 const CANCEL_S = 3 * LEASE_S;
-/** Jobs in the store for each machine; those that are over come first. */
+/** Jobs in the store for each machine; the ended ones have the lowest ids. */
 const JOBS_PER_MACHINE = 12;
 const SERVICES_PER_MACHINE = 2;
-/** Submitted jobs are numbered from here, above those in the store. */
+/** Number of the first submitted job, above those in the store. */
 const FIRST_SUBMITTED = 500_000;
 /** Linux accounts processor time in hundredths of a second. */
 const TICKS_PER_S = 100;
-/** Milliseconds between two looks at what is due, and at whether a controller has started. */
+/** Interval at which calls that are due are made, and at which the exit of a process is checked. */
 const POLL_INTERVAL_MS = 5;
 
 export interface FleetOptions {
   machines: number;
-  /** The checkout whose `target/` is run. */
+  /** The checkout whose program in `target/` is run. */
   checkout: string;
   /** Zones of the controllers, one for each. */
   zones: string[];
   machineZone: string;
-  /** Further options on the controllers' command line. */
+  /** Additional command-line options of the controllers. */
   options?: string[];
 }
 
 export interface HttpAnswer {
-  /** 0: there was none. */
+  /** 0: no answer. */
   status: number;
   body: string;
 }
@@ -52,9 +51,9 @@
   process: ChildProcess;
   port: number;
   name: string;
-  /** What it wrote to standard error. */
+  /** Its output on standard error. */
   output: string;
-  /** Processor seconds from its start to the first time that it was ready. */
+  /** Processor seconds from its start until it was first ready. */
   startS: number;
 }
 
@@ -68,19 +67,19 @@
 const jobId = (i: number): string => `wk-${String(i).padStart(6, '0')}`;
 const hostId = (i: number): string => `host-${String(i).padStart(6, '0')}`;
 
-/** Processor seconds of a process, all of its threads, in steps of 0.01. */
+/** Processor seconds of all threads of a process, in steps of 0.01. */
 export function processorSeconds(pid: number): number {
   const [user, system] = readFileSync(`/proc/${pid}/stat`, 'utf8').split(' ').slice(13, 15);
   return (Number(user) + Number(system)) / TICKS_PER_S;
 }
 
-/** MB of a process: resident, at most resident, or private. */
+/** Memory of a process in MB: resident, peak resident or private. */
 export function memoryMb(pid: number, name: 'VmRSS' | 'VmHWM' | 'RssAnon'): number {
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
   return Number(new RegExp(`${name}:\\s+(\\d+)`).exec(status)![1]) / 1024;
 }
 
-/** Spreads calls evenly over time, however coarse the timers are. Returns what ends them. */
+/** Makes calls at an even rate, independent of the resolution of timers. Returns a function that stops them. */
 export function paced(perSecond: number, work: () => unknown): () => void {
   const startedAt = performance.now();
   let done = 0;
@@ -91,7 +90,7 @@
   return () => clearInterval(timer);
 }
 
-/** A machine that heartbeats, and runs what it is told to. */
+/** A simulated machine that sends heartbeats and executes commands. */
 class Machine {
   private readonly tasks: Task[];
   private sequence = 0;
@@ -100,7 +99,7 @@
   constructor(
     private readonly index: number,
     private readonly zone: string,
-    /** The controller to which it reports, by index. */
+    /** Index of the controller that receives its heartbeats. */
     public controllerIndex: number,
     private readonly post: (controller: number, path: string, body: string) => Promise<HttpAnswer>,
     claims: records.Claim[],
@@ -112,7 +111,7 @@
     }));
   }
 
-  /** The answer's status; 0: there was none. */
+  /** Sends a heartbeat and executes the commands in the answer. Returns the status; 0: no answer. */
   async sendHeartbeat(): Promise<number> {
     const body = JSON.stringify({
       bench: hostId(this.index), addr: '127.0.0.1:1', casting: 'g8', yard: this.zone, loaner: false,
@@ -155,11 +154,11 @@
     scatter: false, loaner: false, reckon_s: 15, stamp_s: 0, stamping_s: 0, due_s: null,
   }); // prettier-ignore
 
-/** Controllers, stand-ins and machines of one run. */
+/** The controllers, stand-ins and machines of one run. */
 export class Fleet {
   readonly controllers: Controller[] = [];
   readonly machines: Machine[];
-  /** Jobs submitted so far. */
+  /** Number of jobs submitted so far, also those that were not accepted. */
   submitted = 0;
   private readonly agent = new Agent({ keepAlive: true });
   private readonly state = new StateService();
@@ -180,7 +179,7 @@
     );
   }
 
-  /** Resolves once all controllers are ready. */
+  /** Starts everything; resolves once all controllers are ready. */
   async start(): Promise<void> {
     this.state.page = 1000;
     this.fillStore();
@@ -206,7 +205,7 @@
     }));
   }
 
-  /** A store as a long day leaves it: jobs that are over, services, machines with their claims. */
+  /** Fills the store with the data of a long day: ended jobs, services, and machines with their claims. */
   private fillStore(): void {
     const { state, options } = this;
     const put = (key: string, data: unknown): void => {
@@ -264,13 +263,14 @@
   private async waitUntilReady(index: number): Promise<void> {
     const controller = this.controllers[index]!;
     await until(`${controller.name} is ready`, async () => {
-      if (controller.process.exitCode !== null) throw new Error(`it ended: ${controller.output}`);
+      if (controller.process.exitCode !== null)
+        throw new Error(`exited during the start: ${controller.output}`);
       return (await this.call(index, 'GET', '/ready')).status === 200;
     });
     controller.startS = processorSeconds(controller.process.pid!);
   }
 
-  /** A request to the controller with this index. */
+  /** Sends a request to the controller with this index. */
   call(controller: number, method: string, path: string, body = ''): Promise<HttpAnswer> {
     const { port } = this.controllers[controller]!;
     const { agent } = this;
@@ -286,7 +286,7 @@
     });
   }
 
-  /** Has machines report by turns, `perSecond` reports in all. Returns what ends it. */
+  /** Sends heartbeats of the machines in turn, `perSecond` in total. Returns a function that stops them. */
   startHeartbeats(
     perSecond: number,
     onSent: () => unknown = () => undefined,
@@ -299,26 +299,26 @@
     });
   }
 
-  /** Submits a job. True: it was accepted. */
+  /** Submits a job. Returns whether it was accepted. */
   async submit(controller: number): Promise<boolean> {
     const id = jobId(FIRST_SUBMITTED + this.submitted++);
     const { status } = await this.call(controller, 'POST', '/submissions', submission(id));
     return status >= 200 && status < 300;
   }
 
-  /** Asks for one of the jobs submitted. */
+  /** Polls the state of a random submitted job. */
   poll(controller: number): Promise<HttpAnswer> {
     const id = jobId(FIRST_SUBMITTED + Math.floor(Math.random() * this.submitted));
     return this.call(controller, 'GET', `/submissions/${id}`);
   }
 
-  /** A controller's figures: `GET /metrics`. */
+  /** The answer of a controller to `GET /metrics`. */
   async metrics(controller: number): Promise<Record<string, number | string | null>> {
     const { body } = await this.call(controller, 'GET', '/metrics');
     return JSON.parse(body) as Record<string, number | string | null>;
   }
 
-  /** Ends the controllers and the stand-ins. */
+  /** Stops the controllers and closes the stand-ins. */
   async close(): Promise<void> {
     for (const c of this.controllers) c.process.kill();
     await Promise.all(this.controllers.map((c) => waitForExit(c.process)));
--- a/scripts/lending.ts
+++ b/scripts/lending.ts
@@ -1,7 +1,7 @@
 /**
- * A serving spike that borrows GPUs from batch jobs with deadlines, with lending and with ordinary preemption
- * by turns: three controllers as real processes on loopback against the stand-ins of the tests, the leader
- * killed in every other pair. Tells whether deadlines were met, with how much to spare, and at what cost.
+ * Runs a serving spike that needs GPUs of batch jobs with deadlines, alternately with lending and with ordinary
+ * preemption. Three controllers run as real processes on loopback against the stand-ins of the tests, and the
+ * leader is killed in every second pair. Prints whether deadlines were met, the slack, and the costs.
  *
  *     npm run lending -- --pairs 10
  */
@@ -14,7 +14,7 @@
 
 const outcomes: Record<Condition, ScenarioOutcome[]> = { lending: [], ordinary: [] };
 
-/** A pair: the same trouble and the same order of submissions, with and without lending. */
+/** Runs a pair: the same fault and the same order of submissions, with and without lending. */
 async function runPair(pair: number): Promise<void> {
   const order: Condition[] = pair % 4 < 2 ? ['lending', 'ordinary'] : ['ordinary', 'lending'];
   for (const condition of order) {
--- a/scripts/load-lines.ts
+++ b/scripts/load-lines.ts
@@ -1,15 +1,15 @@
 import type { LoadLine } from '../src/controller/load-log.js';
 
-/** Reads `load` lines out of logs of several controllers and lays them out, a row a second. */
+/** Reads `load` lines from logs of several controllers and formats them as a table with a row for each second. */
 
-/** A `load` line of a log: when, in seconds, which controller, and its figures. */
+/** A `load` line of a log, with its time in seconds and its controller. */
 export interface LoadEntry {
   timeS: number;
   node: string;
   line: LoadLine;
 }
 
-/** A column: its title, and its figure of a line; of two lines in one second `join` makes one. */
+/** A column: its title, its figure in a line, and how figures of lines within one second are merged. */
 interface Column {
   title: string;
   value: (line: LoadLine) => number;
@@ -30,7 +30,7 @@
   merge: Math.max,
 });
 
-/** What is shown of each controller, besides its role. */
+/** Columns of each controller, besides its role. */
 const COLUMNS: Column[] = [
   counterColumn('ans', (l) => l.reports_answered),
   counterColumn('peers', (l) => l.reports_answered_for_peers),
@@ -54,9 +54,9 @@
 const ROLE_LETTERS = 4;
 
 /**
- * The entry in a line of a log, or null when it holds none. What comes before the line's JSON is a prefix:
- * its first number is the time, its last word without one the controller. Without a prefix both are taken
- * from the JSON, whose time is in milliseconds.
+ * Parses a line of a log; returns null when it is not a `load` line. Text before the JSON is a prefix: its first
+ * word that begins with a number gives the time in seconds, and its last word that begins with a letter names the
+ * controller. What the prefix lacks is taken from the JSON, whose time is in milliseconds.
  */
 export function parseLoadLine(text: string): LoadEntry | null {
   const start = text.indexOf('{');
@@ -95,7 +95,7 @@
   figures: COLUMNS.map((c, i) => c.merge(a.figures[i]!, b.figures[i]!)),
 });
 
-/** A row's texts, a group for each controller; a controller without a line has an empty group. */
+/** Texts of a row, with a group for each controller; the texts of a controller without a line are empty. */
 function rowOf(cells: Map<string, Cell>, nodes: string[]): string[][] {
   return nodes.map((node) => {
     const cell = cells.get(node);
@@ -104,7 +104,7 @@
   });
 }
 
-/** The table's lines: first the controllers' names, then the columns' titles, then a row a second. */
+/** Lines of the table: names of the controllers, titles of the columns, then a row for each second that has lines. */
 export function timeline(entries: LoadEntry[]): string[] {
   const nodes = [...new Set(entries.map((e) => e.node))].sort();
   const seconds = new Map<number, Map<string, Cell>>();
--- a/scripts/mixed-versions.ts
+++ b/scripts/mixed-versions.ts
@@ -8,10 +8,11 @@
 import { buildVersion, productionCommit } from './production-build.js';
 
 /**
- * Rolls a cluster of real processes from the version in production to the present one, on loopback and
- * against the stand-ins of the tests: work of the old version goes on, both serve side by side, one process
- * ends and comes back old, pipelines are submitted and one is cancelled in the middle, the limits of the
- * key-value store are lowered. Fails where a rule of the protocol is broken or a job has the wrong end.
+ * Upgrades a cluster of real processes from the version in production to the present one, on loopback and
+ * against the stand-ins of the tests. Jobs of the old version keep running, both versions serve at the same time,
+ * one process is killed and restarted with the old version, pipelines are submitted and one is cancelled while it
+ * runs, and the limits of the key-value store are lowered. Fails if a rule of the protocol is violated or a job
+ * has a wrong final state.
  *
  *     npm run mixed-versions -- --rounds 3
  *     npm run mixed-versions -- --old COMMIT --pipelines
@@ -24,7 +25,7 @@
 const LOG_DIRECTORY = 'target/mixed-versions';
 const LONG_TASK_S = 600;
 
-/** A pipeline's jobs by their place in it; `round` keeps ids apart. */
+/** The id of a job by its stage in a pipeline; `round` makes ids distinct. */
 const jobIdOf = (round: number, pipeline: number, stage: number): string =>
   `wk-${String(round * 1000 + pipeline * 10 + stage).padStart(6, '0')}`;
 
@@ -105,8 +106,11 @@
       }
       await users.sees(at, array, 'done');
     }
-    assert.ok(rollout.isRunning(service, 2), 'the service that the old version started still runs');
-    assert.equal(rules.starts.get(`${service}/0`), 1, 'and was started once');
+    assert.ok(
+      rollout.isRunning(service, 2),
+      'the service that the old version started is still running',
+    );
+    assert.equal(rules.starts.get(`${service}/0`), 1, 'a task of the service was started once');
     assert.equal(state.tooLarge, 0, 'nothing was refused for its size');
   } finally {
     await rollout.close();
@@ -114,7 +118,7 @@
   assert.deepEqual(rules.violations, []);
 }
 
-/** Three jobs, one after another; `firstS`: how long the first one runs. */
+/** Submits three jobs, each of which depends on the one before; `firstS`: run time of the first one. */
 async function submitPipeline(
   rollout: Rollout,
   round: number,
--- a/scripts/options.ts
+++ b/scripts/options.ts
@@ -1,6 +1,6 @@
 import { InvalidArgumentError } from 'commander';
 
-/** The value of an option that takes a whole number above 0. Throws InvalidArgumentError. */
+/** Parses an option whose value is an integer above 0. Throws InvalidArgumentError. */
 export function positive(text: string): number {
   const value = Number(text);
   if (!Number.isInteger(value) || value < 1) throw new InvalidArgumentError('must be above 0.');
--- a/scripts/production-build.ts
+++ b/scripts/production-build.ts
@@ -3,12 +3,12 @@
 import { join, resolve } from 'node:path';
 import { parse } from 'smol-toml';
 
-/** Where the builds of earlier versions are kept, below the project. */
+/** Folder of the builds of earlier versions, relative to the project. */
 const BUILDS_DIRECTORY = 'target/production';
-/** Written into a build's folder once it is whole. */
+/** Marker file in the folder of a build that is complete. */
 const COMPLETE_MARKER = 'complete';
 
-/** The commit of the version in production, by the deploy file. */
+/** The commit of the version in production, as the deploy file states it. */
 export function productionCommit(): string {
   const deploy = parse(readFileSync('deploy/service.toml', 'utf8'));
   if (typeof deploy.production !== 'string') throw new Error('deploy/service.toml: no production');
@@ -21,8 +21,8 @@
 }
 
 /**
- * Builds an earlier version from the repository's history, with the libraries that are installed here,
- * unless that was done before. Returns its folder, with the program below `target/`.
+ * Builds an earlier version from the repository's history with the installed libraries, unless a complete
+ * build exists. Returns its folder, which has the program in `target/`.
  */
 export function buildVersion(commit: string): string {
   const dir = resolve(BUILDS_DIRECTORY, commit);
--- a/scripts/production-fixtures.ts
+++ b/scripts/production-fixtures.ts
@@ -6,9 +6,9 @@
 import { buildProduction, productionCommit } from './production-build.js';
 
 /**
- * Writes test/fixtures/production.json: records as the version in production makes them, and its hello, whose
- * fields are those of that version's `Link`; and test/fixtures/recorded-forms.json, all forms that the present
- * version sends, stores and prints.
+ * Writes test/fixtures/production.json, with records as the version in production encodes them and its hello
+ * message, which has the fields of that version's `Link`; and test/fixtures/recorded-forms.json, with all forms
+ * that the present version sends, stores and prints.
  *
  *     npm run fixtures
  */
@@ -24,7 +24,7 @@
   returning: false, claims: [{ job: JOB.id, index: 3, attempt: 41 }], images: [['img-07', 6.2]],
 }; // prettier-ignore
 
-/** What is used of the records of the version in production, under the names that it gives them. */
+/** The functions used from `records.js` of the version in production, under the names that they have there. */
 interface ProductionRecords {
   encodeSubmissions(record: {
     jobs: { spec: unknown; atMs: number }[];
--- a/scripts/profile.ts
+++ b/scripts/profile.ts
@@ -2,24 +2,24 @@
 import { Fleet, memoryMb, paced, processorSeconds } from './fleet-load.js';
 
 /**
- * Runs three controllers, as built, against stand-ins with a fleet's load, and prints where the
- * processor time of each went and what memory it holds:
+ * Runs three controllers of the current build against stand-ins under the load of a fleet, and prints the
+ * processor profile and the memory of each:
  *
  *     npm run profile -- [MACHINES [SECONDS [WAIT]]]
  *
- * The fleet: each machine reports once a second and runs two services; jobs are submitted and asked for
- * all the while; the store holds as many jobs as a long day leaves behind.
+ * Each machine of the fleet sends a heartbeat every second and runs two services. Users submit jobs and poll
+ * their states all the time. The store holds as many jobs as after a long day.
  */
 
 const MACHINES = Number(process.argv[2] ?? 170);
 const SECONDS = Number(process.argv[3] ?? 30);
-/** Seconds before samples are taken; 0: the start and the reading of the store are in them. */
+/** Seconds before the profile begins; with 0 it includes the start and the reading of the store. */
 const SETTLE_S = Number(process.argv[4] ?? 10);
 const SUBMISSIONS_PER_S = 2;
 const POLLS_PER_S = 10;
 const ZONES = ['z1', 'z2', 'z1'];
 
-/** Processor seconds and memory of a process, as Linux accounts them. */
+/** Text with the processor seconds and the memory of a process, as Linux accounts them. */
 function usage(pid: number): string {
   const cpu = processorSeconds(pid).toFixed(2);
   const [resident, most, own] = (['VmRSS', 'VmHWM', 'RssAnon'] as const).map((name) =>
--- a/scripts/summary.ts
+++ b/scripts/summary.ts
@@ -1,11 +1,11 @@
-/** Least, median and greatest of some figures. */
+/** Least, median and greatest of a list of figures. */
 export interface Summary {
   least: number;
   median: number;
   greatest: number;
 }
 
-/** Of an even number of figures the median is the mean of the middle two. `figures` is not empty. */
+/** Summarizes figures, of which there must be at least one. The median of an even number is the mean of the middle two. */
 export function summary(figures: number[]): Summary {
   const sorted = [...figures].sort((a, b) => a - b);
   const middle = (sorted.length - 1) / 2;
--- a/scripts/timeline.ts
+++ b/scripts/timeline.ts
@@ -3,8 +3,8 @@
 import { parseLoadLine, timeline, type LoadEntry } from './load-lines.js';
 
 /**
- * Prints a table of what controllers did, a row a second and a group of columns for each, from the `load`
- * lines (level `debug`) of their logs in a file:
+ * Prints a table of the load of controllers from the `load` lines (level `debug`) of their logs in a file.
+ * Each second has a row, and each controller a group of columns:
  *
  *     npm run timeline -- [--from S] [--until S] [--node NAME...] FILE
  */
--- a/scripts/warm-pools.ts
+++ b/scripts/warm-pools.ts
@@ -1,7 +1,7 @@
 /**
- * A scheduled burst with and without a warm pool by turns: three controllers as real processes on loopback
- * against the stand-ins of the tests, each machine with a model server. Tells the times until replicas
- * answer, and the bill beside what the stand-ins' own logs say.
+ * Runs a scheduled burst alternately with and without a warm pool. Three controllers run as real processes on
+ * loopback against the stand-ins of the tests, and each machine has a model server. Prints the times until
+ * replicas answer, and compares the bill with the logs of the stand-ins.
  *
  *     npm run warm-pools -- --pairs 10
  */
@@ -32,7 +32,7 @@
 interface Outcome {
   /** Milliseconds from the submission until each replica answers. */
   answersMs: number[];
-  /** Machine-seconds by the bill and by the stand-ins; null: without a pool, or not comparable. */
+  /** Machine-seconds according to the bill and to the stand-ins; null: without a pool, or not comparable. */
   bill: { billedS: number; expectedS: number; uncertainS: number } | null;
   violations: string[];
 }
@@ -93,7 +93,7 @@
     for (const index of cluster.indexes) await cluster.serves(index);
   }
 
-  /** Four seconds ahead of the burst: machines boot or load where there is a pool. */
+  /** Injects the fault 4.5 s before the burst, when machines of a pool boot or load. */
   private async injectFault(): Promise<void> {
     const { cluster, condition } = this;
     await wait(this.burstMs - 4500 - Date.now());
@@ -120,7 +120,7 @@
     return answersMs;
   }
 
-  /** Null: a replica was not placed on a machine that was rented for the pool. */
+  /** Compares the bill with the stand-ins. Null: a replica was not placed on a machine of the pool, or the bill did not settle. */
   private async compareBill(): Promise<Outcome['bill']> {
     const { cluster } = this;
     const pooled = cluster.cloud.rentals.filter(({ hire }) => hire.includes('warm-pools'));
@@ -136,7 +136,7 @@
     return { billedS: row.machineS, expectedS: expectedS, uncertainS: row.uncertainS };
   }
 
-  /** The bill once every slot is used; null: that has not come within two leases. */
+  /** The bill once every slot is used; null: not within two leases. */
   private async settledRow(): Promise<BillRow | null> {
     const until = Date.now() + LEASE_S * 2000;
     while (Date.now() < until) {
--- a/test/cluster-pipelines.test.ts
+++ b/test/cluster-pipelines.test.ts
@@ -1,4 +1,4 @@
-/** Pipelines in a whole cluster, with troubles between their jobs. */
+/** Pipelines in a cluster of three controllers, with faults during and between their jobs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as records from '../src/store/records.js';
@@ -6,7 +6,7 @@
 import { Cluster, playAll, type Row } from './standins/cluster.js';
 
 const LEASE_S = 2;
-/** Longer than the troubles. */
+/** Longer than the delay after which a doubled transaction is applied again. */
 const TASK_S = 0.5;
 const LONG_S = 60;
 
@@ -14,7 +14,7 @@
 const SECOND = 'wk-000102';
 const GANG = 'wk-000103';
 const LAST = 'wk-000104';
-/** In the order of submission, with what each needs. */
+/** The jobs in the order of submission, with their dependencies. */
 const STAGES: [ref: string, over: object][] = [
   [FIRST, { pieces: 3, rank: 'best_effort' }],
   [SECOND, { pieces: 5, rank: 'best_effort', awaits: [FIRST] }],
@@ -22,11 +22,11 @@
   [LAST, { pieces: 2, rank: 'high', due_s: 60, awaits: [SECOND, GANG] }],
 ];
 
-/** The controllers that are there. */
+/** Indexes of the controllers that run. */
 const runningControllers = ({ indexes, controllers }: Cluster): number[] =>
   indexes.filter((at) => controllers[at] !== null);
 
-/** Each job at another controller, as a balancer would. */
+/** Submits the jobs to the controllers in turn, as a load balancer would. */
 async function submitAll(cluster: Cluster, long: string[] = []): Promise<void> {
   const at = runningControllers(cluster);
   for (const [i, [ref, over]] of STAGES.entries()) {
@@ -40,9 +40,9 @@
 }
 
 interface FaultRow extends Row {
-  /** What happens once the first job runs. */
+  /** The fault once the first job runs. */
   during?: (cluster: Cluster) => Promise<void>;
-  /** What happens once it is done. */
+  /** The fault once the first job is done. */
   between?: (cluster: Cluster) => Promise<void>;
 }
 
@@ -65,15 +65,15 @@
   return Promise.resolve();
 }
 
-test('the jobs of a pipeline run one after another, whatever happens between them', async () => {
+test('the jobs of a pipeline run in the order of their dependencies despite faults', async () => {
   const rows: FaultRow[] = [
-    { name: 'nothing' },
-    { name: 'the leader ends while the first job runs', during: stopLeader },
-    { name: 'the leader ends when it is done', between: stopLeader },
+    { name: 'no fault' },
+    { name: 'the leader stops while the first job runs', during: stopLeader },
+    { name: 'the leader stops when the first job is done', between: stopLeader },
     { name: 'an outage while the first job runs', during: outage },
-    { name: 'an outage when it is done', between: outage },
+    { name: 'an outage when the first job is done', between: outage },
     { name: 'answers of the key-value store are lost', during: loseAnswers, between: loseAnswers },
-    { name: 'limits are lowered, then the leader ends', during: lowerLimits, between: stopLeader },
+    { name: 'limits are lowered, then the leader stops', during: lowerLimits, between: stopLeader },
   ];
   const nextLimits = 'value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 150.0';
   await playAll(rows, { leaseS: LEASE_S, nextLimits }, async (cluster, { during, between }) => {
@@ -87,7 +87,7 @@
   });
 });
 
-test('each controller tells what its version can do, and learns it of the others, also after their ends', async () => {
+test('each controller publishes the features of its version and reads those of the others, also after they stopped', async () => {
   const cluster = await Cluster.start({ leaseS: LEASE_S });
   const known = (at: number): boolean =>
     cluster.controllers[at]!.metrics().pipelines_known === true;
@@ -97,7 +97,7 @@
       cluster.state.keys.get(records.versionKey(`n-${at}`)),
     );
     assert.ok(entries.every((entry) => entry !== undefined && entry.loan === undefined));
-    // The records outlive their controllers: one that begins alone knows of the others.
+    // The records outlive their controllers: one that starts alone knows the versions of the others.
     for (const at of cluster.indexes) cluster.stopController(at);
     await cluster.startController(0);
     await until('it has read them', () => known(0));
@@ -108,22 +108,22 @@
 
 interface CancellationRow extends Row {
   job: string;
-  /** Jobs that run for long, so that the cancellation meets them. */
+  /** Jobs that run long enough to be running when the cancellation arrives. */
   longJobs: string[];
-  /** What happens beside the cancellation. */
+  /** The fault during the cancellation. */
   during?: (cluster: Cluster) => Promise<void>;
   cancelled: string[];
   done: string[];
 }
 
-test('a cancellation in the middle of a pipeline reaches all that need the job, and nothing else', async () => {
+test('a cancellation in the middle of a pipeline cancels all dependent jobs and no others', async () => {
   const rest = [SECOND, GANG, LAST];
   const rows: CancellationRow[] = [
     { name: 'the first job', job: FIRST, longJobs: [FIRST], cancelled: [FIRST, ...rest], done: [] },
-    { name: 'a job of two in the middle', job: SECOND, longJobs: [SECOND], cancelled: [SECOND, LAST], done: [FIRST, GANG] },
-    { name: 'the last, while it waits', job: LAST, longJobs: [SECOND, GANG], cancelled: [LAST], done: [FIRST] },
-    { name: 'the leader ends beside it', job: FIRST, longJobs: [FIRST], during: stopLeader, cancelled: [FIRST, ...rest], done: [] },
-    { name: 'an outage beside it', job: SECOND, longJobs: [SECOND], during: outage, cancelled: [SECOND, LAST], done: [FIRST, GANG] },
+    { name: 'one of two jobs in the middle', job: SECOND, longJobs: [SECOND], cancelled: [SECOND, LAST], done: [FIRST, GANG] },
+    { name: 'the last job, while it waits', job: LAST, longJobs: [SECOND, GANG], cancelled: [LAST], done: [FIRST] },
+    { name: 'the leader stops during the cancellation', job: FIRST, longJobs: [FIRST], during: stopLeader, cancelled: [FIRST, ...rest], done: [] },
+    { name: 'an outage during the cancellation', job: SECOND, longJobs: [SECOND], during: outage, cancelled: [SECOND, LAST], done: [FIRST, GANG] },
   ]; // prettier-ignore
   await playAll(rows, { leaseS: LEASE_S }, async (cluster, row) => {
     await submitAll(cluster, row.longJobs);
@@ -135,7 +135,7 @@
     for (const ref of row.cancelled) await waitForStateEverywhere(cluster, ref, 'cancelled');
     for (const ref of row.done) await waitForStateEverywhere(cluster, ref, 'done');
     for (const ref of row.cancelled) await cluster.gone(ref);
-    // One that is submitted afterwards is cancelled with them.
+    // A dependent job that is submitted afterwards is cancelled too.
     const late = 'wk-000105';
     await cluster.users.submit(at, late, { awaits: [row.cancelled.at(-1)!] });
     await waitForStateEverywhere(cluster, late, 'cancelled');
--- a/test/helpers.ts
+++ b/test/helpers.ts
@@ -5,7 +5,7 @@
 
 /** GPU quota of the only team. */
 export const TEAMS_GPUS_MAX = 12;
-/** Seconds within which tasks of a gang detect the loss of a peer (`gang_peer_s`). */
+/** The setting `gang_peer_s`: seconds after which tasks of a gang end when they have lost a peer. */
 export const GANG_PEER_S = 1;
 
 /** Ports of a controller: for users and workers, and for the other controllers. */
@@ -179,7 +179,7 @@
 ): Promise<void> {
   const end = Date.now() + timeoutS * 1000;
   while (!(await condition())) {
-    assert.ok(Date.now() < end, `in time: ${what}`);
+    assert.ok(Date.now() < end, `timed out: ${what}`);
     await wait(20);
   }
 }
--- a/test/load-lines.test.ts
+++ b/test/load-lines.test.ts
@@ -7,7 +7,7 @@
 import type { Log } from '../src/log.js';
 import { HeartbeatCounts } from '../src/heartbeat/heartbeat-counts.js';
 
-/** What a controller logs that answers `answered` more reports before each of its lines. */
+/** The load lines of a controller that answers `answered[i]` more heartbeats before line `i`. */
 function linesOf(answered: number[]): LoadLine[] {
   const sources: LoadSources = {
     clock: { now: () => 0 },
@@ -29,7 +29,7 @@
   return lines;
 }
 
-test('a line has what was done since the line before, and the state at its moment', () => {
+test('a line has the counts since the previous line and the current gauges', () => {
   const lines = linesOf([5, 2, 0]);
   assert.deepEqual(
     lines.map((line) => [line.reports_answered, line.requests_waiting, line.delay_ms]),
@@ -41,7 +41,7 @@
   );
 });
 
-test('load lines are found whatever stands before them', () => {
+test('load lines are found after any prefix', () => {
   const json = '{"level":20,"time":1790000012500,"node":"n-0","role":"leading","msg":"load"}';
   const cases: [string, string, number, string][] = [
     ['time and name', `   12.5871 shelfhand-2 ${json}`, 12.5871, 'shelfhand-2'],
@@ -64,7 +64,7 @@
   for (const text of others) assert.equal(parseLoadLine(text), null, text);
 });
 
-test('a row a second: lines of one second are joined, a controller without any has none', () => {
+test('the timeline has a row for each second; lines within a second are merged, and missing ones leave an empty cell', () => {
   const [first, second] = linesOf([5, 2]);
   const rows = timeline([
     { timeS: 3.1, node: 'b', line: first! },
@@ -77,7 +77,7 @@
   ]);
 });
 
-test('least, median and greatest', () => {
+test('a summary has the least, the median and the greatest figure', () => {
   assert.deepEqual(summary([10, 9, 100]), { least: 9, median: 10, greatest: 100 });
   assert.deepEqual(summary([4, 1, 2, 10]), { least: 1, median: 3, greatest: 10 });
 });
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -1,4 +1,7 @@
-/** Days of random troubles, each told by its seed: whatever meets, the rules hold, and all work ends. */
+/**
+ * Runs random faults, reproducible by seed, against one leader and its workers. Guards against combinations of
+ * faults that violate an invariant or leave jobs unfinished after the faults have ended.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobKind } from '../src/jobs/types.js';
@@ -10,14 +13,14 @@
 
 const SIMULATIONS = 60;
 const STEP_S = 0.2;
-/** Troubles come for so long; then all must be well within the time after it. */
+/** Time with faults; after it, all jobs must be in order within `RECOVERY_S`. */
 const FAULTS_S = 40;
 const RECOVERY_S = 60;
 const LATEST_JOB_S = 35;
 const GPUS_MAX = 20;
 const CANCEL_S = 6;
 
-/** Numbers from 0 to 1 that a seed determines (mulberry32). */
+/** A seeded generator of random numbers from 0 to 1 (mulberry32). */
 function randomFrom(seed: number): () => number {
   let state = seed;
   return () => {
@@ -31,7 +34,7 @@
 interface Job {
   kind: JobKind;
   tasks: number;
-  /** When each of its runs ends. */
+  /** When each run of a task ends, by worker, index and attempt. */
   ends: Map<string, number>;
 }
 
@@ -66,7 +69,7 @@
     this.delayed.push({ at: this.world.now + inS, arrive });
   }
 
-  /** What users and troubles bring about. */
+  /** Submits and cancels jobs and injects faults. */
   private injectEvents(): void {
     const { world } = this;
     if (this.chance(0.1) && world.now < LATEST_JOB_S) {
@@ -95,7 +98,7 @@
     this.cancelledAt.set(id, world.now);
   }
 
-  /** Tasks of arrays and whole gangs end after a while. */
+  /** Ends tasks of job arrays and gangs when their run time is over. */
   private endDueTasks(worker: Worker, troubles: boolean): void {
     const { world } = this;
     for (const task of worker.tasks.values()) {
@@ -133,7 +136,7 @@
     }
   }
 
-  /** Direct commands: answered, unanswered, late or lost. */
+  /** Sends direct commands, which are answered, executed without an answer, delayed or lost. */
   private sendDirectCommands(machine: Machine, troubles: boolean): void {
     const { world } = this;
     const worker = world.fleet.workers.get(machine.id)!;
@@ -175,7 +178,7 @@
     world.leader.tick();
   }
 
-  /** A second of the day, with the troubles of that second. */
+  /** One step of `STEP_S`, with the faults of that step. */
   async step(troubles: boolean): Promise<void> {
     const { world } = this;
     world.fleet.now += STEP_S;
@@ -196,12 +199,12 @@
       if (rule.startsWith('ran_twice')) this.violations.add(rule);
   }
 
-  /** All troubles end; what is held back arrives. */
+  /** Ends the loss of messages between workers and leader. */
   clearFaults(): void {
     for (const worker of this.world.fleet.workers.values()) worker.deaf = worker.mute = false;
   }
 
-  /** What is not as it must be in the end. */
+  /** Jobs that are not in their expected state at the end. */
   unfinished(): string[] {
     const { world } = this;
     world.store.feed(world.replica);
@@ -222,7 +225,7 @@
   }
 }
 
-test('whatever troubles meet at random, no rule is broken, and everything runs in the end', async () => {
+test('random faults violate no invariant, and all jobs run or complete after them', async () => {
   for (let seed = 1; seed <= SIMULATIONS; seed++) {
     const day = new Simulation(randomFrom(seed));
     while (day.world.now < FAULTS_S) await day.step(true);
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -4,7 +4,7 @@
 import { submission } from './standins/users.js';
 import { Worker, type MachineProperties, type Task } from './standins/worker.js';
 
-/** A checker, one job and a way to put tasks on machines. */
+/** A rule checker with one job, and methods that start tasks and answer users. */
 class Scenario {
   readonly rules = new RuleChecker({ cancelS: 0.05, teams: new Map([['t', 3]]), machineGpus: 2 });
   private machines = 0;
@@ -16,7 +16,7 @@
     }); // prettier-ignore
   }
 
-  /** A task starts on a machine of its own. */
+  /** Starts a task on a new machine. */
   start(index: number, place: Partial<MachineProperties> = {}): void {
     const id = `host-${this.machines++}`;
     const times = { leaseS: 1, gangPeerS: 1 };
@@ -37,12 +37,12 @@
     this.rules.noteStart(worker, task, false);
   }
 
-  /** A user is answered. */
+  /** Reports an answer to a user. */
   answer(question: RequestKind, status: number, state = '', ref = 'wk-1'): void {
     this.rules.checkAnswer(question, ref, this.rules.reportedState(ref), status, state);
   }
 
-  /** A job that this one needs; cancelled so long ago, or not. */
+  /** Adds the job that `wk-1` depends on, cancelled this long ago; missing: not cancelled. */
   addDependency(cancelledAgoMs?: number): void {
     const cancelledAt = cancelledAgoMs === undefined ? null : Date.now() - cancelledAgoMs;
     this.rules.jobs.set('wk-0', {
@@ -51,7 +51,7 @@
     }); // prettier-ignore
   }
 
-  /** The user was told so long ago that the job is cancelled. */
+  /** Confirms the cancellation of the job to a user, this long ago. */
   reportCancelled(agoMs = 0): void {
     this.rules.jobs.get('wk-1')!.cancelAsked = true;
     this.answer('cancel', 200, 'cancelled');
@@ -59,7 +59,7 @@
   }
 }
 
-test('the checker sees each rule that is broken, and none where all is well', async (context) => {
+test('the rule checker detects each violated rule and reports no violation otherwise', async (context) => {
   const cases: [string, Partial<Submission>, (scene: Scenario) => void, string | null][] = [
     ['one task', {}, (scene) => scene.start(0), null],
     ['one task twice', {}, (scene) => [0, 0].forEach((i) => scene.start(i)), 'ran_twice'],
@@ -72,20 +72,20 @@
     ['two zones', { one_zone: true }, (scene) => (scene.start(0), scene.start(1, { zone: 'z2' })), 'wrong_place'],
     ['not scattered', { scatter: true, pieces: 3 }, (scene) => [0, 1, 2].forEach((i) => scene.start(i)), 'wrong_place'],
     ['scattered', { scatter: true, pieces: 3 }, (scene) => [0, 1].forEach((i) => scene.start(i)), null],
-    ['on a machine for too long', {}, (scene) => (scene.start(0), scene.reportCancelled()), 'ran_cancelled'],
-    ['started long after', {}, (scene) => (scene.reportCancelled(1000), scene.start(0)), 'started_cancelled'],
-    ['unknown later', {}, (scene) => scene.answer('poll', 404), 'forgotten'],
-    ['refused later', {}, (scene) => scene.answer('submit', 422), 'forgotten'],
+    ['runs too long after the cancellation', {}, (scene) => (scene.start(0), scene.reportCancelled()), 'ran_cancelled'],
+    ['started long after the cancellation', {}, (scene) => (scene.reportCancelled(1000), scene.start(0)), 'started_cancelled'],
+    ['unknown after the acceptance', {}, (scene) => scene.answer('poll', 404), 'forgotten'],
+    ['refused after the acceptance', {}, (scene) => scene.answer('submit', 422), 'forgotten'],
     ['never submitted', {}, (scene) => scene.answer('poll', 200, 'queued', 'wk-2'), 'invented'],
     ['done too early', {}, (scene) => scene.answer('poll', 200, 'done'), 'not_done'],
-    ['cancelled by nobody', {}, (scene) => scene.answer('poll', 200, 'cancelled'), 'went_back'],
+    ['cancelled without a request', {}, (scene) => scene.answer('poll', 200, 'cancelled'), 'went_back'],
     ['cancelled, then running', {}, (scene) => (scene.reportCancelled(), scene.answer('poll', 200, 'running')), 'went_back'],
     ['cancelled, then done', {}, (scene) => (scene.reportCancelled(), scene.rules.noteCompletion('wk-1/0'), scene.answer('poll', 200, 'done')), 'went_back'],
-    ['before what it needs', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(), scene.start(0)), 'too_early'],
-    ['after what it needs', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(), scene.rules.noteCompletion('wk-0/0'), scene.start(0)), null],
-    ['cancelled with what it needs', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(1000), scene.answer('poll', 200, 'cancelled')), null],
-    ['queued long after what it needs was cancelled', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(1000), scene.answer('poll', 200, 'queued')), 'orphaned'],
-    ['queued right after that', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(0), scene.answer('poll', 200, 'queued')), null],
+    ['started before its dependency completed', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(), scene.start(0)), 'too_early'],
+    ['started after its dependency completed', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(), scene.rules.noteCompletion('wk-0/0'), scene.start(0)), null],
+    ['cancelled with its dependency', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(1000), scene.answer('poll', 200, 'cancelled')), null],
+    ['queued long after its dependency was cancelled', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(1000), scene.answer('poll', 200, 'queued')), 'orphaned'],
+    ['queued right after its dependency was cancelled', { awaits: ['wk-0'] }, (scene) => (scene.addDependency(0), scene.answer('poll', 200, 'queued')), null],
     ['accepted, over the limit', { form: 'group', pieces: 4 }, (scene) => ((scene.rules.jobs.get('wk-1')!.accepted = false), scene.answer('submit', 201, 'queued')), 'cannot_run'],
   ]; // prettier-ignore
   const scenes = cases.map(([name, over, play, rule]) => {
@@ -94,7 +94,7 @@
     play(scene);
     return { name, scene, rule };
   });
-  // Longer than the time allowed after a cancellation, and the checker's slack.
+  // Longer than the time allowed after a cancellation plus the checker's tolerance.
   await new Promise((resolve) => setTimeout(resolve, 250));
   for (const { name, scene, rule } of scenes) {
     const seen = scene.rules.violations.map((violation) => violation.split(':')[0]);
