--- a/scripts/costs.ts
+++ b/scripts/costs.ts
@@ -210,7 +210,7 @@
       return await Measurement.run(checkout, machines);
     } catch (error) {
       if (!(error instanceof UnusableMeasurementError) || attempt === ATTEMPTS) throw error;
-      process.stdout.write(`discarded, repeated: ${error.message}\n`);
+      process.stdout.write(`measurement discarded and repeated: ${error.message}\n`);
     }
   }
 }
--- a/scripts/lending.ts
+++ b/scripts/lending.ts
@@ -49,18 +49,23 @@
     `deadlines met ${met} of ${batch.length}`,
     `slack of the tight job ${spread(slack(TIGHT, true))} s, of the patient one ${spread(slack(TIGHT, false))} s`,
     `first answer of the spike ${spread(list.map((o) => o.firstAnswerS))} s`,
-    `stopped work back after the spike ${spread(list.map((o) => o.returnS))} s`,
+    `stopped work resumed after the spike ${spread(list.map((o) => o.returnS))} s`,
     `repeated work ${spread(list.map((o) => o.repeatedS))} s`,
-    `changes of the store ${spread(list.map((o) => o.writes), 0)}`, // prettier-ignore
+    `store revisions ${spread(list.map((o) => o.writes), 0)}`, // prettier-ignore
     `loans ${loans.length}, resumed ${resumed}`,
-    `rules broken ${list.reduce((sum, o) => sum + o.violations.length, 0)}`,
+    `rule violations ${list.reduce((sum, o) => sum + o.violations.length, 0)}`,
   ];
   process.stdout.write(`${condition}, ${list.length} runs: ${lines.join('; ')}\n`);
 }
 
 const program = new Command('lending')
-  .option('--pairs <n>', 'runs with lending and with ordinary preemption, by turns', positive, 10)
-  .option('--at-once <n>', 'pairs that are played side by side', positive, 1)
+  .option(
+    '--pairs <n>',
+    'runs with lending and with ordinary preemption, alternating',
+    positive,
+    10,
+  )
+  .option('--at-once <n>', 'pairs that run in parallel', positive, 1)
   .parse();
 const options = program.opts<{ pairs: number; atOnce: number }>();
 for (let pair = 0; pair < options.pairs; pair += options.atOnce) {
--- a/scripts/mixed-versions.ts
+++ b/scripts/mixed-versions.ts
@@ -76,14 +76,18 @@
     await users.submit(0, service, { form: 'daemon', pieces: 2 });
     await users.submit(1, array, { pieces: 4 }, LEASE_S * 4);
     await until(
-      'the old work runs',
+      'the jobs of the old version run',
       () => rollout.isRunning(service, 2) && rollout.isRunning(array, 4),
     );
 
     await rollout.replaceWith(0, 'now');
     await rollout.replaceWith(1, 'old');
     const early = await users.submitOnce(0, submission(jobIdOf(round, 80, 1), { awaits: [array] }));
-    assert.equal(early.status, pipelinesKnown ? 201 : 503, 'a pipeline while both are present');
+    assert.equal(
+      early.status,
+      pipelinesKnown ? 201 : 503,
+      'a pipeline is submitted while both versions run',
+    );
     for (const index of [1, 2]) {
       const mixed = jobIdOf(round, 91, index);
       await users.submit(index, mixed, {}, 0.3);
@@ -138,9 +142,9 @@
 }
 
 const program = new Command('mixed-versions')
-  .option('--rounds <n>', 'how often it is played', positive, 1)
-  .option('--old <commit>', 'the version to start from; by default the one in production')
-  .option('--pipelines', 'the old version knows pipelines')
+  .option('--rounds <n>', 'number of rounds', positive, 1)
+  .option('--old <commit>', 'the version to upgrade from; default: the one in production')
+  .option('--pipelines', 'the old version supports pipelines')
   .parse();
 const options = program.opts<{ rounds: number; old?: string; pipelines?: true }>();
 const builds = { old: buildVersion(options.old ?? productionCommit()), now: resolve('.') };
@@ -150,7 +154,7 @@
   const began = Date.now();
   await runRound(builds, round);
   process.stdout.write(
-    `round ${round}: no rule broken, ${Math.round((Date.now() - began) / 1000)} s\n`,
+    `round ${round}: no rule violated, ${Math.round((Date.now() - began) / 1000)} s\n`,
   );
 }
 process.exit(0);
--- a/scripts/warm-pools.ts
+++ b/scripts/warm-pools.ts
@@ -133,7 +133,7 @@
     }
     const row = await this.settledRow();
     if (row === null) return null;
-    return { billedS: row.machineS, expectedS: expectedS, uncertainS: row.uncertainS };
+    return { billedS: row.machineS, expectedS, uncertainS: row.uncertainS };
   }
 
   /** The bill once every slot is used; null: not within two leases. */
@@ -166,15 +166,15 @@
     process.stdout.write(
       `${condition.padEnd(14)} ${name.padEnd(8)} runs ${list.length}, first answers: median ${median} s, ` +
         `95th ${p95} s, 99th ${p99} s, none ${missing}; bill off by at most ${Math.max(0, ...billErrorsS).toFixed(2)} ` +
-        `machine s in ${bills.length} runs (said: ${Math.max(0, ...uncertaintiesS).toFixed(2)}), rules broken ${broken.length}\n`,
+        `machine s in ${bills.length} runs (stated uncertainty: ${Math.max(0, ...uncertaintiesS).toFixed(2)}), rule violations ${broken.length}\n`,
     );
   }
 }
 
 const program = new Command('warm-pools')
-  .option('--pairs <n>', 'runs with and without a pool, by turns', positive, 10)
-  .option('--at-once <n>', 'pairs that are played side by side', positive, 1)
-  .option('--condition <name>', 'only this one')
+  .option('--pairs <n>', 'runs with and without a pool, alternating', positive, 10)
+  .option('--at-once <n>', 'pairs that run in parallel', positive, 1)
+  .option('--condition <name>', 'run only this condition')
   .parse();
 const options = program.opts<{ pairs: number; atOnce: number; condition?: string }>();
 let runs = 0;
--- a/test/cluster-pipelines.test.ts
+++ b/test/cluster-pipelines.test.ts
@@ -80,7 +80,7 @@
     await submitAll(cluster);
     await until('the first job runs', () => cluster.tasks(FIRST).length > 0);
     await during?.(cluster);
-    await until('it is done', () => cluster.rules.jobs.get(FIRST)!.completed.size === 3);
+    await until('the first job is done', () => cluster.rules.jobs.get(FIRST)!.completed.size === 3);
     await between?.(cluster);
     for (const [ref] of STAGES) await waitForStateEverywhere(cluster, ref, 'done');
     assert.equal(cluster.state.tooLarge, 0, 'nothing is refused for its size');
@@ -92,7 +92,9 @@
   const known = (at: number): boolean =>
     cluster.controllers[at]!.metrics().pipelines_known === true;
   try {
-    await until('all know', () => cluster.indexes.every(known));
+    await until('all controllers know the versions of the others', () =>
+      cluster.indexes.every(known),
+    );
     const entries = cluster.indexes.map((at) =>
       cluster.state.keys.get(records.versionKey(`n-${at}`)),
     );
@@ -100,7 +102,7 @@
     // The records outlive their controllers: one that starts alone knows the versions of the others.
     for (const at of cluster.indexes) cluster.stopController(at);
     await cluster.startController(0);
-    await until('it has read them', () => known(0));
+    await until('controller 0 has read the version records', () => known(0));
   } finally {
     cluster.close();
   }
@@ -127,7 +129,7 @@
   ]; // prettier-ignore
   await playAll(rows, { leaseS: LEASE_S }, async (cluster, row) => {
     await submitAll(cluster, row.longJobs);
-    await until('it runs', () => cluster.tasks(row.longJobs[0]!).length > 0);
+    await until('the long job runs', () => cluster.tasks(row.longJobs[0]!).length > 0);
     const fault = row.during?.(cluster);
     const at = runningControllers(cluster).find((index) => index !== cluster.leader()) ?? 0;
     await cluster.users.cancel(at, row.job);
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -99,7 +99,7 @@
   }
 
   /** Ends tasks of job arrays and gangs when their run time is over. */
-  private endDueTasks(worker: Worker, troubles: boolean): void {
+  private endDueTasks(worker: Worker, hasFaults: boolean): void {
     const { world } = this;
     for (const task of worker.tasks.values()) {
       const job = this.jobs.get(task.job)!;
@@ -108,7 +108,7 @@
       const at = job.ends.get(run) ?? world.now + 1 + this.random() * 4;
       job.ends.set(run, at);
       if (at > world.now) continue;
-      if (job.kind === 'array') worker.end(task, troubles && this.chance(0.1) ? 'error' : 'done');
+      if (job.kind === 'array') worker.end(task, hasFaults && this.chance(0.1) ? 'error' : 'done');
       else this.endGang(job, task);
     }
   }
@@ -123,12 +123,12 @@
       for (const task of peers) worker.end(task, isComplete ? 'done' : 'peers');
   }
 
-  private exchangeHeartbeats(troubles: boolean): void {
+  private exchangeHeartbeats(hasFaults: boolean): void {
     const { world } = this;
     for (const worker of world.fleet.workers.values()) {
       worker.tick();
-      this.endDueTasks(worker, troubles);
-      if (troubles && this.chance(0.03)) {
+      this.endDueTasks(worker, hasFaults);
+      if (hasFaults && this.chance(0.03)) {
         const copy: Heartbeat = worker.heartbeat();
         this.delay(this.random() * 6, () => void world.leader.answerHeartbeat(copy));
       }
@@ -137,7 +137,7 @@
   }
 
   /** Sends direct commands, which are answered, executed without an answer, delayed or lost. */
-  private sendDirectCommands(machine: Machine, troubles: boolean): void {
+  private sendDirectCommands(machine: Machine, hasFaults: boolean): void {
     const { world } = this;
     const worker = world.fleet.workers.get(machine.id)!;
     const commands = machine.dueCommands((attempt) => world.term.mayStart(attempt), false);
@@ -145,7 +145,7 @@
     const { agentEpoch } = machine;
     const { token } = world;
     machine.markSent(commands, 'direct', world.now);
-    const delivery = worker.deaf ? 'lost' : troubles ? this.random() : 'answered';
+    const delivery = worker.deaf ? 'lost' : hasFaults ? this.random() : 'answered';
     if (delivery === 'lost' || Number(delivery) > 0.85) {
       machine.directCommandsEnded(commands, 'unknown', agentEpoch, world.now);
     } else if (Number(delivery) > 0.7) {
@@ -163,31 +163,31 @@
     }
   }
 
-  private async runLeader(troubles: boolean): Promise<void> {
+  private async runLeader(hasFaults: boolean): Promise<void> {
     const { world } = this;
     world.runCycle();
-    if (troubles && this.chance(0.1)) world.store.mode = this.pick(['lose answers', 'hold back']);
+    if (hasFaults && this.chance(0.1)) world.store.mode = this.pick(['lose answers', 'hold back']);
     await world.parts.writer.writeBatch();
     world.store.mode = 'serve';
     if (this.chance(0.2)) world.store.deliverHeldBack();
     for (const id of [...world.term.machinesToCommand]) {
       world.term.machinesToCommand.delete(id);
       const machine = world.term.machines.get(id);
-      if (machine?.state === 'ready') this.sendDirectCommands(machine, troubles);
+      if (machine?.state === 'ready') this.sendDirectCommands(machine, hasFaults);
     }
     world.leader.tick();
   }
 
   /** One step of `STEP_S`, with the faults of that step. */
-  async step(troubles: boolean): Promise<void> {
+  async step(hasFaults: boolean): Promise<void> {
     const { world } = this;
     world.fleet.now += STEP_S;
-    if (troubles) this.injectEvents();
+    if (hasFaults) this.injectEvents();
     const due = this.delayed.filter((late) => late.at <= world.now);
     this.delayed = this.delayed.filter((late) => late.at > world.now);
     for (const late of due) late.arrive();
-    this.exchangeHeartbeats(troubles);
-    await this.runLeader(troubles);
+    this.exchangeHeartbeats(hasFaults);
+    await this.runLeader(hasFaults);
     let used = 0;
     for (const id of this.jobs.keys()) used += world.fleet.running(id);
     if (used > GPUS_MAX) this.violations.add(`quota: ${used}`);
@@ -212,8 +212,8 @@
     const wanted = open.reduce((n, [, job]) => n + job.tasks, 0);
     const problems: string[] = [];
     for (const id of this.jobs.keys()) {
-      const told = outcome(world.replica.jobs.get(id)!);
-      if (told === 'cancelled' && !this.cancelledAt.has(id))
+      const state = outcome(world.replica.jobs.get(id)!);
+      if (state === 'cancelled' && !this.cancelledAt.has(id))
         problems.push(`never cancelled: ${id}`);
     }
     for (const [id, job] of open) {
@@ -227,10 +227,10 @@
 
 test('random faults violate no invariant, and all jobs run or complete after them', async () => {
   for (let seed = 1; seed <= SIMULATIONS; seed++) {
-    const day = new Simulation(randomFrom(seed));
-    while (day.world.now < FAULTS_S) await day.step(true);
-    day.clearFaults();
-    while (day.world.now < FAULTS_S + RECOVERY_S) await day.step(false);
-    assert.deepEqual([...day.violations, ...day.unfinished()], [], `seed ${seed}`);
+    const simulation = new Simulation(randomFrom(seed));
+    while (simulation.world.now < FAULTS_S) await simulation.step(true);
+    simulation.clearFaults();
+    while (simulation.world.now < FAULTS_S + RECOVERY_S) await simulation.step(false);
+    assert.deepEqual([...simulation.violations, ...simulation.unfinished()], [], `seed ${seed}`);
   }
 });
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -53,13 +53,13 @@
     if (known !== undefined) return [200, { benches: known }];
     const count = Math.min(body.number as number, this.most - this.counted);
     if (count <= 0) return [503, { error: 'no capacity' }];
-    const benches = Array.from({ length: count }, () => this.boot(body));
+    const benches = Array.from({ length: count }, () => this.startMachine(body));
     this.machinesByRequest.set(hire, benches);
     this.rentals.push({ hire, ids: benches, at: Date.now() });
     return [200, { benches }];
   }
 
-  private boot({ casting, yard, loaner }: Json): string {
+  private startMachine({ casting, yard, loaner }: Json): string {
     const id = `host-${String(++this.counted).padStart(6, '0')}`;
     const place = { type: casting as string, zone: yard as string, spot: loaner as boolean };
     const worker = new Worker(this.around, id, place);
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -15,7 +15,7 @@
   type Ports,
 } from '../helpers.js';
 import { Cloud, MACHINE_GPUS } from './cloud.js';
-import { CuttableProxy } from './gate.js';
+import { CuttableProxy } from './cuttable-proxy.js';
 import { RuleChecker } from './rules.js';
 import { StateAccess, StateService } from './state.js';
 import { Users } from './users.js';
@@ -54,7 +54,7 @@
   /** The proxy between each controller and the key-value store. */
   readonly stateGates: CuttableProxy[] = [];
   /** The proxies from one controller to another. */
-  private readonly links: { from: number; to: number; gate: CuttableProxy }[] = [];
+  private readonly links: { from: number; to: number; proxy: CuttableProxy }[] = [];
 
   private constructor(private readonly options: ClusterOptions) {
     const { leaseS, cancelS } = options;
@@ -86,17 +86,17 @@
       this.ports.push({ bind: await freePort(), peer: await freePort() });
       const access = new StateAccess(this.state);
       await access.listen();
-      const gate = new CuttableProxy(access.port);
-      await gate.listen();
+      const proxy = new CuttableProxy(access.port);
+      await proxy.listen();
       this.access[index] = access;
-      this.stateGates[index] = gate;
+      this.stateGates[index] = proxy;
     }
     for (const from of this.indexes)
       for (const to of this.indexes) {
         if (from === to) continue;
-        const gate = new CuttableProxy(this.ports[to]!.peer);
-        await gate.listen();
-        this.links.push({ from, to, gate });
+        const proxy = new CuttableProxy(this.ports[to]!.peer);
+        await proxy.listen();
+        this.links.push({ from, to, proxy });
       }
     this.cloud.around.controllers = this.ports.map((port) => port.bind);
   }
@@ -114,7 +114,7 @@
     // Controllers reach each other through the proxies.
     const reachablePorts = this.ports.map((own, to) => {
       const link = this.links.find((l) => l.from === index && l.to === to);
-      return { ...own, peer: link?.gate.port ?? own.peer };
+      return { ...own, peer: link?.proxy.port ?? own.peer };
     });
     const storeProxyPort = this.stateGates[index]!.port;
     const text = settingsText(
@@ -163,16 +163,16 @@
 
   /** Waits until every worker has received the token of the only leader. */
   async leaderIsHeard(): Promise<void> {
-    await until('the leader is heard', () => {
+    await until('all workers have the token of the leader', () => {
       const token = this.controllers[this.leader()]?.election.token;
       return this.workers.every((worker) => worker.token === token);
     });
   }
 
   /** Cuts or restores all links of these controllers with any other. */
-  cutLinks(cut: boolean, ...of: number[]): void {
-    for (const { from, to, gate } of this.links) {
-      if (of.includes(from) || of.includes(to)) gate.set(cut);
+  cutLinks(cut: boolean, ...indexes: number[]): void {
+    for (const { from, to, proxy } of this.links) {
+      if (indexes.includes(from) || indexes.includes(to)) proxy.set(cut);
     }
   }
 
@@ -184,10 +184,10 @@
   }
 
   /** Sends a copy of a heartbeat to every running controller. */
-  async deliver(report: string): Promise<void> {
+  async deliver(heartbeat: string): Promise<void> {
     await Promise.all(
       this.ports.map(({ bind }) =>
-        fetch(`http://127.0.0.1:${bind}/checkin`, { method: 'POST', body: report })
+        fetch(`http://127.0.0.1:${bind}/checkin`, { method: 'POST', body: heartbeat })
           .then((response) => response.arrayBuffer())
           .catch(() => undefined),
       ),
@@ -216,14 +216,14 @@
   /** Waits until exactly this number of tasks of a job run. */
   async runs(ref: string, count: number): Promise<void> {
     await until(
-      `${count} of ${ref} run`,
+      `${count} tasks of ${ref} run`,
       () => this.tasks(ref).filter((task) => task.temper === 'running').length === count,
     );
   }
 
   /** Waits until no task of a job occupies a machine. */
   async gone(ref: string): Promise<void> {
-    await until(`${ref} is gone`, () => this.tasks(ref).length === 0);
+    await until(`no task of ${ref} occupies a machine`, () => this.tasks(ref).length === 0);
   }
 
   // Shutdown
@@ -239,7 +239,7 @@
     for (const access of this.access) access.refuses = access.holdsWatches = false;
     this.state.down = false;
     for (const index of this.indexes) this.stopController(index);
-    for (const { gate } of this.links) gate.close();
+    for (const { proxy } of this.links) proxy.close();
     for (const standIn of [
       ...this.stateGates,
       ...this.access,
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -61,7 +61,7 @@
 
   /** Injects a fault into the next `times` transactions that touch a key with the prefix. */
   disturb(prefix: string, effect: Fate, times = Infinity): void {
-    this.faults.push({ prefix, effect: effect, left: times });
+    this.faults.push({ prefix, effect, left: times });
   }
 
   /** Removes all faults. */
@@ -151,15 +151,15 @@
     const apply = body.apply as Operation[];
     const touches = (prefix: string): boolean =>
       apply.some((operation) => (operation.put ?? operation.remove!).startsWith(prefix));
-    const trouble = this.faults.find((each) => each.left > 0 && touches(each.prefix));
-    if (trouble === undefined) return this.commit(body);
-    trouble.left--;
+    const fault = this.faults.find((each) => each.left > 0 && touches(each.prefix));
+    if (fault === undefined) return this.commit(body);
+    fault.left--;
     this.disturbed++;
-    const { effect: fate } = trouble;
-    if (fate.how !== 'answer_lost')
-      setTimeout(() => void this.commitLate(body), fate.afterS * 1000);
-    const answer = fate.how === 'late' ? null : this.commit(body);
-    return fate.how === 'doubled' ? answer : null;
+    const { effect } = fault;
+    if (effect.how !== 'answer_lost')
+      setTimeout(() => void this.commitLate(body), effect.afterS * 1000);
+    const answer = effect.how === 'late' ? null : this.commit(body);
+    return effect.how === 'doubled' ? answer : null;
   }
 
   private async commitLate(body: Json): Promise<void> {
--- a/test/standins/users.ts
+++ b/test/standins/users.ts
@@ -84,7 +84,7 @@
   /** Submits a job until it is accepted; each of its tasks takes `runS` seconds. */
   async submit(at: number, ref: string, over: Partial<Submission> = {}, runS = 0.3): Promise<void> {
     const wanted = submission(ref, over);
-    await until(`accepted ${ref}`, async () => {
+    await until(`${ref} is accepted`, async () => {
       const { status } = await this.submitOnce(at, wanted, runS);
       return status === 200 || status === 201;
     });
@@ -103,7 +103,7 @@
   /** Cancels a job until the cancellation is confirmed. */
   async cancel(at: number, ref: string): Promise<void> {
     await until(
-      `cancelled ${ref}`,
+      `the cancellation of ${ref} is confirmed`,
       async () => (await this.cancelOnce(at, ref)).state === 'cancelled',
     );
   }
--- a/test/support/day-search.ts
+++ b/test/support/day-search.ts
@@ -48,15 +48,15 @@
  * and the last confirmed cancellation; by then every lease that is not renewed has expired too.
  */
 async function runScenario(
-  { events, ...day }: TimedFaultScenario,
-  troubles: Record<string, Trouble>,
+  { events, ...scenario }: TimedFaultScenario,
+  faults: Record<string, Trouble>,
 ): Promise<void> {
-  const world = await beginDay({ ...day, events: [] });
+  const world = await beginDay({ ...scenario, events: [] });
   for (const { what, number, gap } of events) {
-    troubles[what]!(world, number);
+    faults[what]!(world, number);
     await runWithChecks(world, gap);
   }
-  const until = Math.max(...world.toldAt.values(), world.now) + day.times.cancelS;
+  const until = Math.max(...world.toldAt.values(), world.now) + scenario.times.cancelS;
   while (world.now <= until) await runWithChecks(world, CHECK_INTERVAL_TENTHS);
   world.deliverHeldBack();
   checkInvariants(world);
@@ -64,12 +64,12 @@
 
 /** Runs random scenarios; fails with the shortest one found that violates an invariant. */
 export async function assertDays(
-  day: fc.Arbitrary<TimedFaultScenario>,
-  troubles: Record<string, Trouble>,
+  scenario: fc.Arbitrary<TimedFaultScenario>,
+  faults: Record<string, Trouble>,
   { seed, runs }: { seed: number; runs: number },
 ): Promise<void> {
   await fc.assert(
-    fc.asyncProperty(day, (each) => runScenario(each, troubles)),
+    fc.asyncProperty(scenario, (each) => runScenario(each, faults)),
     {
       seed,
       numRuns: runs,
--- a/test/support/report-loop.ts
+++ b/test/support/report-loop.ts
@@ -6,7 +6,7 @@
 /** Seconds until a worker that got no usable answer tries the next controller, as the protocol specifies. */
 const NEXT_CONTROLLER_S = 1;
 
-/** Behaviour of a worker that the protocol leaves to be chosen. */
+/** Options of a worker's heartbeats. */
 export interface HeartbeatLoopOptions {
   /**
    * A higher token makes the worker send its next heartbeat early. The protocol requires this, but the
