--- a/scripts/lending.ts
+++ b/scripts/lending.ts
@@ -1,7 +1,7 @@
 /**
- * A serving spike that borrows GPUs from batch jobs with deadlines, with lending and with ordinary preemption
- * by turns: three controllers as real processes on loopback against the stand-ins of the tests, the leader
- * killed in every other pair. Tells whether deadlines were met, with how much to spare, and at what cost.
+ * Runs a serving spike that needs GPUs of batch jobs with deadlines, alternately with lending and with ordinary
+ * preemption. Three controllers run as real processes on loopback against the stand-ins of the tests, and the
+ * leader is killed in every second pair. Prints whether deadlines were met, the slack, and the costs.
  *
  *     npm run lending -- --pairs 10
  */
@@ -14,8 +14,8 @@
 
 const outcomes: Record<Condition, ScenarioOutcome[]> = { lending: [], ordinary: [] };
 
-/** A pair: the same trouble and the same order of submissions, with and without lending. */
-async function playPair(pair: number): Promise<void> {
+/** Runs a pair: the same fault and the same order of submissions, with and without lending. */
+async function runPair(pair: number): Promise<void> {
   const order: Condition[] = pair % 4 < 2 ? ['lending', 'ordinary'] : ['ordinary', 'lending'];
   for (const condition of order) {
     const scenario = new Scenario({
@@ -49,23 +49,28 @@
     `deadlines met ${met} of ${batch.length}`,
     `slack of the tight job ${spread(slack(TIGHT, true))} s, of the patient one ${spread(slack(TIGHT, false))} s`,
     `first answer of the spike ${spread(list.map((o) => o.firstAnswerS))} s`,
-    `stopped work back after the spike ${spread(list.map((o) => o.returnS))} s`,
+    `stopped work resumed after the spike ${spread(list.map((o) => o.returnS))} s`,
     `repeated work ${spread(list.map((o) => o.repeatedS))} s`,
-    `changes of the store ${spread(list.map((o) => o.writes), 0)}`, // prettier-ignore
+    `store revisions ${spread(list.map((o) => o.writes), 0)}`, // prettier-ignore
     `loans ${loans.length}, resumed ${resumed}`,
-    `rules broken ${list.reduce((sum, o) => sum + o.violations.length, 0)}`,
+    `rule violations ${list.reduce((sum, o) => sum + o.violations.length, 0)}`,
   ];
   process.stdout.write(`${condition}, ${list.length} runs: ${lines.join('; ')}\n`);
 }
 
 const program = new Command('lending')
-  .option('--pairs <n>', 'runs with lending and with ordinary preemption, by turns', positive, 10)
-  .option('--at-once <n>', 'pairs that are played side by side', positive, 1)
+  .option(
+    '--pairs <n>',
+    'runs with lending and with ordinary preemption, alternating',
+    positive,
+    10,
+  )
+  .option('--at-once <n>', 'pairs that run in parallel', positive, 1)
   .parse();
 const options = program.opts<{ pairs: number; atOnce: number }>();
 for (let pair = 0; pair < options.pairs; pair += options.atOnce) {
   const count = Math.min(options.atOnce, options.pairs - pair);
-  await Promise.all(Array.from({ length: count }, (_, i) => playPair(pair + i)));
+  await Promise.all(Array.from({ length: count }, (_, i) => runPair(pair + i)));
 }
 report('lending');
 report('ordinary');
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -1,6 +1,6 @@
 import { HttpStandIn, type Answer, type Json } from './http.js';
 import type { RuleChecker } from './rules.js';
-import { Worker, type FleetTimes, type Surroundings } from './worker.js';
+import { Worker, type FleetTimes, type FleetContext } from './worker.js';
 
 /** GPUs of the only machine type. */
 export const MACHINE_GPUS = 8;
@@ -10,20 +10,20 @@
   hourly: 10, spot_price: 3, startup_s: 0.3, yards: ['z1', 'z2'],
 }; // prettier-ignore
 
-/** The cloud: rents machines of one type, each with its worker. */
+/** Stand-in of the cloud: rents machines of one type, each with a worker. */
 export class Cloud extends HttpStandIn {
-  readonly around: Surroundings;
+  readonly around: FleetContext;
   bootMs = 200;
-  /** Machines that it has in all. */
+  /** Greatest number of machines that it ever rents. */
   most = Infinity;
-  /** The nominal boot that it tells, in seconds. */
+  /** Nominal boot time that it reports for the machine type, in seconds. */
   nominalBootS = MACHINE_TYPE.startup_s;
-  /** What was rented when, in ms, by the name of its request. */
+  /** Machines of each rental, with the name of the request and the time in ms. */
   readonly rentals: { hire: string; ids: string[]; at: number }[] = [];
   /** When each machine was rented, in ms. */
   private readonly rentedAt = new Map<string, number>();
-  private readonly hires = new Map<string, string[]>();
-  /** Machines that were ever rented. */
+  private readonly machinesByRequest = new Map<string, string[]>();
+  /** Number of machines rented so far. */
   counted = 0;
 
   constructor(
@@ -49,17 +49,17 @@
 
   private rent(body: Json): Answer {
     const hire = body.hire as string;
-    const known = this.hires.get(hire);
+    const known = this.machinesByRequest.get(hire);
     if (known !== undefined) return [200, { benches: known }];
     const count = Math.min(body.number as number, this.most - this.counted);
     if (count <= 0) return [503, { error: 'no capacity' }];
-    const benches = Array.from({ length: count }, () => this.boot(body));
-    this.hires.set(hire, benches);
+    const benches = Array.from({ length: count }, () => this.startMachine(body));
+    this.machinesByRequest.set(hire, benches);
     this.rentals.push({ hire, ids: benches, at: Date.now() });
     return [200, { benches }];
   }
 
-  private boot({ casting, yard, loaner }: Json): string {
+  private startMachine({ casting, yard, loaner }: Json): string {
     const id = `host-${String(++this.counted).padStart(6, '0')}`;
     const place = { type: casting as string, zone: yard as string, spot: loaner as boolean };
     const worker = new Worker(this.around, id, place);
@@ -78,7 +78,7 @@
     return [200, { benches, more: false }];
   }
 
-  /** Ends the cloud with all its machines. */
+  /** Closes the cloud and ends all its machines. */
   override close(): void {
     for (const worker of this.rules.workers.values()) worker.end();
     super.close();
