--- a/src/leader/attempts/heartbeat-reconciler.ts
+++ b/src/leader/attempts/heartbeat-reconciler.ts
@@ -8,9 +8,9 @@
 import type { MachineHealth } from './machine-health.js';
 import type { TermState } from '../term/term-state.js';
 
-/** First cordon of a machine that did not carry out a start, in heartbeat intervals. */
+/** Length of the first cordon of a machine that did not carry out a start, in heartbeat intervals. */
 const REJECTED_START_CORDON_HEARTBEATS = 2;
-/** First cordon of a machine whose agent restarted, in heartbeat intervals. */
+/** Length of the first cordon of a machine whose agent restarted, in heartbeat intervals. */
 const RESTART_CORDON_HEARTBEATS = 1;
 
 /** Updates jobs from the observed state of their attempts. */
@@ -129,7 +129,7 @@
     job.recordRunTime(ranS, this.term.context.settings.workers.lease_s);
   }
 
-  /** Stops the remaining tasks of a gang that has lost one, except those that were asked to stop before. */
+  /** Stops the remaining tasks of a gang that has lost one. Those already asked to stop may finish saving. */
   private stopRestOfGang(job: LiveJob, attempt: Attempt): void {
     for (const other of [...job.activeAttempts()]) {
       if (other.number === attempt.number && other.stopRequest === null)
--- a/src/leader/attempts/machine-health.ts
+++ b/src/leader/attempts/machine-health.ts
@@ -16,8 +16,8 @@
 const FAILURE_WINDOW_LEASES = 12;
 /** Longest retry delay of a task whose job fails on every machine, in leases. */
 const MAX_RETRY_DELAY_LEASES = 6;
-/** A machine is faulty from this many failures: of tasks of jobs with a success elsewhere, and of other jobs. */
-const QUARANTINE_MIN_JOBS = 2;
+/** A machine is faulty from this many recent failures; those of a job that has succeeded nowhere count as one. */
+const QUARANTINE_MIN_FAILURES = 2;
 
 /** Dependencies of `MachineHealth`. */
 export interface MachineHealthOptions {
@@ -35,7 +35,7 @@
 export class MachineHealth {
   constructor(private readonly options: MachineHealthOptions) {}
 
-  /** Places nothing new on a machine for a time that doubles with each call, until a task succeeds there. */
+  /** Places nothing new on a machine for a time that doubles with each call; a success there resets it. */
   cordon(machine: Machine, firstS: number): void {
     const maxS = this.options.workers.lease_s * MAX_CORDON_LEASES;
     machine.condition.cordonedUntil = Math.max(
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Quarantines a machine on which tasks of several jobs have failed that are not known to fail elsewhere. */
+  /** Quarantines a machine after failures of jobs that have succeeded somewhere or have failed on no other machine. */
   private quarantineIfFaulty(machine: Machine): void {
     const windowStart =
       this.options.clock.now() - this.options.workers.lease_s * FAILURE_WINDOW_LEASES;
@@ -101,7 +101,7 @@
       else if (this.options.jobs.get(id)?.failedOn.size === 1) unprovenJobs.add(id);
     }
     if (
-      provenJobFailures + unprovenJobs.size >= QUARANTINE_MIN_JOBS &&
+      provenJobFailures + unprovenJobs.size >= QUARANTINE_MIN_FAILURES &&
       !machine.condition.quarantined
     ) {
       machine.condition.quarantined = true;
--- a/src/leader/attempts/start-permission.ts
+++ b/src/leader/attempts/start-permission.ts
@@ -4,7 +4,7 @@
 import type { Attempt } from '../../workers/attempt.js';
 import type { TermState } from '../term/term-state.js';
 
-/** Whether its job is open and ready, its task not done, its machine ready and, for a gang, every claim stored. */
+/** Whether the job is open and ready, the task not done, the machine ready and, for a gang, every claim stored. */
 export function mayStart(term: TermState, attempt: Attempt): boolean {
   const job = term.jobs.get(attempt.job);
   const machine = term.machines.get(attempt.machine);
--- a/src/leader/capacity/free-capacity.ts
+++ b/src/leader/capacity/free-capacity.ts
@@ -95,7 +95,7 @@
   }
 }
 
-/** Share of the image cache up to which certainly nothing is evicted. */
+/** While no more than this share of the image cache was fetched, certainly nothing was evicted. */
 const NO_EVICTION_CACHE_SHARE = 0.8;
 
 interface MachineEntry {
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -13,7 +13,7 @@
 const NO_HEARTBEAT_BOOTS = { booting: 6, running: 4, failed: 0 } as const;
 /** Leases added to that, as time for its first heartbeat. */
 const NO_HEARTBEAT_LEASES = 2;
-/** Leases from the start of a term until machines without a heartbeat are returned: all others have sent one by then. */
+/** Leases from the start of a term until machines without a heartbeat are returned: others have sent one by then. */
 const SETTLE_LEASES = 3;
 /** Leases after which a silent machine is returned; until then it may send heartbeats again. */
 const SILENT_RETURN_LEASES = 4;
@@ -26,7 +26,7 @@
 /** How long a machine must have been idle, in boot times: as a rule, and with a large surplus or on spot. */
 const IDLE_BOOTS = 1;
 const EARLY_IDLE_BOOTS = 0.4;
-/** Share of the minimum charge for which a machine is not returned. */
+/** A machine is not returned before this share of the minimum charged time has passed. */
 const MIN_CHARGE_SHARE = 0.92;
 
 /** Plans which machines a term returns. */
@@ -160,7 +160,7 @@
 
   /** Whether a machine is surplus: above the reserve by a margin that prevents repeated scaling in and out. */
   private isSurplus(machine: Machine, type: MachineType, idle: number, surplus: number): boolean {
-    // Without a reserve even the last machine is returned; otherwise it stays for the rest of the day.
+    // Without a reserve even the last machine is returned. With the usual margin it stayed for the rest of the day.
     const hasNoReserve =
       this.term.jobs.size === 0 || (machine.spot && this.warmReserve.target(true) === 0);
     if (surplus < (hasNoReserve ? NO_RESERVE_SURPLUS_MACHINES : RETURN_SURPLUS_MACHINES))
--- a/src/leader/capacity/scale-out-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -146,7 +146,7 @@
     }));
   }
 
-  /** Machines that are silent for too long; none if so many are silent that the fault may be this controller's. */
+  /** Machines that have been silent for too long; none if so many are that the fault may be this controller's. */
   private silentMachines(): Set<Machine> {
     const { term } = this.options;
     const { now } = term;
--- a/src/leader/scheduling/job-placement.ts
+++ b/src/leader/scheduling/job-placement.ts
@@ -170,7 +170,7 @@
     this.claimTask(job, index, capacity);
   }
 
-  /** Whether the job itself, rather than the machines, causes failures: its tasks fail everywhere. */
+  /** Whether the job is the likely cause of its failures, not the machines: its tasks fail wherever they start. */
   private isSuspect(job: LiveJob): boolean {
     if (job.hasSucceeded || job.failedOn.size < SUSPECT_JOB_MACHINE_COUNT) return false;
     const { lease_s } = this.term.context.settings.workers;
--- a/src/leader/scheduling/machine-eligibility.ts
+++ b/src/leader/scheduling/machine-eligibility.ts
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Best-effort work goes to spot machines while these are available. On ordinary machines it gets only
-   * the gaps on machines that other work needs anyway: a gap costs nothing, but an empty machine could
+   * Best-effort work goes to spot machines while these are available. Meanwhile it gets, on ordinary machines,
+   * only the gaps on those that other work needs anyway: a gap costs nothing, but an empty machine could
    * be returned. Warm capacity of both kinds stays free: gangs that found it full of array tasks waited
    * until those had saved, which took longer than a gang may wait.
    */
--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -169,7 +169,7 @@
     };
   }
 
-  /** Tasks that the job may preempt. Most machines have none, which their lowest priority shows. */
+  /** Tasks that the job may preempt. On most machines their lowest priority already rules them all out. */
   private victimsOf(job: LiveJob, { lowestPriority, victims }: PreemptionCandidate): VictimTask[] {
     const highest = job.spec.priority - (job.isGuaranteed ? 1 : 0);
     if (lowestPriority <= highest) return [];
@@ -271,7 +271,7 @@
   return soonest;
 }
 
-/** The cheapest preemption for one task. Its victims are removed from the remaining options. */
+/** Chooses the cheapest preemption for one task, and counts what its victims use as free in that option. */
 function cheapestChoice(
   spec: JobSpec,
   options: PlacementOption[],
--- a/src/leader/scheduling/replica-migrations.ts
+++ b/src/leader/scheduling/replica-migrations.ts
@@ -116,8 +116,8 @@
   }
 
   /**
-   * Drains one machine whose replicas fit elsewhere. So few replicas of a class move within some leases
-   * that the availability of the class is not noticeably lower.
+   * Drains one machine whose replicas fit elsewhere. So few replicas of a class move within
+   * `MIGRATION_WINDOW_LEASES` leases that the availability of the class is not noticeably lower.
    */
   drainMachine(
     capacities: FreeCapacity[],
@@ -208,7 +208,7 @@
     return windowS / Math.max(MIN_MIGRATIONS, Math.floor(share));
   }
 
-  /** Whether these replicas may move too: only a small share of a class may within some leases. */
+  /** Whether these replicas may move too: within the window, `minMoves` or `MIGRATION_SHARE` of each class may. */
   private migrationBudget(minMoves = 0): (replicasToMove: { spec: JobSpec }[]) => boolean {
     const { now } = this.term;
     const { lease_s } = this.term.context.settings.workers;
--- a/src/pipelines/dependency-graph.ts
+++ b/src/pipelines/dependency-graph.ts
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Cancels jobs with their dependencies. If a job has several such dependencies, the oldest counts. */
+  /** Cancels jobs whose dependencies are cancelled. Of several cancellations the oldest one counts. */
   private propagateCancellations(): void {
     const cancelledJobs: StoredJob[] = [];
     for (const id of this.dependents.keys()) {
--- a/src/scheduler/bin-packing.ts
+++ b/src/scheduler/bin-packing.ts
@@ -18,7 +18,7 @@
   total: Resources;
   /** Share of the machine used by tasks that stop quickly when told to, see `stopsQuickly`. */
   quicklyFreedShare?: number;
-  /** The hot images that are cached there, if the machine can tell them at less cost. */
+  /** The hot images that are cached there; optional, so that the others need not be checked one by one. */
   cachedHotImages?(hot: HotImage[]): HotImage[];
 }
 
@@ -36,7 +36,7 @@
   mayUse?: (capacity: FreeCapacity) => boolean;
 }
 
-/** Whether a job allows a machine's type and zone, and spot machines if it is one. */
+/** Whether a job allows a machine's type and zone and, if the machine is a spot machine, allows spot. */
 export function isAllowedOn(
   spec: JobSpec,
   machine: { type: string; zone: string; spot: boolean },
--- a/src/scheduler/fetch-times.ts
+++ b/src/scheduler/fetch-times.ts
@@ -3,7 +3,7 @@
 const MIN_SAMPLES = 8;
 /** Share of fetches that should be in time where a start is predicted to be in time. */
 const ON_TIME_SHARE = 0.75;
-/** Ratios beyond this are ignored: the machine hung, or other fetches shared its bandwidth. */
+/** Ratios above this or below its inverse are ignored: the machine hung, or fetches shared its bandwidth. */
 const MAX_RATIO = 3;
 
 /**
--- a/test/large-term.test.ts
+++ b/test/large-term.test.ts
@@ -19,7 +19,7 @@
 /** Heartbeats that are sent at the same time. */
 const CONCURRENT_HEARTBEATS = 50;
 
-test('a term begins with thousands of machines and tens of thousands of running tasks, and knows them all', async () => {
+test('a term begins with thousands of machines and tens of thousands of running tasks, and knows all of these', async () => {
   const state = new StateService();
   const teams = new Map<string, number>();
   const rules = new RuleChecker({ cancelS: 60, teams, machineGpus: MACHINE_GPUS });
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -221,7 +221,7 @@
     );
     assert.deepEqual(world.fleet.violations, [], name);
   };
-  for (const when of ['at once', 'after it has heard the machine', 'after a change'] as const) {
+  for (const when of ['at once', 'after a heartbeat of the machine', 'after a change'] as const) {
     world.failOver();
     if (when === 'at once') {
       for (let i = 0; i < 2; i++) world.exchangeHeartbeat(third);
--- a/test/scheduling-cycle.test.ts
+++ b/test/scheduling-cycle.test.ts
@@ -19,7 +19,7 @@
   assert.deepEqual(
     [world.activeTasksOn('a', array.id), world.activeTasksOn('b', array.id)],
     [0, 0],
-    'told to stop',
+    'all tasks of the array were asked to stop',
   );
   // One machine is free before the other. When lower-priority work took it at once, gangs waited for minutes.
   world.confirmClaims('a', true);
