--- a/src/leader/scheduling/unplaced-requests.ts
+++ b/src/leader/scheduling/unplaced-requests.ts
@@ -18,7 +18,7 @@
  * machines that they may use differ from job to job.
  */
 export class UnplacedRequests {
-  /** Sizes that fit nowhere, by the other properties that decide on machines: `flagsOf`, request kind. */
+  /** Sizes that fit nowhere, by `flagsOf` and request kind, on which the usable machines depend too. */
   private readonly sizesByFlags = [0, 1, 2, 3].map(() => new Map<string, Resources[]>());
 
   /** Called when a task of the job found no capacity and none can be made for it. */
--- a/src/leader/writes/due-writes.ts
+++ b/src/leader/writes/due-writes.ts
@@ -56,7 +56,7 @@
       const urgency = write.write.urgent === true ? URGENT : SUBSYSTEM_RECORDS;
       due.push({ urgency, operations, encode: () => writes.subsystemRecord(write) });
     }
-    return due.sort((due, entry) => due.urgency - entry.urgency);
+    return due.sort((a, b) => a.urgency - b.urgency);
   }
 
   private addProgress(job: LiveJob, now: number, due: DueWrite[]): void {
--- a/test/meeting-ends.test.ts
+++ b/test/meeting-ends.test.ts
@@ -28,8 +28,11 @@
   assert.deepEqual(world.fleet.violations, []);
   assert.equal(world.term.jobs.size, 0);
   for (const id of jobs) {
-    const over = outcome(world.replica.jobs.get(id)!);
-    assert.ok(over === 'done' || (over === 'cancelled' && world.fleet.cancelled.has(id)), id);
+    const finalOutcome = outcome(world.replica.jobs.get(id)!);
+    assert.ok(
+      finalOutcome === 'done' || (finalOutcome === 'cancelled' && world.fleet.cancelled.has(id)),
+      id,
+    );
     assert.ok((world.fleet.starts.get(`${id}/0`) ?? 0) <= 1, id);
   }
 });
@@ -43,7 +46,7 @@
       'done',
     ],
     [
-      'its answer is lost',
+      'the end is stored, but the answer is lost',
       async (world) => {
         await world.writeOnceInMode('lose answers');
         world.cancel(JOB);
@@ -51,7 +54,7 @@
       'done',
     ],
     [
-      'it is carried out late',
+      'the end is stored after the cancellation',
       async (world) => {
         await world.writeOnceInMode('hold back');
         world.cancel(JOB);
@@ -60,7 +63,7 @@
       'cancelled',
     ],
     [
-      'it is carried out late, just before the cancellation',
+      'the end is stored late, just before the cancellation',
       async (world) => {
         await world.writeOnceInMode('hold back');
         world.store.deliverHeldBack();
@@ -79,8 +82,8 @@
       world.exchangeHeartbeat(worker);
       await interfere(world);
       // The leader's record of the end may be refused, but no second record may change the outcome.
-      const told = outcome(world.store.feed(world.replica).jobs.get(JOB)!);
-      assert.equal(told, want, name);
+      const storedOutcome = outcome(world.store.feed(world.replica).jobs.get(JOB)!);
+      assert.equal(storedOutcome, want, name);
       const at = world.store.revision(records.progressKey(JOB, 0));
       if (failsOver && want !== 'done') world.failOver();
       await world.run(4);
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -26,7 +26,7 @@
 });
 
 test('a job that is cancelled while its leader ends does not start again and is removed', async () => {
-  // How the cancellation becomes known: by a report or the old leader's own read, or only to the next leader.
+  // How a leader learns of the cancellation: the old one reads it or gets a report, or only the next one reads it.
   const ways = ['no change', 'by the old leader', 'by the next', 'by word of another'] as const;
   for (const seen of ways) {
     for (const [name, until] of STAGES) {
@@ -103,9 +103,9 @@
 test('tasks on machines without contact to the new leader are not started elsewhere for a lease', async () => {
   type Trouble = (worker: Worker) => void;
   const cases: [string, Trouble, Trouble][] = [
-    ['reports lost', (worker) => (worker.mute = true), () => undefined],
+    ['heartbeats lost', (worker) => (worker.mute = true), () => undefined],
     [
-      'reports lost, then delivered',
+      'heartbeats lost, then delivered',
       (worker) => (worker.mute = true),
       (worker) => (worker.mute = false),
     ],
--- a/test/pipeline-leader.test.ts
+++ b/test/pipeline-leader.test.ts
@@ -63,12 +63,12 @@
   assert.deepEqual(world.fleet.violations, []);
 });
 
-test('a task does not start if an older cancellation of its dependency takes effect late', async () => {
+test('a task does not start if its leader has not yet read an older cancellation of its dependency', async () => {
   const world = worldWith(['a']);
   world.submitJob({ id: FIRST });
   world.submitJob({ id: SECOND, dependencies: [FIRST] });
   await world.run(2);
-  // This leader's replica ends before the cancellation; its own commit of the end succeeds after it.
+  // This leader has not read the cancellation yet, and its own commit of the end succeeds after it.
   world.store.cancel(FIRST);
   finish(world, FIRST);
   world.exchangeHeartbeat(world.fleet.workers.get('a')!);
@@ -166,7 +166,7 @@
   );
 });
 
-test('the record of a machine full of small tasks fits into a value, under the next limits', async () => {
+test('the record of a machine full of small tasks fits into a value of the store, with a limit of 2 KiB', async () => {
   const world = worldWith(['a']);
   world.settings.state.value_kb = 2;
   world.failOver();
--- a/test/scheduler-rules.test.ts
+++ b/test/scheduler-rules.test.ts
@@ -187,7 +187,7 @@
   assert.equal(reservedForLongWork(100, 0.2, 0), 0);
 });
 
-test('preemption costs least and stops no more tasks than needed', () => {
+test('preemption takes the cheapest machine and stops no more tasks than needed', () => {
   const makeVictim = (id: string, gpus: number, lossS: number) => ({
     id,
     group: id,
--- a/test/support/leader-world.ts
+++ b/test/support/leader-world.ts
@@ -64,7 +64,7 @@
   othersRenewal = { keptUntil: -Infinity, provenAt: Infinity };
   /** How often the leader has asked a majority for a proof of these renewals. */
   proofsRequested = 0;
-  machinesGivenBack: string[] = [];
+  machinesReturned: string[] = [];
   /** Offset of the time of day on the leader's machine after a clock jump. */
   wallJumpMs = 0;
 
