--- a/src/cancellation/cancellation-broadcast.ts
+++ b/src/cancellation/cancellation-broadcast.ts
@@ -165,7 +165,7 @@
     const { lease_s, report_s, cancel_s } = this.options.settings.workers;
     const { keptUntil, provenAt } = this.options.zoneLeases.zone(zone);
     const isKeyPresent = provenAt < Infinity;
-    // The last renewal, then one lease: both must have passed within `cancel_s`.
+    // The last renewal, then 1.1 leases and a heartbeat interval: all of it must have passed within `cancel_s`.
     const tasksEndBy = keptUntil + lease_s * 1.1 + report_s;
     return isKeyPresent ? report_s : tasksEndBy - (this.options.clock.now() + cancel_s);
   }
--- a/src/heartbeat/heartbeat-handler.ts
+++ b/src/heartbeat/heartbeat-handler.ts
@@ -26,9 +26,9 @@
  * a lease.
  */
 export const RENEWAL_WAIT_SHARE = 0.875;
-/** Share of the time that a worker waits for an answer that a request to the leader may take. */
+/** Time limit of a request to the leader, as a share of the time that a worker waits for an answer. */
 export const LEADER_WAIT_SHARE = 0.25;
-/** The same for a request to another controller that forwards it to the leader. */
+/** The same for a request to another controller, which forwards it to the leader. */
 const RELAY_WAIT_SHARE = 0.3;
 
 interface HeartbeatHandlerOptions {
@@ -40,7 +40,7 @@
   /** Only where this controller is its zone's lease holder. */
   zoneLeaseHolder: ZoneLeaseHolder | null;
   zoneLeases: ZoneLeaseWatch;
-  /** Whether another controller is too late, by its latest health data. */
+  /** Whether another controller is too late to lead, by fresh health data. */
   isLate: (node: string) => boolean;
   leader: () => Leader | null;
   /** Whether this controller knows from any source that the job is cancelled. */
--- a/src/heartbeat/redirects.ts
+++ b/src/heartbeat/redirects.ts
@@ -23,7 +23,7 @@
   replica: Pick<Replica, 'leader'>;
   store: Pick<KeyValueStoreClient, 'health'>;
   zoneLeases: Pick<ZoneLeaseWatch, 'holderOf' | 'isSteady'>;
-  /** Whether another controller is too late, by its latest health data. */
+  /** Whether another controller is too late to lead, by fresh health data. */
   isLate: (node: string) => boolean;
   clock: Clock;
 }
--- a/src/leadership/leader-acknowledgements.ts
+++ b/src/leadership/leader-acknowledgements.ts
@@ -13,8 +13,8 @@
 /** How often a leader asks those that have not acknowledged it, per workers' lease. */
 const REQUESTS_PER_LEASE = 20;
 /**
- * Workers' leases after which a controller writes its acknowledgement to the store, unless the leader has asked for it by
- * the peer link.
+ * Time, in workers' leases, after which a controller writes its acknowledgement to the store, unless the leader has asked
+ * for it by the peer link.
  */
 const STORE_FALLBACK_LEASES = 0.1;
 
--- a/src/leadership/outage-quorum.ts
+++ b/src/leadership/outage-quorum.ts
@@ -99,7 +99,7 @@
     if (this.acknowledged > token || (knownLeader !== null && knownLeader.revision > token)) {
       return { refused: false };
     }
-    // A mere candidate may answer: in an outage it may campaign again and again.
+    // A leader does not confirm an outage to others. A candidate does: in an outage it may campaign again and again.
     if (this.options.leads()) return { refused: false };
     const forS = Math.min(forMs / 1000, leaseTtlS);
     const promise = this.promises.make(this.now + forS * (1 + 2 * MAX_CLOCK_DRIFT));
@@ -110,7 +110,7 @@
     } catch (error) {
       if (error instanceof RequestRejectedError && error.status === 503) {
         promise.confirm();
-        // The outage may have kept the last cancellations from the leader, but their tasks must end too.
+        // Because of the outage the leader may not have read the last cancellations, but their tasks must end too.
         const cancelled = events.cancelledSince(applied);
         if (!replicaSync.ready || !fitInOneFrame(cancelled)) return {};
         const freshAgeS = this.now - replicaSync.freshAt;
--- a/src/leadership/quorum-acknowledgement.ts
+++ b/src/leadership/quorum-acknowledgement.ts
@@ -42,9 +42,9 @@
   }
 
   /** Records a controller's acknowledgement; only its first one counts. */
-  record(node: string, acknowledged: LeaderAcknowledgement): void {
+  record(node: string, acknowledgement: LeaderAcknowledgement): void {
     if (!this.promiseEnds.has(node))
-      this.promiseEnds.set(node, this.clock.now() + acknowledged.remainsS);
+      this.promiseEnds.set(node, this.clock.now() + acknowledgement.remainsS);
   }
 
   /** Steady time until which others may renew, or may have renewed, leases with an older token. */
--- a/src/leadership/renewal-allowance.ts
+++ b/src/leadership/renewal-allowance.ts
@@ -16,8 +16,8 @@
 const LEASE_END_LEASES = 1.1 * (1 + 2 * MAX_CLOCK_DRIFT);
 
 /**
- * Seconds after which a stored cancellation is confirmed to users although no majority of controllers is
- * known to know of it. Users repeat a cancellation for 60 s (protocol); this is three quarters of that.
+ * Seconds after which a stored cancellation is confirmed to users even if no majority of controllers is
+ * known to have noted it. Users repeat a cancellation for 60 s (protocol); this is three quarters of that.
  */
 export const UNACKNOWLEDGED_CONFIRM_S = 45;
 
--- a/src/leadership/term-entitlement.ts
+++ b/src/leadership/term-entitlement.ts
@@ -14,7 +14,8 @@
 /**
  * The entitlement of one term of leadership, in steady seconds. While it lasts, it is extended by a renewal of the
  * leader's lease or by the confirmation of a majority in an outage. Once it has lapsed, the term is over, whatever arrives
- * later: others may have acted for the leader meanwhile, of which only a new election with a new acknowledgement learns.
+ * later: others may have acted in place of the leader meanwhile, and a leader learns of that only by the acknowledgement of
+ * a new election.
  */
 export class TermEntitlement {
   private lapsed = false;
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -30,8 +30,8 @@
 /**
  * TTL of the key's lease: the smaller one of these shares, of a worker's lease and of the time that a worker waits
  * for an answer to a heartbeat. The holder must answer before its workers try other controllers, none of which they
- * can reach. By a worker's lease alone, one of 15 s, the holder began to renew only after the workers whose
- * heartbeats came first after the cut had left.
+ * can reach. When the TTL was a share of the worker's lease alone, one of 15 s, the holder began to renew too late: the
+ * workers that had sent the first heartbeats after the zone was cut off had already left.
  */
 const TTL_LEASES = 0.1;
 const TTL_ANSWER_WAITS = 0.25;
@@ -42,7 +42,7 @@
  * their full time again, and half a TTL for late expiry.
  */
 const RENEWAL_DELAY_TTLS = 3.5;
-/** Maximum time for which a holder renews leases, in workers' leases; in a longer cut they expire. */
+/** Maximum time for which a holder renews leases, in workers' leases; if its zone is cut off for longer, they expire. */
 const MAX_RENEWAL_LEASES = 7;
 /** Renewals of the key per TTL. */
 const RENEWALS_PER_TTL = 4;
--- a/src/time-of-day.ts
+++ b/src/time-of-day.ts
@@ -38,7 +38,7 @@
     this.offsetMs = options.wallMs() - this.lastReadAt * 1000;
   }
 
-  /** Whether the machine's clock shows another time at present than the one that counts. */
+  /** Whether the machine's clock differed from this time of day by more than its known bounds at the last call of `nowMs`. */
   get doubted(): boolean {
     return this.jumpedSince !== null;
   }
@@ -81,7 +81,7 @@
     this.initialJumps = timeOfDay.jumps;
   }
 
-  /** Whether the machine's clock shows another time at present than the one that counts. */
+  /** Whether the machine's clock differed from this time of day by more than its known bounds at the last call of `nowMs`. */
   get doubted(): boolean {
     return this.timeOfDay.doubted;
   }
--- a/src/workers/machine-condition.ts
+++ b/src/workers/machine-condition.ts
@@ -1,10 +1,13 @@
 /** What failed tasks indicate about a machine: whether it is cordoned for a while, or quarantined. */
 export class MachineCondition {
-  /** No new work before this time, since a task failed or was refused here; seconds of the steady clock. */
+  /**
+   * No new work before this time, since a task failed or a start was refused here, or the agent restarted; seconds of
+   * the steady clock.
+   */
   cordonedUntil = -Infinity;
-  /** Number of cordons since the last success. */
+  /** Number of cordons since the last success, up to a limit; each doubles the time of the next one. */
   cordonCount = 0;
-  /** Tasks that failed here since the last success, as `job/index`, and when. */
+  /** Tasks that failed here recently and since the last success, as `job/index`, and when. */
   readonly taskFailures = new Map<string, number>();
   /** Tasks of jobs that succeed elsewhere fail here: it gets no new work and is returned. */
   quarantined = false;
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -75,7 +75,7 @@
     this.lastSeenAt = knownAt;
     this.idleSince = knownAt;
     // The former leader may have renewed its lease until this term began; a substitute slightly longer, if a
-    // store outage had ended at that time.
+    // store outage had just ended then.
     this.leaseExpiresAt =
       knownAt + this.maxLeaseDurationS() + this.leaseS * SUBSTITUTE_RENEWAL_SHARE;
   }
--- a/test/frozen-controllers-random.test.ts
+++ b/test/frozen-controllers-random.test.ts
@@ -82,7 +82,7 @@
   events,
 });
 
-// Guards against a leader that was frozen during an outage, and starts tasks that others have kept running.
+// Guards against a leader that was frozen during an outage and starts tasks again whose leases others have renewed.
 test('with random freezes and other faults no task is on two machines, and none outlives its cancellation', async () => {
   await assertDays(day, ALL, { seed: SEED, runs: RUNS });
 });
--- a/test/frozen-leader.test.ts
+++ b/test/frozen-leader.test.ts
@@ -3,8 +3,8 @@
  *
  * Guards against tasks on two machines. The leader freezes, the store refuses all controllers, and the others rightly
  * renew leases as substitutes. The outage ends, and the leader resumes before its key has expired, since keys run
- * their full time again after an outage. It could renew the key and continue its term although its entitlement has
- * lapsed, and count leases as expired that were renewed meanwhile. It must end the term instead.
+ * their full time again after an outage. Its entitlement has lapsed, so it must end its term. If it renewed the key and
+ * continued, it would count leases as expired that the others have renewed.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/heartbeat-bytes.test.ts
+++ b/test/heartbeat-bytes.test.ts
@@ -128,10 +128,14 @@
 
 test('a heartbeat gets the same answer directly, forwarded, and by a full parse', async () => {
   seedRandom(20);
-  const [straight, passedOn, plain] = [new LeaderWorld(), new LeaderWorld(), new LeaderWorld()];
+  const [directWorld, forwardedWorld, parsedWorld] = [
+    new LeaderWorld(),
+    new LeaderWorld(),
+    new LeaderWorld(),
+  ];
   const leads = (world: LeaderWorld): HeartbeatHandler =>
     makeHandler({ leader: () => world.leader });
-  const [direct, leader] = [leads(straight), leads(passedOn)];
+  const [direct, leader] = [leads(directWorld), leads(forwardedWorld)];
   const ask: Ask = async (_to, question) => {
     const [asked] = new FrameReader().push(encodeFrame(question)) as [
       { body: Buffer; hop: boolean },
@@ -142,16 +146,16 @@
   const count = { good: 0, malformed: 0, scanned: 0, repeated: 0 };
   const sent: Buffer[] = [];
   for (let i = 1; i <= 3000; i++) {
-    const text = bodyOf(plain.token, i, pick(['m', 'n']));
+    const text = bodyOf(parsedWorld.token, i, pick(['m', 'n']));
     const kind = random();
     const body = kind < 0.4 ? Buffer.from(text) : kind < 0.5 && i > 1 ? pick(sent) : mutate(text);
     sent.push(body);
-    for (const world of [straight, passedOn, plain]) world.fleet.now += 0.01;
+    for (const world of [directWorld, forwardedWorld, parsedWorld]) world.fleet.now += 0.01;
     const heartbeat = decodeOrNull(body);
     const scanned = scanHeartbeat(body);
     const last =
       heartbeat &&
-      straight.term.machines.get(heartbeat.machine)?.lastHeartbeat.decodeRepetition(body);
+      directWorld.term.machines.get(heartbeat.machine)?.lastHeartbeat.decodeRepetition(body);
     if (heartbeat === null) count.malformed++;
     else count.good++;
     if (heartbeat !== null && scanned !== null) {
@@ -166,15 +170,18 @@
       count.repeated++;
     }
     const want: Reply =
-      heartbeat === null ? { status: 400, body: '{}' } : plain.leader.answerHeartbeat(heartbeat);
+      heartbeat === null
+        ? { status: 400, body: '{}' }
+        : parsedWorld.leader.answerHeartbeat(heartbeat);
     const answer = (reply: Reply): unknown => [reply.status, reply.body];
     assert.deepEqual(answer(await direct.handle(body)), answer(want), body.toString());
-    const onward = await follower.handle(body);
+    const forwardedReply = await follower.handle(body);
     // A leader's 503 is not final: the follower may then renew the lease in its place.
-    if (want.status !== 503) assert.deepEqual(answer(onward), answer(want), body.toString());
+    if (want.status !== 503)
+      assert.deepEqual(answer(forwardedReply), answer(want), body.toString());
     assert.deepEqual(
-      [leaderState(straight), leaderState(passedOn)],
-      [leaderState(plain), leaderState(plain)],
+      [leaderState(directWorld), leaderState(forwardedWorld)],
+      [leaderState(parsedWorld), leaderState(parsedWorld)],
     );
   }
   // The comparisons above prove something only if each kind occurred often.
@@ -184,26 +191,30 @@
 test('a scan returns the same fields as a full parse, or null', () => {
   const found = { machine: 'm', zone: 'z1', token: 5 };
   const text = bodyOf(5, 8);
-  const ahead = (members: string): string => text.replace('{', `{${members},`);
+  const prepend = (members: string): string => text.replace('{', `{${members},`);
   const spaced = JSON.stringify(JSON.parse(text), null, 1);
-  const turned = Object.fromEntries(Object.entries(JSON.parse(text) as object).reverse());
-  const named = (name: string): string => text.replace('"m"', `"${name}"`);
+  const reversed = Object.fromEntries(Object.entries(JSON.parse(text) as object).reverse());
+  const withName = (name: string): string => text.replace('"m"', `"${name}"`);
   const cases: [string, string, object | null][] = [
     ['as workers write it', text, found],
     ['white space', `\t${spaced}\r\n`, found],
-    ['fields in another order', JSON.stringify(turned), found],
-    ['fields inside others', ahead('"x":[{"bench":"o","yard":"z2"},{"hallmark":1}]'), found],
-    ['strings that look like fields and brackets', ahead('"x":["]","}","{",":\'bench\':"]'), found],
+    ['fields in another order', JSON.stringify(reversed), found],
+    ['fields inside others', prepend('"x":[{"bench":"o","yard":"z2"},{"hallmark":1}]'), found],
+    [
+      'strings that look like fields and brackets',
+      prepend('"x":["]","}","{",":\'bench\':"]'),
+      found,
+    ],
     [
       'the last of two equal names counts',
-      ahead('"bench":"o","yard":"z2","hallmark":1,"tally":1'),
+      prepend('"bench":"o","yard":"z2","hallmark":1,"tally":1'),
       found,
     ],
     ['an escaped field name', text.replace('}]}', '}],"b\\u0065nch":"o"}'), null],
-    ['an escape in a name', named('\\u006d'), null],
-    ['a name beyond ASCII', named('é'), null],
-    ['a name that is too long', named('m'.repeat(201)), null],
-    ['an empty name', named(''), null],
+    ['an escape in a name', withName('\\u006d'), null],
+    ['a name beyond ASCII', withName('é'), null],
+    ['a name that is too long', withName('m'.repeat(201)), null],
+    ['an empty name', withName(''), null],
     ['a name that is a number', text.replace('"m"', '31'), null],
     ['no name', text.replace('bench', 'bank'), null],
     ['bytes after the end', `${text}]`, null],
--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -21,7 +21,7 @@
   lags: number[];
   others: (ControllerHealth | null)[];
   /** Age of the other controllers' health data, in heartbeat intervals. */
-  figuresAgeIntervals?: number;
+  healthAgeIntervals?: number;
   leads?: boolean;
   /** Leases since it was elected. */
   ledForLeases?: number;
@@ -49,14 +49,14 @@
   { name: 'late, and so are the others', lags: sixTimes(LATE_S), others: [asLate, asLate], stepDowns: 0 },
   { name: 'late, the store does not serve the others', lags: sixTimes(LATE_S), others: [cutOff, cutOff], stepDowns: 0 },
   { name: 'late, no health data of the others', lags: sixTimes(LATE_S), others: [null, null], stepDowns: 0 },
-  { name: 'late, health data of the others is old but not stale', lags: sixTimes(LATE_S), others: [idle, idle], figuresAgeIntervals: 2.5, stepDowns: 1 },
-  { name: 'late, health data of the others is stale', lags: sixTimes(LATE_S), others: [idle, idle], figuresAgeIntervals: 3.5, stepDowns: 0 },
+  { name: 'late, health data of the others is old but not stale', lags: sixTimes(LATE_S), others: [idle, idle], healthAgeIntervals: 2.5, stepDowns: 1 },
+  { name: 'late, health data of the others is stale', lags: sixTimes(LATE_S), others: [idle, idle], healthAgeIntervals: 3.5, stepDowns: 0 },
   { name: 'late, but it does not lead', lags: sixTimes(LATE_S), others: [idle, idle], leads: false, stepDowns: 0 },
   { name: 'late just after its election', lags: sixTimes(LATE_S), others: [idle, idle], ledForLeases: 1.6, stepDowns: 0 },
   { name: 'its timers are on time, but heartbeats forwarded to it wait', lags: sixTimes(0.01), others: [withForwardingDelay(0.8), withForwardingDelay(0.9)], stepDowns: 1 },
   { name: 'heartbeats of only one controller wait, and that one is slow itself', lags: sixTimes(0.01), others: [withForwardingDelay(0.1), withForwardingDelay(0.9)], stepDowns: 0 },
   { name: 'forwarded heartbeats wait, and the other controllers are late too', lags: sixTimes(0.01), others: [withForwardingDelay(0.8, 0.45), withForwardingDelay(0.9, 0.5)], stepDowns: 0 },
-  { name: 'forwarded heartbeats waited, but that data is stale', lags: sixTimes(0.01), others: [withForwardingDelay(0.8), withForwardingDelay(0.9)], figuresAgeIntervals: 3.5, stepDowns: 0 },
+  { name: 'forwarded heartbeats waited, but that data is stale', lags: sixTimes(0.01), others: [withForwardingDelay(0.8), withForwardingDelay(0.9)], healthAgeIntervals: 3.5, stepDowns: 0 },
   { name: 'late for longer: one transfer only', lags: [...sixTimes(LATE_S), ...sixTimes(LATE_S)], others: [idle, idle], stepDowns: 1 },
 ]; // prettier-ignore
 
@@ -106,7 +106,7 @@
     name,
     lags,
     others,
-    figuresAgeIntervals = 0,
+    healthAgeIntervals: figuresAgeIntervals = 0,
     leads = true,
     ledForLeases = 3,
     stepDowns,
@@ -116,10 +116,10 @@
     const node = new TestController({ now: () => now }, () => leads, undefined, electedAt);
     for (const lag of lags) {
       now += TICK_S;
-      others.forEach((figure, i) => {
+      others.forEach((health, i) => {
         const at = now;
         now -= figuresAgeIntervals * HEARTBEAT_INTERVAL_S;
-        if (figure !== null) node.health.note(`n-${i}`, figure);
+        if (health !== null) node.health.note(`n-${i}`, health);
         now = at;
       });
       node.overload.noteLag(lag, now);
@@ -154,13 +154,13 @@
   let now = 0;
   const node = new TestController({ now: () => now }, () => true);
   for (let i = 0; i < 6; i++) node.overload.noteLag(LATE_S, now);
-  const figures: [string, number, boolean][] = [
+  const healthData: [string, number, boolean][] = [
     ['a', LATE_S * 0.3, true],
     ['b', LATE_S * 0.1, true],
     ['c', LATE_S * 0.2, true],
     ['d', 0, false],
   ];
-  for (const [name, latenessS, served] of figures) node.health.note(name, { latenessS, served });
+  for (const [name, latenessS, served] of healthData) node.health.note(name, { latenessS, served });
   assert.equal(node.health.healthier(), 'b');
   assert.deepEqual(
     ['a', 'b', 'nobody'].map((name) => node.health.isLate(name)),
@@ -186,7 +186,7 @@
 
 test('the number of leadership changes is bounded, whichever controllers are slow and when', () => {
   const MINUTES = 10;
-  /** Limit per controller: one in two leases of 10 s, and one at the beginning. */
+  /** Limit per controller: one transfer in two leases of 10 s, and one at the beginning. */
   const EACH = (MINUTES * 60) / (2 * LEASE_S) + 1;
   /** Limit for all together: an elected controller stays leader for two leases. */
   const ALL = (MINUTES * 60) / (2 * LEASE_S) + 1;
--- a/test/meeting-outage-quorum.test.ts
+++ b/test/meeting-outage-quorum.test.ts
@@ -53,7 +53,7 @@
   return { election, campaign };
 }
 
-test('a promise of one answer is not cancelled by another answer that is given meanwhile', async () => {
+test('a promise in one answer is not withdrawn by another answer that is given meanwhile', async () => {
   const store = new MemoryStore();
   store.put(records.LEADER, records.encodeLeader({ node: 'b', incarnation: 'b-1' }));
   const { election } = controller(store);
--- a/test/outage-promises.test.ts
+++ b/test/outage-promises.test.ts
@@ -68,30 +68,33 @@
 // expired too early.
 test('a promise stays valid although the store answered the read for a concurrent question', async () => {
   const cases: [string, number, number][] = [
-    ['the kept promise is shorter', 1.5, 1],
+    ['the confirmed promise is shorter', 1.5, 1],
     ['they are equal', 1, 1],
-    ['the kept promise is longer', 1, 1.5],
+    ['the confirmed promise is longer', 1, 1.5],
   ];
-  for (const [name, otherS, keptS] of cases) {
-    for (const order of ['the other one is answered first', 'the kept one is answered first']) {
+  for (const [name, otherS, confirmedS] of cases) {
+    for (const order of [
+      'the other one is answered first',
+      'the confirmed one is answered first',
+    ]) {
       const controller = new AskedController();
       const other = controller.ask(otherS);
-      const kept = controller.ask(keptS);
+      const confirmed = controller.ask(confirmedS);
       const settle = [
         async (): Promise<void> => {
           other.served(true);
           assert.deepEqual(await other.answer, { refused: false });
         },
         async (): Promise<void> => {
-          kept.served(false);
-          assert.equal((await kept.answer).refused, true);
+          confirmed.served(false);
+          assert.equal((await confirmed.answer).refused, true);
         },
       ];
       if (order !== 'the other one is answered first') settle.reverse();
       for (const step of settle) await step();
       const until = controller.outage.acknowledge(TOKEN + 1);
-      assert.ok(until >= controller.now + keptS, `${name}, ${order}`);
-      assert.ok(until < controller.now + keptS * 1.1, `${name}, ${order}: not much longer`);
+      assert.ok(until >= controller.now + confirmedS, `${name}, ${order}`);
+      assert.ok(until < controller.now + confirmedS * 1.1, `${name}, ${order}: not much longer`);
     }
   }
 });
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -30,13 +30,13 @@
   }
 
   /** A request whose handling takes `costS`; the answer is its name, or `refused`. */
-  request(kind: RequestClass, name: string, costS = 0, patienceS?: number): unknown {
+  request(kind: RequestClass, name: string, costS = 0, timeoutS?: number): unknown {
     const work = (): string => {
       this.served.push(name);
       this.now += costS;
       return name;
     };
-    return this.queue.run(kind, work, 'refused', patienceS);
+    return this.queue.run(kind, work, 'refused', timeoutS);
   }
 
   /** Uses up the slice, so that the next requests wait. */
@@ -167,7 +167,7 @@
     [ANSWER_WAIT_S * 0.8, true, ['submission', 'poll', 'cancellation']],
     [ANSWER_WAIT_S * 100, true, ['submission', 'poll', 'cancellation']],
   ];
-  for (const [delayS, placesLess, refused] of cases) {
+  for (const [delayS, schedulesLess, refused] of cases) {
     for (const cause of ['loop', 'queue'] as const) {
       const harness = new QueueHarness();
       harness.exhaustSlice();
@@ -177,10 +177,10 @@
         harness.request('report', 'oldest');
         harness.now += delayS;
       }
-      assert.equal(harness.overload.cycleShare < calm, placesLess, `${cause} ${delayS}`);
+      assert.equal(harness.overload.cycleShare < calm, schedulesLess, `${cause} ${delayS}`);
       for (const kind of ['report', 'cancellation', 'poll', 'submission'] as const) {
-        const atOnce = harness.request(kind, kind) === 'refused';
-        assert.equal(atOnce, refused.includes(kind), `${cause} ${delayS} ${kind}`);
+        const isRefused = harness.request(kind, kind) === 'refused';
+        assert.equal(isRefused, refused.includes(kind), `${cause} ${delayS} ${kind}`);
       }
     }
   }
@@ -248,7 +248,7 @@
 test("timers still run under a flood of requests: the leader's lease is renewed in time", async () => {
   // In a single turn, 300 requests of 4 ms each would take 1.2 s; the lease of this leader lasts 0.6 s.
   const leaseS = 2;
-  const lifeS = leaseS * 0.3;
+  const leaderLeaseS = leaseS * 0.3;
   const costMs = 4;
   const queue = new RequestQueue({
     clock: steadyClock,
@@ -270,7 +270,7 @@
       longest = Math.max(longest, now - last);
       last = now;
     },
-    (lifeS * 1000) / 5,
+    (leaderLeaseS * 1000) / 5,
   );
   const answers = Array.from({ length: 300 }, () =>
     Promise.resolve(queue.run('report', work, 503)),
@@ -278,5 +278,5 @@
   const statuses = await Promise.all(answers);
   clearInterval(timer);
   assert.ok(statuses.every((status) => status === 200));
-  assert.ok(longest > 0 && longest < lifeS * 1000, `a renewal every ${longest} ms at worst`);
+  assert.ok(longest > 0 && longest < leaderLeaseS * 1000, `a renewal every ${longest} ms at worst`);
 });
--- a/test/redirects.test.ts
+++ b/test/redirects.test.ts
@@ -9,7 +9,7 @@
 interface Case {
   name: string;
   /** The controller of the worker's zone. */
-  home?: string | null;
+  zoneController?: string | null;
   late?: string[];
   leads?: boolean;
   health?: string;
@@ -18,19 +18,34 @@
 }
 
 const CASES: Case[] = [
-  { name: 'to the controller of its zone', home: 'n-1', target: 'n-1' },
-  { name: 'it is connected there already', home: THIS_NODE, target: null },
-  { name: 'its zone has no controller, or several', home: null, target: null },
-  { name: 'that controller does not keep up', home: 'n-2', late: ['n-2'], target: null },
-  { name: 'the leader does not keep up', home: 'n-1', late: ['n-1'], target: 'n-1' },
-  { name: 'another controller does not keep up', home: 'n-1', late: ['n-2'], target: 'n-1' },
-  { name: 'there is no leader', home: 'n-1', leads: false, target: null },
-  { name: 'refused by the key-value store', home: 'n-1', health: 'refused', target: null },
-  { name: 'that controller has only just started', home: 'n-1', steady: false, target: null },
+  { name: 'to the controller of its zone', zoneController: 'n-1', target: 'n-1' },
+  { name: 'it is connected there already', zoneController: THIS_NODE, target: null },
+  { name: 'its zone has no controller, or several', zoneController: null, target: null },
+  { name: 'that controller does not keep up', zoneController: 'n-2', late: ['n-2'], target: null },
+  { name: 'the leader does not keep up', zoneController: 'n-1', late: ['n-1'], target: 'n-1' },
+  {
+    name: 'another controller does not keep up',
+    zoneController: 'n-1',
+    late: ['n-2'],
+    target: 'n-1',
+  },
+  { name: 'there is no leader', zoneController: 'n-1', leads: false, target: null },
+  {
+    name: 'refused by the key-value store',
+    zoneController: 'n-1',
+    health: 'refused',
+    target: null,
+  },
+  {
+    name: 'that controller has only just started',
+    zoneController: 'n-1',
+    steady: false,
+    target: null,
+  },
 ];
 
 function makeRedirects(row: Case, now = (): number => 0): Redirects {
-  const { home = null, late = [], leads = true, health = 'served' } = row;
+  const { zoneController: home = null, late = [], leads = true, health = 'served' } = row;
   const { steady = true } = row;
   return new Redirects({
     settings: settings(),
@@ -54,18 +69,18 @@
 
 test('a worker is redirected once in one and a half leases at most', () => {
   let now = 0;
-  const redirects = makeRedirects({ name: '', home: 'n-1', target: 'n-1' }, () => now);
-  const moves: number[] = [];
+  const redirects = makeRedirects({ name: '', zoneController: 'n-1', target: 'n-1' }, () => now);
+  const redirectTimes: number[] = [];
   for (; now < LEASE_S * 4; now++) {
     // The worker cannot reach that controller and returns each time.
     if (redirects.redirectTarget({ machine: 'm', zone: 'z1' }) === null) continue;
     redirects.recordRedirect('m');
-    moves.push(now);
+    redirectTimes.push(now);
     assert.equal(
       redirects.redirectTarget({ machine: 'other', zone: 'z1' }),
       'n-1',
       'other workers are still redirected',
     );
   }
-  assert.deepEqual(moves, [0, LEASE_S * 1.5, LEASE_S * 3]);
+  assert.deepEqual(redirectTimes, [0, LEASE_S * 1.5, LEASE_S * 3]);
 });
--- a/test/renewals-of-cancelled.test.ts
+++ b/test/renewals-of-cancelled.test.ts
@@ -213,7 +213,7 @@
     term.forgetMachine(term.machines.get(MACHINE)!);
     await exchangeAt(world, worker, [26.5]);
   },
-  'a machine that is fenced anew within a term': async (world, worker) => {
+  'a machine that is fenced again within a term': async (world, worker) => {
     world.holdsDirectCommands = true;
     world.submitJob({ id: OTHER_JOB });
     await world.runUntil(25);
--- a/test/time-of-day.test.ts
+++ b/test/time-of-day.test.ts
@@ -36,7 +36,7 @@
   }
 });
 
-// Guards against arrivals that are removed from the forecast for good, so that machines kept warm for them are released.
+// Guards against arrivals that are removed from the forecast for good, so that warm machines for them are released.
 test('a jump of the time of day for a second removes nothing from the forecast', async () => {
   for (const byMs of JUMPS_MS) {
     const world = new LeaderWorld();
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -81,7 +81,7 @@
   }
 });
 
-test('a zone lease holder renews leases only after its key has certainly expired, with one unanswered renewal', async () => {
+test('a zone lease holder sends one unanswered renewal, and renews leases only after its key has certainly expired', async () => {
   const lease = 0.4;
   const { renewalDelayS } = zoneLeaseTimes(lease);
   let storeSilent = false;
