--- a/src/admission/request-queue.ts
+++ b/src/admission/request-queue.ts
@@ -216,7 +216,7 @@
     return head;
   }
 
-  /** Figures for `/metrics`. */
+  /** Statistics for `/metrics`. */
   statistics(): Record<string, number> {
     const out: Record<string, number> = { requests_waiting: this.size };
     for (const kind of REQUEST_CLASSES) out[`${kind}s_refused`] = this.refused[kind];
--- a/test/cluster-cancelled.test.ts
+++ b/test/cluster-cancelled.test.ts
@@ -66,7 +66,7 @@
 const NOT_CANCELLED = 'wk-000005';
 
 interface HangRow extends Row {
-  /** In leases. */
+  /** Duration of the hang, in leases. */
   durationLeases: number;
   /** Commands sent meanwhile are lost, instead of being held back until the machines resume. */
   commandsLost?: boolean;
--- a/test/cluster-leaders.test.ts
+++ b/test/cluster-leaders.test.ts
@@ -161,10 +161,10 @@
 
 test('after all controllers were stopped, every accepted job is known and runs', async () => {
   const rows = [
-    { name: 'stopped for less than a lease', leases: 0.3, kept: true },
-    { name: 'stopped for longer', leases: 1.5, kept: false },
+    { name: 'stopped for less than a lease', leases: 0.3, tasksSurvive: true },
+    { name: 'stopped for longer', leases: 1.5, tasksSurvive: false },
   ];
-  await playAll(rows, { leaseS: LEASE_S }, async (cluster, { leases, kept }) => {
+  await playAll(rows, { leaseS: LEASE_S }, async (cluster, { leases, tasksSurvive }) => {
     await startTasks(cluster);
     await cluster.users.submit(0, 'wk-000002', { pieces: 4 }, 1);
     for (const at of cluster.indexes) cluster.stopController(at);
@@ -172,6 +172,6 @@
     for (const at of cluster.indexes) await cluster.startController(at);
     for (const at of cluster.indexes) await cluster.users.sees(at, 'wk-000002', 'done');
     await cluster.runs(REF, TASKS);
-    if (kept) assert.deepEqual(startsOf(cluster), STARTED_ONCE);
+    if (tasksSurvive) assert.deepEqual(startsOf(cluster), STARTED_ONCE);
   });
 });
--- a/test/frozen-leader.test.ts
+++ b/test/frozen-leader.test.ts
@@ -13,7 +13,7 @@
 const TIMES = { reportS: 1, leaseS: 10, cancelS: 30 };
 const STEP_S = 0.5;
 
-test('a leader that was frozen across an outage counts no lease as expired that others renewed', async () => {
+test('a leader that was frozen during an outage counts no lease as expired that others renewed', async () => {
   const world = await beginDay({ times: TIMES, reportsNewToken: false, events: [] });
   const play = async (trouble: string, steps: number, number = 0): Promise<void> => {
     TROUBLES[trouble]!(world, number);
--- a/test/heartbeat-bytes.test.ts
+++ b/test/heartbeat-bytes.test.ts
@@ -333,7 +333,7 @@
     return Buffer.from(bodyOf(5, 1).replace(/\[.*\]/, `[${pieces}]`));
   };
   const last = new LastHeartbeat();
-  for (const [tasks, kept] of [
+  for (const [tasks, isStored] of [
     [1, true],
     [70, true],
     [100, false],
@@ -341,7 +341,7 @@
   ] as const) {
     const body = long(tasks);
     last.keep(decodeHeartbeat(body), body);
-    assert.equal(last.decodeRepetition(body) !== null, kept, `${tasks} tasks`);
+    assert.equal(last.decodeRepetition(body) !== null, isStored, `${tasks} tasks`);
     const { memory } = last as unknown as { memory: Buffer };
     assert.ok(memory.buffer.byteLength <= 4096 && memory.buffer !== body.buffer);
   }
--- a/test/machine-evidence.test.ts
+++ b/test/machine-evidence.test.ts
@@ -60,7 +60,7 @@
   return { ...setup, commands };
 }
 
-test('when a task may be started elsewhere', () => {
+test('a task may be started on another machine only once its attempt is provably over', () => {
   const cases: [string, () => { machine: Machine; attempt: Attempt }, boolean][] = [
     ['its start is in flight', machineWithSentStart, false],
     [
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -45,7 +45,7 @@
     this.served.length = 0;
   }
 
-  /** One turn of the event loop. */
+  /** Runs one turn of the event loop. */
   runTurn(): void {
     const callbacks = this.deferred;
     this.deferred = [];
