--- a/src/lending/loan-monitor.ts
+++ b/src/lending/loan-monitor.ts
@@ -17,7 +17,7 @@
 /** Saving may take this multiple of the time that the job declares, and this many leases more. */
 const SAVE_FACTOR = 1.5;
 const SAVE_GRACE_LEASES = 0.5;
-/** Leases after the due time before a return is waived: replicas of a class are migrated one after the other. */
+/** Leases, besides the duration of a recall, before a return is waived: replicas of a class migrate one by one. */
 const RETURN_GRACE_LEASES = 4;
 /** Share of the time for a recall after which machines without the image are accepted. */
 const FETCH_ALLOWED_SHARE = 0.5;
@@ -123,9 +123,9 @@
   }
 
   /**
-   * A return is waived only once this leader has been able to act, past the due time, for as long as a recall takes
-   * plus a grace period: a late return is better than none. Waived at the due time, a lender lost its place for good
-   * after an outage, or after several leaders in a row that were too short-lived to recall the loan.
+   * A return is waived only if this leader has been able to act since the due time for the duration of a recall plus
+   * a grace period: a late return is better than none. When returns were waived at the due time, a lender lost its
+   * place permanently after an outage, or after several leaders that each ended before they could recall the loan.
    */
   private brokenReason(loan: Loan, observed: Pick<LoanEvidence, 'borrower'>): string | null {
     const { view, returnTimes, clock } = this.options;
@@ -168,8 +168,9 @@
   }
 
   /**
-   * Migrates a replica off the machine of a recalled loan, if there is a free place with its image and other replicas
-   * of its service run meanwhile. A loan whose lender has got a place elsewhere is not recalled any more.
+   * Migrates a replica off the machine of a recalled loan, if there is a free place for it (see `mayFetchImage`) and
+   * other replicas of its service run meanwhile. Not needed for a lender that has a place elsewhere: its loan is
+   * `returned` by then.
    */
   private migrateBorrower(loan: Loan): void {
     const { view } = this.options;
--- a/src/lending/loan-safety.ts
+++ b/src/lending/loan-safety.ts
@@ -47,9 +47,9 @@
  * estimated remaining work. The job's part of it does not count saved progress of unfinished tasks as done.
  */
 export function latestReturnS(work: LenderWork): number {
-  const { timeLeftS: leftS, margin, saveS, fetchS, restartS } = work;
+  const { timeLeftS, margin, saveS, fetchS, restartS } = work;
   const remainingS = Math.max(work.ownRemainingS, work.jobRemainingS) * margin;
-  return leftS - remainingS - saveS - fetchS - restartS;
+  return timeLeftS - remainingS - saveS - fetchS - restartS;
 }
 
 function findRefusal(work: LenderWork): Refusal | null {
--- a/src/lending/loan-times.ts
+++ b/src/lending/loan-times.ts
@@ -1,6 +1,6 @@
 /**
  * When open loans changed and when they are due, by the steady clock of the term. The times of day in their records
- * identify these moments across terms; within a term, no time that has passed is computed from two times of day.
+ * identify these moments across terms; within a term, elapsed time is never computed from two times of day.
  */
 
 import type { TermView } from '../subsystems/subsystem.js';
--- a/src/subsystems/active-subsystems.ts
+++ b/src/subsystems/active-subsystems.ts
@@ -71,7 +71,7 @@
   /** Whether any subsystem retains the machine. */
   keeps(machine: string): boolean {
     return this.active.some(({ name, term }) =>
-      this.callGuarded(name, false, () => term.keeps(machine)),
+      this.callGuarded(name, false, () => term.retainsMachine(machine)),
     );
   }
 
@@ -79,7 +79,7 @@
   keptMachines(): number {
     let sum = 0;
     for (const { name, term } of this.active) {
-      sum += this.callGuarded(name, 0, () => term.keptMachines());
+      sum += this.callGuarded(name, 0, () => term.reservedMachines());
     }
     return sum;
   }
--- a/src/subsystems/record-table.ts
+++ b/src/subsystems/record-table.ts
@@ -6,7 +6,7 @@
 const MAX_WRITES_PER_BATCH = 64;
 
 /** How values of one kind are stored. */
-export interface RecordForm<T> {
+export interface RecordCodec<T> {
   /** Prefix of the keys of this kind; the rest of a key is the value's id and never changes. */
   readonly prefix: string;
   idOf(value: T): string;
@@ -49,7 +49,7 @@
   private readonly removalIds = new Set<string>();
 
   constructor(
-    private readonly codec: RecordForm<T>,
+    private readonly codec: RecordCodec<T>,
     private readonly options: RecordTableOptions<T>,
   ) {}
 
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -163,7 +163,7 @@
   migrateReplica(move: ReplicaMigration): boolean;
   /** Minimum number of seconds between two migrations of replicas of a class. */
   migrationGapS(jobClass: string): number;
-  /** Stops an attempt immediately that has been asked to stop, or is saving. */
+  /** Ends an attempt that has been asked to stop, or is saving, without waiting for it any longer. */
   endStopped(attempt: AttemptView): void;
   /** Free capacity after the latest scheduling cycle. */
   freeCapacities(): readonly FreeCapacity[];
@@ -192,9 +192,9 @@
   /** Requests to the cloud that are due. */
   scaleOutRequests(): StoredScaleOutRequest[];
   /** Whether a healthy machine is retained, even if it is idle: it is neither removed nor drained. */
-  keeps(machine: string): boolean;
+  retainsMachine(machine: string): boolean;
   /** Reserved free capacity on ordinary machines, in machines. */
-  keptMachines(): number;
+  reservedMachines(): number;
   /** Whether a task may be placed on the machine of this capacity. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean;
   /** Seconds by which placing a task there is better than on the same machine without a subsystem; negative: worse. */
--- a/src/warm-pools/bill.ts
+++ b/src/warm-pools/bill.ts
@@ -289,12 +289,12 @@
   };
   const base: StoredDay = known ?? empty;
   let totals: BillTotals = base;
-  let throughMs = base.lastBilledBurstMs;
+  let lastBilledBurstMs = base.lastBilledBurstMs;
   for (const slot of slots) {
     totals = addTotals(totals, slotTotals(slot, slot.held?.toMs ?? 0));
-    throughMs = Math.max(throughMs, slot.burstMs);
+    lastBilledBurstMs = Math.max(lastBilledBurstMs, slot.burstMs);
   }
-  return { ...base, ...totals, lastBilledBurstMs: throughMs, merges: base.merges + 1 };
+  return { ...base, ...totals, lastBilledBurstMs, merges: base.merges + 1 };
 }
 
 function push<K, T>(map: Map<K, T[]>, key: K, value: T): void {
--- a/src/warm-pools/bursts.ts
+++ b/src/warm-pools/bursts.ts
@@ -7,7 +7,7 @@
 import type { LeadTimes } from './lead-times.js';
 import { allowedTypes } from './machine-choice.js';
 
-/** Slots are planned and their requests named so many lead times ahead: an outage may cover one lead time. */
+/** Slots are planned and their requests named this many lead times ahead: an outage may cover one lead time. */
 const PLANNING_LEAD_TIMES = 2;
 /** Writes of a slot's record until it is warm, and the assumed share of the store's write rate for them. */
 const WRITES_PER_SLOT = 3;
--- a/src/warm-pools/command.ts
+++ b/src/warm-pools/command.ts
@@ -1,7 +1,7 @@
 /** `pewtershelf warm-pools status|bill`: prints a running controller's view of warm pools. */
 
 import * as v from 'valibot';
-import { fetchView, table, type ViewQuestion } from '../subsystems/view-command.js';
+import { fetchView, table, type ViewRequest } from '../subsystems/view-command.js';
 import { SLOT_STATES } from './slot.js';
 import type { BillRow, PoolStatus, PoolsView } from './view.js';
 
@@ -33,7 +33,7 @@
   ),
 });
 
-const QUESTION: ViewQuestion<PoolsView> = {
+const POOLS_REQUEST: ViewRequest<PoolsView> = {
   subsystem: 'warm-pools',
   title: 'warm pools are',
   schema: view,
@@ -67,7 +67,7 @@
   subcommand: 'status' | 'bill',
   { at, json }: { at: string; json: boolean },
 ): Promise<string> {
-  const { pools, bill } = await fetchView(at, QUESTION);
+  const { pools, bill } = await fetchView(at, POOLS_REQUEST);
   if (json) return `${JSON.stringify(subcommand === 'status' ? pools : bill, null, 1)}\n`;
   return subcommand === 'status' ? statusTable(pools) : billTable(bill);
 }
--- a/src/warm-pools/lead-times.ts
+++ b/src/warm-pools/lead-times.ts
@@ -5,7 +5,7 @@
 import { covering, remember } from '../subsystems/samples.js';
 import type { OwnedRecord, OwnedWrite } from '../subsystems/subsystem.js';
 
-/** Slow boots and slow fetches as multiples of the nominal times, as the protocol leads to expect. */
+/** Duration of slow boots and slow fetches as multiples of the nominal times, according to the protocol. */
 const SLOW_BOOT_FACTOR = 1.6;
 const SLOW_FETCH_FACTOR = 1.35;
 /** Maximum number of images with samples, for each type and zone. */
--- a/src/warm-pools/model-server-loader.ts
+++ b/src/warm-pools/model-server-loader.ts
@@ -70,8 +70,8 @@
     if (machine.state !== 'ready' || machine.addr === '') return 'loading';
     const server = this.server(machine);
     const model = modelOf(server, pool.image);
-    const { clock, pollIntervalS: askEveryS } = this.options;
-    const intervalS = askEveryS * (model.state === 'ready' ? READY_POLL_FACTOR : 1);
+    const { clock, pollIntervalS } = this.options;
+    const intervalS = pollIntervalS * (model.state === 'ready' ? READY_POLL_FACTOR : 1);
     if (!model.requestPending && clock.now() - model.requestedAt >= intervalS) {
       void this.requestLoad(server, machine.id, pool, model);
     }
--- a/src/warm-pools/slot-monitor.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -24,8 +24,8 @@
 /** Maximum heartbeat intervals from placing a replica to its start, which may wait for a heartbeat. */
 const START_DELAY_HEARTBEATS = 1.5;
 /**
- * Maximum leases from the end of an earlier term, which placed a replica and did not record the use, to this
- * term.
+ * Maximum leases between the end of an earlier term, which placed a replica without recording the use, and the
+ * start of this term.
  */
 const INHERITED_USE_LEASES = 2;
 
@@ -118,7 +118,7 @@
     const isSettled = view.now() - this.termStartedAt > settlingS && heldS > settlingS;
     const id = current.machine!;
     if (isSettled && !view.isPending(id) && view.isListed(id) === false) {
-      // The time at which the machine went is unknown, so all of the interval is uncertain.
+      // It is unknown when the machine disappeared, so the whole interval is uncertain.
       return { kind: 'lost', reason: 'gone', atMs: fromMs, uncertainMs: heldS * 1000 };
     }
     const leadTimeS = this.leadTimeS(current.pool, current.request);
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -56,7 +56,7 @@
 export class SlotPlanner {
   private readonly termStartMs: number;
   private requestCount = 0;
-  /** Second of the steady clock before which a pool adds no slots, after it released some above its allowance. */
+  /** When pools that released slots above their allowance may add slots again, in seconds of the steady clock. */
   private readonly addAllowedFrom = new Map<string, number>();
 
   constructor(private readonly options: SlotPlannerOptions) {
@@ -138,11 +138,11 @@
     releasable.sort((a, b) => rank(a) - rank(b) || b.current.index - a.current.index);
     for (const entry of releasable.slice(0, count)) this.release(entry, reason);
     burstSlots.open = burstSlots.open.filter(({ current }) => isOpen(current));
-    // Usage fluctuates: slots that were released for it are not added again at once.
+    // The team's usage fluctuates: slots that were released because of it are not added again at once.
     this.addAllowedFrom.set(burst.pool.name, this.options.view.now() + burst.leadTimeS);
   }
 
-  /** Slots whose request may have been sent wait for its outcome: otherwise the machine would be lost. */
+  /** A slot whose request may have been sent waits for the outcome: otherwise its machine would have no owner. */
   private mayRelease({ current }: SlotEntry): boolean {
     if (isHeld(current)) return true;
     if (current.state !== 'planned') return false;
@@ -195,7 +195,7 @@
     );
     if (best === null) return false;
     const assignment = this.assignmentOf(entry.current, best.id, best.type);
-    table.apply(entry, { kind: 'adopted', assignment: assignment, atMs: clock.steadyMs() });
+    table.apply(entry, { kind: 'adopted', assignment, atMs: clock.steadyMs() });
     return true;
   }
 
--- a/src/warm-pools/slot-reservations.ts
+++ b/src/warm-pools/slot-reservations.ts
@@ -90,13 +90,13 @@
     return this.claims.slots.has(id);
   }
 
-  /** See `SubsystemTerm.keeps`. */
+  /** See `SubsystemTerm.retainsMachine`. */
   keeps(machine: string): boolean {
     return this.options.table.held().has(machine);
   }
 
   /** Sum of the machine shares of unclaimed slots on machines that are ready or pending. */
-  keptMachines(): number {
+  reservedMachines(): number {
     const { view, table } = this.options;
     let sum = 0;
     for (const [machine, entries] of table.held()) {
--- a/src/warm-pools/slot.ts
+++ b/src/warm-pools/slot.ts
@@ -9,7 +9,8 @@
  *   loading   it has a machine, which boots or loads the model
  *   warm      a replica that is placed there starts at once
  *   used      a replica was placed there
- *   released  not wanted any more: its burst is over, a limit, or a pool with higher precedence
+ *   released  ended without use: its burst is over, its pool's declaration changed, a budget or a team's limit
+ *             was reached, or a pool with higher precedence took its machine
  *   lost      its machine is gone or cannot be used
  *
  * The last three are final. Idle time is billed from `loading` until one of them.
@@ -51,11 +52,11 @@
   fromMs: number;
   /** Null while the interval is open. */
   toMs: number | null;
-  /** Uncertainty of the length. */
+  /** The billed length may differ from the real one by this much, in ms. */
   uncertainMs: number;
   /**
-   * By how much that term's time of day was set. A successor's time of day may agree with it as it was before
-   * or after it was set.
+   * By how much that term's time of day was set during the interval. The next term may agree with the time of
+   * day before or after this change.
    */
   clockSetMs: number;
 }
@@ -187,9 +188,9 @@
   held === null ? null : { ...held, clockSetMs: held.clockSetMs + byMs };
 
 /**
- * Converts the start of an interval to the time of day of a term that begins at `atMs`. The previous term's
- * time of day was set, and the new one may agree with it as it was before or after that. Of the possible
- * intervals that begin before `atMs`, the shorter one counts, and the difference is uncertain.
+ * Converts the start of an interval to the time of day of a term that begins at `atMs`. If the time of day of
+ * the previous term was set, the new term does not know which of its two values was right. The later of the two
+ * possible starts counts, and the difference is uncertain; a start after `atMs` is ruled out.
  */
 function withNewTerm(held: HeldInterval | null, atMs: number): HeldInterval | null {
   if (held === null || held.clockSetMs === 0) return held;
--- a/src/warm-pools/warm-pools-term.ts
+++ b/src/warm-pools/warm-pools-term.ts
@@ -109,8 +109,9 @@
   }
 
   /**
-   * Records of held slots contain by how much the time of day was set, for a successor. They are compared in
-   * every round, because a commit from before may be carried out at any time and restore an old record.
+   * Records in the held slots by how much the time of day was set, so that a successor can convert their
+   * intervals. Every round repeats the comparison, because an earlier commit may be carried out late and restore
+   * an old value.
    */
   private recordClockSet(): void {
     for (const entry of this.heldSlots()) {
@@ -153,14 +154,14 @@
     return this.slotScaleOut.due();
   }
 
-  /** See `SubsystemTerm.keeps`. */
-  keeps(machine: string): boolean {
+  /** See `SubsystemTerm.retainsMachine`. */
+  retainsMachine(machine: string): boolean {
     return this.reservations.keeps(machine);
   }
 
-  /** See `SubsystemTerm.keptMachines`. */
-  keptMachines(): number {
-    return this.reservations.keptMachines();
+  /** See `SubsystemTerm.reservedMachines`. */
+  reservedMachines(): number {
+    return this.reservations.reservedMachines();
   }
 
   /** See `SubsystemTerm.mayUse`. */
@@ -203,7 +204,7 @@
     for (const { current } of this.table.values()) states[current.state]++;
     const figures: Record<string, number | string> = {};
     for (const [state, count] of Object.entries(states)) figures[`warm_slots_${state}`] = count;
-    figures.warm_machines_kept = this.reservations.keptMachines();
+    figures.warm_machines_kept = this.reservations.reservedMachines();
     figures.warm_pools_alarms = this.alarms.describe();
     figures.warm_pools_clock_jumps = this.clock.jumps;
     return figures;
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -158,8 +158,8 @@
     beginTerm: () => ({
       tick: () => undefined,
       scaleOutRequests: () => [],
-      keeps: (machine) => machine === 'm1',
-      keptMachines: () => 2,
+      retainsMachine: (machine) => machine === 'm1',
+      reservedMachines: () => 2,
       mayUse: () => false,
       preferenceS: () => 3,
       dueWrites: () => [],
--- a/test/lending-failures.test.ts
+++ b/test/lending-failures.test.ts
@@ -294,7 +294,7 @@
   const world = new LendingWorld();
   await world.runToPoint(point);
   await fault.inject(world);
-  await world.runToEnd({ lateBy: fault.allowedLatenessS ?? 1 });
+  await world.runToEnd({ allowedLatenessS: fault.allowedLatenessS ?? 1 });
   const states = [...world.loansSeen.values()].map(({ state }) => state).join(' ');
   if (fault.expectedStates !== undefined) assert.match(states, fault.expectedStates);
   const { cancelled } = world.batch.work.get(BORROWER)!;
--- a/test/lending-random.test.ts
+++ b/test/lending-random.test.ts
@@ -58,37 +58,37 @@
 };
 
 const EVENTS: Record<string, Action> = {
-  'an array comes': (run, number) => {
+  'an array is submitted': (run, number) => {
     run.world.batchJob(3 + number, {
       ...{ id: idOf(++run.jobs), tasks: 1 + (number % 3), gpus: 4, cores: 4 },
       ...{ deadlineS: 60 + number * 10, priority: 3, checkpointS: number % 2 },
     });
   },
-  'a gang comes': (run, number) => {
+  'a gang is submitted': (run, number) => {
     const id = idOf(++run.jobs);
     const shape = { kind: 'gang' as const, tasks: 2, gpus: 4, cores: 4, priority: 3 as const };
     run.world.batchJob(4, { id, ...shape, deadlineS: 60 + number * 10 });
   },
-  'a service comes': (run, number) => {
+  'a service is submitted': (run, number) => {
     const size = number % 2 === 0 ? 8 : 4;
     const tasks = 1 + (number % 3);
     run.world.service({ id: idOf(++run.jobs), tasks, gpus: size, cores: size, priority: 0 });
   },
-  'a service goes': (run, number) => cancelOne(run, number, 'service'),
+  'a service is cancelled': (run, number) => cancelOne(run, number, 'service'),
   'a finite job is cancelled': (run, number) => cancelOne(run, number, 'finite'),
   'the leader ends': takeOver,
-  'the leader ends in the moment of a cancellation': (run, number) => {
+  'the leader ends as a job is cancelled': (run, number) => {
     const id = pickOpenJob(run, number, number % 2 === 0 ? 'service' : 'finite');
     run.world.canWrite = true;
     run.world.store.mode = 'serve';
     run.frozen = run.world.leader;
     if (id !== null) run.world.cancelAndFailOver(id);
   },
-  'a frozen leader wakes': async (run) => {
+  'a frozen leader resumes': async (run) => {
     if (run.frozen !== null) await run.world.resumeFrozenLeader(run.frozen, 0.4);
     run.frozen = null;
   },
-  'a version before lending leads': (run) => {
+  'a version that is older than lending leads': (run) => {
     run.world.switchLending(false);
     takeOver(run);
   },
@@ -106,10 +106,10 @@
   'commits are held back': ({ world }) => {
     if (world.canWrite) world.store.mode = 'hold back';
   },
-  'all is well': clearFaults,
-  'a machine is mute': (run, number) => void (machineFor(run, number).mute = true),
-  'a machine is deaf': (run, number) => void (machineFor(run, number).deaf = true),
-  'a machine dies, another one comes': (run, number) => {
+  'all faults end': clearFaults,
+  'heartbeats of a machine are lost': (run, number) => void (machineFor(run, number).mute = true),
+  'messages to a machine are lost': (run, number) => void (machineFor(run, number).deaf = true),
+  'a machine fails and another one is added': (run, number) => {
     const { world } = run;
     if (world.batch.removedAt.size >= 3) return;
     world.batch.kill(machineFor(run, number).id);
@@ -117,7 +117,7 @@
   },
   'saving fails': ({ world }) => void (world.batch.saving = 'fails'),
   'saving never ends': ({ world }) => void (world.batch.saving = 'never ends'),
-  'reports come again': (run, number) => {
+  'a machine sends an additional heartbeat': (run, number) => {
     run.world.leader.answerHeartbeat(machineFor(run, number).heartbeat());
   },
 };
@@ -133,15 +133,15 @@
   number: fc.nat(9),
 });
 
-async function play(events: readonly { what: string; afterS: number; number: number }[]) {
+async function runEvents(events: readonly { what: string; afterS: number; number: number }[]) {
   const world = new LendingWorld({ gpusMax: 40, recallsAtOnce: 2 });
   const run: RunState = { world, jobs: 0, frozen: null };
   for (const id of MACHINES) world.fleet.add(id);
   await world.run(0.6);
-  void EVENTS['an array comes']!(run, 5);
-  void EVENTS['a gang comes']!(run, 5);
+  void EVENTS['an array is submitted']!(run, 5);
+  void EVENTS['a gang is submitted']!(run, 5);
   await world.run(1);
-  void EVENTS['a service comes']!(run, 1);
+  void EVENTS['a service is submitted']!(run, 1);
   for (const { what, afterS, number } of events) {
     await EVENTS[what]!(run, number);
     await world.run(afterS);
@@ -164,7 +164,7 @@
 
 test('faults in random order: no rule is violated, every loan is closed, all finite jobs are done', async () => {
   const events = fc.array(event, { minLength: 6, maxLength: 24 });
-  const property = fc.asyncProperty(events, play);
+  const property = fc.asyncProperty(events, runEvents);
   await fc.assert(property, {
     numRuns: RUNS,
     seed: SEED,
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -65,7 +65,11 @@
       { borrowerCanWait: false },
       'saving takes too long',
     ],
-    ['nothing is to be saved yet', { borrowerCanWait: false, started: false }, null],
+    [
+      'it has not started, so nothing has to be saved',
+      { borrowerCanWait: false, started: false },
+      null,
+    ],
     ['its team would fall below its guarantee', { guaranteed: true }, 'guaranteed'],
     ['it lends already', { hasOpenLoan: true }, 'lending already'],
   ];
@@ -102,7 +106,12 @@
     ['one', [100], 2, { l0: 90 }],
     ['one has no due time', [null, 100], 2, { l1: 90 }],
     ['as many as may be in progress', [100, 100], 2, { l0: 90, l1: 90 }],
-    ['one more: the earliest has to end before', [100, 100, 100], 2, { l0: 80, l1: 90, l2: 90 }],
+    [
+      'one more: the earliest recall has to end before another begins',
+      [100, 100, 100],
+      2,
+      { l0: 80, l1: 90, l2: 90 },
+    ],
     ['all one after the other', [100, 100, 100], 1, { l0: 70, l1: 80, l2: 90 }],
     ['in the order of their due times', [300, 100, 105], 1, { l1: 85, l2: 95, l0: 290 }],
   ];
@@ -238,7 +247,7 @@
   assert.match(lines[4]!, /waived .* no place$/);
 });
 
-test('estimates are raised by what jobs of their class actually took, within bounds', () => {
+test('estimates are raised by the measured errors of jobs of the same class, within bounds', () => {
   const job = (id: string, attainedS: number): LiveJobView =>
     fake<LiveJobView>({
       spec: spec({ id, class: 'marker', estimateS: 10, tasks: 2 }),
--- a/test/support/lending-world.ts
+++ b/test/support/lending-world.ts
@@ -301,7 +301,7 @@
   }
 
   /** Runs without further faults, and asserts that every loan is closed and that finite jobs were done in time. */
-  async runToEnd({ lateBy: maxLatenessS = 0, seconds = 80 } = {}): Promise<void> {
+  async runToEnd({ allowedLatenessS = 0, seconds = 80 } = {}): Promise<void> {
     const other = this.batch.work.get(OTHER);
     if (other?.cancelled === false) {
       await this.run(FREE_CAPACITY_DELAY_S);
@@ -317,7 +317,7 @@
       if (this.batch.removedAt.size > 0 && doneAt === null) continue;
       assert.ok(doneAt !== null, `${spec.id} is done: ${JSON.stringify(this.loans())}`);
       const late = doneAt - submittedAt - spec.deadlineS;
-      assert.ok(late <= maxLatenessS, `${spec.id} is late by ${late} s`);
+      assert.ok(late <= allowedLatenessS, `${spec.id} is late by ${late} s`);
     }
   }
 
--- a/test/warm-pool-clock.test.ts
+++ b/test/warm-pool-clock.test.ts
@@ -1,12 +1,13 @@
 /**
  * Billing when the time of day is set while slots are held.
  *
- * Guards against the failure that a machine is held for some seconds and an hour of it is billed. The start
- * of a held interval was stored in the time of day, and moved once when that was set. A commit from before
- * the change that was carried out or read back later restored the old start; nothing moved it again, and the
- * end was taken from the new time of day. The start of a request that was sent between the change and the
- * move was moved although it was in the new time of day already. A successor adopted starts that were moved
- * by a clock other than its own. The first case needs no change of leader.
+ * Guards against an hour being billed for a machine that was held for only some seconds. The start of a held
+ * interval used to be stored in the time of day and was adjusted once when that was set, which failed in three
+ * ways. A commit from before the change, carried out or read back later, restored the old start; it was not
+ * adjusted again, but the end was taken from the new time of day. The start of a request that was sent after the
+ * change and before the adjustment was adjusted although it was in the new time of day already. A successor
+ * adopted starts that were adjusted by another machine's clock. The first failure occurs without a change of
+ * leader, so a successor that begins with a wrong clock is not its cause.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -22,14 +23,14 @@
   until - [...world.cloud.machines.values()][0]!.addedAt;
 
 /**
- * Checks that all slots are over and that the pool's machine is billed for `seconds`. At most `boundS`, in
- * addition to the intervals between heartbeats, may be uncertain.
+ * Checks that all slots are over and that the pool's machine is billed for `seconds`. At most `maxUncertainS`, plus
+ * 2 s for the intervals between heartbeats, may be uncertain.
  */
-function checkBill(world: WarmPoolWorld, seconds: number, boundS = 0): void {
+function checkBill(world: WarmPoolWorld, seconds: number, maxUncertainS = 0): void {
   assert.deepEqual(world.slots(), [], 'all slots are over');
   const { machineS, uncertainS } = billTotals(world);
-  assert.ok(uncertainS <= boundS + 2, `uncertain: ${uncertainS}`);
-  assertNear(machineS, seconds, boundS + 2, 'machine-seconds');
+  assert.ok(uncertainS <= maxUncertainS + 2, `uncertain: ${uncertainS}`);
+  assertNear(machineS, seconds, maxUncertainS + 2, 'machine-seconds');
 }
 
 /** The store serves again and receives the commits that were held back. */
--- a/test/warm-pools-random.test.ts
+++ b/test/warm-pools-random.test.ts
@@ -1,6 +1,6 @@
 /**
- * Random faults while a burst is prepared, carried out and billed. The seed is fixed; WARM_POOLS_RUNS and
- * WARM_POOLS_SEED allow more runs.
+ * Random faults while a burst is prepared, carried out and billed. The seed is fixed; set WARM_POOLS_RUNS and
+ * WARM_POOLS_SEED for other runs.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -13,7 +13,7 @@
   poolText({ name: 'a', image: 'a', precedence: 1, refills: 1 }) +
   poolText({ name: 'b', image: 'b', cores: 8, gpus: 8, mem_gb: 32, slots: 1 });
 
-/** A world in which users get answers to cancellations that the leader has not noted. */
+/** A world in which a user's cancellation can be answered before the leader has read it. */
 class FaultWorld extends WarmPoolWorld {
   /** Time of the answer, by job. */
   readonly unnotedCancellations = new Map<string, number>();
@@ -23,7 +23,7 @@
 
 const FAULTS: Record<string, Fault> = {
   'cloud serves': (world) => void (world.cloud.mode = 'serve'),
-  'cloud in trouble': (world) => void (world.cloud.mode = 'trouble'),
+  'cloud fails requests': (world) => void (world.cloud.mode = 'trouble'),
   'cloud without machines': (world) => void (world.cloud.mode = 'no capacity'),
   'cloud answers lost': (world) => void (world.cloud.mode = 'lose answers'),
   'store refuses': (world) => {
@@ -43,17 +43,17 @@
     const ids = [...world.fleet.workers.keys()];
     if (ids.length > 0) world.cloud.kill(ids[number % ids.length]!);
   },
-  'replica comes': (world, number) => world.replicaJob(`wk-${100 + number}`, 'a'),
-  'replica goes': (world, number) => world.cancelNotedByLeader(`wk-${100 + number}`),
-  // Its user gets the answer all the same. The job may be started until the leader reads the cancellation,
-  // and ends in time.
-  'replica goes, the leader cannot be asked': (world, number) => {
+  'replica is submitted': (world, number) => world.replicaJob(`wk-${100 + number}`, 'a'),
+  'replica is cancelled': (world, number) => world.cancelNotedByLeader(`wk-${100 + number}`),
+  // The user gets the answer although the leader has not read the cancellation. Until then the job may be
+  // started; it has to end within `cancel_s`.
+  'replica is cancelled without the leader': (world, number) => {
     const id = `wk-${100 + number}`;
     world.store.cancel(id);
     if (!world.unnotedCancellations.has(id)) world.unnotedCancellations.set(id, world.now);
   },
   'clock jumps': (world) => void (world.wallJumpMs = 3_600_000),
-  'clock is right': (world) => void (world.wallJumpMs = 0),
+  'clock is corrected': (world) => void (world.wallJumpMs = 0),
 };
 
 function resumeStore(world: WarmPoolWorld): void {
@@ -96,17 +96,17 @@
 const REPLICA_STARTED_AFTER_CANCELLATION: Event[] = [
   after('cloud serves', 9.6),
   after('store refuses', 3.4),
-  after('replica comes', 2, 1),
+  after('replica is submitted', 2, 1),
   after('machine dies', 2.4),
-  after('replica goes', 4, 3),
+  after('replica is cancelled', 4, 3),
   after('commits held back', 0.8),
   after('store serves', 1.6),
-  after('replica goes', 3.4, 1),
+  after('replica is cancelled', 3.4, 1),
 ];
 
 /**
- * Found by random runs: an hour without a held slot was billed, where the clock jumps and the store takes the
- * commits later. For the cause see warm-pool-clock.test.
+ * Found by random runs: an hour in which no slot was held was billed. The clock jumped, and the store carried out the
+ * commits only later. For the cause see warm-pool-clock.test.
  */
 const BILLED_HOUR_NOT_HELD: Event[] = [
   after('clock jumps', 2),
@@ -128,7 +128,7 @@
   resumeStore(world);
   world.cloud.mode = 'serve';
   world.wallJumpMs = 0;
-  // A lasting jump of the clock is followed, and followed back.
+  // A jump of the clock that lasts is adopted, and so is the later return to the right time.
   await world.runUntil(Math.max(world.now, BURST_AT_S + HOLD_S) + 40);
   checkInvariants(world);
   assert.deepEqual(world.slots(), [], 'all slots are over');
