--- a/src/warm-pools/slot-reservations.ts
+++ b/src/warm-pools/slot-reservations.ts
@@ -91,7 +91,7 @@
   }
 
   /** See `SubsystemTerm.retainsMachine`. */
-  keeps(machine: string): boolean {
+  retainsMachine(machine: string): boolean {
     return this.options.table.held().has(machine);
   }
 
--- a/src/warm-pools/warm-pools-term.ts
+++ b/src/warm-pools/warm-pools-term.ts
@@ -156,7 +156,7 @@
 
   /** See `SubsystemTerm.retainsMachine`. */
   retainsMachine(machine: string): boolean {
-    return this.reservations.keeps(machine);
+    return this.reservations.retainsMachine(machine);
   }
 
   /** See `SubsystemTerm.reservedMachines`. */
--- a/test/lending-leader.test.ts
+++ b/test/lending-leader.test.ts
@@ -128,7 +128,7 @@
     },
   },
   {
-    name: 'two services take both machines of a gang in one cycle: its loan names a borrower with its own machine',
+    name: 'two services take both machines of a gang in one cycle: its loan names one borrower and the machine of that one',
     async play(world) {
       await startGangOnTwoMachines(world);
       world.service({ id: BORROWER });
--- a/test/warm-pool-times.test.ts
+++ b/test/warm-pool-times.test.ts
@@ -72,7 +72,7 @@
   }
 });
 
-test('lead times: samples count, and few samples only together with the expected time', () => {
+test('lead times come from samples; with few samples, the expected time is the lower bound', () => {
   const rows: [string, number[], number][] = [
     ['none: slow boots and fetches are expected', [], 1.6 + 2 * 1.35],
     ['few and fast', [0.2, 0.2], 1.6 + 2 * 1.35],
