--- a/src/api/request-forwarder.ts
+++ b/src/api/request-forwarder.ts
@@ -12,7 +12,10 @@
 
 /** Time-out of a forwarded request: half of the time for which the user waits. */
 const FORWARD_TIMEOUT_S = SUBMIT_WAIT_S / 2;
-/** After so many leases without an answer from any peer, `isReady` directs users to other controllers. */
+/**
+ * Leases without service by the store and without an answer of a peer before `isReady` returns false: users are
+ * better served by other controllers.
+ */
 const ISOLATION_GRACE_LEASES = 0.2;
 
 /** Dependencies of a `RequestForwarder`. */
@@ -79,9 +82,9 @@
     const question: QuestionOf<'user'> = { q: 'user', to: request.to, text };
     let anyPeerAnswered = false;
     // A version without pipeline support would ignore the dependencies and start the job too early.
-    const hasDependencies = request.to === 'submit' && mayHaveDependencies(request.body);
+    const mayDepend = request.to === 'submit' && mayHaveDependencies(request.body);
     for (const node of this.options.peers.byLatestAnswer()) {
-      if (hasDependencies && !this.options.knowsPipelines(node)) continue;
+      if (mayDepend && !this.options.knowsPipelines(node)) continue;
       const answer = await this.options.peers.ask(node, question, FORWARD_TIMEOUT_S);
       anyPeerAnswered ||= answer !== null;
       if (answer?.status === undefined) continue;
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -145,7 +145,7 @@
     }
   }
 
-  /** Refuses a submission unless the job was accepted before: repeating it, even malformed, is not refused. */
+  /** Refuses a submission, unless its job was accepted before: then even a malformed repetition is not refused. */
   private async refuse(id: string | null, reply: Reply, why: string): Promise<Reply> {
     if (id !== null) {
       if (!(await this.replicaSync.sync())) return RETRY_LATER;
--- a/src/cloud/provisioner.ts
+++ b/src/cloud/provisioner.ts
@@ -12,7 +12,7 @@
 import type { StoredScaleOutRequest } from '../subsystems/subsystem.js';
 import type { MachineOrder } from './scale-out-plan.js';
 
-/** After so many lags of the cloud's list, a pending machine missing from it is dropped: listed before, or never. */
+/** Lags of the cloud's list after which a pending machine missing from it is dropped: one listed before, or never. */
 const LISTED_TIMEOUT_LAGS = 2;
 const UNLISTED_TIMEOUT_LAGS = 4;
 /** Retention of returned machines' ids, in lags of the list: lists may still contain them. */
--- a/src/cloud/scale-out-plan.ts
+++ b/src/cloud/scale-out-plan.ts
@@ -100,7 +100,10 @@
   return best;
 }
 
-/** Plans which machines to add to satisfy the demand. Changes only its input: it allocates from `capacities`. */
+/**
+ * Plans which machines to add to satisfy the demand. It allocates from `capacities`, and adds the planned machines
+ * to `capacities` and `machinesByZone`.
+ */
 export function planScaleOut(input: ScaleOutInput): MachineOrder[] {
   const orders = new Map<string, MachineOrder>();
   let addedMachines = 0;
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -44,8 +44,8 @@
 const LEADER_WATCH_PAUSE_S = 0.01;
 const FOLLOWER_WATCH_PAUSE_S = 0.15;
 /**
- * Limits of the least time between two synchronising reads. The second one is the time that so many requests
- * of each controller take at the store's rate limit; the smaller one applies.
+ * The minimum time between two synchronising reads is the smaller of `MAX_READ_GAP_S` and the time that
+ * `READ_GAP_REQUESTS` requests of each controller take at the store's rate limit.
  */
 const MAX_READ_GAP_S = 0.1;
 const READ_GAP_REQUESTS = 3;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -137,7 +137,7 @@
   private onTick(): void {
     const { versions, leadershipTransfer, health, peers } = this.parts;
     this.recordEventLoopLag(this.clock.now());
-    // Reads the time of day regularly: a clock jump is timed from the first reading that shows it.
+    // A clock jump counts from the first reading that shows it, so the time of day is read at every tick.
     this.timeOfDay.nowMs();
     versions.logChanges();
     if (++this.ticks % LOAD_LOG_TICKS === 0) this.loadLog?.write();
@@ -183,7 +183,7 @@
     parts.cloud.close();
   }
 
-  /** A subsystem's view for operators, made from its records alone, so that it is the same on every controller. */
+  /** A subsystem's view for operators. It is made from stored records, so that it is the same on every controller. */
   private subsystemView(name: string): Reply {
     const { replica, replicaSync } = this.parts;
     const subsystem = this.subsystems.find((each) => each.name === name);
--- a/src/controller/pipeline-statistics.ts
+++ b/src/controller/pipeline-statistics.ts
@@ -13,12 +13,12 @@
 
 /** Counts over all stored jobs. The full scan is acceptable because operators ask for it only occasionally. */
 export function pipelineStatistics({ jobs }: Pick<Replica, 'jobs'>): PipelineStatistics {
-  const figures = { jobs_waiting: 0, jobs_ready: 0, jobs_cancelled_with_needed: 0 };
+  const statistics = { jobs_waiting: 0, jobs_ready: 0, jobs_cancelled_with_needed: 0 };
   for (const storedJob of jobs.values()) {
-    if (isWaiting(storedJob)) figures.jobs_waiting++;
-    else if (outcome(storedJob) === 'open') figures.jobs_ready++;
+    if (isWaiting(storedJob)) statistics.jobs_waiting++;
+    else if (outcome(storedJob) === 'open') statistics.jobs_ready++;
     else if (storedJob.cancelledByDependency && neverStarted(storedJob))
-      figures.jobs_cancelled_with_needed++;
+      statistics.jobs_cancelled_with_needed++;
   }
-  return figures;
+  return statistics;
 }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -9,7 +9,7 @@
   body: Buffer;
 }
 
-/** Number and bytes (with heads) of messages since the start. */
+/** Number of messages and of their bytes, heads included, since the start. */
 export interface Traffic {
   sent: number;
   sentBytes: number;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -146,7 +146,7 @@
 
   private accept(socket: Socket): void {
     if (this.openConnections.size >= this.limits.sockets) {
-      // Closes the connection that has been idle longest, if it has been for `readS`; else refuses the new one.
+      // Closes the connection that has been idle longest, if for at least `readS`; otherwise refuses the new one.
       let oldest: Connection | undefined;
       for (const connection of this.openConnections) {
         if (
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -82,7 +82,7 @@
     return this.jobTable.cancelledSince(revision, this.applied).ids;
   }
 
-  /** Whether the store may hold claims of jobs cancelled after a revision that this replica does not show. */
+  /** Whether the store may hold claims, missing in this replica, of jobs that were cancelled after a revision. */
   mayLackClaimsSince(revision: number): boolean {
     return this.jobTable.cancelledSince(revision, this.applied).mayLackClaims;
   }
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -13,7 +13,7 @@
   | { kind: 'cancel'; id: string; size: number }
 ) & { deadline: number; resolve: (state: JobOutcome | null) => void };
 
-/** Number of failed requests after which a batch, or the read after it, is abandoned. */
+/** Number of failed requests, other than by the rate limit, after which a batch or the read after it is abandoned. */
 const MAX_FAILURES = 2;
 
 const WRITE_TIMEOUT_S = 1.5;
@@ -153,9 +153,9 @@
   }
 
   /**
-   * Writes a batch and returns whether it is stored. If the store rejects it, or two requests fail, this returns
-   * without waiting for the deadline: the user is answered soon and can try again, perhaps at another controller
-   * that the store serves.
+   * Writes a batch and returns whether it is stored. If the store answers 400 or 503, or two requests fail, this
+   * returns without waiting for the deadline: the user is answered soon and can try again, perhaps at another
+   * controller that the store serves.
    */
   private async writePuts(
     puts: { put: string; value: unknown }[],
--- a/test/cluster-users.test.ts
+++ b/test/cluster-users.test.ts
@@ -39,7 +39,7 @@
   await cluster.gone(ref);
 }
 
-/** Cancels the job as soon as its last task has ended. */
+/** Cancels the job as soon as its last task has ended, when the end may not be stored yet. */
 async function cancelAfterLastTask(cluster: Cluster, at: number, ref: string): Promise<void> {
   await cluster.users.submit(at, ref, {}, 0.2);
   await until(`${ref} ends`, () => cluster.rules.jobs.get(ref)!.completed.size === 1);
--- a/test/controller-stop.test.ts
+++ b/test/controller-stop.test.ts
@@ -38,7 +38,7 @@
   }
 }
 
-/** Stops a controller after `ms`; returns whether it still leads, and the requests that it sent after that. */
+/** Stops a controller after `ms`; returns whether it still leads, and how many requests it sent later. */
 async function stopAfter(ms: number): Promise<{ led: boolean; asked: number }> {
   const rules = new RuleChecker({ cancelS: 1, teams: new Map(), machineGpus: 8 });
   const cloud = new Cloud(rules, { leaseS: LEASE_S, gangPeerS: 1 });
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -38,7 +38,7 @@
 const received = new Map<string, ControllerHealth>();
 const healthExchange = (self: string): HealthExchange => ({
   nextToSend: () => () => HEALTH[self]!,
-  note: (_from, figure) => void received.set(self, figure),
+  note: (_from, health) => void received.set(self, health),
 });
 
 test('a connection that violates the protocol is closed without affecting others', async () => {
@@ -88,7 +88,7 @@
   assert.deepEqual(await client.ask('a', { q: 'report', body: Buffer.from('y'), hop: false }, 2), {
     ...HEARTBEAT_ANSWER,
   });
-  // Guards against a timed-out question closing the connection while other questions on it are being answered.
+  // A question without an answer once closed its connection, and hundreds of heartbeats in progress on it were lost.
   const asks: Promise<Answer | null>[] = [client.ask('a', { q: 'there' }, 0.3)];
   for (let i = 0; i < 300; i++) asks.push(client.ask('a', { q: 'elected', token: i }, 5));
   const got = await Promise.all(asks);
--- a/test/pipeline-users.test.ts
+++ b/test/pipeline-users.test.ts
@@ -92,8 +92,8 @@
   assert.equal(reply.status, 503);
   assert.ok(reply.retryAfter! > 0);
   assert.equal(await replyText(userApi.submit(body())), '201 queued');
-  const known = makeUserApiWorld(store, 'b').userApi;
-  await known.submit(body({ ref: 'wk-8', awaits: [NEEDED] }));
+  const upgraded = makeUserApiWorld(store, 'b').userApi;
+  await upgraded.submit(body({ ref: 'wk-8', awaits: [NEEDED] }));
   assert.equal(
     await replyText(userApi.submit(body({ ref: 'wk-8', awaits: [NEEDED] }))),
     '200 queued',
@@ -120,7 +120,7 @@
 test('once a controller has reported a job as cancelled, none reports a dependent job as queued', async () => {
   const store = storeWithJobs();
   const all = ['a', 'b', 'c'].map((name) => makeUserApiWorld(store, name));
-  const [a, b, c] = all.map((side) => side.userApi);
+  const [a, b, c] = all.map((world) => world.userApi);
   await a!.submit(body({ ref: 'wk-1', awaits: [NEEDED] }));
   await b!.submit(body({ ref: 'wk-2', awaits: ['wk-1', DONE] }));
   assert.equal(await replyText(b!.poll('wk-2')), '200 queued');
@@ -132,10 +132,10 @@
   assert.equal(cancelled, '200 cancelled');
   assert.match(accepted, /^201/);
   const before = store.currentRevision;
-  for (const side of all) {
+  for (const world of all) {
     for (const id of ['wk-1', 'wk-2', 'wk-3']) {
-      assert.equal(await replyText(side.userApi.poll(id)), '200 cancelled', id);
-      assert.equal(await replyText(side.userApi.cancel(id)), '200 cancelled', id);
+      assert.equal(await replyText(world.userApi.poll(id)), '200 cancelled', id);
+      assert.equal(await replyText(world.userApi.cancel(id)), '200 cancelled', id);
     }
   }
   assert.equal(store.currentRevision, before, 'one write cancels them all');
--- a/test/program.test.ts
+++ b/test/program.test.ts
@@ -49,7 +49,7 @@
     const output = String(spawnSync(process.execPath, args).stdout);
     const [peak, live] = JSON.parse(output) as [number, number];
     assert.ok(live > 8 && peak > live, `${peak} and ${live} MB`);
-    assert.ok(peak < HEAP_SLACK_MB + live * 2.1, `${live} MB live, ${peak} at the most`);
+    assert.ok(peak < HEAP_SLACK_MB + live * 2.1, `${live} MB live, ${peak} MB at most`);
   }
 });
 
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -41,7 +41,7 @@
   ];
   for (const [name, changes, want] of cases) {
     // A listing is ordered by key: cancellations come before progress.
-    const listed = [...changes].sort((job, b) => (job.key < b.key ? -1 : 1));
+    const listed = [...changes].sort((a, b) => (a.key < b.key ? -1 : 1));
     const orders = [changes, [...changes].reverse(), listed];
     for (const order of orders) {
       const replica = new Replica(8192);
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -175,9 +175,9 @@
   // A fixed limit of 500 jobs would be far too high for one small value a second and too low for a large fleet.
   const cases: [string, number, number, number, boolean][] = [
     ['a value of 8 KiB a second', 1, 8192, 500, true],
-    ['nine of them', 9, 8192, 500, false],
-    ['nine, a wave of jobs', 9, 8192, 3000, true],
-    ['larger values', 9, 32768, 3000, false],
+    ['nine values a second', 9, 8192, 500, false],
+    ['nine values a second, more jobs', 9, 8192, 3000, true],
+    ['nine larger values a second', 9, 32768, 3000, false],
   ];
   for (const [name, rate, valueBytes, jobs, full] of cases) {
     const store = fake<KeyValueStoreClient>({
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -84,7 +84,7 @@
   }
 });
 
-test('malformed HTTP is answered with 400 and closed, and the controller keeps running', async () => {
+test('malformed HTTP is answered with 400, its connection is closed, and the controller keeps running', async () => {
   for (const bytes of ['x\r\n\r\n', 'GET /ready HTTP/1.1\r\n\r\nGET /ready HTTP/1.1\r\n\r\n']) {
     const got = await new Promise<string>((resolve) => {
       const socket = connect(cluster.ports[0]!.bind, '127.0.0.1', () => socket.write(bytes));
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -41,12 +41,12 @@
   ['a word for a number', (text) => text.replace(/write_rps = .*/, 'write_rps = "x"'), /write_rps/],
   ['an infinite rate', (text) => text.replace(/write_rps = .*/, 'write_rps = inf'), /write_rps/],
   [
-    'a next limit of nothing',
+    'a next limit of zero',
     (text) => withNextLimits(text, 'value_kb = 0.0'),
     /state\.next\.value_kb/,
   ],
   [
-    'a next limit as a word',
+    'a next limit as a string',
     (text) => withNextLimits(text, 'txn_ops = "x"'),
     /state\.next\.txn_ops/,
   ],
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -256,8 +256,8 @@
   };
 }
 
-/** A short workload with a failover: everything that was stored and started. */
-async function decisionsOfDay(world: LeaderWorld): Promise<RecordedForms> {
+/** A short workload with a failover: everything that it stored and started. */
+async function decisionsOfWorkload(world: LeaderWorld): Promise<RecordedForms> {
   for (const id of ['m1', 'm2', 'm3', 'm4']) world.fleet.add(id, id === 'm3' ? 'z2' : 'z1');
   await world.run(2);
   world.submitJob({
@@ -396,8 +396,8 @@
     subsystems: subsystemRecords(),
     replies: replies(),
     configuration: configurationErrors(),
-    day: await decisionsOfDay(world),
-    dayWithPools: await decisionsOfDay(withPools),
+    day: await decisionsOfWorkload(world),
+    dayWithPools: await decisionsOfWorkload(withPools),
     passes: decisionsOfCycles(),
     metrics: metrics(world),
     metricsWithPools: withPools.leader.statistics(),
