--- a/src/controller/controller-versions.ts
+++ b/src/controller/controller-versions.ts
@@ -108,7 +108,7 @@
     return isSame && own?.file?.hash === this.options.file?.hash;
   }
 
-  /** Controllers whose published features file differs from the leader's; one that published none has none. */
+  /** Controllers whose published features file differs from the leader's; publishing none counts as having none. */
   withDifferentFeatures(): string[] {
     const { replica, node, others, file } = this.options;
     const leader = replica.leader?.node;
--- a/test/cluster-users.test.ts
+++ b/test/cluster-users.test.ts
@@ -122,9 +122,9 @@
     // The late cancellation is stored by now; an end that was written again would be newer than it.
     await wait(2000);
     state.settle();
-    const old = await cluster.endLeader();
-    await cluster.startController(old);
-    await users.sees(old, ref, 'done');
+    const oldLeader = await cluster.endLeader();
+    await cluster.startController(oldLeader);
+    await users.sees(oldLeader, ref, 'done');
     for (const at of cluster.indexes) assert.equal((await users.poll(at, ref)).state, 'done');
   });
 });
@@ -140,9 +140,9 @@
     await cluster.users.submit(0, ref, { form: 'daemon', pieces: 2 });
     await cluster.runs(ref, 2);
     cluster.state.disturb(LEADER, fate, 2);
-    const old = await cluster.endLeader();
-    await cluster.newLeader(old);
-    await cluster.users.sees((old + 1) % 3, ref, 'running');
+    const oldLeader = await cluster.endLeader();
+    await cluster.newLeader(oldLeader);
+    await cluster.users.sees((oldLeader + 1) % 3, ref, 'running');
     await cluster.runs(ref, 2);
     assert.equal(cluster.rules.starts.get(`${ref}/0`), 1);
   });
--- a/test/support/user-api-world.ts
+++ b/test/support/user-api-world.ts
@@ -29,11 +29,11 @@
   replica: Replica;
 }
 
-/** Builds a user API whose replica reads the store only when a request requires it. */
+/** Builds a user API whose replica has listed the store and reads it again only when a request requires it. */
 export function makeUserApiWorld(
   store: MemoryStore,
   name: string,
-  over: Partial<UserApiOptions> = {},
+  overrides: Partial<UserApiOptions> = {},
 ): UserApiWorld {
   const clock = { now: () => 0 };
   const log = silentLog();
@@ -70,7 +70,7 @@
     isOldVersionPresent: () => false,
     wallMs: () => 1000,
     log,
-    ...over,
+    ...overrides,
   });
   return { userApi, replicaSync, replica };
 }
