--- a/scripts/fleet-load.ts
+++ b/scripts/fleet-load.ts
@@ -10,40 +10,39 @@
 import { StateService } from '../test/standins/state.js';
 
 /**
- * Three controllers, as built, as processes of their own on loopback, against stand-ins of the outside
- * systems; and a fleet of machines and users that they can be loaded with. The store holds as many jobs
- * as a long day leaves behind.
+ * Runs controllers of a build as separate processes on loopback against stand-ins of the outside systems, with a
+ * simulated fleet of machines and users that load them. The store holds as many jobs as after a long day.
  */
 
 const LEASE_S = 10;
 /**
- * With less than a lease, a leader is entitled for no longer than a life of its own lease after it last read
- * the store, and on a quiet store it loses its leadership again and again.
+ * If this were shorter than a lease, a leader would be entitled for no longer than the TTL of its own lease after
+ * its last read of the store. On a store without changes it would then lose its leadership repeatedly.
  */
 const CANCEL_S = 3 * LEASE_S;
-/** Jobs in the store for each machine; those that are over come first. */
+/** Jobs in the store for each machine; the ended ones have the lowest ids. */
 const JOBS_PER_MACHINE = 12;
 const SERVICES_PER_MACHINE = 2;
-/** Submitted jobs are numbered from here, above those in the store. */
+/** Number of the first submitted job, above those in the store. */
 const FIRST_SUBMITTED = 500_000;
 /** Linux accounts processor time in hundredths of a second. */
 const TICKS_PER_S = 100;
-/** Milliseconds between two looks at what is due, and at whether a controller has started. */
-const PACE_MS = 5;
+/** Interval at which calls that are due are made, and at which the exit of a process is checked. */
+const POLL_INTERVAL_MS = 5;
 
 export interface FleetOptions {
   machines: number;
-  /** The checkout whose `target/` is run. */
+  /** The checkout whose program in `target/` is run. */
   checkout: string;
   /** Zones of the controllers, one for each. */
   zones: string[];
   machineZone: string;
-  /** Further options on the controllers' command line. */
+  /** Additional command-line options of the controllers. */
   options?: string[];
 }
 
 export interface HttpAnswer {
-  /** 0: there was none. */
+  /** 0: no answer. */
   status: number;
   body: string;
 }
@@ -52,13 +51,13 @@
   process: ChildProcess;
   port: number;
   name: string;
-  /** What it wrote to standard error. */
+  /** Its output on standard error. */
   output: string;
-  /** Processor seconds from its start to the first time that it was ready. */
+  /** Processor seconds from its start until it was first ready. */
   startS: number;
 }
 
-interface Piece {
+interface Task {
   piece: string;
   pour: number;
   temper: string;
@@ -68,83 +67,83 @@
 const jobId = (i: number): string => `wk-${String(i).padStart(6, '0')}`;
 const hostId = (i: number): string => `host-${String(i).padStart(6, '0')}`;
 
-/** Processor seconds of a process, all of its threads, in steps of 0.01. */
+/** Processor seconds of all threads of a process, in steps of 0.01. */
 export function processorSeconds(pid: number): number {
   const [user, system] = readFileSync(`/proc/${pid}/stat`, 'utf8').split(' ').slice(13, 15);
   return (Number(user) + Number(system)) / TICKS_PER_S;
 }
 
-/** MB of a process: resident, at most resident, or private. */
+/** Memory of a process in MB: resident, peak resident or private. */
 export function memoryMb(pid: number, name: 'VmRSS' | 'VmHWM' | 'RssAnon'): number {
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
   return Number(new RegExp(`${name}:\\s+(\\d+)`).exec(status)![1]) / 1024;
 }
 
-/** Spreads calls evenly over time, however coarse the timers are. Returns what ends them. */
+/** Makes calls at an even rate, independent of the resolution of timers. Returns a function that stops them. */
 export function paced(perSecond: number, work: () => unknown): () => void {
-  const began = performance.now();
+  const startedAt = performance.now();
   let done = 0;
   const timer = setInterval(() => {
-    const due = ((performance.now() - began) / 1000) * perSecond;
+    const due = ((performance.now() - startedAt) / 1000) * perSecond;
     for (; done < due; done++) void work();
-  }, PACE_MS);
+  }, POLL_INTERVAL_MS);
   return () => clearInterval(timer);
 }
 
-/** A machine that heartbeats, and runs what it is told to. */
+/** A simulated machine that sends heartbeats and executes commands. */
 class Machine {
-  private readonly pieces: Piece[];
-  private tally = 0;
-  private hallmark = 1;
+  private readonly tasks: Task[];
+  private sequence = 0;
+  private token = 1;
 
   constructor(
     private readonly index: number,
     private readonly zone: string,
-    /** The controller to which it reports, by index. */
-    public at: number,
+    /** Index of the controller that receives its heartbeats. */
+    public controllerIndex: number,
     private readonly post: (controller: number, path: string, body: string) => Promise<HttpAnswer>,
     claims: records.Claim[],
   ) {
-    this.pieces = claims.map((claim) => ({
+    this.tasks = claims.map((claim) => ({
       piece: `${claim.job}/0`,
       pour: 1,
       temper: 'running',
     }));
   }
 
-  /** The answer's status; 0: there was none. */
-  async report(): Promise<number> {
+  /** Sends a heartbeat and executes the commands in the answer. Returns the status; 0: no answer. */
+  async sendHeartbeat(): Promise<number> {
     const body = JSON.stringify({
       bench: hostId(this.index), addr: '127.0.0.1:1', casting: 'g8', yard: this.zone, loaner: false,
-      shift: 1, tally: ++this.tally, hallmark: this.hallmark, recall_s: null, pieces: this.pieces,
+      shift: 1, tally: ++this.sequence, hallmark: this.token, recall_s: null, pieces: this.tasks,
     }); // prettier-ignore
-    const { status, body: text } = await this.post(this.at, '/checkin', body);
+    const { status, body: text } = await this.post(this.controllerIndex, '/checkin', body);
     const answer = (text === '' ? {} : JSON.parse(text)) as {
       hallmark?: number;
       orders?: { verb: string; piece: string; pour: number }[];
       foreman?: string;
     };
     if (status === 421 && answer.foreman !== undefined) {
-      this.at = Number(answer.foreman.split('-')[1]);
+      this.controllerIndex = Number(answer.foreman.split('-')[1]);
     }
     if (status !== 200) return status;
-    this.hallmark = answer.hallmark!;
-    for (const order of answer.orders!) this.obey(order.verb, order.piece, order.pour);
+    this.token = answer.hallmark!;
+    for (const order of answer.orders!) this.execute(order.verb, order.piece, order.pour);
     return status;
   }
 
-  private obey(verb: string, piece: string, pour: number): void {
-    const at = this.pieces.findIndex((p) => p.piece === piece && p.pour === pour);
+  private execute(verb: string, piece: string, pour: number): void {
+    const at = this.tasks.findIndex((p) => p.piece === piece && p.pour === pour);
     if (verb === 'start' && at < 0) {
-      const started: Piece = { piece, pour, temper: 'running' };
-      this.pieces.push(started);
-      const runs = 5000 + Math.random() * 20000;
-      setTimeout(() => Object.assign(started, { temper: 'ended', cause: 'done' }), runs);
+      const started: Task = { piece, pour, temper: 'running' };
+      this.tasks.push(started);
+      const runMs = 5000 + Math.random() * 20000;
+      setTimeout(() => Object.assign(started, { temper: 'ended', cause: 'done' }), runMs);
     }
     if (verb === 'kill' && at >= 0) {
-      Object.assign(this.pieces[at]!, { temper: 'ended', cause: 'halted' });
+      Object.assign(this.tasks[at]!, { temper: 'ended', cause: 'halted' });
     }
-    if (verb === 'reap' && at >= 0) this.pieces.splice(at, 1);
+    if (verb === 'reap' && at >= 0) this.tasks.splice(at, 1);
   }
 }
 
@@ -155,11 +154,11 @@
     scatter: false, loaner: false, reckon_s: 15, stamp_s: 0, stamping_s: 0, due_s: null,
   }); // prettier-ignore
 
-/** Controllers, stand-ins and machines of one run. */
+/** The controllers, stand-ins and machines of one run. */
 export class Fleet {
   readonly controllers: Controller[] = [];
   readonly machines: Machine[];
-  /** Jobs submitted so far. */
+  /** Number of jobs submitted so far, also those that were not accepted. */
   submitted = 0;
   private readonly agent = new Agent({ keepAlive: true });
   private readonly state = new StateService();
@@ -180,7 +179,7 @@
     );
   }
 
-  /** Resolves once all controllers are ready. */
+  /** Starts everything; resolves once all controllers are ready. */
   async start(): Promise<void> {
     this.state.page = 1000;
     this.fillStore();
@@ -194,19 +193,19 @@
     }
   }
 
-  private get jobsOver(): number {
+  private get endedJobCount(): number {
     return this.options.machines * (JOBS_PER_MACHINE - SERVICES_PER_MACHINE);
   }
 
   private claimsOf(machine: number): records.Claim[] {
     return Array.from({ length: SERVICES_PER_MACHINE }, (_, k) => ({
-      job: jobId(this.jobsOver + machine * SERVICES_PER_MACHINE + k),
+      job: jobId(this.endedJobCount + machine * SERVICES_PER_MACHINE + k),
       index: 0,
       attempt: 1,
     }));
   }
 
-  /** A store as a long day leaves it: jobs that are over, services, machines with their claims. */
+  /** Fills the store with the data of a long day: ended jobs, services, and machines with their claims. */
   private fillStore(): void {
     const { state, options } = this;
     const put = (key: string, data: unknown): void => {
@@ -215,7 +214,7 @@
     };
     put(records.MACHINE_TYPES, records.encodeMachineTypes([g8]));
     for (let i = 0; i < options.machines * JOBS_PER_MACHINE; i++) {
-      const isOver = i < this.jobsOver;
+      const isOver = i < this.endedJobCount;
       const kind = isOver ? 'array' : 'service';
       const jobs = [{ spec: spec({ id: jobId(i), kind, cores: 0.1 }), atMs: Date.now() - 300_000 }];
       const cancelledIds = isOver ? [jobId(i)] : [];
@@ -246,7 +245,7 @@
       );
       this.controllers.push(this.spawnController(`n-${i}`, ports[i]!.bind, config));
     });
-    await Promise.all(this.controllers.map((_, i) => this.started(i)));
+    await Promise.all(this.controllers.map((_, i) => this.waitUntilReady(i)));
   }
 
   private spawnController(name: string, port: number, config: string): Controller {
@@ -261,33 +260,34 @@
     return controller;
   }
 
-  private async started(index: number): Promise<void> {
+  private async waitUntilReady(index: number): Promise<void> {
     const controller = this.controllers[index]!;
     await until(`${controller.name} is ready`, async () => {
-      if (controller.process.exitCode !== null) throw new Error(`it ended: ${controller.output}`);
+      if (controller.process.exitCode !== null)
+        throw new Error(`exited during the start: ${controller.output}`);
       return (await this.call(index, 'GET', '/ready')).status === 200;
     });
     controller.startS = processorSeconds(controller.process.pid!);
   }
 
-  /** A request to the controller with this index. */
+  /** Sends a request to the controller with this index. */
   call(controller: number, method: string, path: string, body = ''): Promise<HttpAnswer> {
     const { port } = this.controllers[controller]!;
     const { agent } = this;
     return new Promise((done) => {
       const headers = { 'content-length': Buffer.byteLength(body) };
-      const r = request({ host: '127.0.0.1', port, method, path, headers, agent }, (res) => {
+      const outgoing = request({ host: '127.0.0.1', port, method, path, headers, agent }, (res) => {
         let text = '';
         res.on('data', (data: Buffer) => (text += data.toString()));
         res.on('end', () => done({ status: res.statusCode ?? 0, body: text }));
       });
-      r.on('error', () => done({ status: 0, body: '' }));
-      r.end(body);
+      outgoing.on('error', () => done({ status: 0, body: '' }));
+      outgoing.end(body);
     });
   }
 
-  /** Has machines report by turns, `perSecond` reports in all. Returns what ends it. */
-  report(
+  /** Sends heartbeats of the machines in turn, `perSecond` in total. Returns a function that stops them. */
+  startHeartbeats(
     perSecond: number,
     onSent: () => unknown = () => undefined,
     onAnswer: (status: number) => unknown = () => undefined,
@@ -295,33 +295,33 @@
     let turn = 0;
     return paced(perSecond, async () => {
       onSent();
-      onAnswer(await this.machines[turn++ % this.machines.length]!.report());
+      onAnswer(await this.machines[turn++ % this.machines.length]!.sendHeartbeat());
     });
   }
 
-  /** Submits a job. True: it was accepted. */
+  /** Submits a job. Returns whether it was accepted. */
   async submit(controller: number): Promise<boolean> {
     const id = jobId(FIRST_SUBMITTED + this.submitted++);
     const { status } = await this.call(controller, 'POST', '/submissions', submission(id));
     return status >= 200 && status < 300;
   }
 
-  /** Asks for one of the jobs submitted. */
+  /** Polls the state of a random submitted job. */
   poll(controller: number): Promise<HttpAnswer> {
     const id = jobId(FIRST_SUBMITTED + Math.floor(Math.random() * this.submitted));
     return this.call(controller, 'GET', `/submissions/${id}`);
   }
 
-  /** A controller's figures: `GET /metrics`. */
-  async figures(controller: number): Promise<Record<string, number | string | null>> {
+  /** The answer of a controller to `GET /metrics`. */
+  async metrics(controller: number): Promise<Record<string, number | string | null>> {
     const { body } = await this.call(controller, 'GET', '/metrics');
     return JSON.parse(body) as Record<string, number | string | null>;
   }
 
-  /** Ends the controllers and the stand-ins. */
+  /** Stops the controllers and closes the stand-ins. */
   async close(): Promise<void> {
     for (const c of this.controllers) c.process.kill();
-    await Promise.all(this.controllers.map((c) => exited(c.process)));
+    await Promise.all(this.controllers.map((c) => waitForExit(c.process)));
     this.agent.destroy();
     this.cloud.close();
     this.rules.close();
@@ -329,6 +329,6 @@
   }
 }
 
-async function exited(child: ChildProcess): Promise<void> {
-  while (child.exitCode === null && child.signalCode === null) await wait(PACE_MS);
+async function waitForExit(child: ChildProcess): Promise<void> {
+  while (child.exitCode === null && child.signalCode === null) await wait(POLL_INTERVAL_MS);
 }
--- a/scripts/load-lines.ts
+++ b/scripts/load-lines.ts
@@ -1,62 +1,62 @@
 import type { LoadLine } from '../src/controller/load-log.js';
 
-/** Reads `load` lines out of logs of several controllers and lays them out, a row a second. */
+/** Reads `load` lines from logs of several controllers and formats them as a table with a row for each second. */
 
-/** A `load` line of a log: when, in seconds, which controller, and its figures. */
+/** A `load` line of a log, with its time in seconds and its controller. */
 export interface LoadEntry {
   timeS: number;
   node: string;
   line: LoadLine;
 }
 
-/** A column: its title, and its figure of a line; of two lines in one second `join` makes one. */
+/** A column: its title, its figure in a line, and how figures of lines within one second are merged. */
 interface Column {
   title: string;
   value: (line: LoadLine) => number;
-  join: (a: number, b: number) => number;
+  merge: (a: number, b: number) => number;
 }
 
 const sum = (a: number, b: number): number => a + b;
 
-const counted = (title: string, value: (line: LoadLine) => number): Column => ({
+const counterColumn = (title: string, value: (line: LoadLine) => number): Column => ({
   title,
   value,
-  join: sum,
+  merge: sum,
 });
 
-const level = (title: string, value: (line: LoadLine) => number): Column => ({
+const gaugeColumn = (title: string, value: (line: LoadLine) => number): Column => ({
   title,
   value,
-  join: Math.max,
+  merge: Math.max,
 });
 
-/** What is shown of each controller, besides its role. */
+/** Columns of each controller, besides its role. */
 const COLUMNS: Column[] = [
-  counted('ans', (l) => l.reports_answered),
-  counted('peers', (l) => l.reports_answered_for_peers),
-  counted('kept', (l) => l.reports_kept),
-  counted('on', (l) => l.reports_passed_on),
-  counted('fail', (l) => l.reports_passed_on_failed),
-  counted('drop', (l) => l.reports_dropped),
-  counted('refu', (l) => l.submissions_refused + l.polls_refused + l.cancellations_refused),
-  counted('lost', (l) => l.machines_lost),
-  level('wait', (l) => l.requests_waiting),
-  level('delay', (l) => l.delay_ms),
-  level('late', (l) => l.late_ms),
-  counted('stKB', (l) => (l.state_sent_bytes + l.state_received_bytes) / 1000),
-  counted('pass', (l) => l.passes),
-  counted('passMs', (l) => l.pass_ms),
-  counted('gcMs', (l) => l.gc_ms),
-  counted('cpuMs', (l) => l.cpu_ms),
-  level('rssMB', (l) => l.rss_mb),
+  counterColumn('ans', (l) => l.reports_answered),
+  counterColumn('peers', (l) => l.reports_answered_for_peers),
+  counterColumn('kept', (l) => l.reports_kept),
+  counterColumn('on', (l) => l.reports_passed_on),
+  counterColumn('fail', (l) => l.reports_passed_on_failed),
+  counterColumn('drop', (l) => l.reports_dropped),
+  counterColumn('refu', (l) => l.submissions_refused + l.polls_refused + l.cancellations_refused),
+  counterColumn('lost', (l) => l.machines_lost),
+  gaugeColumn('wait', (l) => l.requests_waiting),
+  gaugeColumn('delay', (l) => l.delay_ms),
+  gaugeColumn('late', (l) => l.late_ms),
+  counterColumn('stKB', (l) => (l.state_sent_bytes + l.state_received_bytes) / 1000),
+  counterColumn('pass', (l) => l.passes),
+  counterColumn('passMs', (l) => l.pass_ms),
+  counterColumn('gcMs', (l) => l.gc_ms),
+  counterColumn('cpuMs', (l) => l.cpu_ms),
+  gaugeColumn('rssMB', (l) => l.rss_mb),
 ];
 
 const ROLE_LETTERS = 4;
 
 /**
- * The entry in a line of a log, or null when it holds none. What comes before the line's JSON is a prefix:
- * its first number is the time, its last word without one the controller. Without a prefix both are taken
- * from the JSON, whose time is in milliseconds.
+ * Parses a line of a log; returns null when it is not a `load` line. Text before the JSON is a prefix: its first
+ * word that begins with a number gives the time in seconds, and its last word that begins with a letter names the
+ * controller. What the prefix lacks is taken from the JSON, whose time is in milliseconds.
  */
 export function parseLoadLine(text: string): LoadEntry | null {
   const start = text.indexOf('{');
@@ -90,12 +90,12 @@
   figures: COLUMNS.map((c) => c.value(line)),
 });
 
-const joined = (a: Cell, b: Cell): Cell => ({
+const mergeCells = (a: Cell, b: Cell): Cell => ({
   role: b.role,
-  figures: COLUMNS.map((c, i) => c.join(a.figures[i]!, b.figures[i]!)),
+  figures: COLUMNS.map((c, i) => c.merge(a.figures[i]!, b.figures[i]!)),
 });
 
-/** A row's texts, a group for each controller; a controller without a line has an empty group. */
+/** Texts of a row, with a group for each controller; the texts of a controller without a line are empty. */
 function rowOf(cells: Map<string, Cell>, nodes: string[]): string[][] {
   return nodes.map((node) => {
     const cell = cells.get(node);
@@ -104,7 +104,7 @@
   });
 }
 
-/** The table's lines: first the controllers' names, then the columns' titles, then a row a second. */
+/** Lines of the table: names of the controllers, titles of the columns, then a row for each second that has lines. */
 export function timeline(entries: LoadEntry[]): string[] {
   const nodes = [...new Set(entries.map((e) => e.node))].sort();
   const seconds = new Map<number, Map<string, Cell>>();
@@ -113,7 +113,7 @@
     const cells = seconds.get(second) ?? new Map<string, Cell>();
     const before = cells.get(entry.node);
     const cell = cellOf(entry);
-    cells.set(entry.node, before === undefined ? cell : joined(before, cell));
+    cells.set(entry.node, before === undefined ? cell : mergeCells(before, cell));
     seconds.set(second, cells);
   }
   const titles = ['role', ...COLUMNS.map((c) => c.title)];
--- a/scripts/warm-pools.ts
+++ b/scripts/warm-pools.ts
@@ -1,7 +1,7 @@
 /**
- * A scheduled burst with and without a warm pool by turns: three controllers as real processes on loopback
- * against the stand-ins of the tests, each machine with a model server. Tells the times until replicas
- * answer, and the bill beside what the stand-ins' own logs say.
+ * Runs a scheduled burst alternately with and without a warm pool. Three controllers run as real processes on
+ * loopback against the stand-ins of the tests, and each machine has a model server. Prints the times until
+ * replicas answer, and compares the bill with the logs of the stand-ins.
  *
  *     npm run warm-pools -- --pairs 10
  */
@@ -16,12 +16,12 @@
 
 const LEASE_S = 3;
 const BOOT_MS = 2000;
-const LOAD_MS = 1500;
+const MODEL_LOAD_MS = 1500;
 const REPLICAS = 3;
 const SLOT_SHARE = 0.5;
 /** Seconds from the start of the controllers to the burst. */
 const BURST_AFTER_S = 14;
-const EARLY_S = 2;
+const EARLY_BURST_S = 2;
 const MODEL = 'tutor';
 const REF = 'wk-000001';
 const SAMPLE_MS = 5;
@@ -32,15 +32,15 @@
 interface Outcome {
   /** Milliseconds from the submission until each replica answers. */
   answersMs: number[];
-  /** Machine-seconds by the bill and by the stand-ins; null: without a pool, or not comparable. */
-  bill: { billedS: number; reckonedS: number; uncertainS: number } | null;
+  /** Machine-seconds according to the bill and to the stand-ins; null: without a pool, or not comparable. */
+  bill: { billedS: number; expectedS: number; uncertainS: number } | null;
   violations: string[];
 }
 
 const features = (burstMs: number, port: number): string =>
   burstFeatures({ image: MODEL, port, slots: REPLICAS, burstMs, holdS: 60, aheadS: 7 });
 
-const answering = (workers: Worker[]): number =>
+const answeringReplicas = (workers: Worker[]): number =>
   workers.reduce((sum, worker) => {
     const model = worker.modelServer?.models.get(MODEL);
     return sum + (model?.state === 'ready' ? model.users : 0);
@@ -64,12 +64,12 @@
     });
   }
 
-  async play(): Promise<Outcome> {
+  async execute(): Promise<Outcome> {
     const { cluster } = this;
     try {
       await this.start();
-      await this.trouble();
-      const submitMs = this.burstMs - (this.condition === 'early burst' ? EARLY_S * 1000 : 0);
+      await this.injectFault();
+      const submitMs = this.burstMs - (this.condition === 'early burst' ? EARLY_BURST_S * 1000 : 0);
       await wait(submitMs - Date.now());
       const answersMs = await this.burst();
       const bill = this.pooled ? await this.compareBill() : null;
@@ -84,7 +84,7 @@
     await cluster.listen();
     const port = await freePort();
     const hostOf = (id: string): string => `127.2.${number % 250}.${Number(id.split('-')[1])}`;
-    cluster.cloud.around.modelServers = { port, loadMs: () => LOAD_MS, hostOf };
+    cluster.cloud.around.modelServers = { port, loadMs: () => MODEL_LOAD_MS, hostOf };
     cluster.cloud.bootMs = BOOT_MS;
     cluster.cloud.nominalBootS = BOOT_MS / 1000;
     this.burstMs = Math.ceil(Date.now() / 1000 + BURST_AFTER_S) * 1000;
@@ -93,8 +93,8 @@
     for (const index of cluster.indexes) await cluster.serves(index);
   }
 
-  /** Four seconds ahead of the burst: machines boot or load where there is a pool. */
-  private async trouble(): Promise<void> {
+  /** Injects the fault 4.5 s before the burst, when machines of a pool boot or load. */
+  private async injectFault(): Promise<void> {
     const { cluster, condition } = this;
     await wait(this.burstMs - 4500 - Date.now());
     if (condition === 'leader killed') await cluster.end(await cluster.newLeader());
@@ -113,30 +113,30 @@
     const submitted = cluster.users.submit(at, REF, { ...shape, cores: 4, gpus: 4, mem_gb: 8 });
     const answersMs: number[] = [];
     while (answersMs.length < REPLICAS && Date.now() - began < 30_000) {
-      while (answersMs.length < answering(workers())) answersMs.push(Date.now() - began);
+      while (answersMs.length < answeringReplicas(workers())) answersMs.push(Date.now() - began);
       await wait(SAMPLE_MS);
     }
     await submitted;
     return answersMs;
   }
 
-  /** Null: a replica was not placed on a machine that was rented for the pool. */
+  /** Compares the bill with the stand-ins. Null: a replica was not placed on a machine of the pool, or the bill did not settle. */
   private async compareBill(): Promise<Outcome['bill']> {
     const { cluster } = this;
     const pooled = cluster.cloud.rentals.filter(({ hire }) => hire.includes('warm-pools'));
     const rentedAt = new Map(pooled.flatMap(({ ids, at }) => ids.map((id) => [id, at] as const)));
     const starts = cluster.rules.startLog.filter(({ piece }) => piece.startsWith(`${REF}/`));
     if (starts.some(({ machine }) => !rentedAt.has(machine))) return null;
-    let reckonedS = 0;
+    let expectedS = 0;
     for (const { machine, at } of starts) {
-      reckonedS += ((at - rentedAt.get(machine)!) / 1000) * SLOT_SHARE;
+      expectedS += ((at - rentedAt.get(machine)!) / 1000) * SLOT_SHARE;
     }
     const row = await this.settledRow();
     if (row === null) return null;
-    return { billedS: row.machineS, reckonedS, uncertainS: row.uncertainS };
+    return { billedS: row.machineS, expectedS, uncertainS: row.uncertainS };
   }
 
-  /** The bill once every slot is used; null: that has not come within two leases. */
+  /** The bill once every slot is used; null: not within two leases. */
   private async settledRow(): Promise<BillRow | null> {
     const until = Date.now() + LEASE_S * 2000;
     while (Date.now() < until) {
@@ -158,21 +158,23 @@
     const [median, p95, p99] = [0.5, 0.95, 0.99].map((share) => seconds(quantile(all, share)));
     const missing = list.length * REPLICAS - all.length;
     const bills = list.flatMap(({ bill }) => (bill === null ? [] : [bill]));
-    const off = bills.map(({ billedS, reckonedS }) => Math.abs(billedS - reckonedS));
-    const said = bills.map(({ uncertainS }) => uncertainS);
+    const billErrorsS = bills.map(({ billedS, expectedS: reckonedS }) =>
+      Math.abs(billedS - reckonedS),
+    );
+    const uncertaintiesS = bills.map(({ uncertainS }) => uncertainS);
     const broken = list.flatMap(({ violations }) => violations);
     process.stdout.write(
       `${condition.padEnd(14)} ${name.padEnd(8)} runs ${list.length}, first answers: median ${median} s, ` +
-        `95th ${p95} s, 99th ${p99} s, none ${missing}; bill off by at most ${Math.max(0, ...off).toFixed(2)} ` +
-        `machine s in ${bills.length} runs (said: ${Math.max(0, ...said).toFixed(2)}), rules broken ${broken.length}\n`,
+        `95th ${p95} s, 99th ${p99} s, none ${missing}; bill off by at most ${Math.max(0, ...billErrorsS).toFixed(2)} ` +
+        `machine s in ${bills.length} runs (stated uncertainty: ${Math.max(0, ...uncertaintiesS).toFixed(2)}), rule violations ${broken.length}\n`,
     );
   }
 }
 
 const program = new Command('warm-pools')
-  .option('--pairs <n>', 'runs with and without a pool, by turns', positive, 10)
-  .option('--at-once <n>', 'pairs that are played side by side', positive, 1)
-  .option('--condition <name>', 'only this one')
+  .option('--pairs <n>', 'runs with and without a pool, alternating', positive, 10)
+  .option('--at-once <n>', 'pairs that run in parallel', positive, 1)
+  .option('--condition <name>', 'run only this condition')
   .parse();
 const options = program.opts<{ pairs: number; atOnce: number; condition?: string }>();
 let runs = 0;
@@ -183,8 +185,8 @@
     const batch = Array.from(
       { length: Math.min(options.atOnce, options.pairs - pair) },
       async () => {
-        outcomes.pooled.push(await new Run(condition, true, runs++).play());
-        outcomes.without.push(await new Run(condition, false, runs++).play());
+        outcomes.pooled.push(await new Run(condition, true, runs++).execute());
+        outcomes.without.push(await new Run(condition, false, runs++).execute());
       },
     );
     await Promise.all(batch);
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -15,14 +15,14 @@
 }
 
 /**
- * What becomes of a transaction: carried out at once with its answer lost; no answer, and carried
- * out later, after newer ones; carried out, and once more later.
+ * Effect of a fault on a transaction. `answer_lost`: it is applied at once, but its answer is lost. `late`: it
+ * gets no answer and is applied later, after newer ones. `doubled`: it is applied at once and again later.
  */
 export type Fate = { how: 'answer_lost' } | { how: 'late' | 'doubled'; afterS: number };
 
-interface Trouble {
+interface TransactionFault {
   prefix: string;
-  fate: Fate;
+  effect: Fate;
   left: number;
 }
 
@@ -30,27 +30,28 @@
 const EXPIRY_MS = 20;
 const TRANSACTION_BYTES = 65536;
 
-/** The state service. */
+/** Stand-in of the key-value store. */
 export class StateService extends HttpStandIn {
   ledger = 0;
-  /** An outage for all: requests are refused, leases stand still. */
+  /** An outage: all requests are refused, and leases do not expire. */
   down = false;
-  /** Every answer takes so long. */
+  /** Delay of every answer. */
   slowMs = 0;
-  /** What it takes: bytes of a value, puts and deletes of a transaction. */
+  /** Limits: bytes of a value; puts and deletes in a transaction. */
   limits = { valueBytes: 8192, operations: 8 };
-  /** Transactions that were refused for their size. */
+  /** Number of transactions that were refused for their size. */
   tooLarge = 0;
-  /** Items in a page of a listing: few, so that reading in pages is exercised. */
+  /** Items in a page of a listing; a small number, so that tests cover reading in pages. */
   page = 3;
-  /** Transactions that met a fate, and how many were carried out later than sent. */
+  /** Number of transactions that a fault affected. */
   disturbed = 0;
+  /** Number of delayed transactions that were applied. */
   carriedOutLate = 0;
   readonly keys = new Map<string, Entry>();
   private readonly log: Json[] = [];
-  private readonly loans = new Map<number, { until: number; life: number }>();
-  private nextLoan = 1;
-  private troubles: Trouble[] = [];
+  private readonly leases = new Map<number, { until: number; life: number }>();
+  private nextLeaseId = 1;
+  private faults: TransactionFault[] = [];
   private closed = false;
   private readonly timer = setInterval(() => this.expire(), EXPIRY_MS);
 
@@ -58,27 +59,27 @@
     super((method, url, body) => this.handle(method, url, body));
   }
 
-  /** The next `times` transactions that touch a key with the prefix meet this fate. */
-  disturb(prefix: string, fate: Fate, times = Infinity): void {
-    this.troubles.push({ prefix, fate, left: times });
+  /** Injects a fault into the next `times` transactions that touch a key with the prefix. */
+  disturb(prefix: string, effect: Fate, times = Infinity): void {
+    this.faults.push({ prefix, effect, left: times });
   }
 
-  /** From now on transactions are carried out as they come. */
+  /** Removes all faults. */
   settle(): void {
-    this.troubles = [];
+    this.faults = [];
   }
 
   private expire(): void {
     const now = Date.now();
-    for (const [id, loan] of this.loans) {
-      // Leases stand still in an outage and have their full time after it.
+    for (const [id, loan] of this.leases) {
+      // Leases do not expire in an outage and have their full TTL after it.
       if (this.down) loan.until = now + loan.life;
       else if (loan.until < now) this.endLease(id);
     }
   }
 
   private endLease(id: number): void {
-    this.loans.delete(id);
+    this.leases.delete(id);
     for (const [key, entry] of this.keys) {
       if (entry.loan !== id) continue;
       this.keys.delete(key);
@@ -91,7 +92,7 @@
     const path = url.pathname;
     if (this.slowMs > 0) await wait(this.slowMs);
     if (this.down) return [503, { error: 'trouble' }];
-    if (path === '/commit') return this.disturbedCommit(body);
+    if (path === '/commit') return this.commitWithFaults(body);
     if (path === '/grants') return this.grant(body.life_ms as number);
     const grant = /^\/grants\/(\d+)(\/extend)?$/.exec(path);
     if (grant !== null) return this.renew(method, Number(grant[1]));
@@ -105,13 +106,13 @@
   }
 
   private grant(life: number): Answer {
-    const id = this.nextLoan++;
-    this.loans.set(id, { until: Date.now() + life, life });
+    const id = this.nextLeaseId++;
+    this.leases.set(id, { until: Date.now() + life, life });
     return [200, { loan: id }];
   }
 
   private renew(method: string, id: number): Answer {
-    const loan = this.loans.get(id);
+    const loan = this.leases.get(id);
     if (loan === undefined) return [404, {}];
     loan.until = method === 'DELETE' ? 0 : Date.now() + loan.life;
     return [200, {}];
@@ -146,19 +147,19 @@
     return [200, { items, more: names.length > this.page, ledger: this.ledger }];
   }
 
-  private disturbedCommit(body: Json): Answer | null {
+  private commitWithFaults(body: Json): Answer | null {
     const apply = body.apply as Operation[];
     const touches = (prefix: string): boolean =>
       apply.some((operation) => (operation.put ?? operation.remove!).startsWith(prefix));
-    const trouble = this.troubles.find((each) => each.left > 0 && touches(each.prefix));
-    if (trouble === undefined) return this.commit(body);
-    trouble.left--;
+    const fault = this.faults.find((each) => each.left > 0 && touches(each.prefix));
+    if (fault === undefined) return this.commit(body);
+    fault.left--;
     this.disturbed++;
-    const { fate } = trouble;
-    if (fate.how !== 'answer_lost')
-      setTimeout(() => void this.commitLate(body), fate.afterS * 1000);
-    const answer = fate.how === 'late' ? null : this.commit(body);
-    return fate.how === 'doubled' ? answer : null;
+    const { effect } = fault;
+    if (effect.how !== 'answer_lost')
+      setTimeout(() => void this.commitLate(body), effect.afterS * 1000);
+    const answer = effect.how === 'late' ? null : this.commit(body);
+    return effect.how === 'doubled' ? answer : null;
   }
 
   private async commitLate(body: Json): Promise<void> {
@@ -176,7 +177,7 @@
       .map((guard) => guard.path);
     if (failed.length > 0) return [409, { failed, ledger: this.ledger }];
     if (
-      apply.some((operation) => operation.loan !== undefined && !this.loans.has(operation.loan))
+      apply.some((operation) => operation.loan !== undefined && !this.leases.has(operation.loan))
     ) {
       return [400, { error: 'no such lease' }];
     }
@@ -204,7 +205,7 @@
     } else if (this.keys.delete(remove!)) this.log.push({ remove, mark: this.ledger });
   }
 
-  /** Ends the store; what waits for changes gets no answer. */
+  /** Closes the store with its connections; requests that wait for changes get no answer. */
   override close(): void {
     this.closed = true;
     clearInterval(this.timer);
@@ -212,17 +213,17 @@
   }
 }
 
-/** The state service as one controller sees it: it may refuse that one alone. */
+/** Access of one controller to the key-value store; it can refuse the requests of this controller only. */
 export class StateAccess extends HttpStandIn {
   refuses = false;
-  /** Answers to watches do not come through. */
+  /** Delays the answers to watches. */
   holdsWatches = false;
 
   constructor(state: StateService) {
     super(async (method, url, body) => {
       if (this.refuses) return [503, { error: 'trouble' }];
       const answer = await state.handle(method, url, body);
-      // Open watches wait, as they would in an outage.
+      // Watches that are open wait, as in an outage.
       const watch = Number(url.searchParams.get('block_ms') ?? 0) > 0;
       while (this.refuses || (watch && this.holdsWatches)) await wait(POLL_MS);
       return answer;
