--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -2,7 +2,7 @@
 import type { Reply } from '../http/server.js';
 import type { MachineType } from '../jobs/types.js';
 import type { Log } from '../log.js';
-import { whyItNeverRuns } from '../scheduler/quota.js';
+import { unsatisfiableReason } from '../scheduler/quota.js';
 import type { ReplicaSync } from '../store/replica-sync.js';
 import type { RequestWriter } from '../store/request-writer.js';
 import { outcome, type StoredJob } from '../store/stored-job.js';
@@ -94,7 +94,7 @@
     const types = this.types();
     if (!this.replicaSync.ready || types === null || this.requestWriter.full(STORE_TIMEOUT_S))
       return RETRY_LATER;
-    const rejection = whyItNeverRuns(spec, this.settings.teams, types);
+    const rejection = unsatisfiableReason(spec, this.settings.teams, types);
     if (rejection !== null) return this.refuse(spec.id, unprocessable(rejection), rejection);
     const accepted = { spec, atMs: Math.round(this.options.wallMs()) };
     if (!this.requestWriter.fits(accepted))
--- a/src/cancellation/cancellation-broadcast.ts
+++ b/src/cancellation/cancellation-broadcast.ts
@@ -163,10 +163,10 @@
    */
   private zoneWaitS(zone: string): number {
     const { lease_s, report_s, cancel_s } = this.options.settings.workers;
-    const { keptUntil, provenAt } = this.options.zoneLeases.zone(zone);
-    const isKeyPresent = provenAt < Infinity;
+    const { renewedUntil, provenUntil } = this.options.zoneLeases.zoneRenewal(zone);
+    const isKeyPresent = provenUntil < Infinity;
     // The last renewal, then one lease: both must have passed within `cancel_s`.
-    const tasksEndBy = keptUntil + lease_s * 1.1 + report_s;
+    const tasksEndBy = renewedUntil + lease_s * 1.1 + report_s;
     return isKeyPresent ? report_s : tasksEndBy - (this.options.clock.now() + cancel_s);
   }
 }
--- a/src/cancellation/cancellation-quorum.ts
+++ b/src/cancellation/cancellation-quorum.ts
@@ -24,7 +24,7 @@
    */
   remainingWaitS: (job: string, noted: ReadonlySet<string>) => number;
   /** Seconds for which the state of a job's confirmation is remembered. */
-  rememberS: number;
+  retentionS: number;
 }
 
 interface PendingConfirmation {
@@ -77,7 +77,7 @@
       this.pending.set(id, entry);
     }
     for (const [oldest, { since }] of this.pending) {
-      if (now - since <= this.options.rememberS) break;
+      if (now - since <= this.options.retentionS) break;
       this.pending.delete(oldest);
     }
     return entry;
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -99,7 +99,7 @@
   }
 
   /** Takes the amount even if it is not available, for requests that cannot wait; later takers wait longer. */
-  force(amount: number): void {
+  forceTake(amount: number): void {
     this.refill();
     this.level -= amount;
   }
--- a/src/cloud/demand-forecast.ts
+++ b/src/cloud/demand-forecast.ts
@@ -81,13 +81,13 @@
         image: spec.image,
         gb: spec.imageGb,
         spec,
-        expected: 0,
+        expectedTasks: 0,
       };
-      hotImage.expected += (Math.min(spec.tasks, MAX_TASKS_PER_JOB) * bootS) / windowS;
+      hotImage.expectedTasks += (Math.min(spec.tasks, MAX_TASKS_PER_JOB) * bootS) / windowS;
       byShape.set(key, hotImage);
     }
     return [...byShape.values()]
-      .sort((a, b) => b.expected * b.gb - a.expected * a.gb)
+      .sort((a, b) => b.expectedTasks * b.gb - a.expectedTasks * a.gb)
       .slice(0, MAX_HOT_IMAGES);
   }
 
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -132,7 +132,7 @@
     for (const id of ids) {
       this.cancellations.noteStored(id);
       this.cancellationTimes.note(id);
-      this.terms.leader?.onCancellationHeard(id);
+      this.terms.leader?.onCancellationStored(id);
     }
   }
 
@@ -148,7 +148,7 @@
         this.election.wake();
         void this.acknowledgements.acknowledgeLeader();
       },
-      onAcknowledgement: (node, record) => this.acknowledgements.noteStored(node, record),
+      onAcknowledgement: (node, record) => this.acknowledgements.recordStored(node, record),
       onPresence: (node) => this.zoneLeases.keyChanged(node),
     };
   }
@@ -311,7 +311,7 @@
     const { settings, clock } = this.options;
     const { replica, replicaSync, store } = this;
     const leaseS = settings.workers.lease_s;
-    return new ZoneLeaseWatch({ byZone, leaseS, replica, replicaSync, store, clock });
+    return new ZoneLeaseWatch({ holderByZone: byZone, leaseS, replica, replicaSync, store, clock });
   }
 
   private makeZoneLeaseHolder(): ZoneLeaseHolder {
--- a/src/controller/controller-versions.ts
+++ b/src/controller/controller-versions.ts
@@ -86,7 +86,7 @@
     while (!this.stopped && !this.isPublished()) {
       try {
         if (replicaSync.ready) {
-          store.writeBudget.force(1);
+          store.writeBudget.forceTake(1);
           const revision = replica.versions.get(node)?.revision ?? 0;
           await store.compareAndSwap(
             [{ key, revision }],
--- a/src/controller/peer-question-handler.ts
+++ b/src/controller/peer-question-handler.ts
@@ -44,7 +44,7 @@
         onCancellationsStored([question.job]);
         return { noted: true };
       case 'refused':
-        return election.outage.answer(question.token, question.forMs, question.applied);
+        return election.outageQuorum.answer(question.token, question.forMs, question.applied);
     }
   }
 
--- a/src/controller/request-path.ts
+++ b/src/controller/request-path.ts
@@ -82,6 +82,6 @@
     replica,
     clock,
     remainingWaitS: (job, noted) => cancellations.remainingWaitS(job, noted),
-    rememberS: settings.workers.lease_s * CONFIRMATION_RETENTION_LEASES,
+    retentionS: settings.workers.lease_s * CONFIRMATION_RETENTION_LEASES,
   });
 }
--- a/src/controller/term-runner.ts
+++ b/src/controller/term-runner.ts
@@ -97,13 +97,14 @@
       incarnation,
       allReadDenseRecords: () => this.options.versions().everyoneKnows('pipelines'),
       isEntitled: () => election.isEntitled && election.token === token,
-      othersRenewal: () => {
-        const { keptUntil, provenAt } = acknowledgements.othersRenewal(token);
-        const substitutesUntil = store.rejectedAt + election.outage.substituteS;
-        return { keptUntil: Math.max(keptUntil, substitutesUntil), provenAt };
+      substituteRenewal: () => {
+        const { renewedUntil, provenUntil } = acknowledgements.substituteRenewal(token);
+        const substitutesUntil = store.rejectedAt + election.outageQuorum.substituteWindowS;
+        return { renewedUntil: Math.max(renewedUntil, substitutesUntil), provenUntil };
       },
-      requestOthersProof: () => this.requestCycleAfterProof(acknowledgements.requestRenewalProof()),
-      zoneRenewal: (zone) => zoneLeases.zone(zone),
+      requestSubstituteProof: () =>
+        this.requestCycleAfterProof(acknowledgements.requestRenewalProof()),
+      zoneRenewal: (zone) => zoneLeases.zoneRenewal(zone),
       requestZoneProof: () => this.requestCycleAfterProof(replicaSync.sync()),
       cancellationKnownAt: (job) => cancellationTimes.of(job),
       canWrite: () => election.canWrite && election.token === token,
--- a/src/heartbeat/heartbeat-handler.ts
+++ b/src/heartbeat/heartbeat-handler.ts
@@ -217,11 +217,11 @@
   ): Promise<Reply | null> {
     const { settings, replica, election, zoneLeaseHolder } = this.options;
     const token = replica.leader?.revision;
-    if (token !== undefined && (await election.outage.mayRenewLeases())) {
+    if (token !== undefined && (await election.outageQuorum.mayRenewLeases())) {
       return this.renewForLeader(heartbeat, token);
     }
     if (heartbeat.zone !== settings.zone || peerAnswered || zoneLeaseHolder === null) return null;
-    if (!(await zoneLeaseHolder.waitUntilDecided(deadline))) return null;
+    if (!(await zoneLeaseHolder.waitUntilMayRenew(deadline))) return null;
     return this.renewForLeader(heartbeat, replica.lastToken);
   }
 
--- a/src/leader/attempts/lease-expiry.ts
+++ b/src/leader/attempts/lease-expiry.ts
@@ -14,12 +14,13 @@
   /** Handles all leases that have provably expired, with no other controller entitled to renew them. */
   expire(): void {
     const { context, machines, now } = this.term;
-    const substitutes = context.othersRenewal();
+    const substitutes = context.substituteRenewal();
     let substitutesUnproven = false;
     let zoneUnproven = false;
     for (const machine of machines.values()) {
       // While the key-value store is down, other controllers may renew leases in this controller's place.
-      if (substitutes.keptUntil > machine.knownAt) machine.leaseRenewed(substitutes.keptUntil);
+      if (substitutes.renewedUntil > machine.knownAt)
+        machine.leaseRenewed(substitutes.renewedUntil);
       if (
         now <= machine.leaseExpiresAt ||
         machine.state === 'silent' ||
@@ -28,16 +29,16 @@
         continue;
       // If the whole zone is cut off, its zone lease holder may renew leases there.
       const zone = context.zoneRenewal(machine.zone);
-      machine.leaseRenewed(zone.keptUntil);
+      machine.leaseRenewed(zone.renewedUntil);
       if (now <= machine.leaseExpiresAt) continue;
       // A proof from before the lease's end does not exclude a later renewal.
-      const areSubstitutesProven = substitutes.provenAt >= machine.leaseExpiresAt;
-      const isZoneProven = zone.provenAt >= machine.leaseExpiresAt;
+      const areSubstitutesProven = substitutes.provenUntil >= machine.leaseExpiresAt;
+      const isZoneProven = zone.provenUntil >= machine.leaseExpiresAt;
       substitutesUnproven ||= !areSubstitutesProven;
       zoneUnproven ||= !isZoneProven;
       if (areSubstitutesProven && isZoneProven) this.leaseExpired(machine);
     }
-    if (substitutesUnproven) context.requestOthersProof();
+    if (substitutesUnproven) context.requestSubstituteProof();
     if (zoneUnproven) context.requestZoneProof();
   }
 
--- a/src/leader/capacity/scale-out-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -169,7 +169,7 @@
     const { now } = term;
     const tasks = new Map<LiveJob, number>();
     for (const machine of silent) {
-      if (term.context.zoneRenewal(machine.zone).keptUntil > now) continue;
+      if (term.context.zoneRenewal(machine.zone).renewedUntil > now) continue;
       for (const attempt of machine.attempts.values()) {
         const job = term.jobs.get(attempt.job);
         if (
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -176,7 +176,7 @@
   }
 
   /** Handles a stored cancellation reported by another controller, which an outage keeps this one from reading. */
-  onCancellationHeard(id: string): void {
+  onCancellationStored(id: string): void {
     this.term.cancellationReported(id);
   }
 
--- a/src/leader/scheduling/claim-limit.ts
+++ b/src/leader/scheduling/claim-limit.ts
@@ -5,7 +5,7 @@
 import { bytesWithoutImages, type ClaimForm } from '../../store/machine-record.js';
 import { MAX_REPORTED_TASKS } from '../../wire/workers.js';
 import type { Machine } from '../../workers/machine.js';
-import { machineRecord, machineRecordBytes } from '../writes/stored-machine.js';
+import { machineRecord, maxMachineRecordBytes } from '../writes/stored-machine.js';
 import type { Term } from '../term/term.js';
 
 /** Upper bound for one claim: a job's id, its attempt, the task and the separators. */
@@ -34,7 +34,7 @@
   private readonly maxBytes: number;
 
   constructor(private readonly term: Term) {
-    this.maxBytes = machineRecordBytes(term.context.settings);
+    this.maxBytes = maxMachineRecordBytes(term.context.settings);
   }
 
   /** Called when a scheduling cycle begins. */
--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -208,7 +208,7 @@
     const { candidate } = option;
     const saves = option.mode !== 'immediate';
     const carryOut = (): boolean => this.carryOut(job, victims, saves);
-    this.subsystems.preempt({ machine: option.id, borrower: job, victims, saves, carryOut });
+    this.subsystems.preempt({ machine: option.id, preemptingJob: job, victims, saves, carryOut });
     for (const victim of victims) release(victim, candidate.stopping);
     const stoppedIds = new Set(victims.map((victim) => victim.id));
     candidate.victims = candidate.victims.filter((victim) => !stoppedIds.has(victim.id));
--- a/src/leader/term/term-state.ts
+++ b/src/leader/term/term-state.ts
@@ -28,9 +28,9 @@
   isEntitled: () => boolean;
   canWrite: () => boolean;
   /** What is known of renewals that other controllers give in this leader's place. */
-  othersRenewal: () => RenewalKnowledge;
+  substituteRenewal: () => RenewalKnowledge;
   /** Asks a majority of the controllers for a new proof of these renewals. */
-  requestOthersProof: () => void;
+  requestSubstituteProof: () => void;
   /** What is known of renewals that a zone's lease holder gives in its zone. */
   zoneRenewal: (zone: string) => RenewalKnowledge;
   /** Asks for a new proof of the renewals in zones. */
--- a/src/leader/writes/record-writer.ts
+++ b/src/leader/writes/record-writer.ts
@@ -126,7 +126,7 @@
       batch.push(write);
     }
     if (batch.length === 0) return false;
-    writeBudget.force(batch.reduce((sum, write) => sum + 1 + write.alsoOperations.length, 0));
+    writeBudget.forceTake(batch.reduce((sum, write) => sum + 1 + write.alsoOperations.length, 0));
     await this.commitBatch(batch);
     return true;
   }
@@ -171,7 +171,7 @@
     if (batch.length === 1) return;
     for (const write of batch) {
       if (this.stopped) return;
-      this.options.store.writeBudget.force(1 + write.alsoOperations.length);
+      this.options.store.writeBudget.forceTake(1 + write.alsoOperations.length);
       write.started();
       await this.commitBatch([write]);
     }
--- a/src/leader/writes/record-writes.ts
+++ b/src/leader/writes/record-writes.ts
@@ -7,7 +7,7 @@
 import type { OwnedChange } from '../../subsystems/subsystem.js';
 import type { KeyValue, Operation } from '../../wire/key-value-store.js';
 import type { Machine } from '../../workers/machine.js';
-import { machineRecord, machineRecordBytes } from './stored-machine.js';
+import { machineRecord, maxMachineRecordBytes } from './stored-machine.js';
 import type { Term } from '../term/term.js';
 
 /** Bytes of a write in a request in addition to its value and its key, which occurs twice. */
@@ -82,7 +82,7 @@
     const returning = machine.state === 'returning';
     const record = machineRecord(term, machine);
     const form = term.context.allReadDenseRecords() ? 'dense' : 'plain';
-    const value = records.encodeMachine(record, machineRecordBytes(term.context.settings), form);
+    const value = records.encodeMachine(record, maxMachineRecordBytes(term.context.settings), form);
     return recordWrite(
       key,
       machine.recordRevision,
--- a/src/leader/writes/stored-machine.ts
+++ b/src/leader/writes/stored-machine.ts
@@ -11,7 +11,7 @@
 const MAX_RECORD_SHARE = 0.95;
 
 /** Largest size of a machine's record, in bytes. */
-export const machineRecordBytes = ({ state }: Pick<Settings, 'state'>): number =>
+export const maxMachineRecordBytes = ({ state }: Pick<Settings, 'state'>): number =>
   Math.floor(state.value_kb * 1024 * MAX_RECORD_SHARE);
 
 /** The record of a machine in its present state. */
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -52,7 +52,7 @@
   /** Steady time before which this controller does not campaign, after it has transferred leadership. */
   private campaignsNotBefore = -Infinity;
   /** Distinguishes outages from refusals of this controller alone. */
-  readonly outage: OutageQuorum;
+  readonly outageQuorum: OutageQuorum;
   private stopped = false;
   private readonly pause = new WakeableSleep();
   readonly leaseTtlS: number;
@@ -64,7 +64,7 @@
     // About a third of the workers' lease, which leaves a successor two thirds to reach all workers.
     this.leaseTtlS = workers.lease_s * 0.3;
     this.allowanceS = renewalAllowanceS(workers, this.leaseTtlS);
-    this.outage = new OutageQuorum({
+    this.outageQuorum = new OutageQuorum({
       ...options,
       leaseTtlS: this.leaseTtlS,
       allowanceS: this.allowanceS,
@@ -95,7 +95,7 @@
   /** A later leader that asks for acknowledgement must learn until when this one may have renewed leases. */
   private noteOwnRenewals(): void {
     const until = this.entitlement?.validUntil ?? -Infinity;
-    this.outage.noteRenewals(Math.min(this.options.clock.now(), until));
+    this.outageQuorum.recordRenewals(Math.min(this.options.clock.now(), until));
   }
 
   private get isLeading(): boolean {
@@ -147,7 +147,9 @@
       await sleep(0.05);
       return;
     }
-    if (this.options.clock.now() < Math.max(this.outage.promisedUntil, this.campaignsNotBefore)) {
+    if (
+      this.options.clock.now() < Math.max(this.outageQuorum.promisedUntil, this.campaignsNotBefore)
+    ) {
       await sleep(0.1);
       return;
     }
@@ -317,13 +319,13 @@
    */
   private async continueInOutage(askedAt: number): Promise<void> {
     const forS = this.leaseTtlS / 2;
-    if (this.outage.acknowledged > this.token) return;
-    const confirmation = await this.outage.majorityRejected(this.token, forS);
-    if (confirmation === null || this.outage.acknowledged > this.token) return;
+    if (this.outageQuorum.acknowledgedToken > this.token) return;
+    const confirmation = await this.outageQuorum.confirmOutage(this.token, forS);
+    if (confirmation === null || this.outageQuorum.acknowledgedToken > this.token) return;
     // The others' promises run from when they were given, which is after the question was sent.
     const until = Math.min(
       askedAt + forS * (1 - 2 * MAX_CLOCK_DRIFT),
-      this.outage.renewalBound(confirmation),
+      this.outageQuorum.renewalBound(confirmation),
     );
     if (until <= this.options.clock.now()) return;
     if (this.entitlement?.extend(until) !== true) return;
@@ -336,11 +338,11 @@
    * leases have ended; negative: they have.
    */
   acknowledge(token: number): number {
-    if (token > this.outage.acknowledged && token > this.token && this.isLeading) {
+    if (token > this.outageQuorum.acknowledgedToken && token > this.token && this.isLeading) {
       this.options.log.info({ token: this.token, later: token }, 'newer leader acknowledged');
       this.changeRole('follower');
     }
-    return this.outage.acknowledge(token) - this.options.clock.now();
+    return this.outageQuorum.acknowledge(token) - this.options.clock.now();
   }
 
   /** Ends `run`; a campaign under way no longer makes this controller the leader. */
--- a/src/leadership/leader-acknowledgements.ts
+++ b/src/leadership/leader-acknowledgements.ts
@@ -38,10 +38,10 @@
   constructor(private readonly options: LeaderAcknowledgementsOptions) {}
 
   /** What is known of leases that substitutes renew for this leader or an earlier one. */
-  othersRenewal(token: number): RenewalKnowledge {
+  substituteRenewal(token: number): RenewalKnowledge {
     if (this.quorum?.token === token && this.substituteRenewals !== null)
       return this.substituteRenewals.known;
-    return { keptUntil: this.options.clock.now(), provenAt: -Infinity };
+    return { renewedUntil: this.options.clock.now(), provenUntil: -Infinity };
   }
 
   /** Asks a majority again; false: none has answered. */
@@ -66,9 +66,10 @@
     this.substituteRenewals = new SubstituteRenewals({
       ...{ acknowledged: quorum, controllerCount, clock },
       names: () => peers().names,
-      askElected: (node) => this.requestAcknowledgement(node, token),
+      requestAcknowledgement: (node) => this.requestAcknowledgement(node, token),
     });
-    for (const [node, { ack }] of this.options.replica.acknowledgements) this.noteStored(node, ack);
+    for (const [node, { ack }] of this.options.replica.acknowledgements)
+      this.recordStored(node, ack);
     while (!this.stopped && this.quorum === quorum && quorum.state === 'pending') {
       const missing = peers().names.filter((node) => !quorum.has(node));
       await Promise.all(
@@ -83,7 +84,7 @@
   }
 
   /** Records an acknowledgement that was read from the store. */
-  noteStored(node: string, ack: records.AcknowledgementRecord): void {
+  recordStored(node: string, ack: records.AcknowledgementRecord): void {
     if (this.quorum?.token === ack.token) this.quorum.record(node, ack);
   }
 
@@ -101,7 +102,7 @@
     if (leader === null || leader.node === this.options.settings.node) return;
     const token = leader.revision;
     await sleep(this.options.settings.workers.lease_s * STORE_FALLBACK_LEASES);
-    if (this.options.election.outage.acknowledged >= token) return;
+    if (this.options.election.outageQuorum.acknowledgedToken >= token) return;
     const key = records.acknowledgementKey(this.options.settings.node);
     const remainsS = this.options.election.acknowledge(token);
     const value = records.encodeAcknowledgement({ token, remainsS });
@@ -109,7 +110,7 @@
       const revision =
         this.options.replica.acknowledgements.get(this.options.settings.node)?.revision ?? 0;
       try {
-        this.options.store.writeBudget.force(1);
+        this.options.store.writeBudget.forceTake(1);
         const result = await this.options.store.compareAndSwap(
           [{ key, revision }],
           [{ put: key, value }],
--- a/src/leadership/outage-quorum.ts
+++ b/src/leadership/outage-quorum.ts
@@ -67,7 +67,7 @@
  */
 export class OutageQuorum {
   /** Token of the latest leader that this controller has acknowledged: it confirms an outage to no older one. */
-  acknowledged = 0;
+  acknowledgedToken = 0;
   private readonly promises = new OutagePromises();
   /** Until when this controller may renew leases by the latest confirmation of a majority. */
   private mayRenewUntil = -Infinity;
@@ -96,7 +96,7 @@
     const { replicaSync, replica, store, events, leaseTtlS } = this.options;
     if (!replicaSync.ready) return {};
     const knownLeader = replica.leader;
-    if (this.acknowledged > token || (knownLeader !== null && knownLeader.revision > token)) {
+    if (this.acknowledgedToken > token || (knownLeader !== null && knownLeader.revision > token)) {
       return { refused: false };
     }
     // A mere candidate may answer: in an outage it may campaign again and again.
@@ -127,9 +127,9 @@
    * ended. Asked again, it returns the same time, since an answer may be lost.
    */
   acknowledge(token: number): number {
-    this.noteRenewals(Math.min(this.now, this.mayRenewUntil));
-    if (token > this.acknowledged) {
-      this.acknowledged = token;
+    this.recordRenewals(Math.min(this.now, this.mayRenewUntil));
+    if (token > this.acknowledgedToken) {
+      this.acknowledgedToken = token;
       this.mayRenewUntil = -Infinity;
     }
     // A process that has just started does not know the promises of its predecessor.
@@ -138,7 +138,7 @@
   }
 
   /** Records that this controller may have renewed leases until this time. */
-  noteRenewals(until: number): void {
+  recordRenewals(until: number): void {
     this.renewedUntil = Math.max(this.renewedUntil, until);
   }
 
@@ -158,7 +158,7 @@
 
   private async checkMayRenewLeases(): Promise<boolean> {
     const leader = this.options.replica.leader;
-    if (leader === null || this.acknowledged > leader.revision) return false;
+    if (leader === null || this.acknowledgedToken > leader.revision) return false;
     if (!this.options.replicaSync.ready) return false;
     try {
       await this.options.store.get(records.LEADER, PROBE_TIMEOUT_S);
@@ -171,10 +171,10 @@
     const askedAt = this.now;
     if (rejectedSince === null || askedAt - rejectedSince < this.options.leaseTtlS * 0.4)
       return false;
-    const confirmation = await this.majorityRejected(leader.revision, this.substituteS);
-    if (confirmation === null || this.acknowledged > leader.revision) return false;
-    const until = askedAt + this.substituteS * (1 - 2 * MAX_CLOCK_DRIFT);
-    this.noteRenewals(this.mayRenewUntil);
+    const confirmation = await this.confirmOutage(leader.revision, this.substituteWindowS);
+    if (confirmation === null || this.acknowledgedToken > leader.revision) return false;
+    const until = askedAt + this.substituteWindowS * (1 - 2 * MAX_CLOCK_DRIFT);
+    this.recordRenewals(this.mayRenewUntil);
     this.mayRenewUntil = Math.min(until, this.renewalBound(confirmation));
     if (this.now >= this.mayRenewUntil) return false;
     this.options.log.info({ token: leader.revision }, 'renewing leases for a failed leader');
@@ -182,7 +182,7 @@
   }
 
   /** Seconds for which a substitute may renew after the last proof of an outage. */
-  get substituteS(): number {
+  get substituteWindowS(): number {
     return this.options.leaseTtlS / 3;
   }
 
@@ -196,7 +196,7 @@
   }
 
   /** Asks all others whether they are refused. Null: no majority has confirmed it, or another controller is served. */
-  async majorityRejected(token: number, forS: number): Promise<OutageConfirmation | null> {
+  async confirmOutage(token: number, forS: number): Promise<OutageConfirmation | null> {
     const peers = this.options.peers();
     const askedAt = this.now;
     const question = {
--- a/src/leadership/substitute-renewals.ts
+++ b/src/leadership/substitute-renewals.ts
@@ -7,9 +7,9 @@
 /** What is known of renewals by others, in steady seconds. */
 export interface RenewalKnowledge {
   /** Until when others may renew leases, or may have renewed them. */
-  keptUntil: number;
-  /** Time up to which `keptUntil` is certain: later renewals may be unknown. */
-  provenAt: number;
+  renewedUntil: number;
+  /** Time up to which `renewedUntil` is certain: later renewals may be unknown. */
+  provenUntil: number;
 }
 
 /** Dependencies and settings of `SubstituteRenewals`. */
@@ -21,7 +21,7 @@
   /** Names of the other controllers. */
   names: () => readonly string[];
   /** Asks one of them to acknowledge the leader with this token; null: no answer. */
-  askElected: (node: string, token: number) => Promise<ElectedAnswer | null>;
+  requestAcknowledgement: (node: string, token: number) => Promise<ElectedAnswer | null>;
 }
 
 /**
@@ -31,16 +31,16 @@
  * leader has not taken into account: any two majorities share a controller.
  */
 export class SubstituteRenewals {
-  private latestProof: RenewalKnowledge = { keptUntil: -Infinity, provenAt: -Infinity };
+  private latestProof: RenewalKnowledge = { renewedUntil: -Infinity, provenUntil: -Infinity };
   private round: Promise<boolean> | null = null;
 
   constructor(private readonly options: SubstituteRenewalsOptions) {}
 
   /** Result of the acknowledgement of the leader and of the latest round that a majority answered. */
   get known(): RenewalKnowledge {
-    const { keptUntil, provenAt } = this.latestProof;
+    const { renewedUntil, provenUntil } = this.latestProof;
     const { othersRenewUntil } = this.options.acknowledged;
-    return { keptUntil: Math.max(keptUntil, othersRenewUntil), provenAt };
+    return { renewedUntil: Math.max(renewedUntil, othersRenewUntil), provenUntil };
   }
 
   /** Asks all others; resolves with true once a majority has answered, or with false if no majority does. */
@@ -55,16 +55,16 @@
     const answers = new QuorumAcknowledgement(acknowledged.token, controllerCount, clock);
     await this.collect(answers);
     if (answers.state === 'pending') return false;
-    this.latestProof = { keptUntil: answers.othersRenewUntil, provenAt: askedAt };
+    this.latestProof = { renewedUntil: answers.othersRenewUntil, provenUntil: askedAt };
     return true;
   }
 
   /** Resolves once a majority has answered, or when each has answered or timed out. */
   private collect(answers: QuorumAcknowledgement): Promise<void> {
-    const { acknowledged, names, askElected } = this.options;
+    const { acknowledged, names, requestAcknowledgement } = this.options;
     return new Promise((resolve) => {
       const askOne = async (node: string): Promise<void> => {
-        const remainsS = (await askElected(node, acknowledged.token))?.remainsS;
+        const remainsS = (await requestAcknowledgement(node, acknowledged.token))?.remainsS;
         if (remainsS !== undefined) answers.record(node, { remainsS });
         if (answers.state === 'reached') resolve();
       };
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -155,7 +155,7 @@
    * Waits until leases may be renewed, at most until the deadline and only while the zone may turn out to be cut off.
    * Returns whether they may.
    */
-  async waitUntilDecided(deadline: number): Promise<boolean> {
+  async waitUntilMayRenew(deadline: number): Promise<boolean> {
     while (!this.stopped && this.options.clock.now() < deadline) {
       if (this.mayRenewLeases()) return true;
       if (this.state === 'away' || this.state === 'present') return false;
@@ -193,7 +193,7 @@
     const sentAt = this.options.clock.now();
     const lease = await this.options.store.grantLease(this.times.ttlS, this.times.ttlS);
     const key = records.controllerKey(this.options.node);
-    this.options.store.writeBudget.force(1);
+    this.options.store.writeBudget.forceTake(1);
     const result = await this.options.store.compareAndSwap(
       [{ key, revision: this.options.replica.controllers.get(this.options.node) ?? 0 }],
       [{ put: key, value: { i: this.options.incarnation }, lease }],
@@ -246,7 +246,7 @@
 
 /** Dependencies and settings of a `ZoneLeaseWatch`. */
 export interface ZoneLeaseWatchOptions {
-  byZone: Map<string, string>;
+  holderByZone: Map<string, string>;
   leaseS: number;
   replica: Pick<Replica, 'controllers'>;
   replicaSync: Pick<ReplicaSync, 'ready' | 'freshAt'>;
@@ -267,7 +267,7 @@
 
   /** The only controller of a zone; null: the zone has none, or several. */
   holderOf(zone: string): string | null {
-    return this.options.byZone.get(zone) ?? null;
+    return this.options.holderByZone.get(zone) ?? null;
   }
 
   /** Whether this controller has seen the key of the given holder for at least `forS` seconds. */
@@ -288,17 +288,17 @@
   }
 
   /** Renewals of leases of a zone's machines by the zone lease holder. */
-  zone(zone: string): RenewalKnowledge {
-    const node = this.options.byZone.get(zone);
-    if (node === undefined) return { keptUntil: -Infinity, provenAt: Infinity };
+  zoneRenewal(zone: string): RenewalKnowledge {
+    const node = this.options.holderByZone.get(zone);
+    if (node === undefined) return { renewedUntil: -Infinity, provenUntil: Infinity };
     const now = this.options.clock.now();
     if (this.options.replica.controllers.has(node)) {
       // Keys do not expire in an outage, so a read soon after one does not prove that the holder reaches the store.
       const readIsConclusive =
         this.options.replicaSync.freshAt - this.options.store.rejectedAt > this.times.renewalDelayS;
       return {
-        keptUntil: this.keyPutAt.get(node) ?? now,
-        provenAt: readIsConclusive ? this.options.replicaSync.freshAt : -Infinity,
+        renewedUntil: this.keyPutAt.get(node) ?? now,
+        provenUntil: readIsConclusive ? this.options.replicaSync.freshAt : -Infinity,
       };
     }
     let removedAt = this.keyRemovedAt.get(node);
@@ -308,8 +308,8 @@
       if (this.options.replicaSync.ready) this.keyRemovedAt.set(node, now);
     }
     return {
-      keptUntil: removedAt + this.times.maxRenewalS * (1 + 2 * MAX_CLOCK_DRIFT),
-      provenAt: Infinity,
+      renewedUntil: removedAt + this.times.maxRenewalS * (1 + 2 * MAX_CLOCK_DRIFT),
+      provenUntil: Infinity,
     };
   }
 }
--- a/src/lending/grants.ts
+++ b/src/lending/grants.ts
@@ -75,7 +75,7 @@
 
   /** Unless all victims may lend, the preemption is carried out at once without a loan. */
   takesOver(preemption: Preemption): boolean {
-    const { borrower, victims } = preemption;
+    const { preemptingJob: borrower, victims } = preemption;
     if (!victims.every((victim) => isLoanable(borrower, victim))) return false;
     const loans = this.loansOf(preemption);
     if (loans === null) {
@@ -202,7 +202,7 @@
 
 function makeLoan(
   victim: PreemptionVictim,
-  { machine, borrower }: Preemption,
+  { machine, preemptingJob: borrower }: Preemption,
   nowMs: number,
   latestReturnS: number,
 ): Loan {
--- a/src/pipelines/dependency-graph.ts
+++ b/src/pipelines/dependency-graph.ts
@@ -47,7 +47,7 @@
   }
 
   /** Called when a job was accepted, in the order of the store's changes. */
-  accepted(job: StoredJob): void {
+  jobAccepted(job: StoredJob): void {
     this.version++;
     this.link(job);
     if (job.unmetDependencies === 0) this.markReady(job);
@@ -58,12 +58,12 @@
     }
     if (outcome(job) === 'cancelled') {
       this.events.onCancelled(job);
-      this.cancelled(job);
+      this.jobCancelled(job);
     } else if (outcome(job) === 'open' && job.readyAt !== null) this.events.onReady(job);
   }
 
   /** Called when a job is done, in the order of the store's changes. */
-  done(job: StoredJob): void {
+  jobDone(job: StoredJob): void {
     this.version++;
     for (const dependent of this.takeDependents(job)) {
       dependent.unmetDependencies--;
@@ -77,7 +77,7 @@
    * Called when a job is cancelled, in the order of the store's changes. Cancels all open jobs that depend on
    * it, directly or through others.
    */
-  cancelled(job: StoredJob): void {
+  jobCancelled(job: StoredJob): void {
     this.version++;
     const cancelledJobs = [job];
     for (let next = cancelledJobs.pop(); next !== undefined; next = cancelledJobs.pop()) {
--- a/src/scheduler/bin-packing.ts
+++ b/src/scheduler/bin-packing.ts
@@ -78,7 +78,7 @@
   gb: number;
   spec: JobSpec;
   /** Number of tasks expected within the boot time of a machine. */
-  expected: number;
+  expectedTasks: number;
 }
 
 /**
@@ -103,7 +103,7 @@
     if (fits(hotImage.spec, freeAfter) || capacity.imageDelayS(hotImage.image, hotImage.gb) > 0)
       continue;
     // This capacity serves one such task at a time.
-    costS += Math.min(1, hotImage.expected) * capacity.fetchS(hotImage.gb);
+    costS += Math.min(1, hotImage.expectedTasks) * capacity.fetchS(hotImage.gb);
   }
   return costS;
 }
--- a/src/scheduler/quota.ts
+++ b/src/scheduler/quota.ts
@@ -70,7 +70,7 @@
 }
 
 /** The reason why a job can never run; null: it can. */
-export function whyItNeverRuns(
+export function unsatisfiableReason(
   spec: JobSpec,
   teams: Map<string, Team>,
   types: MachineType[],
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -122,7 +122,7 @@
   /** Waits for the request budget. An urgent request is sent at once; later requests wait longer instead. */
   private async waitForBudget(urgent: boolean): Promise<void> {
     if (urgent) {
-      this.requestBudget.force(1);
+      this.requestBudget.forceTake(1);
       return;
     }
     while (!this.requestBudget.tryTake(1)) await sleep(this.requestBudget.secondsUntil(1));
--- a/src/store/job-table.ts
+++ b/src/store/job-table.ts
@@ -137,7 +137,7 @@
     }
     this.earlyProgress.delete(id);
     if (independent && outcome(newJob) === 'open') this.events.onReady(newJob);
-    else if (!this.listingInProgress) this.dependencies.accepted(newJob);
+    else if (!this.listingInProgress) this.dependencies.jobAccepted(newJob);
   }
 
   /**
@@ -170,7 +170,7 @@
     storedJob.cancelledByDependency = false;
     if (this.listingInProgress || outcome(storedJob) !== 'cancelled') return;
     this.closeCancelled(storedJob);
-    this.dependencies.cancelled(storedJob);
+    this.dependencies.jobCancelled(storedJob);
   }
 
   private closeCancelled(storedJob: StoredJob): void {
@@ -215,6 +215,7 @@
     if (storedJob.doneTasks < storedJob.spec.tasks) return;
     storedJob.doneAt = Math.max(...stored.map(({ revision }) => revision));
     storedJob.progress = null;
-    if (!this.listingInProgress && outcome(storedJob) === 'done') this.dependencies.done(storedJob);
+    if (!this.listingInProgress && outcome(storedJob) === 'done')
+      this.dependencies.jobDone(storedJob);
   }
 }
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -141,7 +141,7 @@
   private async storeBatch(batch: PendingRequest[]): Promise<void> {
     const puts = this.encodePuts(batch);
     // One write has been taken from the budget; a batch with both dependent and independent jobs needs two.
-    if (puts.length > 1) this.options.budget.force(puts.length - 1);
+    if (puts.length > 1) this.options.budget.forceTake(puts.length - 1);
     const deadline = Math.max(...batch.map((request) => request.deadline));
     const stored = await this.writePuts(puts, deadline);
     const synced = stored && (await this.readBack(deadline));
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -96,7 +96,7 @@
 export interface Preemption {
   machine: string;
   /** The job whose task gets the capacity. */
-  borrower: LiveJobView;
+  preemptingJob: LiveJobView;
   victims: readonly PreemptionVictim[];
   /** Whether victims that can save may do so first. */
   saves: boolean;
--- a/src/time-of-day.ts
+++ b/src/time-of-day.ts
@@ -39,7 +39,7 @@
   }
 
   /** Whether the machine's clock shows another time at present than the one that counts. */
-  get doubted(): boolean {
+  get hasPendingJump(): boolean {
     return this.jumpedSince !== null;
   }
 
@@ -82,8 +82,8 @@
   }
 
   /** Whether the machine's clock shows another time at present than the one that counts. */
-  get doubted(): boolean {
-    return this.timeOfDay.doubted;
+  get hasPendingJump(): boolean {
+    return this.timeOfDay.hasPendingJump;
   }
 
   /** Number of jumps accepted in this term. */
@@ -92,7 +92,7 @@
   }
 
   /** Sum of the jumps accepted in this term, in ms. */
-  get setMs(): number {
+  get jumpedMs(): number {
     return this.timeOfDay.jumpedMs - this.initialJumpedMs;
   }
 
@@ -104,6 +104,6 @@
   /** Time of day in ms without the jumps accepted in this term. */
   steadyMs(): number {
     const nowMs = this.nowMs();
-    return nowMs - this.setMs;
+    return nowMs - this.jumpedMs;
   }
 }
--- a/src/warm-pools/warm-pools-term.ts
+++ b/src/warm-pools/warm-pools-term.ts
@@ -93,7 +93,7 @@
     const money = this.bill.moneyByDay(this.table.values(), this.clock.steadyMs());
     this.planner.plan(this.bursts.activeAt(nowMs), money);
     this.unloadUnneededModels();
-    if (this.clock.doubted) this.alarms.raise('clock_jump', 'all', 'the time of day jumped');
+    if (this.clock.hasPendingJump) this.alarms.raise('clock_jump', 'all', 'the time of day jumped');
     this.alarms.endRound();
     this.view.wakeWriter();
     this.view.wakeProvisioner();
@@ -114,7 +114,7 @@
    */
   private recordClockSet(): void {
     for (const entry of this.heldSlots()) {
-      const byMs = this.clock.setMs - (entry.current.held?.clockSetMs ?? 0);
+      const byMs = this.clock.jumpedMs - (entry.current.held?.clockSetMs ?? 0);
       if (byMs !== 0) this.table.apply(entry, { kind: 'clock-set', byMs });
     }
   }
--- a/test/cancellation-quorum.test.ts
+++ b/test/cancellation-quorum.test.ts
@@ -16,14 +16,17 @@
 const { lease_s, cancel_s } = settings().workers;
 
 interface HolderRenewals {
-  keptUntil: number;
-  provenAt: number;
+  renewedUntil: number;
+  provenUntil: number;
 }
 
 /** Renewals by a zone lease holder whose key is present, was removed long ago, or was removed just now. */
-const KEY_PRESENT: HolderRenewals = { keptUntil: 0, provenAt: 0 };
-const KEY_LONG_REMOVED: HolderRenewals = { keptUntil: cancel_s - 2 * lease_s, provenAt: Infinity };
-const KEY_JUST_REMOVED: HolderRenewals = { keptUntil: 7 * lease_s, provenAt: Infinity };
+const KEY_PRESENT: HolderRenewals = { renewedUntil: 0, provenUntil: 0 };
+const KEY_LONG_REMOVED: HolderRenewals = {
+  renewedUntil: cancel_s - 2 * lease_s,
+  provenUntil: Infinity,
+};
+const KEY_JUST_REMOVED: HolderRenewals = { renewedUntil: 7 * lease_s, provenUntil: Infinity };
 
 interface Case {
   name: string;
@@ -67,11 +70,11 @@
       ask: (node: string) => Promise.resolve(noting.includes(node) ? { noted: true } : null),
     });
     const zoneLeaseHolders: [string, string][] = [['z1', 'b'], ['z2', 'd']]; // prettier-ignore
-    const zoneLeases = fake<ZoneLeaseWatch>({ zone: () => holderRenewals });
+    const zoneLeases = fake<ZoneLeaseWatch>({ zoneRenewal: () => holderRenewals });
     const cancellations = new CancellationBroadcast({ settings: settings(), zoneLeaseHolders, peers, replica, zoneLeases, clock }
     ); // prettier-ignore
     const cancellationQuorum = new CancellationQuorum({
-      controllerCount: 4, peers, replica, clock, rememberS: 100,
+      controllerCount: 4, peers, replica, clock, retentionS: 100,
       remainingWaitS: (job, noted) => cancellations.remainingWaitS(job, noted),
     }); // prettier-ignore
     const storedJob = { claimCount: 1, cancelledAt: 5 } as StoredJob;
@@ -112,7 +115,7 @@
         leader: leader === null ? null : { node: leader, revision: 1 },
       }),
       clock: { now: () => 0 },
-      rememberS: 100,
+      retentionS: 100,
       remainingWaitS: () => 0,
     });
     let confirmed = false;
--- a/test/heartbeat-bytes.test.ts
+++ b/test/heartbeat-bytes.test.ts
@@ -40,7 +40,10 @@
   return new HeartbeatHandler(
     fake<HandlerOptions>({
       settings: settings(),
-      election: { isEntitled: over.leader !== undefined, outage: { mayRenewLeases: () => true } },
+      election: {
+        isEntitled: over.leader !== undefined,
+        outageQuorum: { mayRenewLeases: () => true },
+      },
       store: { health: 'served' },
       replica: {
         leader: { node: 'n-1', revision: 5 },
@@ -232,7 +235,7 @@
     ['renewed in an outage', makeHandler({}, unavailable), 200],
     [
       'no controller answers',
-      makeHandler({ election: { outage: { mayRenewLeases: () => false } } }),
+      makeHandler({ election: { outageQuorum: { mayRenewLeases: () => false } } }),
       421,
     ],
     ['detected by the leader', makeHandler({}, rejected), 400],
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -39,7 +39,10 @@
     let now = 0;
     const parts = fake<ConstructorParameters<typeof HeartbeatHandler>[0]>({
       settings: { ...settings(), workers: { ...settings().workers, report_s: 2.5 } },
-      election: { isEntitled: false, outage: { mayRenewLeases: () => Promise.resolve(false) } },
+      election: {
+        isEntitled: false,
+        outageQuorum: { mayRenewLeases: () => Promise.resolve(false) },
+      },
       store: { health },
       replica: {
         leader: leader === null ? null : { node: leader, revision: 5 },
--- a/test/lending-clock-cases.test.ts
+++ b/test/lending-clock-cases.test.ts
@@ -22,45 +22,45 @@
 /** How the clock is set while a loan is between two steps. */
 const CLOCK_CHANGES: Record<string, (world: LendingWorld, byMs: number) => Promise<void>> = {
   'for a moment': async (world, byMs) => {
-    world.wallJumpMs = byMs;
+    world.wallClockJumpMs = byMs;
     await world.run(1);
-    world.wallJumpMs = 0;
+    world.wallClockJumpMs = 0;
   },
   'to and fro': async (world, byMs) => {
-    world.wallJumpMs = byMs;
+    world.wallClockJumpMs = byMs;
     await world.run(1);
-    world.wallJumpMs = -byMs;
+    world.wallClockJumpMs = -byMs;
     await world.run(1);
-    world.wallJumpMs = 0;
+    world.wallClockJumpMs = 0;
   },
   'for good': async (world, byMs) => {
-    world.wallJumpMs = byMs;
+    world.wallClockJumpMs = byMs;
     await world.run(JUMP_ADOPTED_S);
   },
   'while commits are on their way': async (world, byMs) => {
     world.store.mode = 'hold back';
     await world.run(0.5);
-    world.wallJumpMs = byMs;
+    world.wallClockJumpMs = byMs;
     await world.run(0.5);
     world.store.mode = 'serve';
     world.store.deliverHeldBack();
     await world.run(0.5);
-    world.wallJumpMs = 0;
+    world.wallClockJumpMs = 0;
   },
   'for a moment, in which a successor begins': async (world, byMs) => {
-    world.wallJumpMs = byMs;
+    world.wallClockJumpMs = byMs;
     world.failOver();
     await world.run(1);
-    world.wallJumpMs = 0;
+    world.wallClockJumpMs = 0;
   },
   'for good, and a successor shows the time of before': async (world, byMs) => {
-    world.wallJumpMs = byMs;
+    world.wallClockJumpMs = byMs;
     await world.run(JUMP_ADOPTED_S);
-    world.wallJumpMs = 0;
+    world.wallClockJumpMs = 0;
     world.failOver();
   },
   'a successor that is off by what clocks may differ': async (world, byMs) => {
-    world.wallJumpMs = Math.sign(byMs) * 2 * world.settings.skewMs;
+    world.wallClockJumpMs = Math.sign(byMs) * 2 * world.settings.skewMs;
     world.failOver();
   },
 };
--- a/test/lending-clock.test.ts
+++ b/test/lending-clock.test.ts
@@ -20,9 +20,9 @@
       const name = `${point}, by ${byMs} ms`;
       const world = new LendingWorld();
       await world.runToPoint(point);
-      world.wallJumpMs = byMs;
+      world.wallClockJumpMs = byMs;
       await world.run(1);
-      world.wallJumpMs = 0;
+      world.wallClockJumpMs = 0;
       for (const { state, reason } of world.loans()) {
         assert.notEqual(state, 'waived', `${name}: ${reason}`);
         assert.doesNotMatch(reason ?? '', / late/, name);
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -299,7 +299,7 @@
     });
     const taken = grants.takesOver({
       machine: 'm1',
-      borrower: fake<LiveJobView>({ spec: spec({ id: 'wk-000002', kind: 'service' }) }),
+      preemptingJob: fake<LiveJobView>({ spec: spec({ id: 'wk-000002', kind: 'service' }) }),
       victims: [{ job, attempt }],
       ...{ saves: true, carryOut: () => true },
     });
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -148,7 +148,7 @@
     const controller = new Controller(store);
     if (acknowledged > 0) controller.election.acknowledge(token + acknowledged);
     store.mode = mode;
-    const answer = await controller.election.outage.answer(token, 100, 0);
+    const answer = await controller.election.outageQuorum.answer(token, 100, 0);
     assert.equal(answer.refused, want, name);
     if (want !== true) continue;
     assert.deepEqual(answer.cancelled, ['wk-1'], 'the answer tells of the cancellation');
@@ -175,16 +175,16 @@
     store.mode = 'refuse';
     store.rejectedSince = controller.now - LEADER_TTL_S * refusedForTtls;
     if (acknowledged) controller.election.acknowledge(token + 1);
-    assert.equal(await controller.election.outage.mayRenewLeases(), mayRenew, name);
+    assert.equal(await controller.election.outageQuorum.mayRenewLeases(), mayRenew, name);
     if (!mayRenew) continue;
     controller.election.acknowledge(token + 1);
     assert.equal(
-      await controller.election.outage.mayRenewLeases(),
+      await controller.election.outageQuorum.mayRenewLeases(),
       false,
       'no longer once a later leader is acknowledged',
     );
     controller.now += LEADER_TTL_S;
-    assert.equal(await controller.election.outage.mayRenewLeases(), false);
+    assert.equal(await controller.election.outageQuorum.mayRenewLeases(), false);
   }
 });
 
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -35,7 +35,7 @@
       await until(world);
       const late = world.machine('a').activeAttempts().length > 0 ? world.sendDirect('a') : null;
       world.cancel(JOB);
-      if (seen === 'by word of another') world.leader.onCancellationHeard(JOB);
+      if (seen === 'by word of another') world.leader.onCancellationStored(JOB);
       if (seen === 'by the old leader' || seen === 'no change') world.store.feed(world.replica);
       if (seen !== 'by the next') await world.parts.writer.writeBatch();
       if (seen !== 'no change') world.failOver();
@@ -92,7 +92,7 @@
   await world.run(1);
   world.canWrite = false;
   world.cancel(JOB);
-  world.leader.onCancellationHeard(JOB);
+  world.leader.onCancellationStored(JOB);
   for (let i = 0; i < 3; i++) world.exchangeHeartbeat(world.fleet.workers.get('a')!);
   assert.deepEqual([world.fleet.running(JOB), world.fleet.running(OTHER)], [0, 1]);
   world.canWrite = true;
@@ -187,7 +187,7 @@
     ['its zone lease holder does not renew, by an old proof', -Infinity, 0, false],
     ['its zone lease holder does not renew, by a fresh proof', -Infinity, 60, true],
   ];
-  for (const [name, keptUntil, provenAt, lost] of cases) {
+  for (const [name, renewedUntil, provenUntil, lost] of cases) {
     const world = await worldWith(['a', 'b']);
     world.submitJob({ id: JOB, gpus: 8, cores: 8 });
     await world.run(1);
@@ -195,7 +195,7 @@
       (worker) => worker.running(JOB).length > 0,
     );
     on!.mute = true;
-    world.zoneRenewal = { keptUntil, provenAt };
+    world.zoneRenewal = { renewedUntil, provenUntil };
     // The zone lease holder renews its lease.
     if (!lost) on!.answeredAt = Infinity;
     await world.run(world.settings.workers.lease_s * 2);
--- a/test/meeting-limits.test.ts
+++ b/test/meeting-limits.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../src/jobs/types.js';
-import { whyItNeverRuns } from '../src/scheduler/quota.js';
+import { unsatisfiableReason } from '../src/scheduler/quota.js';
 import * as records from '../src/store/records.js';
 import { g8, settings, spec } from './helpers.js';
 import { LeaderWorld } from './support/leader-world.js';
@@ -26,7 +26,7 @@
     ],
   ];
   for (const [name, over, types, runs] of cases) {
-    assert.equal(whyItNeverRuns(spec(over), settings().teams, types) === null, runs, name);
+    assert.equal(unsatisfiableReason(spec(over), settings().teams, types) === null, runs, name);
   }
 });
 
--- a/test/meeting-outage-quorum.test.ts
+++ b/test/meeting-outage-quorum.test.ts
@@ -59,8 +59,8 @@
   const { election } = controller(store);
   const pendingReads: ((error: Error) => void)[] = [];
   store.get = () => new Promise((_, reject) => pendingReads.push(reject));
-  const unanswered = election.outage.answer(1, 1000, 0);
-  const refused = election.outage.answer(1, 2000, 0);
+  const unanswered = election.outageQuorum.answer(1, 1000, 0);
+  const refused = election.outageQuorum.answer(1, 2000, 0);
   pendingReads[0]!(new OutcomeUnknownError('no answer'));
   assert.equal((await unanswered).refused, undefined);
   pendingReads[1]!(new RequestRejectedError(503));
@@ -73,7 +73,7 @@
   const store = new MemoryStore();
   const { election } = controller(store, false);
   store.mode = 'refuse';
-  assert.notEqual((await election.outage.answer(3, 1000, 0)).refused, true);
+  assert.notEqual((await election.outageQuorum.answer(3, 1000, 0)).refused, true);
 });
 
 test('an answer in an outage lists thousands of cancellations, but none of jobs without tasks', async () => {
@@ -91,7 +91,7 @@
   store.cancel(first);
   const { election } = controller(store);
   store.mode = 'refuse';
-  const answer = await election.outage.answer(1, 1000, before);
+  const answer = await election.outageQuorum.answer(1, 1000, before);
   assert.equal(answer.refused, true);
   assert.equal(answer.cancelled?.length, many + 1);
   assert.ok(encodeFrame({ id: 1, a: answer }).length <= MAX_FRAME);
--- a/test/pipeline-users.test.ts
+++ b/test/pipeline-users.test.ts
@@ -168,7 +168,7 @@
     replica,
     clock: { now: () => 0 },
     remainingWaitS: () => 0,
-    rememberS: 1,
+    retentionS: 1,
   });
   await userApi.cancel(NEEDED);
   assert.ok(await cancellationQuorum.confirm(replica.jobs.get(JOB)!, JOB));
--- a/test/scheduler-rules.test.ts
+++ b/test/scheduler-rules.test.ts
@@ -152,7 +152,7 @@
 
 test('a machine with a hot image is left to tasks that need that image', () => {
   const big = spec({ image: 'big', gpus: 4, cores: 4 });
-  const hotImages = [{ image: 'big', gb: 30, spec: big, expected: 0.5 }];
+  const hotImages = [{ image: 'big', gb: 30, spec: big, expectedTasks: 0.5 }];
   const cached = freeCapacity({ id: 'cached', gpus: 4 });
   const cold = freeCapacity({ id: 'cold', imageDelayS: (i) => (i === 'big' ? 30 : 0) });
   const where = { zones: new Map() };
--- a/test/substitute-renewals.test.ts
+++ b/test/substitute-renewals.test.ts
@@ -22,7 +22,7 @@
     this.renewals = new SubstituteRenewals({
       ...{ acknowledged: this.acknowledged, controllerCount, clock },
       names: () => answers.map((_, index) => `n-${index}`),
-      askElected: (node, token) => this.answer(Number(node.slice(2)), token),
+      requestAcknowledgement: (node, token) => this.answer(Number(node.slice(2)), token),
     });
     answers.forEach((_, index) => this.acknowledged.record(`n-${index}`, { remainsS: -50 }));
   }
@@ -48,16 +48,16 @@
   ];
   for (const [name, answers, isProven] of cases) {
     const { renewals } = new AskingLeader(answers);
-    assert.equal(renewals.known.provenAt, -Infinity, name);
+    assert.equal(renewals.known.provenUntil, -Infinity, name);
     assert.equal(await renewals.request(), isProven, name);
-    assert.equal(renewals.known.provenAt, isProven ? 100 : -Infinity, name);
+    assert.equal(renewals.known.provenUntil, isProven ? 100 : -Infinity, name);
   }
 });
 
 test('a promise in an answer runs from the arrival of the answer', async () => {
   const asker = new AskingLeader([{ remainsS: 1.5 }, null]);
   await asker.renewals.request();
-  assert.deepEqual(asker.renewals.known, { keptUntil: asker.now + 1.5, provenAt: 100 });
+  assert.deepEqual(asker.renewals.known, { renewedUntil: asker.now + 1.5, provenUntil: 100 });
 });
 
 test('until a majority has acknowledged the leader, others may renew at any moment', async () => {
@@ -65,10 +65,10 @@
   const renewals = new SubstituteRenewals({
     ...{ acknowledged: new QuorumAcknowledgement(TOKEN, 3, clock), controllerCount: 3, clock },
     names: () => [],
-    askElected: () => Promise.resolve(null),
+    requestAcknowledgement: () => Promise.resolve(null),
   });
   assert.equal(await renewals.request(), false);
-  assert.deepEqual(renewals.known, { keptUntil: 100, provenAt: -Infinity });
+  assert.deepEqual(renewals.known, { renewedUntil: 100, provenUntil: -Infinity });
 });
 
 // Guards against tasks on two machines: the leader would count a lease as expired that others had renewed without its knowledge.
@@ -89,9 +89,9 @@
     host!.mute = true;
     // Its lease is renewed by others.
     if (!isLost) host!.answeredAt = Infinity;
-    world.othersRenewal = {
-      keptUntil: world.now + keptLeases * leaseS,
-      provenAt: world.now + provenLeases * leaseS,
+    world.substituteRenewal = {
+      renewedUntil: world.now + keptLeases * leaseS,
+      provenUntil: world.now + provenLeases * leaseS,
     };
     world.proofsRequested = 0;
     await world.run(leaseS * 1.9);
--- a/test/support/leader-world.ts
+++ b/test/support/leader-world.ts
@@ -59,14 +59,14 @@
   replica!: Replica;
   token = 0;
   canWrite = true;
-  zoneRenewal = { keptUntil: -Infinity, provenAt: Infinity };
+  zoneRenewal = { renewedUntil: -Infinity, provenUntil: Infinity };
   /** Renewals that other controllers give in the leader's place. */
-  othersRenewal = { keptUntil: -Infinity, provenAt: Infinity };
+  substituteRenewal = { renewedUntil: -Infinity, provenUntil: Infinity };
   /** How often the leader has asked a majority for a proof of these renewals. */
   proofsRequested = 0;
   machinesReturned: string[] = [];
   /** Offset of the time of day on the leader's machine after a clock jump. */
-  wallJumpMs = 0;
+  wallClockJumpMs = 0;
 
   constructor(
     gpusMax = 100,
@@ -85,7 +85,7 @@
 
   /** Time of day on the leader's machine, in ms. */
   wallMs(): number {
-    return 1e9 + this.now * 1000 + this.wallJumpMs;
+    return 1e9 + this.now * 1000 + this.wallClockJumpMs;
   }
 
   /** The present leader's term. */
@@ -130,8 +130,8 @@
         allReadDenseRecords: () => true,
         isEntitled: () => this.token === token,
         canWrite: () => this.canWrite && this.token === token,
-        othersRenewal: () => this.othersRenewal,
-        requestOthersProof: () => void this.proofsRequested++,
+        substituteRenewal: () => this.substituteRenewal,
+        requestSubstituteProof: () => void this.proofsRequested++,
         zoneRenewal: () => this.zoneRenewal,
         requestZoneProof: () => undefined,
         cancellationKnownAt: () => undefined,
@@ -170,7 +170,7 @@
   /** As `cancel`, with the leader reachable: the user gets the answer once the leader has noted the cancellation. */
   cancelNotedByLeader(id: string): void {
     this.store.cancel(id);
-    this.leader.onCancellationHeard(id);
+    this.leader.onCancellationStored(id);
     this.fleet.cancelled.add(id);
   }
 
--- a/test/support/memory-store.ts
+++ b/test/support/memory-store.ts
@@ -26,7 +26,12 @@
   readonly valueBytes = 8192;
   readonly operationsPerTransaction = 20;
   rejectedSince: number | null = null;
-  readonly writeBudget = { available: 1e6, capacity: 1e6, force: () => undefined, wait: () => 0 };
+  readonly writeBudget = {
+    available: 1e6,
+    capacity: 1e6,
+    forceTake: () => undefined,
+    wait: () => 0,
+  };
   private readonly items = new Map<string, KeyValue>();
   private readonly changeLog: Change[] = [];
   private readonly heldBack: (() => void)[] = [];
--- a/test/support/scheduler-world.ts
+++ b/test/support/scheduler-world.ts
@@ -46,9 +46,9 @@
       allReadDenseRecords: () => true,
       isEntitled: () => true,
       canWrite: () => true,
-      othersRenewal: () => ({ keptUntil: -Infinity, provenAt: Infinity }),
-      requestOthersProof: () => undefined,
-      zoneRenewal: () => ({ keptUntil: this.zoneRenewedUntil, provenAt: Infinity }),
+      substituteRenewal: () => ({ renewedUntil: -Infinity, provenUntil: Infinity }),
+      requestSubstituteProof: () => undefined,
+      zoneRenewal: () => ({ renewedUntil: this.zoneRenewedUntil, provenUntil: Infinity }),
       requestZoneProof: () => undefined,
       cancellationKnownAt: () => undefined,
     });
--- a/test/support/simulated-controller.ts
+++ b/test/support/simulated-controller.ts
@@ -166,7 +166,7 @@
       replica: this.replica,
       clock,
       remainingWaitS: () => 0,
-      rememberS: Infinity,
+      retentionS: Infinity,
     });
     this.handler = this.makeHandler();
   }
@@ -179,7 +179,7 @@
     return new HeartbeatHandler({
       settings: this.settings,
       election: fake<Election>({
-        outage,
+        outageQuorum: outage,
         get isEntitled() {
           return isEntitled();
         },
@@ -196,7 +196,7 @@
           return isAlone() ? 'alone' : 'present';
         },
         mayRenewLeases: isAlone,
-        waitUntilDecided: () => Promise.resolve(isAlone()),
+        waitUntilMayRenew: () => Promise.resolve(isAlone()),
       }),
       zoneLeases: fake<ZoneLeaseWatch>({ holderOf: () => null }),
       isLate: () => false,
@@ -301,7 +301,7 @@
     for (const id of ids) {
       this.cancellations.noteStored(id);
       this.cancellationTimes.note(id);
-      this.term?.leader.onCancellationHeard(id);
+      this.term?.leader.onCancellationStored(id);
     }
   }
 
@@ -351,7 +351,11 @@
     this.ready = true;
     this.freshAt = this.world.now;
     const known = this.replica.leader;
-    if (known !== null && known.node !== this.node && known.revision > this.outage.acknowledged)
+    if (
+      known !== null &&
+      known.node !== this.node &&
+      known.revision > this.outage.acknowledgedToken
+    )
       this.acknowledge(known.revision);
   }
 
@@ -372,7 +376,7 @@
     const renewals = new SubstituteRenewals({
       ...{ acknowledged, controllerCount, clock },
       names: () => this.peers.names,
-      askElected: (node) => this.askElected(node, token),
+      requestAcknowledgement: (node) => this.requestAcknowledgement(node, token),
     });
     const leader = new Leader(
       {
@@ -383,9 +387,9 @@
         allReadDenseRecords: () => true,
         isEntitled: () => this.isEntitled && this.term?.token === token,
         canWrite: () => this.isEntitled && this.term?.token === token && !this.term.inOutage,
-        othersRenewal: () => renewals.known,
-        requestOthersProof: () => void renewals.request(),
-        zoneRenewal: () => ({ keptUntil: -Infinity, provenAt: Infinity }),
+        substituteRenewal: () => renewals.known,
+        requestSubstituteProof: () => void renewals.request(),
+        zoneRenewal: () => ({ renewedUntil: -Infinity, provenUntil: Infinity }),
         requestZoneProof: () => undefined,
         cancellationKnownAt: (job) => this.cancellationTimes.of(job),
       },
@@ -414,7 +418,7 @@
 
   private endTerm(): void {
     if (this.term === null) return;
-    this.outage.noteRenewals(Math.min(this.world.now, this.term.entitlement.validUntil));
+    this.outage.recordRenewals(Math.min(this.world.now, this.term.entitlement.validUntil));
     this.term = null;
     this.replica.listener = this.followerListener;
   }
@@ -434,14 +438,14 @@
     this.endTerm();
   }
 
-  private async askElected(node: string, token: number): Promise<ElectedAnswer | null> {
+  private async requestAcknowledgement(node: string, token: number): Promise<ElectedAnswer | null> {
     return (await this.ask(node, { q: 'elected', token })) as ElectedAnswer | null;
   }
 
   private async collectAcknowledgements(term: SimulatedTerm): Promise<void> {
     for (const node of this.peers.names) {
       if (term.acknowledged.has(node)) continue;
-      const remainsS = (await this.askElected(node, term.token))?.remainsS;
+      const remainsS = (await this.requestAcknowledgement(node, term.token))?.remainsS;
       if (remainsS !== undefined) term.acknowledged.record(node, { remainsS });
     }
   }
@@ -449,9 +453,9 @@
   private async continueInOutage(term: SimulatedTerm): Promise<void> {
     const forS = this.leaderTtlS / 2;
     const askedAt = this.world.now;
-    if (this.outage.acknowledged > term.token) return;
-    const majority = await this.outage.majorityRejected(term.token, forS);
-    if (majority === null || this.outage.acknowledged > term.token) return;
+    if (this.outage.acknowledgedToken > term.token) return;
+    const majority = await this.outage.confirmOutage(term.token, forS);
+    if (majority === null || this.outage.acknowledgedToken > term.token) return;
     const until = Math.min(askedAt + forS, this.outage.renewalBound(majority));
     if (until <= this.world.now) return;
     if (term.entitlement.extend(until)) term.inOutage = true;
--- a/test/support/user-api-world.ts
+++ b/test/support/user-api-world.ts
@@ -48,8 +48,8 @@
     syncGapS: 0,
   });
   replicaSync.ready = true;
-  const force = (): void => undefined;
-  const budget = fake<TokenBucket>({ tryTake: () => true, perSecond: 100, force });
+  const forceTake = (): void => undefined;
+  const budget = fake<TokenBucket>({ tryTake: () => true, perSecond: 100, forceTake });
   const requestWriter = new RequestWriter({
     incarnation: name,
     store: storeClient,
--- a/test/time-of-day.test.ts
+++ b/test/time-of-day.test.ts
@@ -29,7 +29,7 @@
       const priority = (): number => world.term.jobs.get('wk-1')!.spec.priority;
       const before = priority();
       assert.equal(before, deadlineS === 60 ? 0 : 2);
-      world.wallJumpMs = byMs;
+      world.wallClockJumpMs = byMs;
       await world.run(1);
       assert.equal(priority(), before, `${deadlineS} s, ${byMs} ms`);
     }
@@ -52,10 +52,10 @@
     ];
     const before = expected();
     assert.ok(before.length > 1);
-    world.wallJumpMs = byMs;
+    world.wallClockJumpMs = byMs;
     await world.run(1);
     expected();
-    world.wallJumpMs = 0;
+    world.wallClockJumpMs = 0;
     await world.run(1);
     assert.deepEqual(expected()[0], before[0], `${byMs} ms`);
     assert.ok(Number(expected()[1]) >= Number(before[1]) * 0.9, `${byMs} ms`);
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { whyItNeverRuns } from '../src/scheduler/quota.js';
+import { unsatisfiableReason } from '../src/scheduler/quota.js';
 import { BadMessage, parseSubmission, route } from '../src/wire/users.js';
 import { g8, settings, spec } from './helpers.js';
 
@@ -58,7 +58,7 @@
     ['cores are not limited', { kind: 'service', tasks: 12, cores: 8 }, true],
   ];
   for (const [name, over, runs] of cases) {
-    assert.equal(whyItNeverRuns(spec(over), teams, [g8]) === null, runs, name);
+    assert.equal(unsatisfiableReason(spec(over), teams, [g8]) === null, runs, name);
   }
 });
 
--- a/test/warm-pool-clock.test.ts
+++ b/test/warm-pool-clock.test.ts
@@ -45,7 +45,7 @@
       name: 'a commit from before the change is carried out later',
       async run(world) {
         await world.runUntil(9);
-        world.wallJumpMs = HOUR_MS;
+        world.wallClockJumpMs = HOUR_MS;
         await world.runUntil(17.4);
         world.store.mode = 'hold back';
         await world.runUntil(9 + FOLLOWED_AFTER_S + 1);
@@ -58,7 +58,7 @@
       name: 'the answer to a commit from before the change is lost, and its record is read back',
       async run(world) {
         await world.runUntil(9);
-        world.wallJumpMs = HOUR_MS;
+        world.wallClockJumpMs = HOUR_MS;
         await world.runUntil(17.4);
         world.store.mode = 'lose answers';
         await world.runUntil(9 + FOLLOWED_AFTER_S + 1);
@@ -72,7 +72,7 @@
       async run(world) {
         // By then the slot is planned and its request named; the request is due at 16.4 s.
         await world.runUntil(3.4);
-        world.wallJumpMs = HOUR_MS;
+        world.wallClockJumpMs = HOUR_MS;
         await world.runUntil(13.4);
         world.canWrite = false;
         world.store.mode = 'refuse';
@@ -86,9 +86,9 @@
       name: 'a clock that went back is followed, and a successor whose clock is right takes over',
       async run(world) {
         await world.runUntil(BURST_AT_S + 1);
-        world.wallJumpMs = -10_000;
+        world.wallClockJumpMs = -10_000;
         await world.run(FOLLOWED_AFTER_S + 1);
-        world.wallJumpMs = 0;
+        world.wallClockJumpMs = 0;
         world.failOver();
         await world.runUntil(BURST_AT_S + HOLD_S + 3);
         // The successor cannot know which of the two times of day was right: 10 s for the whole machine.
@@ -99,9 +99,9 @@
       name: 'a clock that went ahead is followed, and a successor whose clock is right takes over',
       async run(world) {
         await world.runUntil(BURST_AT_S + 1);
-        world.wallJumpMs = 5000;
+        world.wallClockJumpMs = 5000;
         await world.run(FOLLOWED_AFTER_S + 1);
-        world.wallJumpMs = 0;
+        world.wallClockJumpMs = 0;
         world.failOver();
         await world.runUntil(BURST_AT_S + HOLD_S + 3);
         checkBill(world, reservedS(world, BURST_AT_S + HOLD_S), 5);
--- a/test/warm-pool-times.test.ts
+++ b/test/warm-pool-times.test.ts
@@ -58,10 +58,10 @@
   run(moment, 10);
   jumpMs = 3_600_000;
   run(moment, 30);
-  assert.ok(offMs(moment) < 250 && moment.doubted, 'a momentary jump is not followed');
+  assert.ok(offMs(moment) < 250 && moment.hasPendingJump, 'a momentary jump is not followed');
   jumpMs = 0;
   run(moment, 1);
-  assert.ok(!moment.doubted && moment.jumps === 0);
+  assert.ok(!moment.hasPendingJump && moment.jumps === 0);
   for (const by of [3_600_000, -3_600_000]) {
     const lasting = make();
     run(lasting, 10);
--- a/test/warm-pools-random.test.ts
+++ b/test/warm-pools-random.test.ts
@@ -36,7 +36,7 @@
   'new leader': (world) => {
     resumeStore(world);
     // A leader that begins with a wrong clock is outside the protocol's bound: docs/warm-pools-design.md.
-    world.wallJumpMs = 0;
+    world.wallClockJumpMs = 0;
     world.failOver();
   },
   'machine dies': (world, number) => {
@@ -52,8 +52,8 @@
     world.store.cancel(id);
     if (!world.unnotedCancellations.has(id)) world.unnotedCancellations.set(id, world.now);
   },
-  'clock jumps': (world) => void (world.wallJumpMs = 3_600_000),
-  'clock is right': (world) => void (world.wallJumpMs = 0),
+  'clock jumps': (world) => void (world.wallClockJumpMs = 3_600_000),
+  'clock is right': (world) => void (world.wallClockJumpMs = 0),
 };
 
 function resumeStore(world: WarmPoolWorld): void {
@@ -127,7 +127,7 @@
   }
   resumeStore(world);
   world.cloud.mode = 'serve';
-  world.wallJumpMs = 0;
+  world.wallClockJumpMs = 0;
   // A lasting jump of the clock is followed, and followed back.
   await world.runUntil(Math.max(world.now, BURST_AT_S + HOLD_S) + 40);
   checkInvariants(world);
--- a/test/warm-pools-troubles.test.ts
+++ b/test/warm-pools-troubles.test.ts
@@ -97,13 +97,13 @@
       name: 'its zone is partitioned: the machine may be alive there',
       async run(world) {
         await world.runUntil(BURST_AT_S - 1);
-        world.zoneRenewal = { keptUntil: Infinity, provenAt: Infinity };
+        world.zoneRenewal = { renewedUntil: Infinity, provenUntil: Infinity };
         const worker = world.worker('host-000001');
         worker.mute = true;
         await world.run(8);
         assert.equal(world.states(), 'warm warm');
         worker.mute = false;
-        world.zoneRenewal = { keptUntil: -Infinity, provenAt: Infinity };
+        world.zoneRenewal = { renewedUntil: -Infinity, provenUntil: Infinity };
         await world.run(2);
         assert.equal(world.states(), 'warm warm');
         assert.equal(world.cloud.machines.size, 1);
@@ -128,10 +128,10 @@
       name: 'ahead for a moment',
       async run(world) {
         await world.runUntil(5);
-        world.wallJumpMs = (BURST_AT_S - 5) * 1000;
+        world.wallClockJumpMs = (BURST_AT_S - 5) * 1000;
         await world.run(3);
         assert.equal(allStates(world), '');
-        world.wallJumpMs = 0;
+        world.wallClockJumpMs = 0;
         await world.runUntil(BURST_AT_S);
         assert.equal(world.states(), 'warm warm');
       },
@@ -140,11 +140,11 @@
       name: 'back for a moment, while warm',
       async run(world) {
         await world.runUntil(BURST_AT_S + 1);
-        world.wallJumpMs = -3600e3;
+        world.wallClockJumpMs = -3600e3;
         await world.run(2);
         assert.equal(world.states(), 'warm warm');
         assert.match(world.alarms(), /clock_jump/);
-        world.wallJumpMs = 0;
+        world.wallClockJumpMs = 0;
         await world.run(1);
         assert.equal(world.alarms(), '');
       },
@@ -154,7 +154,7 @@
       async run(world) {
         await world.runUntil(BURST_AT_S + HOLD_S + 3);
         const before = billTotals(world);
-        world.wallJumpMs = -(HOLD_S + 5) * 1000;
+        world.wallClockJumpMs = -(HOLD_S + 5) * 1000;
         await world.run(60);
         assert.equal(billTotals(world).slots, before.slots);
         assertNear(billTotals(world).machineS, before.machineS, 1e-6, 'the bill');
@@ -164,7 +164,7 @@
       name: 'an hour ahead for good, while warm: that hour is not billed',
       async run(world) {
         await world.runUntil(BURST_AT_S + 1);
-        world.wallJumpMs = 3_600_000;
+        world.wallClockJumpMs = 3_600_000;
         await world.run(20);
         assert.equal(
           allStates(world),
@@ -179,7 +179,7 @@
       name: 'another leader whose clock is within the bound',
       async run(world) {
         await world.runUntil(18);
-        world.wallJumpMs = 100;
+        world.wallClockJumpMs = 100;
         world.failOver();
         await world.runUntil(BURST_AT_S);
         assert.equal(world.states(), 'warm warm');
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -54,7 +54,7 @@
   const setup = (present: boolean, freshAt: number, rejectedAt: number): ZoneLeaseWatch => {
     const replica = { controllers: new Map(present ? [['a', 5]] : []) };
     const watch = new ZoneLeaseWatch({
-      byZone: new Map([['x', 'a']]),
+      holderByZone: new Map([['x', 'a']]),
       leaseS: lease,
       replica,
       replicaSync: { ready: true, freshAt },
@@ -74,10 +74,13 @@
     ['long after an outage it does', setup(true, 99, 99 - renewalDelayS * 2), 'x', 90, 99],
     ['key removed: up to the bound', setup(false, 99, -Infinity), 'x', gone, Infinity],
   ]; // prettier-ignore
-  for (const [name, watch, zone, keptUntil, provenAt] of cases) {
-    const renewal = watch.zone(zone);
-    assert.ok(Math.abs(renewal.keptUntil - keptUntil) < 1 || renewal.keptUntil === keptUntil, name);
-    assert.equal(renewal.provenAt, provenAt, name);
+  for (const [name, watch, zone, renewedUntil, provenUntil] of cases) {
+    const renewal = watch.zoneRenewal(zone);
+    assert.ok(
+      Math.abs(renewal.renewedUntil - renewedUntil) < 1 || renewal.renewedUntil === renewedUntil,
+      name,
+    );
+    assert.equal(renewal.provenUntil, provenUntil, name);
   }
 });
 
@@ -89,7 +92,7 @@
   let lastAnsweredSentAt = -Infinity;
   const store = fake<KeyValueStoreClient>({
     answeredAt: 0,
-    writeBudget: { force: () => undefined },
+    writeBudget: { forceTake: () => undefined },
     grantLease: async () => 7,
     compareAndSwap: async () => ({ ok: true, revision: 1 }),
     get: async () => {
@@ -144,7 +147,7 @@
 
 test('an outage does not count as being cut off: a refusal is an answer', async () => {
   const store = fake<KeyValueStoreClient>({
-    writeBudget: { force: () => undefined },
+    writeBudget: { forceTake: () => undefined },
     grantLease: async () => 7,
     compareAndSwap: async () => ({ ok: true, revision: 1 }),
     get: async () => {
@@ -241,7 +244,7 @@
     incarnation: 'a-1',
     leaseS: lease,
     store: fake<KeyValueStoreClient>({
-      writeBudget: { force: () => undefined },
+      writeBudget: { forceTake: () => undefined },
       grantLease: () => answer(7),
       compareAndSwap: async () => {
         puts.push({ at: steadyClock.now(), renews: zoneLeaseHolder.mayRenewLeases() });
