--- a/scripts/fleet-load.ts
+++ b/scripts/fleet-load.ts
@@ -216,7 +216,9 @@
     for (let i = 0; i < options.machines * JOBS_PER_MACHINE; i++) {
       const isOver = i < this.endedJobCount;
       const kind = isOver ? 'array' : 'service';
-      const jobs = [{ spec: spec({ id: jobId(i), kind, cores: 0.1 }), atMs: Date.now() - 300_000 }];
+      const jobs = [
+        { spec: spec({ id: jobId(i), kind, cores: 0.1 }), acceptedAtMs: Date.now() - 300_000 },
+      ];
       const cancelledIds = isOver ? [jobId(i)] : [];
       put(`${records.JOBS}x-${i}`, records.encodeRequestBatch({ jobs, cancelledIds }));
     }
--- a/src/admission/controller-health.ts
+++ b/src/admission/controller-health.ts
@@ -41,8 +41,8 @@
 
   constructor(private readonly options: HealthTableOptions) {}
 
-  /** See `HealthExchange.nextToSend`. */
-  nextToSend(): () => ControllerHealth | null {
+  /** See `HealthExchange.createSender`. */
+  createSender(): () => ControllerHealth | null {
     const { clock, heartbeatIntervalS, own } = this.options;
     let sentAt = -Infinity;
     return () => {
@@ -54,7 +54,7 @@
   }
 
   /** See `HealthExchange.note`. */
-  note(node: string, health: ControllerHealth): void {
+  recordHealth(node: string, health: ControllerHealth): void {
     const entry = this.entry(node);
     entry.health = health;
     entry.receivedAt = this.options.clock.now();
@@ -64,10 +64,10 @@
    * Asks controllers that have sent no health data for one heartbeat interval; called regularly. The question
    * carries this controller's health, so that only one of two controllers has to ask.
    */
-  refresh(peers: Pick<PeerNetwork, 'names' | 'ask'>): void {
+  refresh(peers: Pick<PeerNetwork, 'peerNames' | 'ask'>): void {
     const { clock, heartbeatIntervalS } = this.options;
     const now = clock.now();
-    for (const node of peers.names) {
+    for (const node of peers.peerNames) {
       const entry = this.entry(node);
       if (
         now - Math.max(entry.receivedAt, entry.askedAt) <
@@ -84,7 +84,7 @@
    * The least late controller, by fresh health data, among those that the key-value store serves and that are
    * less than half as late as `latenessS`, this controller's lateness. Null: there is none.
    */
-  healthier(latenessS = this.options.own().latenessS): string | null {
+  findHealthier(latenessS = this.options.own().latenessS): string | null {
     let best: string | null = null;
     let bestS = latenessS * HEALTHIER_SHARE;
     for (const node of this.peers.keys()) {
--- a/src/admission/leadership-transfer.ts
+++ b/src/admission/leadership-transfer.ts
@@ -16,12 +16,12 @@
 /** Dependencies of `LeadershipTransfer`. */
 export interface LeadershipTransferOptions {
   overload: Overload;
-  health: Pick<HealthTable, 'healthier' | 'forwardingDelayS'>;
+  health: Pick<HealthTable, 'findHealthier' | 'forwardingDelayS'>;
   clock: Clock;
   log: Log;
   /** The workers' lease, in seconds. */
   leaseS: number;
-  leads: () => boolean;
+  isLeader: () => boolean;
   /** When it was elected, in seconds of the clock; asked only while it leads. */
   electedAt: () => number;
   /** Ends leadership so that another controller can be elected at once. */
@@ -48,8 +48,17 @@
   /**
    * Transfers leadership if this leader is overloaded and another controller is healthier; called regularly.
    */
-  consider(): void {
-    const { leads, electedAt, overload, health, clock, leaseS, log, stepDown } = this.options;
+  transferIfOverloaded(): void {
+    const {
+      isLeader: leads,
+      electedAt,
+      overload,
+      health,
+      clock,
+      leaseS,
+      log,
+      stepDown,
+    } = this.options;
     const now = clock.now();
     const forwardingDelayS = health.forwardingDelayS();
     if (!leads()) return;
@@ -57,7 +66,7 @@
     if (now - this.transferredAt < leaseS * TRANSFER_INTERVAL_LEASES) return;
     if (now - electedAt() < leaseS * SETTLING_LEASES) return;
     const latenessS = Math.max(overload.latenessS, forwardingDelayS);
-    const successor = health.healthier(latenessS);
+    const successor = health.findHealthier(latenessS);
     if (successor === null) return;
     this.transferredAt = now;
     log.info({ latenessS, forwardingDelayS, successor }, 'leadership transfer: overloaded');
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -71,11 +71,11 @@
   oldestWaitS: () => number = () => 0;
 
   /** Records by how much a regular timer fired late, and when, in seconds of the clock. */
-  noteLag(lagS: number, nowS: number): void {
+  recordTimerLag(lagS: number, nowS: number): void {
     this.previousLagS = this.lastLagS;
     this.lastLagS = lagS;
     this.meanLagS += (lagS - this.meanLagS) * LAG_WEIGHT;
-    if (!this.late) this.tooLateSince = null;
+    if (!this.isLate) this.tooLateSince = null;
     else this.tooLateSince ??= nowS;
   }
 
@@ -85,7 +85,7 @@
   }
 
   /** Whether this controller is too late to lead at this moment. */
-  get late(): boolean {
+  get isLate(): boolean {
     return this.latenessS > LATE_S;
   }
 
--- a/src/api/user-api.ts
+++ b/src/api/user-api.ts
@@ -8,14 +8,14 @@
 import { outcome, type StoredJob } from '../store/stored-job.js';
 import type { Replica } from '../store/replica.js';
 import {
-  BadMessage,
+  BadRequestError,
   encodeAccepted,
   encodeError,
   encodeStatus,
   parseObject,
   parseSubmission,
   validId,
-  type ShownState,
+  type UserFacingJobState,
 } from '../wire/users.js';
 import type { JobSpec } from '../jobs/types.js';
 
@@ -73,7 +73,7 @@
     return storedJob !== undefined && outcome(storedJob) !== 'open' && this.replicaSync.ready;
   }
 
-  private shownState(storedJob: StoredJob): ShownState {
+  private shownState(storedJob: StoredJob): UserFacingJobState {
     const state = outcome(storedJob);
     if (state !== 'open') return state;
     return storedJob.claimCount > 0 || storedJob.doneTasks > 0 ? 'running' : 'queued';
@@ -85,18 +85,18 @@
     try {
       spec = parseSubmission(body);
     } catch (error) {
-      if (!(error instanceof BadMessage)) throw error;
+      if (!(error instanceof BadRequestError)) throw error;
       const reply = { status: 400, body: encodeError(error.message) };
       return this.refuse(this.parseJobId(body), reply, error.message);
     }
     const existing = this.replica.jobs.get(spec.id);
     if (existing !== undefined) return this.replyWithCurrentState(spec.id);
     const types = this.types();
-    if (!this.replicaSync.ready || types === null || this.requestWriter.full(STORE_TIMEOUT_S))
+    if (!this.replicaSync.ready || types === null || this.requestWriter.isFull(STORE_TIMEOUT_S))
       return RETRY_LATER;
     const rejection = unsatisfiableReason(spec, this.settings.teams, types);
     if (rejection !== null) return this.refuse(spec.id, unprocessable(rejection), rejection);
-    const accepted = { spec, atMs: Math.round(this.options.wallMs()) };
+    const accepted = { spec, acceptedAtMs: Math.round(this.options.wallMs()) };
     if (!this.requestWriter.fits(accepted))
       return this.refuse(spec.id, unprocessable(JOB_TOO_LARGE), JOB_TOO_LARGE);
     if (spec.dependencies.length > 0) {
--- a/src/cancellation/cancellation-quorum.ts
+++ b/src/cancellation/cancellation-quorum.ts
@@ -15,7 +15,7 @@
 export interface CancellationQuorumOptions {
   /** Number of controllers, this one included. */
   controllerCount: number;
-  peers: Pick<PeerNetwork, 'names' | 'ask'>;
+  peers: Pick<PeerNetwork, 'peerNames' | 'ask'>;
   replica: Pick<Replica, 'lastToken' | 'leader'>;
   clock: Clock;
   /**
@@ -65,8 +65,8 @@
    * its term began. Then none will be claimed again, and there is no task whose lease could be renewed.
    */
   private hasNoRunningTask(storedJob: StoredJob): boolean {
-    const { cancelledAt, claimCount } = storedJob;
-    return claimCount === 0 && cancelledAt !== null && cancelledAt < this.options.replica.lastToken;
+    const { cancelledRevision: revision, claimCount } = storedJob;
+    return claimCount === 0 && revision !== null && revision < this.options.replica.lastToken;
   }
 
   private entry(id: string): PendingConfirmation {
@@ -97,11 +97,11 @@
     const needed = Math.floor(controllerCount / 2);
     if (needed === 0) return Promise.resolve(true);
     const noted = new Set<string>();
-    const unanswered = new Set(peers.names);
+    const unanswered = new Set(peers.peerNames);
     const isConfirmed = (): boolean =>
       noted.size >= needed && !this.isLeaderIn(unanswered) && remainingWaitS(id, noted) <= 0;
     return new Promise((resolve) => {
-      const answers = peers.names.map(async (node) => {
+      const answers = peers.peerNames.map(async (node) => {
         const question = { q: 'cancelled', job: id } as const;
         const answer = await peers.ask(node, question, NOTIFY_TIMEOUT_S);
         unanswered.delete(node);
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -144,12 +144,12 @@
         if (storedJob.claimCount > 0) this.cancellationTimes.note(storedJob.spec.id);
         this.terms.leader?.onCancelled(storedJob);
       },
-      onLeader: () => {
+      onLeaderChange: () => {
         this.election.wake();
         void this.acknowledgements.acknowledgeLeader();
       },
       onAcknowledgement: (node, record) => this.acknowledgements.recordStored(node, record),
-      onPresence: (node) => this.zoneLeases.keyChanged(node),
+      onPresenceChange: (node) => this.zoneLeases.keyChanged(node),
     };
   }
 
@@ -197,7 +197,7 @@
       clock,
       log,
       pauseS: () => (this.terms.leader === null ? FOLLOWER_WATCH_PAUSE_S : LEADER_WATCH_PAUSE_S),
-      syncGapS: Math.min(
+      minSyncIntervalS: Math.min(
         MAX_READ_GAP_S,
         (READ_GAP_REQUESTS * settings.controllerCount) / settings.state.rps,
       ),
@@ -252,7 +252,7 @@
         onKnownCancelled: (ids) => this.onCancellationsStored(ids),
         cancelledSince: (revision) => this.cancellations.storedSince(revision),
       },
-      healthierCanCampaign: () => this.overload.late && this.health.healthier() !== null,
+      healthierCanCampaign: () => this.overload.isLate && this.health.findHealthier() !== null,
     });
   }
 
@@ -301,7 +301,7 @@
       clock,
       log,
       leaseS: settings.workers.lease_s,
-      leads: () => this.election.canWrite,
+      isLeader: () => this.election.canWrite,
       electedAt: () => this.terms.leader?.term.startedAt ?? clock.now(),
       stepDown: () => this.election.stepDown(),
     });
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -143,7 +143,7 @@
     if (++this.ticks % LOAD_LOG_TICKS === 0) this.loadLog?.write();
     if (this.ticks % HOUSEKEEPING_TICKS === 0) this.doHousekeeping();
     this.leader?.tick();
-    leadershipTransfer.consider();
+    leadershipTransfer.transferIfOverloaded();
     health.refresh(peers);
   }
 
@@ -153,7 +153,7 @@
     if (this.lastTickAt !== null) {
       const lagS = now - this.lastTickAt - this.tickS;
       latencies.record('lag', lagS);
-      overload.noteLag(lagS, now);
+      overload.recordTimerLag(lagS, now);
     }
     this.lastTickAt = now;
   }
@@ -189,7 +189,7 @@
     const subsystem = this.subsystems.find((each) => each.name === name);
     if (subsystem === undefined) return { status: 404, body: '{}' };
     if (!replicaSync.ready) return UNAVAILABLE;
-    const own = replica.subsystems.of(name);
+    const own = replica.subsystems.forSubsystem(name);
     const view = subsystem.view(own, this.settings, this.timeOfDay.nowMs());
     // Indented, because no line of an answer may be longer than 64 KiB.
     return { status: 200, body: JSON.stringify(view, null, 1) };
--- a/src/heartbeat/heartbeat-handler.ts
+++ b/src/heartbeat/heartbeat-handler.ts
@@ -9,7 +9,7 @@
 import type { KeyValueStoreClient } from '../store/client.js';
 import { isStoredCancelled } from '../store/stored-job.js';
 import type { Replica } from '../store/replica.js';
-import { BadMessage } from '../wire/users.js';
+import { BadRequestError } from '../wire/users.js';
 import { ANSWER_WAIT_S, encodeRedirect, type Heartbeat } from '../wire/workers.js';
 import type { Leader } from '../leader/leader.js';
 import { renewLease } from '../workers/lease-renewal.js';
@@ -25,7 +25,7 @@
  * had timed out, and the workers of a zone that had just been cut off searched for another controller, which took
  * a lease.
  */
-export const RENEWAL_WAIT_SHARE = 0.875;
+export const HEARTBEAT_WAIT_SHARE = 0.875;
 /** Share of the time that a worker waits for an answer that a request to the leader may take. */
 export const LEADER_WAIT_SHARE = 0.25;
 /** The same for a request to another controller that forwards it to the leader. */
@@ -90,7 +90,7 @@
     if (zoneLeaseHolder?.mayRenewLeases() === true && heartbeat.routing.zone === settings.zone) {
       return this.renewForLeader(heartbeat.parse(), replica.lastToken);
     }
-    const deadline = arrivedAt + ANSWER_WAIT_S * RENEWAL_WAIT_SHARE;
+    const deadline = arrivedAt + ANSWER_WAIT_S * HEARTBEAT_WAIT_SHARE;
     const isZoneIsolated = zoneLeaseHolder?.state === 'alone';
     const knownLeader = replica.leader;
     const isStoreAvailable = this.options.store.health === 'served';
@@ -116,7 +116,7 @@
   /** Answers a malformed heartbeat with 400, whichever step of the work detects it. */
   private rejectMalformed<S, A>(work: () => S | Promise<A>): S | Reply | Promise<A | Reply> {
     const toBadRequest = (error: unknown): Reply => {
-      if (!(error instanceof BadMessage)) throw error;
+      if (!(error instanceof BadRequestError)) throw error;
       // Malformed input is an error of the sender and is not passed on to the caller.
       this.options.log.info({ reason: error.message }, 'heartbeat rejected: malformed');
       return { status: 400, body: '{}' };
@@ -163,7 +163,7 @@
     deadline: number,
   ): Promise<ForwardingOutcome> {
     const { settings, peers, clock } = this.options;
-    const others = peers.names.filter((node) => node !== leader);
+    const others = peers.peerNames.filter((node) => node !== leader);
     // Without access to the store this controller may not know the current leader, but others may. A former
     // leader that was cut off from the store alone once kept its zone's workers waiting until their leases
     // expired.
--- a/src/heartbeat/received-heartbeat.ts
+++ b/src/heartbeat/received-heartbeat.ts
@@ -18,7 +18,7 @@
   constructor(readonly body: Buffer) {}
 
   /**
-   * Throws BadMessage if a full parse was needed and failed. Success does not prove that the heartbeat is
+   * Throws BadRequestError if a full parse was needed and failed. Success does not prove that the heartbeat is
    * well-formed.
    */
   get routing(): RoutingFields {
@@ -26,7 +26,7 @@
     return this.scanned;
   }
 
-  /** The whole heartbeat. Throws BadMessage if it is malformed. */
+  /** The whole heartbeat. Throws BadRequestError if it is malformed. */
   parse(): Heartbeat {
     this.parsed ??= decodeHeartbeat(this.body);
     return this.parsed;
--- a/src/jobs/chunks.ts
+++ b/src/jobs/chunks.ts
@@ -4,10 +4,11 @@
 const RECORD_OVERHEAD_BYTES = 64;
 
 /** Tasks in one stored chunk: in base64 and with its overhead, it takes half a value of the key-value store. */
-export const chunkTasks = (valueBytes: number): number => Math.floor(valueBytes * 0.5 * 0.75) * 8;
+export const tasksPerChunk = (valueBytes: number): number =>
+  Math.floor(valueBytes * 0.5 * 0.75) * 8;
 
 /** The maximum size in bytes of the record of a chunk with this number of tasks. */
-export const chunkBytes = (tasks: number): number =>
+export const maxChunkRecordBytes = (tasks: number): number =>
   Math.ceil(tasks / 24) * 4 + RECORD_OVERHEAD_BYTES;
 
 /** The number of chunks of a job with this number of tasks. */
--- a/src/jobs/live-job.ts
+++ b/src/jobs/live-job.ts
@@ -35,7 +35,7 @@
   /** Attempts of each task that occupy or may occupy capacity on some machine. */
   readonly attemptsByTask = new Map<number, Attempt[]>();
   /** Ended attempts of done tasks that are not stored as done yet. */
-  endsToStore: Attempt[] = [];
+  unstoredEnds: Attempt[] = [];
   attainedS: number;
   /** Machines on which its tasks failed. */
   readonly failedOn = new Set<string>();
@@ -48,11 +48,11 @@
   private readonly retries = new Map<number, RetryDelay>();
   private readonly lastAttemptNumbers = new Map<number, number>();
   /** The revision as of which its tasks may start. */
-  readonly readyAt: number;
+  readonly readyRevision: number;
   /** The steady time since when its tasks may start, as estimated on this controller. */
   readonly readySince: number;
   /** See `placementKeyOf`. */
-  requestKind: string;
+  placementKey: string;
 
   constructor(
     readonly storedJob: StoredJob,
@@ -61,8 +61,8 @@
     wallMs: number,
   ) {
     this.spec = storedJob.spec;
-    this.requestKind = placementKeyOf(storedJob.spec);
-    this.readyAt = storedJob.readyAt ?? storedJob.acceptedAt;
+    this.placementKey = placementKeyOf(storedJob.spec);
+    this.readyRevision = storedJob.readyRevision ?? storedJob.acceptedRevision;
     this.readySince = now - Math.max(0, wallMs - storedJob.readyMs) / 1000;
     this.attainedS = storedJob.attainedS;
     this.progress = new JobProgress(this.spec.tasks, layout);
@@ -77,7 +77,7 @@
   setPriority(priority: Priority): void {
     if (priority === this.spec.priority) return;
     this.spec = { ...this.storedJob.spec, priority };
-    this.requestKind = placementKeyOf(this.spec);
+    this.placementKey = placementKeyOf(this.spec);
   }
 
   /** Whether its tasks start and end together. */
@@ -162,15 +162,17 @@
   /** Marks tasks as stored. Returns the ended attempts that are settled by this. */
   tasksStored(unit: number, indexes: number[], now: number): Attempt[] {
     this.progress.markStored(unit, indexes, now);
-    const settled = this.endsToStore.filter((attempt) => this.progress.isStored(attempt.index));
-    this.endsToStore = this.endsToStore.filter((attempt) => !this.progress.isStored(attempt.index));
+    const settled = this.unstoredEnds.filter((attempt) => this.progress.isStored(attempt.index));
+    this.unstoredEnds = this.unstoredEnds.filter(
+      (attempt) => !this.progress.isStored(attempt.index),
+    );
     return settled;
   }
 
   /** The record to be stored for a unit of its progress. */
   progressRecord(unit: number): ProgressRecord {
     const { layout } = this.progress;
-    const units = chunkCount(this.spec.tasks, layout.tasksEach);
+    const units = chunkCount(this.spec.tasks, layout.tasksPerUnit);
     const tasks = layout.kind === 'parts' ? { tasks: this.progress.range(unit).count } : {};
     return { bits: this.progress.encodeBits(unit), attainedS: this.attainedS / units, ...tasks };
   }
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -11,7 +11,7 @@
 export interface ProgressLayout {
   kind: 'chunks' | 'parts';
   /** Tasks in each unit except the last. */
-  tasksEach: number;
+  tasksPerUnit: number;
 }
 
 /** Which tasks of a job are done, and which of them are stored as done. A unit is a chunk or a part. */
@@ -65,13 +65,13 @@
   }
 
   private unitOf(index: number): number {
-    return Math.floor(index / this.layout.tasksEach);
+    return Math.floor(index / this.layout.tasksPerUnit);
   }
 
   /** The first task of a unit, and how many it has. */
   range(unit: number): { first: number; count: number } {
-    const { tasksEach } = this.layout;
-    return { first: unit * tasksEach, count: chunkSize(this.tasks, tasksEach, unit) };
+    const { tasksPerUnit } = this.layout;
+    return { first: unit * tasksPerUnit, count: chunkSize(this.tasks, tasksPerUnit, unit) };
   }
 
   /** Done tasks of a unit that no stored record contains yet. */
--- a/src/leader/attempts/cancelled-attempts.ts
+++ b/src/leader/attempts/cancelled-attempts.ts
@@ -57,7 +57,7 @@
         machineState: machine.state,
         token: machine.token,
         cancelledForS: ageS,
-        heardAgoS: machine.heartbeatAt === -Infinity ? null : now - machine.heartbeatAt,
+        heardAgoS: machine.lastHeartbeatAt === -Infinity ? null : now - machine.lastHeartbeatAt,
         stopSentAgoS: sentAt === null ? null : now - sentAt,
       },
       'cancelled task outlasts its cancellation',
--- a/src/leader/attempts/command-dispatcher.ts
+++ b/src/leader/attempts/command-dispatcher.ts
@@ -37,7 +37,7 @@
     machine.markSent(commands, 'direct', term.now);
     const { outcome, heartbeat } = await channel.send({ token, agentEpoch, commands });
     if (this.stopped) return;
-    machine.directCommandsEnded(commands, outcome, agentEpoch, term.now, token);
+    machine.applyDirectOutcome(commands, outcome, agentEpoch, term.now, token);
     if (heartbeat?.machine === machine.id)
       term.reconcile(machine, machine.applyHeartbeat(heartbeat, 'direct-answer', term.now));
     if (term.machinesToCommand.has(machine.id)) this.onMoreDue();
--- a/src/leader/attempts/heartbeat-reconciler.ts
+++ b/src/leader/attempts/heartbeat-reconciler.ts
@@ -25,8 +25,8 @@
   reconcile(machine: Machine, changes: HeartbeatChanges): void {
     const { now } = this.term;
     for (const attempt of changes.unclaimed) this.adoptOrDismiss(machine, attempt);
-    for (const attempt of changes.changed) this.noteImage(machine, attempt, now);
-    for (const attempt of changes.exited) this.noteImage(machine, attempt, now);
+    for (const attempt of changes.changed) this.recordImageUse(machine, attempt, now);
+    for (const attempt of changes.exited) this.recordImageUse(machine, attempt, now);
     for (const attempt of changes.changed) this.attemptChanged(machine, attempt, now);
     for (const attempt of changes.exited) this.attemptExited(machine, attempt);
     const { report_s } = this.term.context.settings.workers;
@@ -34,7 +34,7 @@
     if (changes.rejectedStarts > 0)
       this.health.cordon(machine, report_s * REJECTED_START_CORDON_HEARTBEATS);
     if (changes.agentRestarted) this.health.cordon(machine, report_s * RESTART_CORDON_HEARTBEATS);
-    if (machine.reclaimedAt !== null) this.evictGracefully(machine);
+    if (machine.reclaimAt !== null) this.evictGracefully(machine);
     if (changes.exited.length > 0 || changes.changed.length > 0) this.term.requestCycle();
   }
 
@@ -65,11 +65,11 @@
     this.stopper.dismiss(attempt);
   }
 
-  private noteImage(machine: Machine, attempt: Attempt, now: number): void {
+  private recordImageUse(machine: Machine, attempt: Attempt, now: number): void {
     const job = this.term.jobs.get(attempt.job);
     if (job === undefined || (attempt.state !== 'running' && attempt.state !== 'waiting')) return;
     const cacheGb = this.term.machineTypes.get(machine.type)?.cacheGb ?? 0;
-    machine.noteImage(job.spec.image, job.spec.imageGb, cacheGb, now);
+    machine.recordImageUse(job.spec.image, job.spec.imageGb, cacheGb, now);
   }
 
   private attemptChanged(machine: Machine, attempt: Attempt, now: number): void {
@@ -144,7 +144,7 @@
     for (const index of indexes) job.markDone(index, this.term.now);
     // Its end may be stored already, as with the other tasks of a gang: it is not written again.
     if (job.progress.isStored(attempt.index)) attempt.settled = true;
-    else job.endsToStore.push(attempt);
+    else job.unstoredEnds.push(attempt);
     job.removeAttempt(attempt);
     for (const other of [...(job.attemptsByTask.get(attempt.index) ?? [])])
       this.stopper.stop(other, 0);
--- a/src/leader/attempts/start-permission.ts
+++ b/src/leader/attempts/start-permission.ts
@@ -10,8 +10,8 @@
   const machine = term.machines.get(attempt.machine);
   if (job === undefined || machine === undefined || job.phase !== 'active') return false;
   // Readiness follows from the order of the store's changes, not from this leader's view of the job's dependencies.
-  if (job.storedJob.readyAt === null) return false;
-  if (machine.state !== 'ready' || machine.reclaimedAt !== null) return false;
+  if (job.storedJob.readyRevision === null) return false;
+  if (machine.state !== 'ready' || machine.reclaimAt !== null) return false;
   if (job.done.has(attempt.index)) return false;
   return !job.isGang || areGangClaimsStored(job, attempt.number);
 }
--- a/src/leader/capacity/capacity-manager.ts
+++ b/src/leader/capacity/capacity-manager.ts
@@ -53,8 +53,8 @@
     const { provisioner, warmReserve } = this;
     this.scaleOut = new ScaleOutPlanner({
       term,
-      provisioner: provisioner,
-      warmReserve: warmReserve,
+      provisioner,
+      warmReserve,
       weights,
       subsystems,
     });
--- a/src/leader/heartbeat-answerer.ts
+++ b/src/leader/heartbeat-answerer.ts
@@ -15,7 +15,7 @@
     private readonly onJoined: (machine: Machine) => void,
   ) {}
 
-  /** Decodes the heartbeat in a body; parses it only if it differs from the machine's last one. Throws BadMessage. */
+  /** Decodes the heartbeat in a body; parses it only if it differs from the machine's last one. Throws BadRequestError. */
   decode(body: Buffer): Heartbeat {
     const machine = scanMachineId(body);
     const known = machine === null ? undefined : this.term.machines.get(machine);
@@ -32,7 +32,7 @@
     const machine = this.machineOf(heartbeat);
     const repeated = machine.isRepeated(heartbeat);
     if (body !== undefined && !repeated && !machine.lastHeartbeat.wasDecodedFrom(heartbeat)) {
-      machine.lastHeartbeat.keep(heartbeat, body);
+      machine.lastHeartbeat.cache(heartbeat, body);
     }
     const isFenced = this.applyHeartbeat(machine, heartbeat);
     const due = isFenced ? this.takeDueCommands(machine) : [];
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -284,8 +284,8 @@
   const wallMs = (): number => term.timeOfDay.nowMs();
   const types = (): MachineType[] => [...term.machineTypes.values()];
   const forecast = new DemandForecast(wallMs, settings.workers.report_s, types);
-  for (const { readyAt, readyMs, spec } of replica.jobs.values()) {
-    if (readyAt !== null) forecast.jobArrived(spec, readyMs);
+  for (const { readyRevision, readyMs, spec } of replica.jobs.values()) {
+    if (readyRevision !== null) forecast.jobArrived(spec, readyMs);
   }
   return forecast;
 }
--- a/src/leader/scheduling/job-queue.ts
+++ b/src/leader/scheduling/job-queue.ts
@@ -106,8 +106,8 @@
     );
     const order = waitingJobs.map((job, i) => {
       job.score = jobScores[i]!;
-      const { isGuaranteed, score, readyAt } = job;
-      return { job, priority: job.spec.priority, guaranteed: isGuaranteed, score, readyAt };
+      const { isGuaranteed, score, readyRevision } = job;
+      return { job, priority: job.spec.priority, guaranteed: isGuaranteed, score, readyRevision };
     });
     return order.sort(compareJobs).map((ranked) => ranked.job);
   }
--- a/src/leader/scheduling/long-work-share.ts
+++ b/src/leader/scheduling/long-work-share.ts
@@ -91,9 +91,9 @@
   mayUse: MachineFilter,
 ): LongWorkFilter {
   const exempt = job.isLong || job.spec.kind === 'service' || job.isGuaranteed;
-  if (exempt) return { mayUse: mayUse, noteAllocated: NO_ACCOUNTING };
+  if (exempt) return { mayUse, noteAllocated: NO_ACCOUNTING };
   const shares = cycle.longWorkShares(job.spec.priority);
-  if (shares.size === 0) return { mayUse: mayUse, noteAllocated: NO_ACCOUNTING };
+  if (shares.size === 0) return { mayUse, noteAllocated: NO_ACCOUNTING };
   const free = new Map<string, number>();
   for (const capacity of cycle.capacities) {
     if (shares.has(capacity.type) && mayUse(capacity))
--- a/src/leader/scheduling/machine-eligibility.ts
+++ b/src/leader/scheduling/machine-eligibility.ts
@@ -21,12 +21,12 @@
   const { report_s } = term.context.settings.workers;
   return (
     machine.state === 'ready' &&
-    machine.reclaimedAt === null &&
+    machine.reclaimAt === null &&
     !machine.condition.quarantined &&
     machine.drainingSince === null &&
     // Answers to direct commands do not count: a worker that reaches no controller still sends them
     // while its lease expires.
-    now - machine.heartbeatAt < report_s * MAX_HEARTBEAT_AGE_INTERVALS &&
+    now - machine.lastHeartbeatAt < report_s * MAX_HEARTBEAT_AGE_INTERVALS &&
     now >= machine.condition.cordonedUntil
   );
 }
--- a/src/leader/scheduling/unplaced-requests.ts
+++ b/src/leader/scheduling/unplaced-requests.ts
@@ -24,17 +24,17 @@
   /** Called when a task of the job found no capacity and none can be made for it. */
   note(job: LiveJob): void {
     if (!isComparable(job)) return;
-    const { requestKind, spec } = job;
+    const { placementKey, spec } = job;
     const sizes = this.sizesByFlags[flagsOf(job)]!;
-    const known = sizes.get(requestKind);
-    if (known === undefined) sizes.set(requestKind, [spec]);
+    const known = sizes.get(placementKey);
+    if (known === undefined) sizes.set(placementKey, [spec]);
     else if (!known.some((size) => fits(size, spec))) known.push(spec);
   }
 
   /** Whether a task of the job is certain to find no capacity either. */
   covers(job: LiveJob): boolean {
     if (!isComparable(job)) return false;
-    const known = this.sizesByFlags[flagsOf(job)]!.get(job.requestKind);
+    const known = this.sizesByFlags[flagsOf(job)]!.get(job.placementKey);
     if (known === undefined) return false;
     for (const size of known) if (fits(size, job.spec)) return true;
     return false;
--- a/src/leader/term/failover.ts
+++ b/src/leader/term/failover.ts
@@ -13,7 +13,7 @@
  */
 export function readyJobs(replica: Replica): StoredJob[] {
   const open = [...replica.jobs.values()].filter((storedJob) => isReady(storedJob));
-  return open.sort((a, b) => a.readyAt! - b.readyAt!);
+  return open.sort((a, b) => a.readyRevision! - b.readyRevision!);
 }
 
 /**
--- a/src/leader/term/subsystem-view.ts
+++ b/src/leader/term/subsystem-view.ts
@@ -150,7 +150,7 @@
 
   /** See `TermView.records`. */
   records(): ReadonlyMap<string, OwnedRecord> {
-    return this.options.term.context.replica.subsystems.of(this.subsystem);
+    return this.options.term.context.replica.subsystems.forSubsystem(this.subsystem);
   }
 
   /** See `TermView.wakeWriter`. */
--- a/src/leader/writes/progress-layout.ts
+++ b/src/leader/writes/progress-layout.ts
@@ -1,7 +1,7 @@
 /** Divides the progress of a term's jobs into records. */
 
 import type { ProgressLayout } from '../../jobs/progress.js';
-import { chunkBytes, chunkTasks } from '../../jobs/chunks.js';
+import { maxChunkRecordBytes, tasksPerChunk } from '../../jobs/chunks.js';
 import type { TermState } from '../term/term-state.js';
 
 /** The progress layout of a job with this number of tasks. */
@@ -11,11 +11,11 @@
 ): ProgressLayout {
   const { replica, settings, allReadDenseRecords } = context;
   const maxBytes = settings.state.value_kb * 1024;
-  const chunk = Math.min(tasks, replica.chunkTasks);
-  if (chunkBytes(chunk) <= maxBytes || !allReadDenseRecords()) {
-    return { kind: 'chunks', tasksEach: replica.chunkTasks };
+  const chunk = Math.min(tasks, replica.tasksPerChunk);
+  if (maxChunkRecordBytes(chunk) <= maxBytes || !allReadDenseRecords()) {
+    return { kind: 'chunks', tasksPerUnit: replica.tasksPerChunk };
   }
-  return { kind: 'parts', tasksEach: chunkTasks(maxBytes) };
+  return { kind: 'parts', tasksPerUnit: tasksPerChunk(maxBytes) };
 }
 
 /** Switches jobs whose chunks are too large to parts once every controller can read these. */
--- a/src/leadership/leader-acknowledgements.ts
+++ b/src/leadership/leader-acknowledgements.ts
@@ -65,13 +65,13 @@
     this.quorum = quorum;
     this.substituteRenewals = new SubstituteRenewals({
       ...{ acknowledged: quorum, controllerCount, clock },
-      names: () => peers().names,
+      names: () => peers().peerNames,
       requestAcknowledgement: (node) => this.requestAcknowledgement(node, token),
     });
     for (const [node, { ack }] of this.options.replica.acknowledgements)
       this.recordStored(node, ack);
     while (!this.stopped && this.quorum === quorum && quorum.state === 'pending') {
-      const missing = peers().names.filter((node) => !quorum.has(node));
+      const missing = peers().peerNames.filter((node) => !quorum.has(node));
       await Promise.all(
         missing.map(async (node) => {
           const remainsS = (await this.requestAcknowledgement(node, token))?.remainsS;
--- a/src/leadership/outage-quorum.ts
+++ b/src/leadership/outage-quorum.ts
@@ -4,7 +4,7 @@
 import type { ReplicaSync } from '../store/replica-sync.js';
 import type { Replica } from '../store/replica.js';
 import * as records from '../store/records.js';
-import { MAX_FRAME } from '../peers/frames.js';
+import { MAX_FRAME_BYTES } from '../peers/frames.js';
 import type { RefusedAnswer } from '../peers/messages.js';
 import type { PeerNetwork } from '../peers/peer-network.js';
 import { OutagePromises } from './outage-promises.js';
@@ -23,7 +23,7 @@
 function fitInOneFrame(ids: string[]): boolean {
   let bytes = 0;
   for (const id of ids) bytes += id.length + ID_OVERHEAD_BYTES;
-  return bytes <= MAX_FRAME * CANCELLATIONS_FRAME_SHARE;
+  return bytes <= MAX_FRAME_BYTES * CANCELLATIONS_FRAME_SHARE;
 }
 
 /** A majority of controllers has confirmed that the key-value store refuses it. */
@@ -206,7 +206,7 @@
       applied: this.options.replica.applied,
     } as const;
     const answers = await Promise.all(
-      peers.names.map((node) =>
+      peers.peerNames.map((node) =>
         peers.ask(node, question, Math.min(PEER_TIMEOUT_S, this.options.leaseTtlS / 4)),
       ),
     );
--- a/src/leadership/zone-lease.ts
+++ b/src/leadership/zone-lease.ts
@@ -233,7 +233,7 @@
     const peers = this.options.peers();
     const timeout = this.times.ttlS / 2;
     const answers = await Promise.all(
-      peers.names.map((node) => peers.ask(node, { q: 'there' }, timeout)),
+      peers.peerNames.map((node) => peers.ask(node, { q: 'there' }, timeout)),
     );
     this.changeState(answers.some((answer) => answer !== null) ? 'doubting' : 'alone');
   }
--- a/src/lending/lending-term.ts
+++ b/src/lending/lending-term.ts
@@ -43,7 +43,7 @@
     });
     const returnTimes = new ReturnTimes(view);
     const { table, errors, clock } = this;
-    this.grants = new Grants({ view, table, config, errors, returnTimes: returnTimes });
+    this.grants = new Grants({ view, table, config, errors, returnTimes });
     this.monitor = new LoanMonitor({
       view,
       table,
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -4,7 +4,7 @@
 /** Frames between controllers: a four-byte length prefix followed by the body in CBOR. */
 
 /** Maximum length of a frame's body. */
-export const MAX_FRAME = 256 * 1024;
+export const MAX_FRAME_BYTES = 256 * 1024;
 const LENGTH_BYTES = 4;
 
 /** A frame that is empty or longer than the limit. The receiver closes the connection. */
@@ -95,7 +95,7 @@
     const frames: unknown[] = [];
     while (this.buffered.length >= LENGTH_BYTES) {
       const size = this.buffered.readUInt32BE(0);
-      if (size === 0 || size > MAX_FRAME) throw new FrameSizeError(size);
+      if (size === 0 || size > MAX_FRAME_BYTES) throw new FrameSizeError(size);
       const end = LENGTH_BYTES + size;
       if (this.buffered.length < end) break;
       frames.push(decoder.decode(this.buffered.subarray(LENGTH_BYTES, end)));
--- a/src/peers/health-exchange.ts
+++ b/src/peers/health-exchange.ts
@@ -6,14 +6,14 @@
    * Called once for each connection. The returned function is called with each flush; it returns this
    * controller's health when the next report to the peer is due, otherwise null.
    */
-  nextToSend(): () => ControllerHealth | null;
+  createSender(): () => ControllerHealth | null;
   /** Called when a health report of another controller arrives. */
-  note(node: string, health: ControllerHealth): void;
+  recordHealth(node: string, health: ControllerHealth): void;
 }
 
 /** The `attachment` of a `FrameWriter` that sends this controller's health. */
 export function healthAttachment(exchange: HealthExchange): () => HealthFrame | null {
-  const send = exchange.nextToSend();
+  const send = exchange.createSender();
   return () => {
     const health = send();
     return health === null ? null : { fitness: health };
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -116,7 +116,8 @@
 
   private handleFrame(raw: unknown): void {
     const frame = parseAcceptorFrame(raw);
-    if (frame.kind === 'fitness') this.options.health.note(this.options.peer, frame.fitness);
+    if (frame.kind === 'fitness')
+      this.options.health.recordHealth(this.options.peer, frame.fitness);
     else this.handleAnswer(frame.id, frame.answer);
   }
 
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -89,7 +89,7 @@
       }
       const frame = parseInitiatorFrame(raw);
       if (frame.kind === 'fitness') {
-        this.options.health.note(from, frame.fitness);
+        this.options.health.recordHealth(from, frame.fitness);
         return;
       }
       if (++pendingQuestions > this.options.maxPending)
@@ -144,7 +144,7 @@
   }
 
   /** Names of the other controllers. */
-  get names(): string[] {
+  get peerNames(): string[] {
     return [...this.links.keys()];
   }
 
--- a/src/pipelines/dependency-graph.ts
+++ b/src/pipelines/dependency-graph.ts
@@ -59,7 +59,7 @@
     if (outcome(job) === 'cancelled') {
       this.events.onCancelled(job);
       this.jobCancelled(job);
-    } else if (outcome(job) === 'open' && job.readyAt !== null) this.events.onReady(job);
+    } else if (outcome(job) === 'open' && job.readyRevision !== null) this.events.onReady(job);
   }
 
   /** Called when a job is done, in the order of the store's changes. */
@@ -100,14 +100,14 @@
     this.dependents.clear();
     const notReady: StoredJob[] = [];
     for (const job of this.jobs.values()) {
-      if (specOf(job) !== null && job.readyAt === null) notReady.push(job);
+      if (specOf(job) !== null && job.readyRevision === null) notReady.push(job);
     }
     for (const job of notReady) this.link(job);
     this.propagateCancellations();
     for (const job of notReady) if (job.unmetDependencies === 0) this.markReady(job);
     for (const job of notReady) {
       if (outcome(job) === 'cancelled') this.events.onCancelled(job);
-      else if (outcome(job) === 'open' && job.readyAt !== null) this.events.onReady(job);
+      else if (outcome(job) === 'open' && job.readyRevision !== null) this.events.onReady(job);
     }
   }
 
@@ -147,24 +147,24 @@
 
   /** Called when all dependencies are done. A job that was cancelled before that is never ready. */
   private markReady(job: StoredJob): void {
-    let revision = job.acceptedAt;
-    let readyMs = job.atMs;
+    let revision = job.acceptedRevision;
+    let readyMs = job.acceptedAtMs;
     for (const id of job.spec.dependencies) {
       const dependency = this.jobs.get(id)!;
-      revision = Math.max(revision, dependency.doneAt!);
+      revision = Math.max(revision, dependency.doneRevision!);
       readyMs = Math.max(readyMs, dependency.doneMs);
     }
-    if (job.cancelledAt !== null && job.cancelledAt < revision) return;
-    job.readyAt = revision;
+    if (job.cancelledRevision !== null && job.cancelledRevision < revision) return;
+    job.readyRevision = revision;
     job.readyMs = readyMs;
   }
 }
 
 /** Returns whether this sets a cancellation of `job`, or an older one than before. */
 function cancelWithDependency(job: StoredJob, dependency: StoredJob): boolean {
-  const revision = Math.max(dependency.cancelledAt!, job.acceptedAt);
-  if (job.cancelledAt !== null && job.cancelledAt <= revision) return false;
-  job.cancelledAt = revision;
+  const revision = Math.max(dependency.cancelledRevision!, job.acceptedRevision);
+  if (job.cancelledRevision !== null && job.cancelledRevision <= revision) return false;
+  job.cancelledRevision = revision;
   job.cancelledByDependency = true;
   return true;
 }
--- a/src/pipelines/downstream-path.ts
+++ b/src/pipelines/downstream-path.ts
@@ -61,7 +61,7 @@
 
   private combine(job: StoredJob, dependents: readonly StoredJob[]): DownstreamPath {
     const { priority, deadlineS } = job.spec;
-    const latestEndMs = deadlineS === null ? Infinity : job.atMs + deadlineS * 1000;
+    const latestEndMs = deadlineS === null ? Infinity : job.acceptedAtMs + deadlineS * 1000;
     const path: DownstreamPath = {
       priority,
       successors: [],
--- a/src/scheduler/drain-selection.ts
+++ b/src/scheduler/drain-selection.ts
@@ -58,7 +58,7 @@
       to.push(target.id);
       return true;
     });
-    if (allFit) return { candidate: candidate, to };
+    if (allFit) return { candidate, to };
   }
   return null;
 }
--- a/src/scheduler/ranking.ts
+++ b/src/scheduler/ranking.ts
@@ -102,7 +102,7 @@
   priority: number;
   guaranteed: boolean;
   score: number;
-  readyAt: number;
+  readyRevision: number;
 }
 
 /** Priority and guarantees come first (protocol), then the score, then age. */
@@ -110,5 +110,5 @@
   if (a.priority !== b.priority) return a.priority - b.priority;
   if (a.guaranteed !== b.guaranteed) return a.guaranteed ? -1 : 1;
   if (a.score !== b.score) return b.score - a.score;
-  return a.readyAt - b.readyAt;
+  return a.readyRevision - b.readyRevision;
 }
--- a/src/store/job-compaction.ts
+++ b/src/store/job-compaction.ts
@@ -16,17 +16,24 @@
 
   /** Returns the job without the data that no response needs. */
   compact(storedJob: StoredJob): StoredJob {
-    const { atMs, acceptedAt, cancelledAt, cancelledByDependency, doneAt, doneMs } = storedJob;
-    const { readyAt, readyMs, doneTasks } = storedJob;
+    const {
+      acceptedAtMs,
+      acceptedRevision,
+      cancelledRevision,
+      cancelledByDependency,
+      doneRevision,
+      doneMs,
+    } = storedJob;
+    const { readyRevision, readyMs, doneTasks } = storedJob;
     return {
       spec: this.sharedSpec(storedJob.spec),
-      atMs,
-      acceptedAt,
-      cancelledAt,
+      acceptedAtMs,
+      acceptedRevision,
+      cancelledRevision,
       cancelledByDependency,
-      doneAt,
+      doneRevision,
       doneMs,
-      readyAt,
+      readyRevision,
       readyMs,
       unmetDependencies: 0,
       doneTasks,
--- a/src/store/job-table.ts
+++ b/src/store/job-table.ts
@@ -48,7 +48,7 @@
   compactFinished(beforeMs: number): void {
     for (const [id, storedJob] of this.jobs) {
       if (
-        storedJob.atMs >= beforeMs ||
+        storedJob.acceptedAtMs >= beforeMs ||
         storedJob.claimCount > 0 ||
         storedJob.spec.id === '' ||
         outcome(storedJob) === 'open'
@@ -90,7 +90,7 @@
     const ids: string[] = [];
     let mayLackClaims = false;
     for (const [id, storedJob] of this.jobs) {
-      if (storedJob.cancelledAt === null || storedJob.cancelledAt <= revision) continue;
+      if (storedJob.cancelledRevision === null || storedJob.cancelledRevision <= revision) continue;
       // A job that never started has no task whose lease could be renewed; a cascade may contain thousands of them.
       if (outcome(storedJob) !== 'cancelled' || neverStarted(storedJob)) continue;
       ids.push(id);
@@ -116,14 +116,14 @@
     // Not spread from `accepted`: that takes ten times as long as the rest of this function, see docs/profile.md.
     const newJob: StoredJob = {
       spec: accepted.spec,
-      atMs: accepted.atMs,
-      acceptedAt: revision,
-      cancelledAt: this.earlyCancellations.get(id) ?? null,
+      acceptedAtMs: accepted.acceptedAtMs,
+      acceptedRevision: revision,
+      cancelledRevision: this.earlyCancellations.get(id) ?? null,
       cancelledByDependency: false,
-      doneAt: null,
+      doneRevision: null,
       doneMs: 0,
-      readyAt: independent ? revision : null,
-      readyMs: accepted.atMs,
+      readyRevision: independent ? revision : null,
+      readyMs: accepted.acceptedAtMs,
       unmetDependencies: 0,
       doneTasks: 0,
       attainedS: 0,
@@ -149,12 +149,12 @@
     accepted: records.AcceptedJob,
     revision: number,
   ): void {
-    if (revision >= storedJob.acceptedAt) return;
-    storedJob.acceptedAt = revision;
+    if (revision >= storedJob.acceptedRevision) return;
+    storedJob.acceptedRevision = revision;
     if (specOf(storedJob) === null) return;
     Object.assign(storedJob, accepted);
-    storedJob.readyAt = accepted.spec.dependencies.length === 0 ? revision : null;
-    storedJob.readyMs = accepted.atMs;
+    storedJob.readyRevision = accepted.spec.dependencies.length === 0 ? revision : null;
+    storedJob.readyMs = accepted.acceptedAtMs;
   }
 
   private applyCancellation(id: string, revision: number): void {
@@ -165,8 +165,8 @@
       this.earlyCancellations.set(id, Math.min(early ?? Infinity, revision));
       return;
     }
-    if (storedJob.cancelledAt !== null && revision > storedJob.cancelledAt) return;
-    storedJob.cancelledAt = revision;
+    if (storedJob.cancelledRevision !== null && revision > storedJob.cancelledRevision) return;
+    storedJob.cancelledRevision = revision;
     storedJob.cancelledByDependency = false;
     if (this.listingInProgress || outcome(storedJob) !== 'cancelled') return;
     this.closeCancelled(storedJob);
@@ -188,7 +188,7 @@
       this.earlyProgress.set(id, early);
       return;
     }
-    if (storedJob.doneAt !== null || storedJob.progress === null) return;
+    if (storedJob.doneRevision !== null || storedJob.progress === null) return;
     const old = storedJob.progress.get(key);
     if (old !== undefined && old.revision >= revision) return;
     const record = records.decodeProgress(value);
@@ -213,7 +213,7 @@
     storedJob.doneTasks = countDone(storedJob.spec.tasks, stored);
     storedJob.attainedS = stored.reduce((sum, { attainedS }) => sum + attainedS, 0);
     if (storedJob.doneTasks < storedJob.spec.tasks) return;
-    storedJob.doneAt = Math.max(...stored.map(({ revision }) => revision));
+    storedJob.doneRevision = Math.max(...stored.map(({ revision }) => revision));
     storedJob.progress = null;
     if (!this.listingInProgress && outcome(storedJob) === 'done')
       this.dependencies.jobDone(storedJob);
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -65,7 +65,7 @@
 /** An accepted job and the time of its acceptance, in ms since the epoch. */
 export interface AcceptedJob {
   spec: JobSpec;
-  atMs: number;
+  acceptedAtMs: number;
 }
 
 /** Accepted jobs and ids of cancelled jobs, stored in one record. */
@@ -82,12 +82,12 @@
 }
 
 /** Encodes a job for the store: an array of its fields in a fixed order. */
-export function encodeJob({ spec: spec, atMs }: AcceptedJob): unknown[] {
+export function encodeJob({ spec, acceptedAtMs }: AcceptedJob): unknown[] {
   const flags = (spec.oneZone ? 1 : 0) | (spec.scatter ? 2 : 0) | (spec.spot ? 4 : 0);
   return [
     spec.id, spec.class, spec.team, KINDS.indexOf(spec.kind), spec.priority, spec.tasks, spec.cores, spec.gpus, spec.memGb,
     spec.image, spec.imageGb, spec.types, spec.zone, flags, spec.estimateS, spec.checkpointS, spec.saveS, spec.deadlineS,
-    atMs,
+    acceptedAtMs,
     // Appended only if there are any, so that other jobs are stored exactly as by versions without dependencies.
     ...(spec.dependencies.length === 0 ? [] : [spec.dependencies]),
   ]; // prettier-ignore
@@ -126,7 +126,7 @@
       deadlineS: stored[17] as number | null,
       dependencies: (stored[19] as string[] | undefined) ?? NO_DEPENDENCIES,
     },
-    atMs: stored[18] as number,
+    acceptedAtMs: stored[18] as number,
   };
 }
 
--- a/src/store/replica-sync.ts
+++ b/src/store/replica-sync.ts
@@ -22,7 +22,7 @@
   /** Pause in seconds between two watches: longer on a follower than on a leader. */
   pauseS: () => number;
   /** Minimum time in seconds between two reads of `sync`. */
-  syncGapS: number;
+  minSyncIntervalS: number;
 }
 
 /** Keeps a replica up to date with the store, and brings it up to the present on request. */
@@ -109,7 +109,7 @@
   }
 
   private async readNow(): Promise<boolean> {
-    const waitS = this.lastReadAt + this.options.syncGapS - this.options.clock.now();
+    const waitS = this.lastReadAt + this.options.minSyncIntervalS - this.options.clock.now();
     if (waitS > 0) await sleep(waitS);
     // The read is sent after this point, so later callers wait for the next one.
     this.currentReadSent = true;
--- a/src/store/replica.ts
+++ b/src/store/replica.ts
@@ -1,5 +1,5 @@
 import type { MachineType } from '../jobs/types.js';
-import { chunkTasks } from '../jobs/chunks.js';
+import { tasksPerChunk } from '../jobs/chunks.js';
 import type { DependencyGraph } from '../pipelines/dependency-graph.js';
 import type { Change, KeyValue } from '../wire/key-value-store.js';
 import type { StoredJob } from './stored-job.js';
@@ -12,9 +12,9 @@
   /** A job may start from now on: it was accepted without dependencies, or all its dependencies are done. */
   onReady?(storedJob: StoredJob): void;
   onCancelled?(storedJob: StoredJob): void;
-  onLeader?(): void;
+  onLeaderChange?(): void;
   /** A controller's key was put or removed. */
-  onPresence?(node: string): void;
+  onPresenceChange?(node: string): void;
   onAcknowledgement?(node: string, ack: records.AcknowledgementRecord): void;
 }
 
@@ -51,7 +51,7 @@
 
   /** `valueBytes`: the size limit of a stored value, which determines the size of progress chunks. */
   constructor(valueBytes: number) {
-    this.jobTable = new JobTable(chunkTasks(valueBytes), {
+    this.jobTable = new JobTable(tasksPerChunk(valueBytes), {
       onReady: (storedJob) => this.listener.onReady?.(storedJob),
       onCancelled: (storedJob) => this.listener.onCancelled?.(storedJob),
     });
@@ -68,7 +68,7 @@
   }
 
   /** Number of tasks in one chunk of a job's progress in the stored format. */
-  get chunkTasks(): number {
+  get tasksPerChunk(): number {
     return this.jobTable.tasksPerChunk;
   }
 
@@ -155,7 +155,7 @@
   private applyController(node: string, revision: number): void {
     if ((this.controllers.get(node) ?? -1) >= revision) return;
     this.controllers.set(node, revision);
-    this.listener.onPresence?.(node);
+    this.listener.onPresenceChange?.(node);
   }
 
   private applyAcknowledgement(node: string, value: unknown, revision: number): void {
@@ -174,7 +174,7 @@
     if (this.leader !== null && this.leader.revision >= revision) return;
     this.leader = { ...records.decodeLeader(value), revision };
     this.lastToken = Math.max(this.lastToken, revision);
-    this.listener.onLeader?.();
+    this.listener.onLeaderChange?.();
   }
 
   private applyMachineTypes(value: unknown, revision: number): void {
@@ -187,7 +187,7 @@
     if (key === records.LEADER) {
       if (this.leader !== null && this.leader.revision < revision) {
         this.leader = null;
-        this.listener.onLeader?.();
+        this.listener.onLeaderChange?.();
       }
     } else if (key.startsWith(records.SUBSYSTEMS)) {
       this.subsystems.remove(key, revision);
@@ -195,7 +195,7 @@
       const node = key.slice(records.CONTROLLERS.length);
       if ((this.controllers.get(node) ?? Infinity) >= revision) return;
       this.controllers.delete(node);
-      this.listener.onPresence?.(node);
+      this.listener.onPresenceChange?.(node);
     } else if (key.startsWith(records.MACHINES)) {
       const id = key.slice(records.MACHINES.length);
       const old = this.machines.get(id);
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -56,7 +56,7 @@
   }
 
   /** Whether the queue holds more than can be stored within this time, so that a new request would time out. */
-  full(timeoutS: number): boolean {
+  isFull(timeoutS: number): boolean {
     const bytes = this.queue.reduce((sum, request) => sum + request.size, 0);
     return bytes > this.options.budget.perSecond * timeoutS * this.options.store.valueBytes;
   }
--- a/src/store/stored-job.ts
+++ b/src/store/stored-job.ts
@@ -14,20 +14,20 @@
 /** The stored state of one job. It is a pure function of the changes up to a revision. */
 export interface StoredJob extends AcceptedJob {
   /** Revision of its acceptance. */
-  acceptedAt: number;
+  acceptedRevision: number;
   /** Revision of the first cancellation: its own, or that of a job that it depends on. */
-  cancelledAt: number | null;
+  cancelledRevision: number | null;
   /** Whether it was cancelled with a job that it depends on, before a cancellation of its own. */
   cancelledByDependency: boolean;
   /** Revision at which the last of its tasks was stored as done. */
-  doneAt: number | null;
+  doneRevision: number | null;
   /** Time in ms since the epoch, by the leader's clock, at which its last task was done; 0 if unknown. */
   doneMs: number;
   /**
    * Revision from which its tasks may start: all jobs that it depends on were done by then, and it was not
    * cancelled before. Null if its tasks must not start.
    */
-  readyAt: number | null;
+  readyRevision: number | null;
   /** Time in ms since the epoch at which it became ready; for a job without dependencies, the time of its acceptance. */
   readyMs: number;
   /** Number of entries of `spec.dependencies` that are not known to be done. */
@@ -50,11 +50,11 @@
 /** If a job is both done and cancelled, the lower revision counts: final, and the same on every controller. */
 export function outcome(storedJob: StoredJob): JobOutcome {
   if (
-    storedJob.cancelledAt !== null &&
-    (storedJob.doneAt === null || storedJob.cancelledAt < storedJob.doneAt)
+    storedJob.cancelledRevision !== null &&
+    (storedJob.doneRevision === null || storedJob.cancelledRevision < storedJob.doneRevision)
   )
     return 'cancelled';
-  return storedJob.doneAt !== null ? 'done' : 'open';
+  return storedJob.doneRevision !== null ? 'done' : 'open';
 }
 
 /** Whether the store, as far as it was read, shows that a job is cancelled; false for an unknown job. */
@@ -63,15 +63,15 @@
 
 /** Whether a job is open and all its dependencies are done, so that its tasks may start. */
 export const isReady = (storedJob: StoredJob): boolean =>
-  storedJob.readyAt !== null && outcome(storedJob) === 'open';
+  storedJob.readyRevision !== null && outcome(storedJob) === 'open';
 
 /** Whether a job is open and waits for dependencies, so that none of its tasks may start. */
 export const isWaiting = (storedJob: StoredJob): boolean =>
-  storedJob.readyAt === null && outcome(storedJob) === 'open';
+  storedJob.readyRevision === null && outcome(storedJob) === 'open';
 
 /**
  * Whether a job was cancelled before it became ready. None of its tasks was ever started or ever will be,
  * since a leader starts tasks of a job only once its replica of the store shows the job as ready.
  */
 export const neverStarted = (storedJob: StoredJob): boolean =>
-  storedJob.readyAt === null && outcome(storedJob) === 'cancelled';
+  storedJob.readyRevision === null && outcome(storedJob) === 'cancelled';
--- a/src/store/subsystem-records.ts
+++ b/src/store/subsystem-records.ts
@@ -15,7 +15,7 @@
   private readonly bySubsystem = new Map<string, Map<string, StoredValue>>();
 
   /** The records of one subsystem by key without its prefix: a live view, not a copy. */
-  of(subsystem: string): ReadonlyMap<string, StoredValue> {
+  forSubsystem(subsystem: string): ReadonlyMap<string, StoredValue> {
     return this.bySubsystem.get(subsystem) ?? NO_RECORDS;
   }
 
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -55,7 +55,7 @@
     | 'spot'
     | 'state'
     | 'condition'
-    | 'reclaimedAt'
+    | 'reclaimAt'
     | 'drainingSince'
     | 'lastSeenAt'
     | 'firstSeenAt'
--- a/src/warm-pools/slot-monitor.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -104,7 +104,7 @@
     }
     if (machine.condition.quarantined)
       return { kind: 'lost', reason: 'faulty', atMs, uncertainMs: 0 };
-    if (machine.reclaimedAt === null) return null;
+    if (machine.reclaimAt === null) return null;
     return { kind: 'lost', reason: 'taken back', atMs, uncertainMs: 0 };
   }
 
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -195,14 +195,14 @@
     );
     if (best === null) return false;
     const assignment = this.assignmentOf(entry.current, best.id, best.type);
-    table.apply(entry, { kind: 'adopted', assignment: assignment, atMs: clock.steadyMs() });
+    table.apply(entry, { kind: 'adopted', assignment, atMs: clock.steadyMs() });
     return true;
   }
 
   private mayAdopt(machine: string): boolean {
     const m = this.options.view.machine(machine);
     if (m === undefined || m.state !== 'ready') return false;
-    return !m.condition.quarantined && m.reclaimedAt === null && m.drainingSince === null;
+    return !m.condition.quarantined && m.reclaimAt === null && m.drainingSince === null;
   }
 
   /** The assignment of a machine to a slot. Replicas that are already on the machine do not use the slot. */
--- a/src/warm-pools/slot-scale-out.ts
+++ b/src/warm-pools/slot-scale-out.ts
@@ -154,7 +154,7 @@
         continue;
       }
       const assignment = assignmentOf(entry.current, machine, type);
-      table.apply(entry, { kind: 'added', assignment: assignment, atMs: fromMs, uncertainMs });
+      table.apply(entry, { kind: 'added', assignment, atMs: fromMs, uncertainMs });
     }
     // In an outage the request stays pending until the slots' records can be stored.
     if (this.options.view.canWrite()) this.pendingRequests.delete(name);
--- a/src/wire/last-heartbeat.ts
+++ b/src/wire/last-heartbeat.ts
@@ -30,7 +30,7 @@
   private memory: Buffer = Buffer.alloc(0);
 
   /** Caches a heartbeat for comparison, unless it is too long. */
-  keep(heartbeat: Heartbeat, body: Buffer): void {
+  cache(heartbeat: Heartbeat, body: Buffer): void {
     this.cached = null;
     const { length } = body;
     if (length > MAX_CACHED_BYTES) return;
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -7,7 +7,7 @@
 export const SUBMIT_WAIT_S = 5;
 
 /** A malformed message. The error message names the field and what was expected. */
-export class BadMessage extends Error {}
+export class BadRequestError extends Error {}
 
 const KINDS: Record<string, JobKind> = { batch: 'array', group: 'gang', daemon: 'service' };
 const PRIORITIES: Record<string, Priority> = { critical: 0, high: 1, standard: 2, best_effort: 3 };
@@ -44,13 +44,13 @@
   awaits: v.nullish(v.array(v.pipe(v.string(), v.regex(JOB_ID_PATTERN))), null),
 });
 
-/** Parses the body of a submission. Throws BadMessage. */
+/** Parses the body of a submission. Throws BadRequestError. */
 export function parseSubmission(body: Buffer): JobSpec {
   const raw = parseObject(body);
   const result = v.safeParse(submissionSchema, raw);
   if (!result.success) {
     const issue = result.issues[0];
-    throw new BadMessage(`${v.getDotPath(issue) ?? 'body'}: ${issue.message}`);
+    throw new BadRequestError(`${v.getDotPath(issue) ?? 'body'}: ${issue.message}`);
   }
   const output = result.output;
   return {
@@ -85,31 +85,31 @@
 export const mayHaveDependencies = (body: Buffer): boolean =>
   body.includes('"awaits"') || body.includes('\\u');
 
-/** Parses a body that is a JSON object. Throws BadMessage. */
+/** Parses a body that is a JSON object. Throws BadRequestError. */
 export function parseObject(body: Buffer): Record<string, unknown> {
   let raw: unknown;
   try {
     raw = JSON.parse(body.toString('utf8'));
   } catch {
-    throw new BadMessage('not JSON');
+    throw new BadRequestError('not JSON');
   }
   if (raw === null || typeof raw !== 'object' || Array.isArray(raw)) {
-    throw new BadMessage('not an object');
+    throw new BadRequestError('not an object');
   }
   return raw as Record<string, unknown>;
 }
 
 /** The state of a job as reported to users. */
-export type ShownState = 'queued' | 'running' | 'done' | 'cancelled';
+export type UserFacingJobState = 'queued' | 'running' | 'done' | 'cancelled';
 
 /** Body of the response to a submission or cancellation. */
-export const encodeAccepted = (id: string, state: ShownState): string =>
+export const encodeAccepted = (id: string, state: UserFacingJobState): string =>
   JSON.stringify({ ref: id, temper: state });
 
 /** Body of the response to a poll; `done` and `running` are numbers of tasks. */
 export const encodeStatus = (
   id: string,
-  state: ShownState,
+  state: UserFacingJobState,
   done: number,
   running: number,
 ): string => JSON.stringify({ ref: id, temper: state, done, running });
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,5 +1,5 @@
 import { MAX_NAME_LENGTH } from './heartbeat-scan.js';
-import { BadMessage } from './users.js';
+import { BadRequestError } from './users.js';
 
 /** Workers' heartbeats and the commands to workers. Only this module knows their field names. */
 
@@ -67,34 +67,34 @@
 
 const requireCount = (value: unknown, name: string): number => {
   if (typeof value !== 'number' || !Number.isSafeInteger(value) || value < 0)
-    throw new BadMessage(name);
+    throw new BadRequestError(name);
   return value;
 };
 const requireName = (value: unknown, name: string): string => {
   if (typeof value !== 'string' || value.length === 0 || value.length > MAX_NAME_LENGTH)
-    throw new BadMessage(name);
+    throw new BadRequestError(name);
   return value;
 };
 
-/** Parses `job/index`. Throws BadMessage. */
+/** Parses `job/index`. Throws BadRequestError. */
 export function parseTaskName(piece: string): { job: string; index: number } {
   const slash = piece.indexOf('/');
   const index = Number(piece.slice(slash + 1));
-  if (slash <= 0 || !Number.isSafeInteger(index) || index < 0) throw new BadMessage('piece');
+  if (slash <= 0 || !Number.isSafeInteger(index) || index < 0) throw new BadRequestError('piece');
   return { job: piece.slice(0, slash), index };
 }
 
-/** Validates a heartbeat, without valibot for speed: every machine sends one every second. Throws BadMessage. */
+/** Validates a heartbeat, without valibot for speed: every machine sends one every second. Throws BadRequestError. */
 export function parseHeartbeat(raw: unknown): Heartbeat {
-  if (raw === null || typeof raw !== 'object') throw new BadMessage('not an object');
+  if (raw === null || typeof raw !== 'object') throw new BadRequestError('not an object');
   const heartbeat = raw as Record<string, unknown>;
   const tasks: TaskStatus[] = [];
-  if (!Array.isArray(heartbeat.pieces)) throw new BadMessage('pieces');
+  if (!Array.isArray(heartbeat.pieces)) throw new BadRequestError('pieces');
   for (const rawPiece of heartbeat.pieces as unknown[]) {
-    if (rawPiece === null || typeof rawPiece !== 'object') throw new BadMessage('pieces');
+    if (rawPiece === null || typeof rawPiece !== 'object') throw new BadRequestError('pieces');
     const piece = rawPiece as Record<string, unknown>;
     const state = TASK_STATES[String(piece.temper)];
-    if (state === undefined) throw new BadMessage('temper');
+    if (state === undefined) throw new BadRequestError('temper');
     tasks.push({
       ...parseTaskName(requireName(piece.piece, 'piece')),
       attempt: requireCount(piece.pour, 'pour'),
@@ -105,7 +105,7 @@
   }
   const notice = heartbeat.recall_s;
   if (notice !== undefined && notice !== null && (typeof notice !== 'number' || !(notice >= 0))) {
-    throw new BadMessage('recall_s');
+    throw new BadRequestError('recall_s');
   }
   return {
     machine: requireName(heartbeat.bench, 'bench'),
@@ -121,13 +121,13 @@
   };
 }
 
-/** Parses the body of a heartbeat. Throws BadMessage if it is not JSON or not a heartbeat. */
+/** Parses the body of a heartbeat. Throws BadRequestError if it is not JSON or not a heartbeat. */
 export function decodeHeartbeat(body: Buffer): Heartbeat {
   let raw: unknown;
   try {
     raw = JSON.parse(body.toString('utf8'));
   } catch (error) {
-    if (error instanceof SyntaxError) throw new BadMessage(error.message);
+    if (error instanceof SyntaxError) throw new BadRequestError(error.message);
     throw error;
   }
   return parseHeartbeat(raw);
--- a/src/workers/machine-attempts.ts
+++ b/src/workers/machine-attempts.ts
@@ -211,7 +211,7 @@
   }
 
   /** Applies the outcome of a direct message that carried this epoch and token. */
-  directCommandsEnded(
+  applyDirectOutcome(
     commands: Command[],
     outcome: DirectOutcome,
     agentEpoch: number,
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -43,7 +43,7 @@
   /** The newest heartbeat, fenced or not; answers to direct commands are not included. */
   private newestHeartbeat = { agentEpoch: 0, sequence: -1 };
   /** When it arrived. */
-  heartbeatAt = -Infinity;
+  lastHeartbeatAt = -Infinity;
   /** The newest heartbeat that had to be parsed, to recognise heartbeats that only repeat it. */
   readonly lastHeartbeat = new LastHeartbeat();
   lastSeenAt: number;
@@ -51,7 +51,7 @@
   /** When the worker's lease has certainly expired. */
   leaseExpiresAt: number;
   /** When the cloud reclaims the machine, by its notice; null: no notice. */
-  reclaimedAt: number | null = null;
+  reclaimAt: number | null = null;
   readonly images = new ImageCache();
   /** Since when no attempt occupies capacity on it. */
   idleSince: number;
@@ -118,7 +118,7 @@
     if (origin === 'heartbeat' && !this.isRepeated(heartbeat)) {
       const { agentEpoch, sequence } = heartbeat;
       this.newestHeartbeat = { agentEpoch, sequence };
-      this.heartbeatAt = now;
+      this.lastHeartbeatAt = now;
     }
     if (!isNewer(heartbeat, this)) {
       // A late copy, or overtaken by the answer to a direct message: it proves nothing new.
@@ -167,11 +167,11 @@
     this.spot = heartbeat.spot;
     if (heartbeat.reclaimNoticeS === null) return;
     const at = now + heartbeat.reclaimNoticeS;
-    this.reclaimedAt = this.reclaimedAt === null ? at : Math.min(this.reclaimedAt, at);
+    this.reclaimAt = this.reclaimAt === null ? at : Math.min(this.reclaimAt, at);
   }
 
   /** Records that a task here uses this image. */
-  noteImage(image: string, gb: number, cacheGb: number, now: number): void {
+  recordImageUse(image: string, gb: number, cacheGb: number, now: number): void {
     this.markChanged();
     this.images.recordUse(image, gb, cacheGb, now);
   }
--- a/test/cancellation-quorum.test.ts
+++ b/test/cancellation-quorum.test.ts
@@ -66,7 +66,7 @@
     );
     const replica = fake<Replica>({ machines, jobs: new Map(), lastToken: 1, leader: null });
     const peers = fake<PeerNetwork>({
-      names: ['b', 'c', 'd'],
+      peerNames: ['b', 'c', 'd'],
       ask: (node: string) => Promise.resolve(noting.includes(node) ? { noted: true } : null),
     });
     const zoneLeaseHolders: [string, string][] = [['z1', 'b'], ['z2', 'd']]; // prettier-ignore
@@ -77,7 +77,7 @@
       controllerCount: 4, peers, replica, clock, retentionS: 100,
       remainingWaitS: (job, noted) => cancellations.remainingWaitS(job, noted),
     }); // prettier-ignore
-    const storedJob = { claimCount: 1, cancelledAt: 5 } as StoredJob;
+    const storedJob = { claimCount: 1, cancelledRevision: 5 } as StoredJob;
     const first = await cancellationQuorum.confirm(storedJob, JOB);
     now = afterS;
     const last = afterS === 0 ? first : await cancellationQuorum.confirm(storedJob, JOB);
@@ -104,7 +104,7 @@
     const quorum = new CancellationQuorum({
       controllerCount: 3,
       peers: fake<PeerNetwork>({
-        names: ['b', 'c'],
+        peerNames: ['b', 'c'],
         ask: (node: string) =>
           answers[node] === undefined
             ? new Promise(() => undefined)
@@ -119,7 +119,7 @@
       remainingWaitS: () => 0,
     });
     let confirmed = false;
-    const storedJob = { claimCount: 1, cancelledAt: 5 } as StoredJob;
+    const storedJob = { claimCount: 1, cancelledRevision: 5 } as StoredJob;
     void quorum.confirm(storedJob, JOB).then((outcome) => (confirmed = outcome));
     await new Promise(setImmediate);
     assert.equal(confirmed, mayConfirm, name);
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -245,17 +245,17 @@
   listed.applyListed(item);
   for (const replica of [streamed, listed]) {
     assert.deepEqual(
-      [...replica.subsystems.of('later')],
+      [...replica.subsystems.forSubsystem('later')],
       [['a/b', { value: item.value, revision: 3 }]],
     );
-    assert.equal(replica.subsystems.of('other').size, 0);
+    assert.equal(replica.subsystems.forSubsystem('other').size, 0);
     replica.advance(4, [{ kind: 'removed', key, revision: 2 }]);
-    assert.equal(replica.subsystems.of('later').size, 1, 'an older removal is ignored');
+    assert.equal(replica.subsystems.forSubsystem('later').size, 1, 'an older removal is ignored');
   }
   streamed.advance(5, [{ kind: 'removed', key, revision: 5 }]);
   listed.removeMissing(new Set(), 5);
   for (const replica of [streamed, listed]) {
-    assert.equal(replica.subsystems.of('later').size, 0);
+    assert.equal(replica.subsystems.forSubsystem('later').size, 0);
     assert.equal(replica.malformedRecords, 0);
   }
 });
--- a/test/heartbeat-bytes.test.ts
+++ b/test/heartbeat-bytes.test.ts
@@ -8,7 +8,7 @@
 import { random, seedRandom } from '../src/random.js';
 import { LastHeartbeat } from '../src/wire/last-heartbeat.js';
 import { scanHeartbeat } from '../src/wire/heartbeat-scan.js';
-import { BadMessage } from '../src/wire/users.js';
+import { BadRequestError } from '../src/wire/users.js';
 import { decodeHeartbeat, type Heartbeat } from '../src/wire/workers.js';
 import { settings } from './helpers.js';
 import { LeaderWorld } from './support/leader-world.js';
@@ -24,7 +24,7 @@
   try {
     return decodeHeartbeat(body);
   } catch (error) {
-    if (error instanceof BadMessage) return null;
+    if (error instanceof BadRequestError) return null;
     throw error;
   }
 }
@@ -52,7 +52,7 @@
         machines: new Map(),
         mayLackClaimsSince: () => false,
       },
-      peers: { names: ['n-1'], ask },
+      peers: { peerNames: ['n-1'], ask },
       zoneLeaseHolder: null,
       zoneLeases: { holderOf: () => null, isSteady: () => true },
       isLate: () => false,
@@ -76,7 +76,7 @@
       machine.sequence,
       machine.fencedSequence,
       machine.token,
-      machine.reclaimedAt,
+      machine.reclaimAt,
       machine.leaseExpiresAt,
       machine.addr,
     ],
@@ -314,7 +314,7 @@
   const [largest, tooLarge] = ['9007199254740991', '9007199254740993'];
   const last = new LastHeartbeat();
   const body = Buffer.from(bodyOf(5, largest));
-  last.keep(decodeHeartbeat(body), body);
+  last.cache(decodeHeartbeat(body), body);
   assert.equal(last.decodeRepetition(Buffer.from(bodyOf(5, tooLarge))), null);
   assert.equal(decodeOrNull(Buffer.from(bodyOf(5, tooLarge))), null);
 });
@@ -332,7 +332,7 @@
     [2, true],
   ] as const) {
     const body = long(tasks);
-    last.keep(decodeHeartbeat(body), body);
+    last.cache(decodeHeartbeat(body), body);
     assert.equal(last.decodeRepetition(body) !== null, kept, `${tasks} tasks`);
     const { memory } = last as unknown as { memory: Buffer };
     assert.ok(memory.buffer.byteLength <= 4096 && memory.buffer !== body.buffer);
--- a/test/heartbeat-handler.test.ts
+++ b/test/heartbeat-handler.test.ts
@@ -50,7 +50,7 @@
         lastToken: 5,
       },
       peers: {
-        names: ['n-1', 'n-2', ...more],
+        peerNames: ['n-1', 'n-2', ...more],
         ask: (node: string, question: { hop: boolean }, timeoutS: number) => {
           seen.push(question.hop ? `${node} hop` : node);
           now += answers[node] === undefined || answers[node] === null ? timeoutS : 0;
@@ -100,7 +100,7 @@
   for (let i = 0; i < 5000; i++) broadcast.noteAnnounced(id(i));
   assert.ok([0, 2500, 4999].every((i) => broadcast.knows(id(i))));
   // Cancellations that the replica shows as stored need not be remembered separately.
-  for (let i = 0; i < 4000; i++) jobs.set(id(i), { cancelledAt: 5, doneAt: null });
+  for (let i = 0; i < 4000; i++) jobs.set(id(i), { cancelledRevision: 5, doneRevision: null });
   broadcast.noteAnnounced('wk-a');
   assert.equal(broadcast.size, 1001);
   now = settings().workers.lease_s * 21;
--- a/test/large-term.test.ts
+++ b/test/large-term.test.ts
@@ -37,7 +37,7 @@
   for (let i = 0; i < JOBS; i += 20) {
     const jobs = Array.from({ length: 20 }, (_, k) => ({
       spec: spec({ id: id(i + k), kind: 'service' }),
-      atMs: Date.now(),
+      acceptedAtMs: Date.now(),
     }));
     const cancelledIds = i < OPEN_JOBS ? [] : jobs.map((j) => j.spec.id);
     put(`${records.JOBS}x-${i}`, records.encodeRequestBatch({ jobs, cancelledIds }));
--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -84,7 +84,7 @@
       clock,
       log: silentLog(),
       leaseS: LEASE_S,
-      leads,
+      isLeader: leads,
       electedAt,
       stepDown: () => {
         this.stepDowns++;
@@ -119,11 +119,11 @@
       others.forEach((figure, i) => {
         const at = now;
         now -= figuresAgeIntervals * HEARTBEAT_INTERVAL_S;
-        if (figure !== null) node.health.note(`n-${i}`, figure);
+        if (figure !== null) node.health.recordHealth(`n-${i}`, figure);
         now = at;
       });
-      node.overload.noteLag(lag, now);
-      node.leadershipTransfer.consider();
+      node.overload.recordTimerLag(lag, now);
+      node.leadershipTransfer.transferIfOverloaded();
     }
     assert.equal(node.stepDowns, stepDowns, name);
   }
@@ -132,7 +132,7 @@
 test('health data is sent once in a quarter of a heartbeat interval; a silent controller is asked', () => {
   let now = 0;
   const node = new TestController({ now: () => now }, () => true);
-  const [first, second] = [node.health.nextToSend(), node.health.nextToSend()];
+  const [first, second] = [node.health.createSender(), node.health.createSender()];
   assert.deepEqual([first(), first(), second()], [node.own, null, node.own], 'per connection');
   now += HEARTBEAT_INTERVAL_S * 0.2;
   assert.equal(first(), null);
@@ -143,7 +143,7 @@
   const peers = { names: ['a', 'b'], ask: (to: string) => Promise.resolve(void asked.push(to)) };
   const refresh = (): string[] => {
     now += TICK_S;
-    node.health.note('b', idle);
+    node.health.recordHealth('b', idle);
     node.health.refresh(fake<Parameters<HealthTable['refresh']>[0]>(peers));
     return asked.splice(0);
   };
@@ -153,27 +153,28 @@
 test('of several healthier controllers the healthiest is chosen; a late one is known to be late', () => {
   let now = 0;
   const node = new TestController({ now: () => now }, () => true);
-  for (let i = 0; i < 6; i++) node.overload.noteLag(LATE_S, now);
+  for (let i = 0; i < 6; i++) node.overload.recordTimerLag(LATE_S, now);
   const figures: [string, number, boolean][] = [
     ['a', LATE_S * 0.3, true],
     ['b', LATE_S * 0.1, true],
     ['c', LATE_S * 0.2, true],
     ['d', 0, false],
   ];
-  for (const [name, latenessS, served] of figures) node.health.note(name, { latenessS, served });
-  assert.equal(node.health.healthier(), 'b');
+  for (const [name, latenessS, served] of figures)
+    node.health.recordHealth(name, { latenessS, served });
+  assert.equal(node.health.findHealthier(), 'b');
   assert.deepEqual(
     ['a', 'b', 'nobody'].map((name) => node.health.isLate(name)),
     [true, false, false],
   );
-  node.health.note('e', withForwardingDelay(ANSWER_WAIT_S * 0.2));
+  node.health.recordHealth('e', withForwardingDelay(ANSWER_WAIT_S * 0.2));
   assert.equal(
     node.health.isLate('e'),
     false,
     'its forwarded heartbeats wait because of the leader',
   );
   now += HEARTBEAT_INTERVAL_S * 4;
-  assert.deepEqual([node.health.healthier(), node.health.isLate('a')], [null, false], 'stale');
+  assert.deepEqual([node.health.findHealthier(), node.health.isLate('a')], [null, false], 'stale');
 });
 
 /** How late a controller is at a given time, as leader or follower. */
@@ -208,7 +209,7 @@
       // Elects the next controller that is not late.
       const next = (): number => {
         const others = nodes.map((_node, k) => (i + 1 + k) % nodes.length);
-        return others.find((k) => k !== i && !nodes[k]!.overload.late) ?? i;
+        return others.find((k) => k !== i && !nodes[k]!.overload.isLate) ?? i;
       };
       const stepDown = (): void => {
         leader = next();
@@ -227,10 +228,10 @@
     while (now < MINUTES * 60) {
       now += TICK_S;
       nodes.forEach((node, i) => {
-        node.overload.noteLag(latenesses[i]!(leader === i, now), now);
-        nodes.forEach((other, k) => k !== i && other.health.note(`n-${i}`, node.own));
+        node.overload.recordTimerLag(latenesses[i]!(leader === i, now), now);
+        nodes.forEach((other, k) => k !== i && other.health.recordHealth(`n-${i}`, node.own));
       });
-      for (const node of nodes) node.leadershipTransfer.consider();
+      for (const node of nodes) node.leadershipTransfer.transferIfOverloaded();
     }
     assert.ok(changes >= least && changes <= most, `${name}: ${changes}`);
     for (const node of nodes)
--- a/test/link.test.ts
+++ b/test/link.test.ts
@@ -37,8 +37,8 @@
 /** The last health report that each controller received, by its name. */
 const received = new Map<string, ControllerHealth>();
 const healthExchange = (self: string): HealthExchange => ({
-  nextToSend: () => () => HEALTH[self]!,
-  note: (_from, figure) => void received.set(self, figure),
+  createSender: () => () => HEALTH[self]!,
+  recordHealth: (_from, figure) => void received.set(self, figure),
 });
 
 test('a connection that violates the protocol is closed without affecting others', async () => {
--- a/test/machine-evidence.test.ts
+++ b/test/machine-evidence.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { Heartbeat, TaskStatus } from '../src/wire/workers.js';
 import { parseHeartbeat } from '../src/wire/workers.js';
-import { BadMessage } from '../src/wire/users.js';
+import { BadRequestError } from '../src/wire/users.js';
 import { makeAttempt, type Attempt, type AttemptState } from '../src/workers/attempt.js';
 import { Machine } from '../src/workers/machine.js';
 
@@ -172,7 +172,7 @@
   // Packets delayed by a network partition are delivered later. The start must not be taken for lost, and the worker must
   // not forget an attempt that it started, or the delayed start would run it again.
   const { machine, attempt, commands } = machineWithDirectStart();
-  machine.directCommandsEnded(commands, 'unknown', 1, 2);
+  machine.applyDirectOutcome(commands, 'unknown', 1, 2);
   machine.applyHeartbeat(makeHeartbeat({ sequence: 11 }), 'heartbeat', 3);
   assert.equal(attempt.state, 'sent');
   assert.deepEqual(
@@ -197,7 +197,7 @@
 
 test('a direct start that provably was not carried out can be sent again', () => {
   const { machine, attempt, commands } = machineWithDirectStart();
-  machine.directCommandsEnded(commands, 'refused', 1, 2);
+  machine.applyDirectOutcome(commands, 'refused', 1, 2);
   assert.equal(attempt.state, 'claimed');
 });
 
@@ -256,5 +256,5 @@
     { ...good, pieces: [{ piece: 'wk-1/1', pour: 1, temper: 'dancing' }] },
     { ...good, recall_s: 'soon' },
   ];
-  for (const each of cases) assert.throws(() => parseHeartbeat(each), BadMessage);
+  for (const each of cases) assert.throws(() => parseHeartbeat(each), BadRequestError);
 });
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -36,7 +36,7 @@
     private readonly peerAnswers: () => (Answer | null)[] = () => [null, null],
     healthierCanCampaign: () => boolean = () => false,
   ) {
-    const replica = store.listed();
+    const replica = store.listedReplica();
     const follower: Partially<ReplicaSync> = {
       ready: true,
       freshAt: -Infinity,
@@ -44,12 +44,12 @@
     };
     const sync = (): Promise<boolean> => {
       follower.freshAt = this.now;
-      return Promise.resolve(store.feed(replica) !== null);
+      return Promise.resolve(store.replayInto(replica) !== null);
     };
     this.sync = sync;
     const names = ['x', 'y'];
     const peers = fake<PeerNetwork>({
-      names,
+      peerNames: names,
       ask: (to: string, _q: Question) =>
         Promise.resolve(this.peerAnswers()[names.indexOf(to)] ?? null),
     });
@@ -317,8 +317,8 @@
 test('a controller that is frozen while it catches up is not elected', async () => {
   const controller = new Controller(new MemoryStore());
   const { store } = controller;
-  const feed = store.feed.bind(store);
-  store.feed = (replica) => {
+  const feed = store.replayInto.bind(store);
+  store.replayInto = (replica) => {
     controller.now += LEADER_TTL_S * 1.1;
     return feed(replica);
   };
--- a/test/meeting-ends.test.ts
+++ b/test/meeting-ends.test.ts
@@ -14,7 +14,7 @@
     jobs.push(id);
     world.submitJob({ id });
     if (i % 4 === 1) world.cancel(jobs[i - (i % 3)]!);
-    world.store.feed(world.replica);
+    world.store.replayInto(world.replica);
     if (i === 60) world.failOver();
     await world.run(0.2);
     for (const worker of world.fleet.workers.values()) {
@@ -82,12 +82,12 @@
       world.exchangeHeartbeat(worker);
       await interfere(world);
       // The leader's record of the end may be refused, but no second record may change the outcome.
-      const storedOutcome = outcome(world.store.feed(world.replica).jobs.get(JOB)!);
+      const storedOutcome = outcome(world.store.replayInto(world.replica).jobs.get(JOB)!);
       assert.equal(storedOutcome, want, name);
       const at = world.store.revision(records.progressKey(JOB, 0));
       if (failsOver && want !== 'done') world.failOver();
       await world.run(4);
-      assert.equal(outcome(world.store.feed(world.replica).jobs.get(JOB)!), want, name);
+      assert.equal(outcome(world.store.replayInto(world.replica).jobs.get(JOB)!), want, name);
       assert.equal(world.term.jobs.size, 0, name);
       assert.equal(world.fleet.starts.get(`${JOB}/0`), 1, name);
       assert.equal(worker.tasks.size, 0, name);
@@ -126,7 +126,7 @@
   world.submitJob({ id: OTHER });
   await world.run(1);
   world.cancel(OTHER);
-  world.store.feed(world.replica);
+  world.store.replayInto(world.replica);
   const stop = world.sendDirect('a');
   stop.unanswered();
   await world.run(1);
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -36,7 +36,8 @@
       const late = world.machine('a').activeAttempts().length > 0 ? world.sendDirect('a') : null;
       world.cancel(JOB);
       if (seen === 'by word of another') world.leader.onCancellationStored(JOB);
-      if (seen === 'by the old leader' || seen === 'no change') world.store.feed(world.replica);
+      if (seen === 'by the old leader' || seen === 'no change')
+        world.store.replayInto(world.replica);
       if (seen !== 'by the next') await world.parts.writer.writeBatch();
       if (seen !== 'no change') world.failOver();
       else late?.unanswered();
@@ -50,7 +51,11 @@
       if (seen !== 'no change') assert.deepEqual(world.fleet.violations, [], `${name}, ${seen}`);
       assert.deepEqual(world.machine('a').activeAttempts(), [], `${name}, ${seen}`);
       if (seen !== 'no change') assert.equal(world.term.jobs.size, 0, `${name}, ${seen}`);
-      assert.equal(outcome(world.store.feed(world.replica).jobs.get(JOB)!), 'cancelled', name);
+      assert.equal(
+        outcome(world.store.replayInto(world.replica).jobs.get(JOB)!),
+        'cancelled',
+        name,
+      );
     }
   }
 });
--- a/test/meeting-outage-quorum.test.ts
+++ b/test/meeting-outage-quorum.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Election } from '../src/leadership/election.js';
-import { encodeFrame, MAX_FRAME } from '../src/peers/frames.js';
+import { encodeFrame, MAX_FRAME_BYTES } from '../src/peers/frames.js';
 import type { PeerNetwork } from '../src/peers/peer-network.js';
 import { silentLog } from '../src/log.js';
 import { RequestRejectedError, OutcomeUnknownError } from '../src/store/client.js';
@@ -21,8 +21,8 @@
   ready = true,
 ): { election: Election; campaign(): Promise<boolean> } {
   const clock = { now: LONG_AGO_S };
-  const replica = ready ? store.listed() : new Replica(store.valueBytes);
-  const sync = (): Promise<boolean> => Promise.resolve(store.feed(replica) !== null);
+  const replica = ready ? store.listedReplica() : new Replica(store.valueBytes);
+  const sync = (): Promise<boolean> => Promise.resolve(store.replayInto(replica) !== null);
   const election = new Election({
     node: 'a',
     incarnation: 'a-1',
@@ -31,7 +31,7 @@
     store: store.client(),
     replicaSync: fake<ReplicaSync>({ ready, sync, freshAt: 0 }),
     replica,
-    peers: () => fake<PeerNetwork>({ names: [] }),
+    peers: () => fake<PeerNetwork>({ peerNames: [] }),
     clock: { now: () => clock.now },
     log: silentLog(),
     events: {
@@ -94,7 +94,7 @@
   const answer = await election.outageQuorum.answer(1, 1000, before);
   assert.equal(answer.refused, true);
   assert.equal(answer.cancelled?.length, many + 1);
-  assert.ok(encodeFrame({ id: 1, a: answer }).length <= MAX_FRAME);
+  assert.ok(encodeFrame({ id: 1, a: answer }).length <= MAX_FRAME_BYTES);
 });
 
 test("the key of an earlier campaign that is stored late is not taken for this campaign's key", async () => {
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -93,7 +93,7 @@
 
   private cancel(id: string): void {
     const { world } = this;
-    if (outcome(world.store.feed(world.replica).jobs.get(id)!) !== 'open') return;
+    if (outcome(world.store.replayInto(world.replica).jobs.get(id)!) !== 'open') return;
     world.store.cancel(id);
     this.cancelledAt.set(id, world.now);
   }
@@ -147,14 +147,14 @@
     machine.markSent(commands, 'direct', world.now);
     const delivery = worker.deaf ? 'lost' : hasFaults ? this.random() : 'answered';
     if (delivery === 'lost' || Number(delivery) > 0.85) {
-      machine.directCommandsEnded(commands, 'unknown', agentEpoch, world.now);
+      machine.applyDirectOutcome(commands, 'unknown', agentEpoch, world.now);
     } else if (Number(delivery) > 0.7) {
       this.delay(this.random() * 8, () => void worker.takeDirect(token, agentEpoch, commands));
-      machine.directCommandsEnded(commands, 'unknown', agentEpoch, world.now);
+      machine.applyDirectOutcome(commands, 'unknown', agentEpoch, world.now);
     } else {
       const heartbeat = worker.takeDirect(token, agentEpoch, commands);
       const result = Number(delivery) > 0.6 ? 'unknown' : heartbeat === null ? 'refused' : 'done';
-      machine.directCommandsEnded(commands, result, agentEpoch, world.now);
+      machine.applyDirectOutcome(commands, result, agentEpoch, world.now);
       if (result === 'unknown') return;
       world.term.reconcile(
         machine,
@@ -207,7 +207,7 @@
   /** Jobs that are not in their expected state at the end. */
   unfinished(): string[] {
     const { world } = this;
-    world.store.feed(world.replica);
+    world.store.replayInto(world.replica);
     const open = [...this.jobs].filter(([id]) => outcome(world.replica.jobs.get(id)!) === 'open');
     const wanted = open.reduce((n, [, job]) => n + job.tasks, 0);
     const problems: string[] = [];
--- a/test/meeting-records.test.ts
+++ b/test/meeting-records.test.ts
@@ -27,13 +27,13 @@
   ];
   for (const [name, events, want] of cases) {
     const store = new MemoryStore();
-    const stream = store.listed();
+    const stream = store.listedReplica();
     for (const event of events) {
       event(store);
-      store.feed(stream);
+      store.replayInto(stream);
     }
     assert.equal(outcome(stream.jobs.get(JOB)!), want, `${name}: by the stream`);
-    assert.equal(outcome(store.listed().jobs.get(JOB)!), want, `${name}: by a listing`);
+    assert.equal(outcome(store.listedReplica().jobs.get(JOB)!), want, `${name}: by a listing`);
   }
 });
 
@@ -42,7 +42,7 @@
   store.accept({ id: JOB });
   store.cancel(JOB, 'a');
   const open: string[] = [];
-  const replica = store.listed({
+  const replica = store.listedReplica({
     onReady: (storedJob) => void (outcome(storedJob) === 'open' && open.push(storedJob.spec.id)),
   });
   assert.equal(outcome(replica.jobs.get(JOB)!), 'cancelled');
@@ -53,7 +53,10 @@
   const store = new MemoryStore();
   store.accept({ id: JOB, gpus: 2 });
   store.accept({ id: JOB, gpus: 4 }, 0, 'a');
-  for (const replica of [store.listed(), store.feed(new MemoryStore().listed())]) {
+  for (const replica of [
+    store.listedReplica(),
+    store.replayInto(new MemoryStore().listedReplica()),
+  ]) {
     assert.equal(replica.jobs.get(JOB)!.spec.gpus, 2);
   }
 });
@@ -79,7 +82,7 @@
   world.store.cancel(JOB);
   await world.writeAll();
   assert.equal(world.store.revision(records.progressKey(JOB, 0)), first);
-  assert.equal(outcome(world.store.listed().jobs.get(JOB)!), 'done');
+  assert.equal(outcome(world.store.listedReplica().jobs.get(JOB)!), 'done');
 });
 
 test('the record of a machine that sends heartbeats again is not removed by an earlier removal', async () => {
--- a/test/meeting-users.test.ts
+++ b/test/meeting-users.test.ts
@@ -91,16 +91,16 @@
     store.mode = 'serve';
     const cancelled = await replyText(b.userApi.cancel(JOB));
     assert.equal(cancelled, '200 cancelled', mode);
-    const at = b.replica.jobs.get(JOB)!.cancelledAt;
+    const at = b.replica.jobs.get(JOB)!.cancelledRevision;
     // The delayed requests arrive now, after newer ones.
     store.deliverHeldBack();
     finishJob(store);
-    store.feed(b.replica);
+    store.replayInto(b.replica);
     for (const c of [a, b, makeUserApiWorld(store, 'c')]) {
       assert.equal(await replyText(c.userApi.poll(JOB)), '200 cancelled', mode);
       assert.equal(outcome(c.replica.jobs.get(JOB)!), 'cancelled', mode);
     }
-    assert.equal(b.replica.jobs.get(JOB)!.cancelledAt, at, mode);
+    assert.equal(b.replica.jobs.get(JOB)!.cancelledRevision, at, mode);
   }
 });
 
--- a/test/model-server.test.ts
+++ b/test/model-server.test.ts
@@ -79,7 +79,7 @@
   server.loadsFail = false;
   own.forget('m1');
   await until('loaded after all', () => state() === 'ready');
-  server.use('tutor');
+  server.addUser('tutor');
   own.unload(machine(), 'tutor');
   await until('unload requested', () => server.requestLog.includes('unload tutor 5'));
   assert.ok(server.models.has('tutor'));
--- a/test/outage-promises.test.ts
+++ b/test/outage-promises.test.ts
@@ -32,7 +32,7 @@
       replica: fake<Replica>({ leader: { revision: TOKEN, node: 'a' }, applied: 1 }),
       peers: () =>
         fake<PeerNetwork>({
-          names: ['x'],
+          peerNames: ['x'],
           ask: () => Promise.resolve({ refused: true, freshAgeS: this.peerFreshAgeS }),
         }),
       clock: { now: () => this.now },
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -172,7 +172,7 @@
       const harness = new QueueHarness();
       harness.exhaustSlice();
       if (cause === 'loop') {
-        for (let i = 0; i < 2; i++) harness.overload.noteLag(delayS, 0);
+        for (let i = 0; i < 2; i++) harness.overload.recordTimerLag(delayS, 0);
       } else {
         harness.request('report', 'oldest');
         harness.now += delayS;
@@ -194,7 +194,7 @@
   ];
   for (const [name, lags, refused] of cases) {
     const harness = new QueueHarness();
-    for (const lag of lags) harness.overload.noteLag(lag, 0);
+    for (const lag of lags) harness.overload.recordTimerLag(lag, 0);
     assert.equal(harness.request('submission', 's') === 'refused', refused, name);
   }
   const harness = new QueueHarness();
--- a/test/pipeline-users.test.ts
+++ b/test/pipeline-users.test.ts
@@ -54,7 +54,7 @@
       assert.equal(store.currentRevision, before, `${name}: nothing is stored`);
     else
       assert.equal(
-        storedJob?.readyAt === null,
+        storedJob?.readyRevision === null,
         want === '201 cancelled' || storedJob?.unmetDependencies === 1,
         name,
       );
@@ -108,7 +108,7 @@
     userApi.submit(body({ ref: 'wk-2' })),
     userApi.cancel(NEEDED),
   ]);
-  const stored = store.feed(makeUserApiWorld(store, 'b').replica);
+  const stored = store.replayInto(makeUserApiWorld(store, 'b').replica);
   assert.equal(outcome(stored.jobs.get('wk-1')!), 'cancelled');
   for (const key of store.keys()) {
     if (!key.startsWith(records.JOBS)) continue;
@@ -148,7 +148,7 @@
   finishJob(store, NEEDED);
   assert.equal(await replyText(userApi.cancel(NEEDED)), '200 done');
   assert.equal(await replyText(userApi.poll(JOB)), '200 queued');
-  assert.notEqual(replica.jobs.get(JOB)!.readyAt, null);
+  assert.notEqual(replica.jobs.get(JOB)!.readyRevision, null);
 });
 
 test('a cancellation of a job that never became ready is confirmed at once: it has no tasks', async () => {
@@ -159,7 +159,7 @@
   const cancellationQuorum = new CancellationQuorum({
     controllerCount: 3,
     peers: {
-      names: ['b', 'c'],
+      peerNames: ['b', 'c'],
       ask: (node) => {
         asked.push(node);
         return Promise.resolve(null);
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -78,7 +78,7 @@
       }
       const accepted = {
         spec: spec({ id: idOf(step.job), dependencies: dependencies.map(idOf) }),
-        atMs: now,
+        acceptedAtMs: now,
       };
       const prefix = dependencies.length > 0 ? records.DEPENDENT_JOBS : records.JOBS;
       // Writers' names are in no order: a listing may contain the later of two acceptances first.
@@ -145,7 +145,13 @@
 }
 
 function observedState(storedJob: StoredJob): object {
-  const { acceptedAt, cancelledAt, cancelledByDependency, readyAt, readyMs } = storedJob;
+  const {
+    acceptedRevision: acceptedAt,
+    cancelledRevision: cancelledAt,
+    cancelledByDependency,
+    readyRevision: readyAt,
+    readyMs,
+  } = storedJob;
   const cancelled =
     outcome(storedJob) === 'cancelled' ? { cancelledAt, cancelledByDependency } : {};
   return { outcome: outcome(storedJob), acceptedAt, readyAt, readyMs, ...cancelled };
@@ -160,14 +166,14 @@
       const copies = [live, listed(changes, all), listed(changes, all, salt), listed(changes, Math.min(cut, all))];
       for (const made of copies) {
         assert.deepEqual([...made.ready].sort(), [...new Set(made.ready)].sort(), 'reported once');
-        for (const id of made.ready) assert.notEqual(made.replica.jobs.get(id)!.readyAt, null);
+        for (const id of made.ready) assert.notEqual(made.replica.jobs.get(id)!.readyRevision, null);
         for (const [number, expected] of reference.jobs) {
           const storedJob = made.replica.jobs.get(idOf(number))!;
           assert.equal(outcome(storedJob), reference.outcome(number));
-          assert.equal(storedJob.readyAt, reference.readyAt(number));
-          assert.equal(storedJob.acceptedAt, expected.acceptedAt);
+          assert.equal(storedJob.readyRevision, reference.readyAt(number));
+          assert.equal(storedJob.acceptedRevision, expected.acceptedAt);
           if (reference.outcome(number) === 'cancelled') {
-            assert.equal(storedJob.cancelledAt, reference.cancelledAt(number));
+            assert.equal(storedJob.cancelledRevision, reference.cancelledAt(number));
           }
           assert.deepEqual(observedState(storedJob), observedState(live.replica.jobs.get(idOf(number))!));
         }
@@ -196,7 +202,7 @@
   kind: 'put',
   key: `${prefix}a-${revision}`,
   value: roundTrip(
-    records.encodeRequestBatch({ jobs: [{ spec: spec(job), atMs: 0 }], cancelledIds: [] }),
+    records.encodeRequestBatch({ jobs: [{ spec: spec(job), acceptedAtMs: 0 }], cancelledIds: [] }),
   ),
   revision,
 });
@@ -282,7 +288,7 @@
   copy.advance(8, [accept({ id: 'wk-4', dependencies: ['wk-1'] }, 7), accept({ id: 'wk-5', dependencies: ['wk-1', 'wk-2'] }, 8)]); // prettier-ignore
   assert.equal(ready.at(-1), 'wk-4');
   assert.equal(outcome(copy.jobs.get('wk-5')!), 'cancelled');
-  assert.equal(copy.jobs.get('wk-5')!.readyAt, null);
+  assert.equal(copy.jobs.get('wk-5')!.readyRevision, null);
   assert.equal(
     copy.jobs.get('wk-3')!.spec.kind,
     'service',
--- a/test/progress-parts.test.ts
+++ b/test/progress-parts.test.ts
@@ -48,8 +48,11 @@
   finishTasks(world, 15_000, TASKS);
   await writeAllProgress(world);
   assert.equal(outcome(world.replica.jobs.get(JOB)!), 'done');
-  const listed = world.store.listed().jobs.get(JOB)!;
-  assert.deepEqual([outcome(listed), listed.doneAt], ['done', world.replica.jobs.get(JOB)!.doneAt]);
+  const listed = world.store.listedReplica().jobs.get(JOB)!;
+  assert.deepEqual(
+    [outcome(listed), listed.doneRevision],
+    ['done', world.replica.jobs.get(JOB)!.doneRevision],
+  );
   const before = records.progressKey(JOB, 0);
   for (const key of world.store.keys()) {
     const bytes = JSON.stringify(world.store.value(key)).length;
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -8,7 +8,7 @@
 import { makeAttempt } from '../src/workers/attempt.js';
 import { spec } from './helpers.js';
 
-const accepted = (overrides = {}) => ({ spec: spec({ tasks: 2, ...overrides }), atMs: 5 });
+const accepted = (overrides = {}) => ({ spec: spec({ tasks: 2, ...overrides }), acceptedAtMs: 5 });
 const put = (key: string, value: unknown, revision: number) =>
   ({ kind: 'put', key, value: JSON.parse(JSON.stringify(value)) as unknown, revision }) as const;
 const job = (revision: number) =>
@@ -90,7 +90,7 @@
   );
   const live = new LiveJob(
     replica.jobs.get('wk-000001')!,
-    { kind: 'chunks', tasksEach: replica.chunkTasks },
+    { kind: 'chunks', tasksPerUnit: replica.tasksPerChunk },
     0,
     5,
   );
@@ -105,7 +105,7 @@
   replica.applyListed(job(1));
   const live = new LiveJob(
     replica.jobs.get('wk-000001')!,
-    { kind: 'chunks', tasksEach: replica.chunkTasks },
+    { kind: 'chunks', tasksPerUnit: replica.tasksPerChunk },
     0,
     5,
   );
@@ -125,7 +125,7 @@
   assert.deepEqual(live.pendingTasks(0.5, 9), [1], 'not immediately after a failure');
   assert.deepEqual(live.pendingTasks(2, 9), [0, 1]);
   live.markDone(0, 3);
-  live.endsToStore.push(attempt);
+  live.unstoredEnds.push(attempt);
   const fresh = live.progress.unstoredTasks(0);
   live.markDone(1, 3);
   assert.deepEqual(
--- a/test/request-forwarder.test.ts
+++ b/test/request-forwarder.test.ts
@@ -166,7 +166,7 @@
       log: silentLog(),
     });
     // The time-out is a minute; the test ends long before unless the writer waits for it.
-    assert.equal(await requestWriter.accept({ spec: spec(), atMs: 0 }, 60), null, name);
+    assert.equal(await requestWriter.accept({ spec: spec(), acceptedAtMs: 0 }, 60), null, name);
     assert.equal(commits, tries, name);
   }
 });
@@ -188,8 +188,8 @@
     const requestWriter = new RequestWriter({ incarnation: 'n', store, replicaSync: null!, replica: null!, budget, clock: steadyClock, log: silentLog() }
     ); // prettier-ignore
     for (let i = 0; i < jobs; i++)
-      void requestWriter.accept({ spec: spec({ id: `wk-${i}` }), atMs: 0 }, 60);
+      void requestWriter.accept({ spec: spec({ id: `wk-${i}` }), acceptedAtMs: 0 }, 60);
     await Promise.resolve();
-    assert.equal(requestWriter.full(2), full, name);
+    assert.equal(requestWriter.isFull(2), full, name);
   }
 });
--- a/test/scheduler-rules.test.ts
+++ b/test/scheduler-rules.test.ts
@@ -91,9 +91,9 @@
 });
 
 test('jobs are ordered by priority, guarantee, score and age', () => {
-  const entry = { priority: 1, guaranteed: false, score: 1, readyAt: 5 };
+  const entry = { priority: 1, guaranteed: false, score: 1, readyRevision: 5 };
   const sorted = [
-    { ...entry, n: 'old', readyAt: 1 },
+    { ...entry, n: 'old', readyRevision: 1 },
     { ...entry, n: 'low', priority: 3, score: 9 },
     { ...entry, n: 'score', score: 2 },
     { ...entry, n: 'guaranteed', guaranteed: true },
--- a/test/standins/model-server.ts
+++ b/test/standins/model-server.ts
@@ -88,12 +88,12 @@
   }
 
   /** Adds a replica, which answers once its model is loaded. */
-  use(name: string): void {
+  addUser(name: string): void {
     this.load(name).users++;
   }
 
   /** Removes a replica that used a model. */
-  leave(name: string): void {
+  removeUser(name: string): void {
     const model = this.models.get(name);
     if (model !== undefined) model.users--;
   }
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -279,7 +279,7 @@
     const { submission, runS } = rules.jobs.get(jobOf(task))!;
     if (submission.form === 'group') task.temper = 'gathering';
     rules.noteStart(this, task, isDelayed);
-    this.modelServer?.use(String(submission.mould));
+    this.modelServer?.addUser(String(submission.mould));
     if (submission.form === 'group') this.startCompleteGang(jobOf(task), pour);
     else if (submission.form === 'batch') this.runFor(task, runS);
   }
@@ -353,7 +353,7 @@
     task.temper = 'ended';
     task.cause = cause;
     const job = this.context.rules.jobs.get(jobOf(task));
-    if (ran && job !== undefined) this.modelServer?.leave(String(job.submission.mould));
+    if (ran && job !== undefined) this.modelServer?.removeUser(String(job.submission.mould));
     if (job?.submission.form === 'group' && ran && cause !== 'done') this.endGangPeers(task);
   }
 
--- a/test/support/leader-world.ts
+++ b/test/support/leader-world.ts
@@ -115,7 +115,7 @@
     });
     this.token = this.store.put(records.LEADER, value);
     const { token } = this;
-    const replica = this.store.listed();
+    const replica = this.store.listedReplica();
     this.replica = replica;
     this.leader = new Leader(
       {
@@ -158,7 +158,7 @@
   /** Stores a job as accepted; the leader reads it. */
   submitJob(over: Partial<JobSpec> = {}): void {
     this.store.accept(over, 1e9 + this.now * 1000);
-    this.store.feed(this.replica);
+    this.store.replayInto(this.replica);
   }
 
   /** Stores a cancellation; the user gets the answer as soon as it is stored. */
@@ -194,14 +194,14 @@
     machine.markSent(commands, 'direct', this.now);
     return {
       arrive: () => void worker.takeDirect(token, agentEpoch, commands),
-      unanswered: () => machine.directCommandsEnded(commands, 'unknown', agentEpoch, this.now),
+      unanswered: () => machine.applyDirectOutcome(commands, 'unknown', agentEpoch, this.now),
     };
   }
 
   /** Writes until nothing is due; the leader reads the changes. */
   async writeAll(): Promise<void> {
     for (let i = 0; i < 20 && this.canWrite && (await this.parts.writer.writeBatch()); i++);
-    this.store.feed(this.replica);
+    this.store.replayInto(this.replica);
   }
 
   /** Writes one batch with the store in this mode, then sets the store to `serve`. */
@@ -226,7 +226,7 @@
 
   /** The leader reads the store's changes and runs a scheduling cycle. */
   runCycle(): void {
-    this.store.feed(this.replica);
+    this.store.replayInto(this.replica);
     this.parts.runCycle();
   }
 
--- a/test/support/lending-world.ts
+++ b/test/support/lending-world.ts
@@ -109,7 +109,7 @@
   /** Cancels a job; the user gets the answer once the leader knows of the cancellation. */
   override cancel(id: string): void {
     super.cancel(id);
-    this.store.feed(this.replica);
+    this.store.replayInto(this.replica);
     this.batch.work.get(id)!.cancelled = true;
   }
 
--- a/test/support/memory-store.ts
+++ b/test/support/memory-store.ts
@@ -155,7 +155,7 @@
   /** Stores an accepted job. Keys begin with the writing controller, so a listing may not be in order of revisions. */
   accept(overrides: Partial<JobSpec>, atMs = 0, writer = 'b'): number {
     const value = records.encodeRequestBatch({
-      jobs: [{ spec: spec(overrides), atMs }],
+      jobs: [{ spec: spec(overrides), acceptedAtMs: atMs }],
       cancelledIds: [],
     });
     return this.put(`${records.JOBS}${writer}-${this.currentRevision}`, value);
@@ -168,7 +168,7 @@
   }
 
   /** Applies all changes to a replica. */
-  feed(replica: Replica): Replica {
+  replayInto(replica: Replica): Replica {
     replica.advance(this.currentRevision, this.changeLog);
     return replica;
   }
@@ -179,7 +179,7 @@
   }
 
   /** Applies a complete listing, in order of keys, to a replica. */
-  list(replica: Replica): Replica {
+  listInto(replica: Replica): Replica {
     const keys = [...this.items.keys()].sort();
     for (const key of keys) replica.applyListed(this.items.get(key)!);
     replica.removeMissing(new Set(keys), this.currentRevision);
@@ -189,9 +189,9 @@
   }
 
   /** A new replica to which a complete listing has been applied. */
-  listed(listener: Replica['listener'] = {}): Replica {
+  listedReplica(listener: Replica['listener'] = {}): Replica {
     const replica = this.emptyReplica();
     replica.listener = listener;
-    return this.list(replica);
+    return this.listInto(replica);
   }
 }
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -77,7 +77,7 @@
     images: Array.from({ length: 8 }, (_, i): [string, number] => [`img-${i}`, 6.2]),
   }; // prettier-ignore
   const submissions = records.encodeRequestBatch({
-    jobs: [fullSpec, spec({ kind: 'service' })].map((each) => ({ spec: each, atMs: 1000 })),
+    jobs: [fullSpec, spec({ kind: 'service' })].map((each) => ({ spec: each, acceptedAtMs: 1000 })),
     cancelledIds: ['wk-000398'],
   });
   const progress = [
--- a/test/support/recorded-messages.ts
+++ b/test/support/recorded-messages.ts
@@ -135,7 +135,7 @@
   const parse = (raw: unknown): unknown =>
     resultOrError(() => {
       const parsed = users.parseSubmission(Buffer.from(JSON.stringify(raw)));
-      return records.encodeJob({ spec: parsed, atMs: 0 });
+      return records.encodeJob({ spec: parsed, acceptedAtMs: 0 });
     });
   const without = Object.keys(SUBMISSION).map((key) => ({ ...SUBMISSION, [key]: undefined }));
   const wrong = Object.keys(SUBMISSION).map((key) => ({ ...SUBMISSION, [key]: -1 }));
--- a/test/support/scheduler-world.ts
+++ b/test/support/scheduler-world.ts
@@ -88,7 +88,7 @@
   submitJob(over: Partial<JobSpec>): void {
     const jobSpec = spec(over);
     const value = records.encodeRequestBatch({
-      jobs: [{ spec: jobSpec, atMs: this.now * 1000 }],
+      jobs: [{ spec: jobSpec, acceptedAtMs: this.now * 1000 }],
       cancelledIds: [],
     });
     this.replica.applyListed({
--- a/test/support/simulated-controller.ts
+++ b/test/support/simulated-controller.ts
@@ -247,7 +247,7 @@
   }
 
   private readonly peers = fake<PeerNetwork>({
-    names: [],
+    peerNames: [],
     ask: (node: string, question: Question) => this.ask(node, question),
   });
 
@@ -346,8 +346,8 @@
     }
     this.rejectedSince = null;
     if (this.readsLost) return;
-    if (this.ready) this.world.store.feed(this.replica);
-    else this.world.store.list(this.replica);
+    if (this.ready) this.world.store.replayInto(this.replica);
+    else this.world.store.listInto(this.replica);
     this.ready = true;
     this.freshAt = this.world.now;
     const known = this.replica.leader;
@@ -365,7 +365,7 @@
     const { leader } = this.replica;
     if (leader !== null && leader.node !== this.node) return;
     const token = this.world.acquireLeaderKey(this.node, this.leaderTtlS);
-    this.world.store.feed(this.replica);
+    this.world.store.replayInto(this.replica);
     this.beginTerm(token);
   }
 
@@ -375,7 +375,7 @@
     const acknowledged = new QuorumAcknowledgement(token, controllerCount, clock);
     const renewals = new SubstituteRenewals({
       ...{ acknowledged, controllerCount, clock },
-      names: () => this.peers.names,
+      names: () => this.peers.peerNames,
       requestAcknowledgement: (node) => this.requestAcknowledgement(node, token),
     });
     const leader = new Leader(
@@ -443,7 +443,7 @@
   }
 
   private async collectAcknowledgements(term: SimulatedTerm): Promise<void> {
-    for (const node of this.peers.names) {
+    for (const node of this.peers.peerNames) {
       if (term.acknowledged.has(node)) continue;
       const remainsS = (await this.requestAcknowledgement(node, term.token))?.remainsS;
       if (remainsS !== undefined) term.acknowledged.record(node, { remainsS });
--- a/test/support/user-api-world.ts
+++ b/test/support/user-api-world.ts
@@ -37,7 +37,7 @@
 ): UserApiWorld {
   const clock = { now: () => 0 };
   const log = silentLog();
-  const replica = store.listed();
+  const replica = store.listedReplica();
   const storeClient = store.client();
   const replicaSync = new ReplicaSync({
     store: storeClient,
@@ -45,7 +45,7 @@
     clock,
     log,
     pauseS: () => 0,
-    syncGapS: 0,
+    minSyncIntervalS: 0,
   });
   replicaSync.ready = true;
   const forceTake = (): void => undefined;
--- a/test/support/warm-pool-world.ts
+++ b/test/support/warm-pool-world.ts
@@ -218,7 +218,7 @@
 
   /** The bill in the view for operators. */
   bill(): BillRow[] {
-    return poolsView(this.replica.subsystems.of(WARM_POOLS), [], this.wallMs()).bill;
+    return poolsView(this.replica.subsystems.forSubsystem(WARM_POOLS), [], this.wallMs()).bill;
   }
 
   /** The alarms in `/metrics`. */
--- a/test/term-tokens.test.ts
+++ b/test/term-tokens.test.ts
@@ -86,7 +86,7 @@
   const worker = world.fleet.workers.get('a')!;
   // Another controller has written since. The leader has read that, but has committed nothing itself.
   world.store.put('ps/other', {});
-  world.store.feed(world.replica);
+  world.store.replayInto(world.replica);
   worker.token = world.store.currentRevision;
   assert.ok(worker.token > world.term.latestRevision);
   await world.run(1);
@@ -105,7 +105,7 @@
   const worker = world.fleet.workers.get('a')!;
   const { leader, replica, token } = world;
   world.failOver();
-  world.store.feed(replica);
+  world.store.replayInto(replica);
   world.token = token;
   worker.token = world.store.currentRevision;
   assert.equal(leader.answerHeartbeat(worker.heartbeat()).status, 503);
--- a/test/time-of-day.test.ts
+++ b/test/time-of-day.test.ts
@@ -78,7 +78,7 @@
       const accepted = batches
         .flatMap(([, { value }]) => decodeRequestBatch(value).jobs)
         .find(({ spec }) => spec.id === ref)!;
-      assert.ok(Math.abs(accepted.atMs - Date.now()) < HOUR_MS / 2, `${byMs} ms`);
+      assert.ok(Math.abs(accepted.acceptedAtMs - Date.now()) < HOUR_MS / 2, `${byMs} ms`);
     }
   } finally {
     cluster.close();
--- a/test/unplaced-requests.test.ts
+++ b/test/unplaced-requests.test.ts
@@ -12,10 +12,13 @@
 function job(over: Partial<JobSpec>, marks: Partial<LiveJob> = {}): LiveJob {
   const replica = new Replica(8192);
   const wanted = spec({ id: 'wk-1', kind: 'array', cores: 4, gpus: 1, memGb: 8, ...over });
-  const value = records.encodeRequestBatch({ jobs: [{ spec: wanted, atMs: 0 }], cancelledIds: [] });
+  const value = records.encodeRequestBatch({
+    jobs: [{ spec: wanted, acceptedAtMs: 0 }],
+    cancelledIds: [],
+  });
   replica.applyListed({ key: `${records.JOBS}x-1`, value, revision: 1 });
   return Object.assign(
-    new LiveJob(replica.jobs.get('wk-1')!, { kind: 'chunks', tasksEach: 100 }, 0, 0),
+    new LiveJob(replica.jobs.get('wk-1')!, { kind: 'chunks', tasksPerUnit: 100 }, 0, 0),
     marks,
   );
 }
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { unsatisfiableReason } from '../src/scheduler/quota.js';
-import { BadMessage, parseSubmission, route } from '../src/wire/users.js';
+import { BadRequestError, parseSubmission, route } from '../src/wire/users.js';
 import { g8, settings, spec } from './helpers.js';
 
 const valid = {
@@ -40,7 +40,8 @@
     ['flag as a number', body({ scatter: 1 })],
     ['types as a string', body({ castings: 'g8' })],
   ];
-  for (const [name, data] of cases) assert.throws(() => parseSubmission(data), BadMessage, name);
+  for (const [name, data] of cases)
+    assert.throws(() => parseSubmission(data), BadRequestError, name);
 });
 
 test('jobs that can never run are recognised', () => {
--- a/test/warm-pools-limits.test.ts
+++ b/test/warm-pools-limits.test.ts
@@ -190,7 +190,7 @@
         world.replicaJob('wk-1');
         await world.runUntil(BURST_AT_S);
         const [warm] = machinesOf(world, 'tutor');
-        world.machine(warm!).noteImage('tutor-1', 1, 100, world.now);
+        world.machine(warm!).recordImageUse('tutor-1', 1, 100, world.now);
         world.cancel('wk-1');
         await world.run(1);
         world.submitJob({
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -8,7 +8,7 @@
   zoneLeaseTimes,
 } from '../src/leadership/zone-lease.js';
 import { silentLog } from '../src/log.js';
-import { RENEWAL_WAIT_SHARE } from '../src/heartbeat/heartbeat-handler.js';
+import { HEARTBEAT_WAIT_SHARE } from '../src/heartbeat/heartbeat-handler.js';
 import {
   RequestRejectedError,
   OutcomeUnknownError,
@@ -41,7 +41,7 @@
 test('a zone lease holder may renew before workers stop waiting for an answer, whatever their lease', () => {
   for (const lease of [2, 10, 13, 15.25, 120]) {
     const { ttlS, renewalDelayS, maxRenewalS } = zoneLeaseTimes(lease);
-    assert.ok(renewalDelayS <= ANSWER_WAIT_S * RENEWAL_WAIT_SHARE, `${lease}: ${renewalDelayS}`);
+    assert.ok(renewalDelayS <= ANSWER_WAIT_S * HEARTBEAT_WAIT_SHARE, `${lease}: ${renewalDelayS}`);
     // The key has certainly expired after 3.5 TTLs, see `RENEWAL_DELAY_TTLS`.
     assert.ok(renewalDelayS >= ttlS * 3.5 && maxRenewalS > lease && ttlS <= lease / 10, `${lease}`);
   }
@@ -113,7 +113,7 @@
   const log = silentLog();
   const replicaSync = fake<ReplicaSync>({ ready: true, sync: async () => true });
   const replica = fake<Replica>({ controllers: new Map() });
-  const peers = fake<PeerNetwork>({ names: ['b'], ask: async () => null });
+  const peers = fake<PeerNetwork>({ peerNames: ['b'], ask: async () => null });
   const zoneLeaseHolder = new ZoneLeaseHolder({
     node: 'a',
     incarnation: 'a-1',
@@ -158,7 +158,7 @@
     },
   });
   const replicaSync = fake<ReplicaSync>({ ready: true, sync: async () => true });
-  const peers = fake<PeerNetwork>({ names: ['b'], ask: async () => null });
+  const peers = fake<PeerNetwork>({ peerNames: ['b'], ask: async () => null });
   const zoneLeaseHolder = new ZoneLeaseHolder({
     node: 'a',
     incarnation: 'a-1',
@@ -260,7 +260,7 @@
     }),
     replicaSync: fake<ReplicaSync>({ ready: true, sync: async () => true }),
     replica: fake<Replica>({ controllers: new Map() }),
-    peers: () => fake<PeerNetwork>({ names: ['b'], ask: async () => null }),
+    peers: () => fake<PeerNetwork>({ peerNames: ['b'], ask: async () => null }),
     clock: steadyClock,
     log: silentLog(),
   });
