--- a/scripts/lending.ts
+++ b/scripts/lending.ts
@@ -20,7 +20,7 @@
   for (const condition of order) {
     const scenario = new Scenario({
       lending: condition === 'lending',
-      trouble: pair % 2 === 0 ? 'none' : 'killed',
+      leaderFault: pair % 2 === 0 ? 'none' : 'killed',
       tightFirst: pair % 4 < 2,
       directory: 'target/lending',
       label: `${condition}-${pair}`,
--- a/src/cloud/demand-forecast.ts
+++ b/src/cloud/demand-forecast.ts
@@ -15,7 +15,7 @@
 const MAX_TASKS_PER_JOB = 50;
 
 /** Size of a machine or task: its GPUs or, without any, its cores. */
-export const unitsOf = (size: { gpus: number; cores: number }): number =>
+export const capacityUnits = (size: { gpus: number; cores: number }): number =>
   size.gpus > 0 ? size.gpus : size.cores;
 
 interface JobEvent {
@@ -42,13 +42,13 @@
   ) {}
 
   /** Records that a service has ended: new jobs can use the capacity that it frees. */
-  jobLeft(spec: JobSpec): void {
+  serviceEnded(spec: JobSpec): void {
     if (spec.priority === 3) return;
     this.departures.push({ spec, atMs: this.wallMs() });
   }
 
   /** Records that a job became ready at this time of day, in ms. */
-  jobArrived(spec: JobSpec, atMs: number): void {
+  jobBecameReady(spec: JobSpec, atMs: number): void {
     if (spec.priority === 3) return;
     this.firstArrivalMs.set(
       spec.spot,
@@ -101,7 +101,8 @@
         if (type === undefined) continue;
         out.push({
           atMs,
-          size: (unitsOf(spec) / unitsOf(type)) * Math.min(spec.tasks, MAX_TASKS_PER_JOB),
+          size:
+            (capacityUnits(spec) / capacityUnits(type)) * Math.min(spec.tasks, MAX_TASKS_PER_JOB),
         });
       }
       return out;
--- a/src/cloud/provisioner.ts
+++ b/src/cloud/provisioner.ts
@@ -163,7 +163,7 @@
   private async sendStoredRequests(): Promise<void> {
     for (const storedRequest of this.options.host.storedScaleOutRequests()) {
       if (this.stopped || !this.options.host.isEntitled()) return;
-      storedRequest.sending();
+      storedRequest.onSending();
       const result = await this.options.cloud.scaleOut(storedRequest.request);
       this.options.log.info(
         { request: storedRequest.request, result: result.how },
@@ -171,7 +171,7 @@
       );
       if (result.how === 'added') this.machinesAdded(storedRequest.request, result.ids);
       if (result.how === 'none') this.recordShortage(storedRequest.request);
-      storedRequest.answered(result);
+      storedRequest.onAnswered(result);
     }
   }
 
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -289,7 +289,7 @@
       replicaSync: this.replicaSync,
       clock,
       log,
-      ...(featuresFile === undefined ? {} : { file: featuresFile }),
+      ...(featuresFile === undefined ? {} : { featuresFile }),
     });
   }
 
--- a/src/controller/controller-versions.ts
+++ b/src/controller/controller-versions.ts
@@ -29,7 +29,7 @@
   clock: Clock;
   log: Log;
   /** The record of this controller's features file; absent: it has none. */
-  file?: FeaturesFileRecord;
+  featuresFile?: FeaturesFileRecord;
 }
 
 /**
@@ -47,7 +47,7 @@
   constructor(private readonly options: ControllerVersionsOptions) {}
 
   /** Whether a controller's version is known to support a feature. */
-  knows(node: string, feature: Feature): boolean {
+  supports(node: string, feature: Feature): boolean {
     const { replica, peers } = this.options;
     if (node === this.options.node) return FEATURES.includes(feature);
     const announced = peers().announcedFeatures(node);
@@ -56,8 +56,8 @@
   }
 
   /** Whether every controller's version is known to support a feature. */
-  everyoneKnows(feature: Feature): boolean {
-    return this.options.others.every((node) => this.knows(node, feature));
+  allSupport(feature: Feature): boolean {
+    return this.options.others.every((node) => this.supports(node, feature));
   }
 
   /**
@@ -65,11 +65,11 @@
    * Silence does not prove that it is absent, and no proof is needed: it never reads records that it would
    * misinterpret.
    */
-  isOldPresent(feature: Feature): boolean {
+  isOldVersionPresent(feature: Feature): boolean {
     const { others, leaseS, replica, health } = this.options;
     const leader = replica.leader?.node;
     return others.some((node) => {
-      if (this.knows(node, feature)) return false;
+      if (this.supports(node, feature)) return false;
       return node === leader || health.silentS(node) < leaseS * PRESENCE_TIMEOUT_LEASES;
     });
   }
@@ -77,7 +77,7 @@
   /** Stores the features of this controller's version; retries until they are stored. */
   async publish(): Promise<void> {
     const { node, leaseS, replica, store, replicaSync, log } = this.options;
-    const { file } = this.options;
+    const { featuresFile: file } = this.options;
     const key = records.versionKey(node);
     const value = records.encodeVersion({
       features: [...FEATURES],
@@ -105,12 +105,12 @@
   private isPublished(): boolean {
     const own = this.options.replica.versions.get(this.options.node)?.record;
     const isSame = own?.features.join() === FEATURES.join();
-    return isSame && own?.file?.hash === this.options.file?.hash;
+    return isSame && own?.file?.hash === this.options.featuresFile?.hash;
   }
 
   /** Controllers whose published features file differs from the leader's, or that have published none. */
   withDifferentFeatures(): string[] {
-    const { replica, node, others, file } = this.options;
+    const { replica, node, others, featuresFile: file } = this.options;
     const leader = replica.leader?.node;
     if (leader === undefined) return [];
     const hashOf = (controller: string): string | undefined =>
@@ -130,7 +130,7 @@
   /** Called regularly. Logs changed differences of features files and, once, that a downgrade is no longer possible. */
   logChanges(): void {
     this.logFeatureDifferences();
-    if (this.upgradeLogged || !this.everyoneKnows('pipelines')) return;
+    if (this.upgradeLogged || !this.allSupport('pipelines')) return;
     this.upgradeLogged = true;
     const message = 'every controller knows pipelines: do not go back to an older version';
     this.options.log.info({ node: this.options.node }, message);
--- a/src/controller/metrics.ts
+++ b/src/controller/metrics.ts
@@ -38,7 +38,7 @@
     revision: replica.applied,
     jobs: replica.jobs.size,
     ...pipelineStatistics(replica),
-    pipelines_known: versions.everyoneKnows('pipelines'),
+    pipelines_known: versions.allSupport('pipelines'),
     features_differ: versions.withDifferentFeatures().join(' '),
     connections: server.connections,
     garbage: replica.malformedRecords,
--- a/src/controller/request-path.ts
+++ b/src/controller/request-path.ts
@@ -47,7 +47,7 @@
     peers,
     workers: settings.workers,
     now: () => clock.now(),
-    knowsPipelines: (node) => versions.knows(node, 'pipelines'),
+    knowsPipelines: (node) => versions.supports(node, 'pipelines'),
   });
 }
 
@@ -62,7 +62,7 @@
     types: options.knownTypes,
     announceCancellation: (job) => cancellations.announce(job),
     confirmCancellation: (storedJob, job) => quorum.confirm(storedJob, job),
-    isOldVersionPresent: () => versions.isOldPresent('pipelines'),
+    isOldVersionPresent: () => versions.isOldVersionPresent('pipelines'),
     wallMs: () => timeOfDay.nowMs(),
     log,
   });
--- a/src/controller/term-runner.ts
+++ b/src/controller/term-runner.ts
@@ -95,7 +95,7 @@
       policy,
       token,
       incarnation,
-      allReadDenseRecords: () => this.options.versions().everyoneKnows('pipelines'),
+      allReadDenseRecords: () => this.options.versions().allSupport('pipelines'),
       isEntitled: () => election.isEntitled && election.token === token,
       substituteRenewal: () => {
         const { renewedUntil, provenUntil } = acknowledgements.substituteRenewal(token);
--- a/src/leader/capacity/capacity-manager.ts
+++ b/src/leader/capacity/capacity-manager.ts
@@ -63,7 +63,7 @@
       term,
       this.warmReserve,
       (capacities) => scheduler().drainMachine(capacities),
-      (id) => subsystems.keeps(id),
+      (id) => subsystems.retainsMachine(id),
     );
   }
 
--- a/src/leader/capacity/consolidation.ts
+++ b/src/leader/capacity/consolidation.ts
@@ -27,7 +27,7 @@
     /** Drains a machine whose replicas fit elsewhere, if there is one. */
     private readonly drainMachine: (capacities: FreeCapacity[]) => void,
     /** Whether a subsystem reserves a machine although nothing runs on it. */
-    private readonly keeps: (machine: string) => boolean,
+    private readonly retainsMachine: (machine: string) => boolean,
   ) {}
 
   /** Drains a machine if there is enough surplus capacity, so that it can be returned. */
@@ -59,7 +59,7 @@
   private hasEmpty(): boolean {
     for (const machine of this.term.machines.values()) {
       if (machine.spot || machine.state !== 'ready' || machine.attempts.size > 0) continue;
-      if (!this.keeps(machine.id)) return true;
+      if (!this.retainsMachine(machine.id)) return true;
     }
     return false;
   }
--- a/src/leader/capacity/scale-in-planner.ts
+++ b/src/leader/capacity/scale-in-planner.ts
@@ -146,7 +146,7 @@
     if (machine.condition.quarantined) return true;
     if (machine.state === 'silent')
       return now - machine.lastSeenAt > lease_s * SILENT_RETURN_LEASES;
-    if (this.subsystems.keeps(machine.id)) return false;
+    if (this.subsystems.retainsMachine(machine.id)) return false;
     // The minimum charge is due even if the machine is returned earlier.
     const age = Math.max(now - (machine.firstSeenAt ?? now) + type.bootS, machine.listedAgeS ?? 0);
     if (age <= MIN_CHARGE_S * MIN_CHARGE_SHARE) return false;
--- a/src/leader/capacity/scale-out-planner.ts
+++ b/src/leader/capacity/scale-out-planner.ts
@@ -1,6 +1,6 @@
 /** Scale-out: which machines to add for unplaced tasks, for tasks on silent machines and for the warm reserve. */
 
-import { unitsOf } from '../../cloud/demand-forecast.js';
+import { capacityUnits } from '../../cloud/demand-forecast.js';
 import type { MachineProvisioner } from '../../cloud/provisioner.js';
 import {
   emptyMachineCapacity,
@@ -222,7 +222,8 @@
       for (const zone of type.zones) {
         if (this.options.provisioner.isShort(type.name, zone, spot)) continue;
         const price = spot ? type.spotPrice : type.price;
-        const cost = (price / unitsOf(type)) * (1 + ZONE_SPREAD_SHARE * (perZone.get(zone) ?? 0));
+        const cost =
+          (price / capacityUnits(type)) * (1 + ZONE_SPREAD_SHARE * (perZone.get(zone) ?? 0));
         if (cost < bestCost) {
           bestCost = cost;
           best = { type: type.name, zone };
--- a/src/leader/capacity/warm-reserve.ts
+++ b/src/leader/capacity/warm-reserve.ts
@@ -17,7 +17,7 @@
    * that subsystems reserve, which are free but not available to other work.
    */
   target(spot: boolean): number {
-    const kept = spot ? 0 : this.subsystems.keptMachines();
+    const kept = spot ? 0 : this.subsystems.reservedMachines();
     return this.term.jobs.size === 0 ? kept : this.forecast.warmTarget(spot) + kept;
   }
 }
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -165,13 +165,13 @@
 
   /** Handles a job that has become ready: accepted without dependencies, or its last dependency is done. */
   onReady(storedJob: StoredJob): void {
-    this.forecast.jobArrived(storedJob.spec, storedJob.readyMs);
+    this.forecast.jobBecameReady(storedJob.spec, storedJob.readyMs);
     this.term.addJob(storedJob);
   }
 
   /** Handles a cancellation that was read from the store. */
   onCancelled(storedJob: StoredJob): void {
-    if (this.term.jobs.has(storedJob.spec.id)) this.forecast.jobLeft(storedJob.spec);
+    if (this.term.jobs.has(storedJob.spec.id)) this.forecast.serviceEnded(storedJob.spec);
     this.term.jobCancelled(storedJob);
   }
 
@@ -285,7 +285,7 @@
   const types = (): MachineType[] => [...term.machineTypes.values()];
   const forecast = new DemandForecast(wallMs, settings.workers.report_s, types);
   for (const { readyRevision, readyMs, spec } of replica.jobs.values()) {
-    if (readyRevision !== null) forecast.jobArrived(spec, readyMs);
+    if (readyRevision !== null) forecast.jobBecameReady(spec, readyMs);
   }
   return forecast;
 }
--- a/src/leader/scheduling/long-work-share.ts
+++ b/src/leader/scheduling/long-work-share.ts
@@ -1,6 +1,6 @@
 /** The share of each machine type that is reserved for long work while long work waits. */
 
-import { unitsOf } from '../../cloud/demand-forecast.js';
+import { capacityUnits } from '../../cloud/demand-forecast.js';
 import type { LiveJob } from '../../jobs/live-job.js';
 import type { Resources } from '../../jobs/types.js';
 import { reservedForLongWork, type FreeCapacity } from '../../scheduler/bin-packing.js';
@@ -63,7 +63,10 @@
   if (longJobs.length === 0) return shares;
   const unitsByType = new Map<string, number>();
   for (const capacity of capacities)
-    unitsByType.set(capacity.type, (unitsByType.get(capacity.type) ?? 0) + unitsOf(capacity.total));
+    unitsByType.set(
+      capacity.type,
+      (unitsByType.get(capacity.type) ?? 0) + capacityUnits(capacity.total),
+    );
   for (const [type, typeUnits] of unitsByType) {
     const share = reservedForLongWork(typeUnits, rho, wantedUnits(type, typeUnits, longJobs));
     if (share > 0) shares.set(type, share);
@@ -75,7 +78,8 @@
   let wanted = 0;
   for (const [{ spec }, tasks] of longJobs) {
     if (spec.types !== null && !spec.types.includes(type)) continue;
-    wanted += unitsOf(spec) * Math.min(tasks, typeUnits / Math.max(unitsOf(spec), 1e-9));
+    wanted +=
+      capacityUnits(spec) * Math.min(tasks, typeUnits / Math.max(capacityUnits(spec), 1e-9));
   }
   return wanted;
 }
@@ -99,7 +103,7 @@
     if (shares.has(capacity.type) && mayUse(capacity))
       free.set(capacity.type, (free.get(capacity.type) ?? 0) + unitsOn(capacity, capacity));
   }
-  const taskUnits = unitsOf(job.spec);
+  const taskUnits = capacityUnits(job.spec);
   return {
     mayUse: (capacity) => {
       const share = shares.get(capacity.type);
--- a/src/leader/scheduling/preemptor.ts
+++ b/src/leader/scheduling/preemptor.ts
@@ -43,7 +43,7 @@
 /** Added cost of a start that misses the objective of its class, whatever its delay. */
 const LATE_PENALTY_S = 1e3;
 /** Cost of the greatest harm that a subsystem can report: less than that of a late start. */
-const MAX_HARM_S = LATE_PENALTY_S * 0.5;
+const MAX_EXTRA_COST_S = LATE_PENALTY_S * 0.5;
 /** Latency of a start: the command is sent directly, and a heartbeat confirms it. */
 export const COMMAND_LATENCY_S = MIN_HEARTBEAT_GAP_S * 0.6;
 
@@ -64,9 +64,10 @@
     const { job } = victim;
     const saves = job.spec.checkpointS > 0 && mode !== 'immediate';
     const lossS = (saves ? victim.saveS : victim.unsavedS) * (job.isGang ? job.spec.tasks : 1);
-    const harmS =
-      this.subsystems.preemptionHarm(preemptingJob, victim, mode !== 'immediate') * MAX_HARM_S;
-    return { ...victim, lossS: lossS + harmS + (3 - job.spec.priority) * PRIORITY_TIER_S };
+    const extraCostS =
+      this.subsystems.extraPreemptionCost(preemptingJob, victim, mode !== 'immediate') *
+      MAX_EXTRA_COST_S;
+    return { ...victim, lossS: lossS + extraCostS + (3 - job.spec.priority) * PRIORITY_TIER_S };
   }
 
   private mayPreempt(job: LiveJob, victim: LiveJob): boolean {
@@ -206,9 +207,15 @@
 
   private preempt(job: LiveJob, { option, victims }: PreemptionChoice): void {
     const { candidate } = option;
-    const saves = option.mode !== 'immediate';
-    const carryOut = (): boolean => this.carryOut(job, victims, saves);
-    this.subsystems.preempt({ machine: option.id, preemptingJob: job, victims, saves, carryOut });
+    const allowsSaving = option.mode !== 'immediate';
+    const carryOut = (): boolean => this.carryOut(job, victims, allowsSaving);
+    this.subsystems.preempt({
+      machine: option.id,
+      preemptingJob: job,
+      victims,
+      allowsSaving,
+      carryOut,
+    });
     for (const victim of victims) release(victim, candidate.stopping);
     const stoppedIds = new Set(victims.map((victim) => victim.id));
     candidate.victims = candidate.victims.filter((victim) => !stoppedIds.has(victim.id));
@@ -218,13 +225,13 @@
   private carryOut(
     preemptingJob: LiveJob,
     victims: readonly VictimTask[],
-    saves: boolean,
+    allowsSaving: boolean,
   ): boolean {
     if (preemptingJob.phase !== 'active' || preemptingJob.pendingTaskCount === 0) return false;
     for (const { job, attempt } of victims) {
       // Stopping one task of a gang stops all its current attempts, so attempts that ended are skipped.
       if (!occupiesCapacity(attempt) || attempt.stopRequest !== null) continue;
-      if (saves) this.term.stopGracefully(job, attempt);
+      if (allowsSaving) this.term.stopGracefully(job, attempt);
       else this.term.stopImmediately(job, attempt);
     }
     return true;
--- a/src/leader/scheduling/scheduler.ts
+++ b/src/leader/scheduling/scheduler.ts
@@ -145,7 +145,7 @@
   private withoutKeptMachines(capacities: FreeCapacity[]): FreeCapacity[] {
     const { subsystems } = this;
     return subsystems.hasAny
-      ? capacities.filter((capacity) => !subsystems.keeps(capacity.id))
+      ? capacities.filter((capacity) => !subsystems.retainsMachine(capacity.id))
       : capacities;
   }
 
--- a/src/leader/term/subsystem-view.ts
+++ b/src/leader/term/subsystem-view.ts
@@ -128,8 +128,8 @@
     return this.options.migrationGapS(jobClass);
   }
 
-  /** See `TermView.endStopped`. */
-  endStopped({ job, index, number }: AttemptView): void {
+  /** See `TermView.endStoppingAttempt`. */
+  endStoppingAttempt({ job, index, number }: AttemptView): void {
     const { term } = this.options;
     const live = term.jobs.get(job);
     const attempt = live?.attemptsByTask.get(index)?.find((attempt) => attempt.number === number);
--- a/src/leader/writes/record-writer.ts
+++ b/src/leader/writes/record-writer.ts
@@ -139,7 +139,7 @@
       if (this.stopped) return;
       if (result.ok) {
         term.latestRevision = Math.max(term.latestRevision, result.revision);
-        for (const write of batch) write.stored(result.revision);
+        for (const write of batch) write.onStored(result.revision);
         return;
       }
       for (const write of batch) write.failed();
@@ -182,7 +182,7 @@
       while (!this.stopped) {
         try {
           const item = await this.options.store.get(write.key, 1);
-          write.readBack(item);
+          write.onReadBack(item);
           break;
         } catch {
           await sleep(RETRY_S);
--- a/src/leader/writes/record-writes.ts
+++ b/src/leader/writes/record-writes.ts
@@ -17,11 +17,11 @@
   /** Called when it is added to a batch. */
   started(): void;
   /** It was committed at this revision. */
-  stored(revision: number): void;
+  onStored(revision: number): void;
   /** It was not committed, or the outcome is unknown. */
   failed(): void;
   /** Takes the item that was read back after a commit with an unknown outcome or a failed guard. */
-  readBack(item: KeyValue | null): void;
+  onReadBack(item: KeyValue | null): void;
 }
 
 /** A write of one record, guarded by its last known revision. */
@@ -89,14 +89,14 @@
       { put: key, value },
       {
         started: () => term.machinesToWrite.delete(machine.id),
-        stored: (revision) => {
+        onStored: (revision) => {
           machine.recordRevision = revision;
           machine.recordTerm = term.context.token;
           if (returning) machine.returnRecorded = true;
           for (const attempt of claims) term.claimStored(attempt, revision);
         },
         failed: () => term.machinesToWrite.add(machine.id),
-        readBack: (item) => (machine.recordRevision = item?.revision ?? 0),
+        onReadBack: (item) => (machine.recordRevision = item?.revision ?? 0),
       },
     );
   }
@@ -109,7 +109,7 @@
     const doneMs = record.bits === null ? { doneMs: this.term.timeOfDay.nowMs() } : {};
     const value = records.encodeProgress({ ...record, ...doneMs });
     const newlyDone = progress.unstoredTasks(unit);
-    const stored = (revision: number): void => {
+    const onStored = (revision: number): void => {
       progress.revisions.set(key, revision);
       for (const attempt of job.tasksStored(unit, newlyDone, this.clock.now())) {
         attempt.settled = true;
@@ -123,14 +123,14 @@
       { put: key, value },
       {
         started: NO_OP,
-        stored,
+        onStored,
         failed: NO_OP,
-        readBack: (item) => {
+        onReadBack: (item) => {
           // It was stored: writing it again would give "done" a later revision, so that a cancellation in between
           // would count as the earlier one. The attained time may differ by now, so only the done tasks are compared.
           const bits = item === null ? undefined : records.decodeProgress(item.value).bits;
           if (item !== null && (bits === null || bits === records.decodeProgress(value).bits)) {
-            stored(item.revision);
+            onStored(item.revision);
           } else progress.revisions.set(key, item?.revision ?? 0);
         },
       },
@@ -146,9 +146,9 @@
       { remove: key },
       {
         started: NO_OP,
-        stored: () => this.term.recordRemoved(id, null),
+        onStored: () => this.term.recordRemoved(id, null),
         failed: NO_OP,
-        readBack: (item) => this.term.recordRemoved(id, item?.revision ?? null),
+        onReadBack: (item) => this.term.recordRemoved(id, item?.revision ?? null),
       },
     );
   }
@@ -164,10 +164,10 @@
     const { key, expectedRevision, operation: op } = guarded(write);
     const outcomes: WriteOutcomes = {
       started: NO_OP,
-      stored: (revision) => write.stored(revision),
+      onStored: (revision) => write.onStored(revision),
       failed: NO_OP,
-      readBack: (item) =>
-        write.readBack(item === null ? null : { value: item.value, revision: item.revision }),
+      onReadBack: (item) =>
+        write.onReadBack(item === null ? null : { value: item.value, revision: item.revision }),
     };
     return recordWrite(key, expectedRevision, op, outcomes, write.alsoChanges.map(guarded));
   }
@@ -182,9 +182,9 @@
       { put: records.MACHINE_TYPES, value },
       {
         started: NO_OP,
-        stored: () => (this.machineTypesDirty = false),
+        onStored: () => (this.machineTypesDirty = false),
         failed: NO_OP,
-        readBack: (item) => (this.machineTypesRevision = item?.revision ?? 0),
+        onReadBack: (item) => (this.machineTypesRevision = item?.revision ?? 0),
       },
     );
   }
--- a/src/lending/command.ts
+++ b/src/lending/command.ts
@@ -1,13 +1,13 @@
 /** `pewtershelf loans`: prints the loans that a running controller reports. */
 
 import * as v from 'valibot';
-import { fetchView, table, type ViewQuestion } from '../subsystems/view-command.js';
+import { fetchView, formatTable, type ViewRequest } from '../subsystems/view-command.js';
 import { LOAN_STATES } from './loan.js';
 import type { LoanRow, LoansView } from './view.js';
 
 const text = v.string();
 const number = v.number();
-const LOANS_REQUEST: ViewQuestion<LoansView> = {
+const LOANS_REQUEST: ViewRequest<LoansView> = {
   subsystem: 'lending',
   title: 'lending is',
   schema: v.object({
@@ -37,7 +37,7 @@
       ...[loan, tasks, borrower, machine, gpus, state, due ?? '-', changed, reason],
     ],
   );
-  return table([...head, 'reason'], rows);
+  return formatTable([...head, 'reason'], rows);
 }
 
 /** The command's options. */
--- a/src/lending/estimate-errors.ts
+++ b/src/lending/estimate-errors.ts
@@ -1,7 +1,7 @@
 /** Learns from finished jobs by which factor owners' estimates have to be raised. */
 
 import type { LiveJobView } from '../subsystems/subsystem.js';
-import { covering, remember } from '../subsystems/samples.js';
+import { conservativeEstimate, addSample } from '../subsystems/samples.js';
 
 /** Used until enough jobs have ended: estimates are often wrong by half (protocol). */
 const DEFAULT_MARGIN = 1.5;
@@ -34,12 +34,15 @@
     if (predictedS <= 0 || attainedS <= 0) return;
     const samples = this.ratiosByClass.get(spec.class) ?? [];
     this.ratiosByClass.set(spec.class, samples);
-    remember(samples, attainedS / predictedS);
+    addSample(samples, attainedS / predictedS);
   }
 
   /** The factor that covers most runs of a class. */
   margin(jobClass: string): number {
-    const learnedMargin = covering(this.ratiosByClass.get(jobClass) ?? [], DEFAULT_MARGIN);
+    const learnedMargin = conservativeEstimate(
+      this.ratiosByClass.get(jobClass) ?? [],
+      DEFAULT_MARGIN,
+    );
     return Math.max(this.leastMargin, Math.min(MAX_MARGIN, Math.max(MIN_MARGIN, learnedMargin)));
   }
 }
--- a/src/lending/grants.ts
+++ b/src/lending/grants.ts
@@ -47,13 +47,13 @@
   constructor(private readonly options: GrantOptions) {}
 
   /** See `PreemptionRules.extraCost`. */
-  extraCost(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
+  extraCost(borrower: LiveJobView, victim: PreemptionVictim, allowsSaving: boolean): number {
     if (!isLoanable(borrower, victim)) return 0;
-    const assessment = this.assess(victim, saves);
+    const assessment = this.assess(victim, allowsSaving);
     return assessment.safe ? assessment.cost : 1;
   }
 
-  private assess(victim: PreemptionVictim, saves: boolean): LoanAssessment {
+  private assess(victim: PreemptionVictim, allowsSaving: boolean): LoanAssessment {
     const { table } = this.options;
     const { job, attempt } = victim;
     const open = table.openLoanOf(job.spec.id, attempt.index);
@@ -62,7 +62,7 @@
       (loanOfAttempt !== undefined && !isNotYetLent(loanOfAttempt)) ||
       (open !== undefined && open !== loanOfAttempt);
     const history = { hasOpenLoan, lentAtMs: table.lastGrantedAtMs(job.spec.id) };
-    return assessLoan(lenderWork(victim, saves, history, this.options));
+    return assessLoan(lenderWork(victim, allowsSaving, history, this.options));
   }
 
   /** See `PreemptionRules.isStopping`. */
@@ -96,7 +96,7 @@
     const { view, table, config } = this.options;
     const byId = new Map<string, Loan>();
     for (const victim of preemption.victims) {
-      const assessment = this.assess(victim, preemption.saves);
+      const assessment = this.assess(victim, preemption.allowsSaving);
       if (!assessment.safe) return null;
       const loan = makeLoan(victim, preemption, view.timeOfDay.nowMs(), assessment.latestReturnS);
       byId.set(loanId(loan), loan);
--- a/src/lending/lending-term.ts
+++ b/src/lending/lending-term.ts
@@ -90,13 +90,13 @@
     return [];
   }
 
-  /** See `SubsystemTerm.keeps`. */
-  keeps(machine: string): boolean {
+  /** See `SubsystemTerm.retainsMachine`. */
+  retainsMachine(machine: string): boolean {
     return this.holds.retainsMachine(machine);
   }
 
-  /** See `SubsystemTerm.keptMachines`. */
-  keptMachines(): number {
+  /** See `SubsystemTerm.reservedMachines`. */
+  reservedMachines(): number {
     return 0;
   }
 
--- a/src/lending/loan-monitor.ts
+++ b/src/lending/loan-monitor.ts
@@ -163,7 +163,7 @@
     if (view.now() - clock.timesOf(loan).changedAt <= maxSavingS) return;
     for (const { index, attempt } of loan.tasks) {
       const overdue = job.attemptsByTask.get(index)?.find((each) => each.number === attempt);
-      if (overdue !== undefined) view.endStopped(overdue);
+      if (overdue !== undefined) view.endStoppingAttempt(overdue);
     }
   }
 
--- a/src/lending/loan-table.ts
+++ b/src/lending/loan-table.ts
@@ -1,7 +1,7 @@
 /** The loans of a term: their stored values, and the changes that are still to be stored. */
 
 import type { OwnedRecord, OwnedWrite } from '../subsystems/subsystem.js';
-import { RecordTable, type RecordForm, type TableEntry } from '../subsystems/record-table.js';
+import { RecordTable, type RecordCodec, type TableEntry } from '../subsystems/record-table.js';
 import {
   advanceLoan,
   decodeLoan,
@@ -17,7 +17,7 @@
 /** The current and the stored value of a loan. */
 export type LoanEntry = TableEntry<Loan>;
 
-const LOAN_FORM: RecordForm<Loan> = {
+const LOAN_CODEC: RecordCodec<Loan> = {
   prefix: LOAN_PREFIX,
   idOf: loanId,
   encode: encodeLoan,
@@ -47,7 +47,7 @@
   private byLender: Map<string, LoanEntry[]> | null = null;
 
   constructor(private readonly options: LoanTableOptions) {
-    this.table = new RecordTable(LOAN_FORM, {
+    this.table = new RecordTable(LOAN_CODEC, {
       isUrgent: isRequested,
       onStored: options.onStored,
       onChange: () => (this.byLender = null),
@@ -91,7 +91,7 @@
 
   /** Drops a loan that is not known to be stored. If it has been stored after all, `reconcile` adds it again. */
   dropUnstored(entry: LoanEntry): void {
-    this.table.removed(entry.id);
+    this.table.deleteEntry(entry.id);
     this.options.onRemoved(entry.id);
   }
 
--- a/src/lending/return-times.ts
+++ b/src/lending/return-times.ts
@@ -1,7 +1,7 @@
 /** Estimates how long a recall takes, from measured recalls or, while there are few, from the boot time. */
 
 import type { TermView } from '../subsystems/subsystem.js';
-import { covering, remember } from '../subsystems/samples.js';
+import { conservativeEstimate, addSample } from '../subsystems/samples.js';
 
 /** Expected duration of slow boots as a multiple of the nominal time, by the protocol. */
 const SLOW_BOOT_FACTOR = 1.6;
@@ -16,13 +16,13 @@
 
   /** Records the duration of a recall. */
   record(seconds: number): void {
-    remember(this.samples, seconds);
+    addSample(this.samples, seconds);
   }
 
   /** Seconds within which most recalls end. */
   get recallDurationS(): number {
     const bootS = Math.max(0, ...[...this.view.machineTypes().values()].map((type) => type.bootS));
-    return covering(this.samples, bootS * SLOW_BOOT_FACTOR + this.commandDelayS);
+    return conservativeEstimate(this.samples, bootS * SLOW_BOOT_FACTOR + this.commandDelayS);
   }
 
   /** Seconds from a place being available until the task's start has been sent and reported. */
--- a/src/subsystems/active-subsystems.ts
+++ b/src/subsystems/active-subsystems.ts
@@ -69,17 +69,17 @@
   }
 
   /** Whether any subsystem retains the machine. */
-  keeps(machine: string): boolean {
+  retainsMachine(machine: string): boolean {
     return this.active.some(({ name, term }) =>
-      this.callGuarded(name, false, () => term.keeps(machine)),
+      this.callGuarded(name, false, () => term.retainsMachine(machine)),
     );
   }
 
   /** Free capacity that all subsystems reserve together, in machines. */
-  keptMachines(): number {
+  reservedMachines(): number {
     let sum = 0;
     for (const { name, term } of this.active) {
-      sum += this.callGuarded(name, 0, () => term.keptMachines());
+      sum += this.callGuarded(name, 0, () => term.reservedMachines());
     }
     return sum;
   }
@@ -101,10 +101,14 @@
   }
 
   /** The sum of all subsystems' extra costs of stopping a task, see `PreemptionRules.extraCost`; 0 without rules. */
-  preemptionHarm(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number {
+  extraPreemptionCost(
+    borrower: LiveJobView,
+    victim: PreemptionVictim,
+    allowsSaving: boolean,
+  ): number {
     let sum = 0;
     for (const { name, rules } of this.preemptionRules) {
-      sum += this.callGuarded(name, 0, () => rules.extraCost(borrower, victim, saves));
+      sum += this.callGuarded(name, 0, () => rules.extraCost(borrower, victim, allowsSaving));
     }
     return sum;
   }
--- a/src/subsystems/record-table.ts
+++ b/src/subsystems/record-table.ts
@@ -6,7 +6,7 @@
 const MAX_WRITES_PER_BATCH = 64;
 
 /** How values of one kind are stored. */
-export interface RecordForm<T> {
+export interface RecordCodec<T> {
   /** Prefix of the keys of this kind; the rest of a key is the value's id and never changes. */
   readonly prefix: string;
   idOf(value: T): string;
@@ -49,7 +49,7 @@
   private readonly removalIds = new Set<string>();
 
   constructor(
-    private readonly codec: RecordForm<T>,
+    private readonly codec: RecordCodec<T>,
     private readonly options: RecordTableOptions<T>,
   ) {}
 
@@ -113,7 +113,7 @@
   }
 
   /** Drops an entry whose record was removed or never stored. */
-  removed(id: string): void {
+  deleteEntry(id: string): void {
     this.entries.delete(id);
     this.unstoredIds.delete(id);
     this.removalIds.delete(id);
@@ -149,8 +149,8 @@
       revision: entry.revision,
       value: this.codec.encode(value),
       alsoChanges: [],
-      stored: (at) => this.markStored(entry, value, at),
-      readBack: (record) => this.applyReadBack(entry, value, record),
+      onStored: (at) => this.markStored(entry, value, at),
+      onReadBack: (record) => this.applyReadBack(entry, value, record),
     };
   }
 
@@ -163,9 +163,9 @@
         revision: entry.revision,
         value: null,
         alsoChanges: [],
-        stored: () => this.removed(id),
-        readBack: (record) => {
-          if (record === null) this.removed(id);
+        onStored: () => this.deleteEntry(id),
+        onReadBack: (record) => {
+          if (record === null) this.deleteEntry(id);
           else entry.revision = record.revision;
         },
       },
--- a/src/subsystems/samples.ts
+++ b/src/subsystems/samples.ts
@@ -14,7 +14,7 @@
 }
 
 /** A value that covers most cases. With few samples it is at least `expected`, the expectation for slow cases. */
-export function covering(samples: readonly number[], expected: number): number {
+export function conservativeEstimate(samples: readonly number[], expected: number): number {
   if (samples.length === 0) return expected;
   const measured = quantile(samples, COVERED_SHARE);
   if (samples.length >= MIN_SUFFICIENT_SAMPLES) return measured;
@@ -22,7 +22,7 @@
 }
 
 /** Adds a sample, rounded to a thousandth; the oldest one is dropped once there are too many. */
-export function remember(samples: number[], value: number): void {
+export function addSample(samples: number[], value: number): void {
   samples.push(Math.round(value * 1000) / 1000);
   if (samples.length > MAX_SAMPLES) samples.shift();
 }
--- a/src/subsystems/subsystem.ts
+++ b/src/subsystems/subsystem.ts
@@ -39,9 +39,9 @@
   /** Whether it is stored with the leader's most urgent writes, because other work waits for it. */
   urgent?: boolean;
   /** Called when it was carried out, with its revision. */
-  stored(revision: number): void;
+  onStored(revision: number): void;
   /** Called when a guard refused it or there was no answer, with what the store holds under `key`. */
-  readBack(record: OwnedRecord | null): void;
+  onReadBack(record: OwnedRecord | null): void;
 }
 
 /** What a subsystem may see of a machine. */
@@ -99,7 +99,7 @@
   preemptingJob: LiveJobView;
   victims: readonly PreemptionVictim[];
   /** Whether victims that can save may do so first. */
-  saves: boolean;
+  allowsSaving: boolean;
   /** Stops the victims that still run, if the borrower still needs the capacity; false: it does not. */
   carryOut(): boolean;
 }
@@ -117,7 +117,7 @@
 /** How a subsystem takes part in preemptions. */
 export interface PreemptionRules {
   /** Cost of stopping a task on top of its lost work, from 0 to 1. No cost forbids a preemption. */
-  extraCost(borrower: LiveJobView, victim: PreemptionVictim, saves: boolean): number;
+  extraCost(borrower: LiveJobView, victim: PreemptionVictim, allowsSaving: boolean): number;
   /** Whether an attempt is about to be stopped by a preemption that this subsystem has taken over. */
   isStopping(attempt: AttemptView): boolean;
   /** Whether the subsystem takes over a preemption. True: it soon calls `carryOut` itself. */
@@ -164,7 +164,7 @@
   /** Minimum number of seconds between two migrations of replicas of a class. */
   migrationGapS(jobClass: string): number;
   /** Stops an attempt immediately that has been asked to stop, or is saving. */
-  endStopped(attempt: AttemptView): void;
+  endStoppingAttempt(attempt: AttemptView): void;
   /** Free capacity after the latest scheduling cycle. */
   freeCapacities(): readonly FreeCapacity[];
   /** Resources that a team's tasks used at the latest scheduling cycle. */
@@ -181,8 +181,8 @@
 export interface StoredScaleOutRequest {
   request: ScaleOutRequest;
   /** Called when it is about to be sent. */
-  sending(): void;
-  answered(result: ScaleOutResult): void;
+  onSending(): void;
+  onAnswered(result: ScaleOutResult): void;
 }
 
 /** A subsystem's part in one term. All methods are called often and must not block. */
@@ -192,9 +192,9 @@
   /** Requests to the cloud that are due. */
   scaleOutRequests(): StoredScaleOutRequest[];
   /** Whether a healthy machine is retained, even if it is idle: it is neither removed nor drained. */
-  keeps(machine: string): boolean;
+  retainsMachine(machine: string): boolean;
   /** Reserved free capacity on ordinary machines, in machines. */
-  keptMachines(): number;
+  reservedMachines(): number;
   /** Whether a task may be placed on the machine of this capacity. */
   mayUse(spec: JobSpec, capacity: FreeCapacity): boolean;
   /** Seconds by which placing a task there is better than on the same machine without a subsystem; negative: worse. */
--- a/src/subsystems/view-command.ts
+++ b/src/subsystems/view-command.ts
@@ -11,7 +11,7 @@
 export class CommandError extends Error {}
 
 /** The view that a command requests from a controller, and the schema of the response. */
-export interface ViewQuestion<T> {
+export interface ViewRequest<T> {
   /** Used in the path of the request. */
   subsystem: string;
   /** Used in messages as the subject and verb of "switched off". */
@@ -22,7 +22,7 @@
 /** Fetches a view from a controller; every controller returns the same one. Throws CommandError. */
 export async function fetchView<T>(
   address: string,
-  { subsystem, title, schema }: ViewQuestion<T>,
+  { subsystem, title, schema }: ViewRequest<T>,
 ): Promise<T> {
   if (!HOST_PORT_PATTERN.test(address)) throw new CommandError(`${address}: must be HOST:PORT`);
   const client = new HttpClient(parseEndpoint(address), 1);
@@ -48,7 +48,7 @@
 export type Cell = string | number;
 
 /** Formats a table. Columns are as wide as their widest cell; numbers are right-aligned. */
-export function table(header: readonly string[], rows: readonly (readonly Cell[])[]): string {
+export function formatTable(header: readonly string[], rows: readonly (readonly Cell[])[]): string {
   const widths = header.map((title, column) =>
     Math.max(title.length, ...rows.map((row) => String(row[column]).length)),
   );
--- a/src/warm-pools/bill.ts
+++ b/src/warm-pools/bill.ts
@@ -211,15 +211,15 @@
     });
     const done = (revision: number): void => {
       this.days.set(key, { day, revision });
-      for (const { id } of entries) table.removed(id);
+      for (const { id } of entries) table.deleteEntry(id);
     };
     return {
       key,
       revision: known?.revision ?? 0,
       value: encodeDay(day),
       alsoChanges: removals,
-      stored: done,
-      readBack: (stored) => this.applyReadBack(key, day, stored, done),
+      onStored: done,
+      onReadBack: (stored) => this.applyReadBack(key, day, stored, done),
     };
   }
 
@@ -248,8 +248,8 @@
       revision,
       value: null,
       alsoChanges: [],
-      stored: () => void this.days.delete(key),
-      readBack: (stored) => {
+      onStored: () => void this.days.delete(key),
+      onReadBack: (stored) => {
         if (stored === null) this.days.delete(key);
       },
     }));
--- a/src/warm-pools/command.ts
+++ b/src/warm-pools/command.ts
@@ -1,7 +1,7 @@
 /** `pewtershelf warm-pools status|bill`: prints a running controller's view of warm pools. */
 
 import * as v from 'valibot';
-import { fetchView, table, type ViewQuestion } from '../subsystems/view-command.js';
+import { fetchView, formatTable, type ViewRequest } from '../subsystems/view-command.js';
 import { SLOT_STATES } from './slot.js';
 import type { BillRow, PoolStatus, PoolsView } from './view.js';
 
@@ -33,7 +33,7 @@
   ),
 });
 
-const QUESTION: ViewQuestion<PoolsView> = {
+const QUESTION: ViewRequest<PoolsView> = {
   subsystem: 'warm-pools',
   title: 'warm pools are',
   schema: view,
@@ -46,7 +46,7 @@
     const counts = SLOT_STATES.map((state) => states[state]);
     return [pool, team, slots ?? '-', nextBurst ?? '-', ...counts];
   });
-  return table(head, rows);
+  return formatTable(head, rows);
 }
 
 const rounded = (value: number): number => Math.round(value * 100) / 100;
@@ -59,7 +59,7 @@
     ...[row.day, row.pool, row.team, row.slots, row.used, row.lost, row.open],
     ...[rounded(row.machineS), rounded(row.uncertainS), rounded(row.money)],
   ]);
-  return table([...head, ...sums], rows);
+  return formatTable([...head, ...sums], rows);
 }
 
 /** The command's output. Throws CommandError. */
--- a/src/warm-pools/lead-times.ts
+++ b/src/warm-pools/lead-times.ts
@@ -2,7 +2,7 @@
 
 import * as v from 'valibot';
 import type { MachineType } from '../jobs/types.js';
-import { covering, remember } from '../subsystems/samples.js';
+import { conservativeEstimate, addSample } from '../subsystems/samples.js';
 import type { OwnedRecord, OwnedWrite } from '../subsystems/subsystem.js';
 
 /** Slow boots and slow fetches as multiples of the nominal times, as the protocol leads to expect. */
@@ -46,7 +46,7 @@
   /** Records the seconds from a machine's scale-out to its first heartbeat. */
   recordBootTime(type: string, zone: string, seconds: number): void {
     const samples = this.samples(type, zone);
-    remember(samples.boots, seconds);
+    addSample(samples.boots, seconds);
     samples.hasUnstored = true;
   }
 
@@ -54,7 +54,7 @@
   recordLoadTime(type: string, zone: string, image: string, seconds: number): void {
     const samples = this.samples(type, zone);
     const loads = samples.loads.get(image) ?? [];
-    remember(loads, seconds);
+    addSample(loads, seconds);
     samples.loads.delete(image);
     samples.loads.set(image, loads);
     for (const oldest of samples.loads.keys()) {
@@ -70,8 +70,8 @@
     const expectedBootS = type.bootS * SLOW_BOOT_FACTOR;
     const expectedLoadS = (imageGb / Math.max(type.fetchGbPerS, 1e-9)) * SLOW_FETCH_FACTOR;
     return (
-      covering(samples?.boots ?? [], expectedBootS) +
-      covering(samples?.loads.get(image) ?? [], expectedLoadS)
+      conservativeEstimate(samples?.boots ?? [], expectedBootS) +
+      conservativeEstimate(samples?.loads.get(image) ?? [], expectedLoadS)
     );
   }
 
@@ -85,12 +85,12 @@
         revision: samples.revision,
         value: { b: [...samples.boots], l: [...samples.loads] },
         alsoChanges: [],
-        stored: (revision) => {
+        onStored: (revision) => {
           samples.revision = revision;
           samples.hasUnstored = false;
         },
         // The stored samples are not compared: the next write replaces them.
-        readBack: (stored) => void (samples.revision = stored?.revision ?? 0),
+        onReadBack: (stored) => void (samples.revision = stored?.revision ?? 0),
       });
     }
     return due;
--- a/src/warm-pools/slot-monitor.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -146,7 +146,7 @@
       const pool = this.options.pool(entry.current.pool);
       if (pool === undefined) continue;
       const task = this.modelTasks(machine, pool).find(({ name }) => {
-        return !used.has(name) && !entry.current.beside.includes(name);
+        return !used.has(name) && !entry.current.earlierTasks.includes(name);
       });
       if (task === undefined) continue;
       used.add(task.name);
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -216,7 +216,7 @@
       machine,
       share: pool !== undefined && type !== undefined ? slotShare(pool.shape, type) : 1,
       pricePerHour: type?.price ?? 0,
-      beside: isKnown ? modelTasks(view, machineView, pool).map(({ name }) => name) : [],
+      earlierTasks: isKnown ? modelTasks(view, machineView, pool).map(({ name }) => name) : [],
     };
   }
 
--- a/src/warm-pools/slot-reservations.ts
+++ b/src/warm-pools/slot-reservations.ts
@@ -90,13 +90,13 @@
     return this.claims.slots.has(id);
   }
 
-  /** See `SubsystemTerm.keeps`. */
-  keeps(machine: string): boolean {
+  /** See `SubsystemTerm.retainsMachine`. */
+  retainsMachine(machine: string): boolean {
     return this.options.table.held().has(machine);
   }
 
   /** Sum of the machine shares of unclaimed slots on machines that are ready or pending. */
-  keptMachines(): number {
+  reservedMachines(): number {
     const { view, table } = this.options;
     let sum = 0;
     for (const [machine, entries] of table.held()) {
@@ -134,7 +134,7 @@
     if (machineView === undefined) return 0;
     const { tasks } = this.claims;
     const isNew = ({ name }: ModelTask): boolean =>
-      !tasks.has(name) && !current.beside.includes(name);
+      !tasks.has(name) && !current.earlierTasks.includes(name);
     return modelTasks(view, machineView, pool).filter(isNew).length;
   }
 
--- a/src/warm-pools/slot-scale-out.ts
+++ b/src/warm-pools/slot-scale-out.ts
@@ -83,8 +83,8 @@
     const { type, zone, count } = group[0]!.stored!.request!;
     return {
       request: { name, type, zone, spot: false, count },
-      sending: () => this.recordSending(name, group),
-      answered: (result) => this.handleAnswer(name, result),
+      onSending: () => this.recordSending(name, group),
+      onAnswered: (result) => this.handleAnswer(name, result),
     };
   }
 
--- a/src/warm-pools/slot-table.ts
+++ b/src/warm-pools/slot-table.ts
@@ -1,7 +1,7 @@
 /** The slots in one term: their stored state, and changes that are not stored yet. */
 
 import type { OwnedRecord, OwnedWrite } from '../subsystems/subsystem.js';
-import { RecordTable, type RecordForm, type TableEntry } from '../subsystems/record-table.js';
+import { RecordTable, type RecordCodec, type TableEntry } from '../subsystems/record-table.js';
 import {
   advanceSlot,
   decodeSlot,
@@ -17,7 +17,7 @@
 /** A slot in its current state and as the store holds it. */
 export type SlotEntry = TableEntry<Slot>;
 
-const SLOT_FORM: RecordForm<Slot> = {
+const SLOT_CODEC: RecordCodec<Slot> = {
   prefix: SLOT_PREFIX,
   idOf: slotId,
   encode: encodeSlot,
@@ -27,7 +27,7 @@
 /** Slots by id, and by the machines that are reserved for them. */
 export class SlotTable {
   private heldByMachine: Map<string, SlotEntry[]> | null = null;
-  private readonly table = new RecordTable(SLOT_FORM, {
+  private readonly table = new RecordTable(SLOT_CODEC, {
     // The end of a slot stops the charges to its team.
     isUrgent: (entry) => !isOpen(entry.current),
     onChange: () => (this.heldByMachine = null),
@@ -84,8 +84,8 @@
   }
 
   /** Removes a slot whose record was removed from the store. */
-  removed(id: string): void {
-    this.table.removed(id);
+  deleteEntry(id: string): void {
+    this.table.deleteEntry(id);
   }
 
   /** The next changes to store; ends of slots come first. */
--- a/src/warm-pools/slot.ts
+++ b/src/warm-pools/slot.ts
@@ -79,7 +79,7 @@
   held: HeldInterval | null;
   warmAtMs: number | null;
   /** Tasks with the model that were on the machine before the slot was assigned to it. */
-  beside: readonly string[];
+  earlierTasks: readonly string[];
   /** The task that uses it, as `job/index#attempt`. */
   task: string | null;
   /** Why it was released or lost. */
@@ -91,7 +91,7 @@
   machine: string;
   share: number;
   pricePerHour: number;
-  beside: readonly string[];
+  earlierTasks: readonly string[];
 }
 
 /** Events that change a slot. */
@@ -276,7 +276,7 @@
     l: held === null ? null : [held.fromMs, held.toMs, held.uncertainMs],
     ...(held === null || held.clockSetMs === 0 ? {} : { z: held.clockSetMs }),
     w: slot.warmAtMs,
-    o: slot.beside,
+    o: slot.earlierTasks,
     k: slot.task,
     y: slot.reason,
   };
@@ -301,7 +301,7 @@
     pricePerHour: c,
     held: l === null ? null : { fromMs: l[0], toMs: l[1], uncertainMs: l[2], clockSetMs: z },
     warmAtMs: w,
-    beside: o,
+    earlierTasks: o,
     task: k,
     reason: y,
   };
@@ -320,7 +320,7 @@
     pricePerHour: 0,
     held: null,
     warmAtMs: null,
-    beside: [],
+    earlierTasks: [],
     task: null,
     reason: null,
   };
--- a/src/warm-pools/warm-pools-term.ts
+++ b/src/warm-pools/warm-pools-term.ts
@@ -153,14 +153,14 @@
     return this.slotScaleOut.due();
   }
 
-  /** See `SubsystemTerm.keeps`. */
-  keeps(machine: string): boolean {
-    return this.reservations.keeps(machine);
+  /** See `SubsystemTerm.retainsMachine`. */
+  retainsMachine(machine: string): boolean {
+    return this.reservations.retainsMachine(machine);
   }
 
-  /** See `SubsystemTerm.keptMachines`. */
-  keptMachines(): number {
-    return this.reservations.keptMachines();
+  /** See `SubsystemTerm.reservedMachines`. */
+  reservedMachines(): number {
+    return this.reservations.reservedMachines();
   }
 
   /** See `SubsystemTerm.mayUse`. */
@@ -203,7 +203,7 @@
     for (const { current } of this.table.values()) states[current.state]++;
     const figures: Record<string, number | string> = {};
     for (const [state, count] of Object.entries(states)) figures[`warm_slots_${state}`] = count;
-    figures.warm_machines_kept = this.reservations.keptMachines();
+    figures.warm_machines_kept = this.reservations.reservedMachines();
     figures.warm_pools_alarms = this.alarms.describe();
     figures.warm_pools_clock_jumps = this.clock.jumps;
     return figures;
--- a/test/cluster-lending.test.ts
+++ b/test/cluster-lending.test.ts
@@ -45,7 +45,7 @@
 for (const fault of ['killed', 'frozen'] satisfies LeaderFault[]) {
   test(`real processes: the leader is ${fault} while GPUs are lent; both deadlines are met`, async () => {
     const scenario = new Scenario({
-      ...{ lending: true, trouble: fault, tightFirst: true, label: fault },
+      ...{ lending: true, leaderFault: fault, tightFirst: true, label: fault },
       directory: mkdtempSync(join(tmpdir(), 'shelf-')),
     });
     const outcome = await scenario.play(() => checkLoansCommand(scenario));
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -158,8 +158,8 @@
     beginTerm: () => ({
       tick: () => undefined,
       scaleOutRequests: () => [],
-      keeps: (machine) => machine === 'm1',
-      keptMachines: () => 2,
+      retainsMachine: (machine) => machine === 'm1',
+      reservedMachines: () => 2,
       mayUse: () => false,
       preferenceS: () => 3,
       dueWrites: () => [],
@@ -174,9 +174,9 @@
   const room = null!;
   assert.deepEqual(
     [
-      active.keeps('m1'),
-      active.keeps('m2'),
-      active.keptMachines(),
+      active.retainsMachine('m1'),
+      active.retainsMachine('m2'),
+      active.reservedMachines(),
       active.scaleOutRequests().length,
     ],
     [true, false, 2, 0],
@@ -184,7 +184,10 @@
   assert.deepEqual([active.mayUse(spec(), room), active.preferenceS(spec(), room)], [false, 3]);
   assert.deepEqual(active.statistics(), { works: 1 });
   const none = new ActiveSubsystems(silentLog());
-  assert.deepEqual([none.hasAny, none.keptMachines(), none.mayUse(spec(), room)], [false, 0, true]);
+  assert.deepEqual(
+    [none.hasAny, none.reservedMachines(), none.mayUse(spec(), room)],
+    [false, 0, true],
+  );
 });
 
 test('controllers publish the hashes of their features files; differences from the leader are detected', () => {
@@ -203,7 +206,7 @@
   const versions = new ControllerVersions({
     ...{ node: 'a', others: ['b', 'c'], leaseS: 2, replica, store: null!, replicaSync: null! },
     ...{ peers: () => null!, health: null!, clock: { now: () => 0 }, log: silentLog() },
-    file: { hash: 'one', subsystems: [] },
+    featuresFile: { hash: 'one', subsystems: [] },
   });
   assert.deepEqual(versions.withDifferentFeatures(), [], 'there is no leader');
   put(records.LEADER, records.encodeLeader({ node: 'b', incarnation: 'x' }));
--- a/test/lending-scenario.ts
+++ b/test/lending-scenario.ts
@@ -32,7 +32,7 @@
 /** How a scenario is run. */
 export interface ScenarioOptions {
   lending: boolean;
-  trouble: LeaderFault;
+  leaderFault: LeaderFault;
   /** Which batch job is submitted first. */
   tightFirst: boolean;
   directory: string;
@@ -140,9 +140,9 @@
   /** Returns the index of the controller that was frozen; null: none is. */
   private async injectFault(): Promise<number | null> {
     const { cluster, options } = this;
-    if (options.trouble === 'none') return null;
+    if (options.leaderFault === 'none') return null;
     const leader = await cluster.newLeader();
-    if (options.trouble === 'killed') {
+    if (options.leaderFault === 'killed') {
       await cluster.end(leader);
       return null;
     }
--- a/test/lending.test.ts
+++ b/test/lending.test.ts
@@ -301,7 +301,7 @@
       machine: 'm1',
       preemptingJob: fake<LiveJobView>({ spec: spec({ id: 'wk-000002', kind: 'service' }) }),
       victims: [{ job, attempt }],
-      ...{ saves: true, carryOut: () => true },
+      ...{ allowsSaving: true, carryOut: () => true },
     });
     assert.equal(taken, granted);
     assert.equal(grants.preemptionsWithoutLoan, granted ? 0 : 1);
--- a/test/subsystems.test.ts
+++ b/test/subsystems.test.ts
@@ -15,8 +15,8 @@
   const term: SubsystemTerm = {
     tick: () => undefined,
     scaleOutRequests: () => [],
-    keeps: (machine) => machine === 'm1',
-    keptMachines: () => 1,
+    retainsMachine: (machine) => machine === 'm1',
+    reservedMachines: () => 1,
     mayUse: (spec, capacity) => capacity.id !== 'm1' || spec.class === 'own',
     preferenceS: () => 0,
     dueWrites: () => [],
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -154,7 +154,7 @@
     pricePerHour: 10,
     held: { fromMs: 1000, toMs: index % 2 === 0 ? null : 9000, uncertainMs: 50, clockSetMs: 0 },
     warmAtMs: 4000,
-    beside: ['wk-1/0#1'],
+    earlierTasks: ['wk-1/0#1'],
     task: 'wk-1/0#2',
     reason: 'why',
   }));
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -159,8 +159,8 @@
   ]; // prettier-ignore
   for (const [name, other, { everyone, old }] of cases) {
     const seen = versions({ b: NEW, c: other });
-    assert.equal(seen.everyoneKnows('pipelines'), everyone, name);
-    assert.equal(seen.isOldPresent('pipelines'), old, name);
-    assert.equal(seen.knows('c', 'pipelines'), everyone, name);
+    assert.equal(seen.allSupport('pipelines'), everyone, name);
+    assert.equal(seen.isOldVersionPresent('pipelines'), old, name);
+    assert.equal(seen.supports('c', 'pipelines'), everyone, name);
   }
 });
--- a/test/warm-slots.test.ts
+++ b/test/warm-slots.test.ts
@@ -35,7 +35,7 @@
 const plannedSlotAt = (index = 0): Slot =>
   plannedSlot({ pool: 'tutor', burstMs: BURST_MS, index, team: 't', sendFromMs: BURST_MS - 9000 });
 const REQUEST = { name: 'r', type: 'g8', zone: 'z1', count: 1, position: 0 };
-const ASSIGNMENT = { machine: 'm', share: 0.5, pricePerHour: 10, beside: ['wk-1/0#3'] };
+const ASSIGNMENT = { machine: 'm', share: 0.5, pricePerHour: 10, earlierTasks: ['wk-1/0#3'] };
 
 const EVENTS: SlotEvent[] = [
   { kind: 'request-named', request: REQUEST },
@@ -210,8 +210,8 @@
   commit(write: OwnedWrite, outcome: 'served' | 'answer lost' | 'request lost' | 'refused'): void {
     if (outcome === 'refused') return;
     const revision = outcome === 'request lost' ? null : this.apply(write);
-    if (revision !== null && outcome === 'served') write.stored(revision);
-    else write.readBack(this.all.get(write.key) ?? null);
+    if (revision !== null && outcome === 'served') write.onStored(revision);
+    else write.onReadBack(this.all.get(write.key) ?? null);
   }
 }
 
