--- a/scripts/fleet-load.ts
+++ b/scripts/fleet-load.ts
@@ -7,7 +7,7 @@
 import { freePort, g8, settingsText, spec, until, wait, type Ports } from '../test/helpers.js';
 import { Cloud, MACHINE_GPUS } from '../test/standins/cloud.js';
 import { RuleChecker } from '../test/standins/rules.js';
-import { StateService } from '../test/standins/state.js';
+import { StoreServer } from '../test/standins/state.js';
 
 /**
  * Runs controllers of a build as separate processes on loopback against stand-ins of the outside systems, with a
@@ -161,7 +161,7 @@
   /** Number of jobs submitted so far, also those that were not accepted. */
   submitted = 0;
   private readonly agent = new Agent({ keepAlive: true });
-  private readonly state = new StateService();
+  private readonly state = new StoreServer();
   private readonly rules = new RuleChecker({
     cancelS: CANCEL_S,
     teams: new Map(),
@@ -181,7 +181,7 @@
 
   /** Starts everything; resolves once all controllers are ready. */
   async start(): Promise<void> {
-    this.state.page = 1000;
+    this.state.pageSize = 1000;
     this.fillStore();
     await this.state.listen();
     await this.cloud.listen();
@@ -210,7 +210,7 @@
     const { state, options } = this;
     const put = (key: string, data: unknown): void => {
       const value = JSON.parse(JSON.stringify(data)) as unknown;
-      state.keys.set(key, { value, mark: ++state.ledger, loan: undefined });
+      state.keys.set(key, { value, revision: ++state.revision, leaseId: undefined });
     };
     put(records.MACHINE_TYPES, records.encodeMachineTypes([g8]));
     for (let i = 0; i < options.machines * JOBS_PER_MACHINE; i++) {
--- a/scripts/mixed-versions.ts
+++ b/scripts/mixed-versions.ts
@@ -49,10 +49,10 @@
   }
 
   async replaceWith(index: number, version: 'old' | 'now'): Promise<void> {
-    await this.end(index);
+    await this.kill(index);
     await wait(LEASE_S * 200);
     this.startVersion(index, version);
-    await this.serves(index);
+    await this.waitForReady(index);
   }
 
   isRunning(ref: string, tasks: number): boolean {
@@ -65,14 +65,14 @@
 
 async function runRound(builds: { old: string; now: string }, round: number): Promise<void> {
   const rollout = new Rollout(builds, round);
-  const { users, state, rules } = rollout;
+  const { users, store, rules } = rollout;
   const service = jobIdOf(round, 90, 0);
   const array = jobIdOf(round, 90, 1);
   const nodes = [...Array(CONTROLLERS).keys()];
   try {
     await rollout.listen();
     for (const index of nodes) rollout.startVersion(index, 'old');
-    for (const index of nodes) await rollout.serves(index);
+    for (const index of nodes) await rollout.waitForReady(index);
     await users.submit(0, service, { form: 'daemon', pieces: 2 });
     await users.submit(1, array, { pieces: 4 }, LEASE_S * 4);
     await until(
@@ -92,30 +92,30 @@
       const mixed = jobIdOf(round, 91, index);
       await users.submit(index, mixed, {}, 0.3);
       await rollout.replaceWith(index, 'now');
-      for (const at of nodes) await users.sees(at, mixed, 'done');
+      for (const at of nodes) await users.waitForState(at, mixed, 'done');
     }
 
     await submitPipeline(rollout, round, 1, LONG_TASK_S);
     await submitPipeline(rollout, round, 2, 0.3);
     await until('the first job runs', () => rollout.isRunning(jobIdOf(round, 1, 0), 2));
-    state.limits = { valueBytes: 2048, operations: 4 };
+    store.limits = { valueBytes: 2048, operations: 4 };
     await Promise.all([
       users.cancel(1, jobIdOf(round, 1, 0)),
       rollout.replaceWith(round % CONTROLLERS, 'now'),
     ]);
     for (const at of nodes) {
       for (const stage of [0, 1, 2]) {
-        await users.sees(at, jobIdOf(round, 1, stage), 'cancelled');
-        await users.sees(at, jobIdOf(round, 2, stage), 'done');
+        await users.waitForState(at, jobIdOf(round, 1, stage), 'cancelled');
+        await users.waitForState(at, jobIdOf(round, 2, stage), 'done');
       }
-      await users.sees(at, array, 'done');
+      await users.waitForState(at, array, 'done');
     }
     assert.ok(
       rollout.isRunning(service, 2),
       'the service that the old version started is still running',
     );
     assert.equal(rules.starts.get(`${service}/0`), 1, 'a task of the service was started once');
-    assert.equal(state.tooLarge, 0, 'nothing was refused for its size');
+    assert.equal(store.tooLarge, 0, 'nothing was refused for its size');
   } finally {
     await rollout.close();
   }
--- a/scripts/warm-pools.ts
+++ b/scripts/warm-pools.ts
@@ -84,24 +84,24 @@
     await cluster.listen();
     const port = await freePort();
     const hostOf = (id: string): string => `127.2.${number % 250}.${Number(id.split('-')[1])}`;
-    cluster.cloud.around.modelServers = { port, loadMs: () => MODEL_LOAD_MS, hostOf };
+    cluster.cloud.fleetContext.modelServers = { port, loadMs: () => MODEL_LOAD_MS, hostOf };
     cluster.cloud.bootMs = BOOT_MS;
     cluster.cloud.nominalBootS = BOOT_MS / 1000;
     this.burstMs = Math.ceil(Date.now() / 1000 + BURST_AFTER_S) * 1000;
     const file = this.pooled ? features(this.burstMs, port) : '';
     for (const index of cluster.indexes) cluster.start(index, undefined, file);
-    for (const index of cluster.indexes) await cluster.serves(index);
+    for (const index of cluster.indexes) await cluster.waitForReady(index);
   }
 
   /** Injects the fault 4.5 s before the burst, when machines of a pool boot or load. */
   private async injectFault(): Promise<void> {
     const { cluster, condition } = this;
     await wait(this.burstMs - 4500 - Date.now());
-    if (condition === 'leader killed') await cluster.end(await cluster.newLeader());
+    if (condition === 'leader killed') await cluster.kill(await cluster.waitForLeader());
     if (condition !== 'outage') return;
-    cluster.state.down = true;
+    cluster.store.down = true;
     await wait(this.burstMs - 200 - Date.now());
-    cluster.state.down = false;
+    cluster.store.down = false;
   }
 
   private async burst(): Promise<number[]> {
@@ -109,7 +109,7 @@
     const workers = (): Worker[] => [...cluster.rules.workers.values()];
     const began = Date.now();
     const shape = { form: 'daemon', rank: 'critical', pieces: REPLICAS, mould: MODEL };
-    const at = await cluster.newLeader();
+    const at = await cluster.waitForLeader();
     const submitted = cluster.users.submit(at, REF, { ...shape, cores: 4, gpus: 4, mem_gb: 8 });
     const answersMs: number[] = [];
     while (answersMs.length < REPLICAS && Date.now() - began < 30_000) {
@@ -140,7 +140,7 @@
   private async settledRow(): Promise<BillRow | null> {
     const until = Date.now() + LEASE_S * 2000;
     while (Date.now() < until) {
-      const index = await this.cluster.newLeader();
+      const index = await this.cluster.waitForLeader();
       const view = await this.cluster.ask(index, '/subsystems/warm-pools');
       const row = (view?.bill as BillRow[] | undefined)?.[0];
       if (row?.used === REPLICAS) return row;
--- a/test/cluster-cancelled.test.ts
+++ b/test/cluster-cancelled.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { wait } from './helpers.js';
-import { playAll, type Cluster, type Row } from './standins/cluster.js';
+import { runScenarios, type Cluster, type ScenarioRow } from './standins/cluster.js';
 
 const LEASE_S = 3;
 const LONG_RUN_S = 60;
@@ -13,7 +13,7 @@
 /** The leader ends before this job is submitted. */
 const LEADER_ENDS_AT_JOB = 10;
 
-interface StreamRow extends Row {
+interface StreamRow extends ScenarioRow {
   /** Number of jobs after which the former leader restarts. */
   returnsAfterJobs: number;
 }
@@ -38,11 +38,11 @@
     { name: 'the old leader returns at once', returnsAfterJobs: 1 },
     { name: 'the old leader returns later', returnsAfterJobs: 8 },
   ];
-  await playAll(rows, { leaseS: LEASE_S }, async (cluster, row) => {
+  await runScenarios(rows, { leaseS: LEASE_S }, async (cluster, row) => {
     const played: Promise<void>[] = [];
     let old = -1;
     for (let i = 0; i < JOBS; i++) {
-      if (i === LEADER_ENDS_AT_JOB) old = await cluster.endLeader();
+      if (i === LEADER_ENDS_AT_JOB) old = await cluster.stopLeader();
       if (i === LEADER_ENDS_AT_JOB + row.returnsAfterJobs) await cluster.startController(old);
       played.push(runSmallJob(cluster, i));
       await wait(GAP_MS);
@@ -55,8 +55,8 @@
 async function assertEndedOnce(cluster: Cluster, i: number): Promise<void> {
   const ref = jobIdOf(i);
   const final = isCancelled(i) ? 'cancelled' : 'done';
-  for (const at of cluster.indexes) await cluster.users.sees(at, ref, final);
-  await cluster.gone(ref);
+  for (const at of cluster.indexes) await cluster.users.waitForState(at, ref, final);
+  await cluster.waitForGone(ref);
   if (!isCancelled(i)) assert.equal(cluster.rules.starts.get(`${ref}/0`), 1, `starts of ${ref}`);
 }
 
@@ -65,7 +65,7 @@
 const SERVICES = ['wk-000001', 'wk-000002', 'wk-000003', 'wk-000004'];
 const NOT_CANCELLED = 'wk-000005';
 
-interface HangRow extends Row {
+interface HangRow extends ScenarioRow {
   /** In leases. */
   durationLeases: number;
   /** Commands sent meanwhile are lost, instead of being held back until the machines resume. */
@@ -84,25 +84,25 @@
     { name: 'for long, the leader ends before', durationLeases: 1.5, leaderEnds: 'before' },
     { name: 'for long, the leader ends after', durationLeases: 1.5, leaderEnds: 'after' },
   ];
-  await playAll(rows, { leaseS: LEASE_S }, runHang);
+  await runScenarios(rows, { leaseS: LEASE_S }, runHang);
 });
 
 async function runHang(cluster: Cluster, row: HangRow): Promise<void> {
   const { users } = cluster;
   for (const ref of [...SERVICES, NOT_CANCELLED])
     await users.submit(0, ref, { form: 'daemon', pieces: 2 });
-  for (const ref of [...SERVICES, NOT_CANCELLED]) await cluster.runs(ref, 2);
-  const old = await cluster.newLeader();
+  for (const ref of [...SERVICES, NOT_CANCELLED]) await cluster.waitForRunning(ref, 2);
+  const old = await cluster.waitForLeader();
 
   for (const worker of cluster.workers) {
-    worker.deaf = row.commandsLost === true;
-    worker.hang();
+    worker.inboundLost = row.commandsLost === true;
+    worker.freeze();
   }
   if (row.leaderEnds === 'before') cluster.stopController(old);
   const resumed = wait(row.durationLeases * LEASE_S * 1000).then(() => {
     for (const worker of cluster.workers) {
-      worker.deaf = false;
-      worker.goOn();
+      worker.inboundLost = false;
+      worker.thaw();
     }
   });
   const others = cluster.indexes.filter((at) => at !== old);
@@ -110,8 +110,8 @@
   if (row.leaderEnds === 'after') cluster.stopController(old);
   await resumed;
 
-  for (const ref of SERVICES) await cluster.gone(ref);
-  await cluster.runs(NOT_CANCELLED, 2);
+  for (const ref of SERVICES) await cluster.waitForGone(ref);
+  await cluster.waitForRunning(NOT_CANCELLED, 2);
   // The current leader starts none of them again.
   await wait(LEASE_S * 500);
   for (const ref of SERVICES) assert.equal(cluster.tasks(ref).length, 0, ref);
--- a/test/cluster-gap.test.ts
+++ b/test/cluster-gap.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { until, wait } from './helpers.js';
-import { playAll, type Cluster, type Row } from './standins/cluster.js';
+import { runScenarios, type Cluster, type ScenarioRow } from './standins/cluster.js';
 
 const LEASE_S = 2;
 const CANCEL_S = 5.2;
@@ -10,7 +10,7 @@
 /** Seconds for which a user repeats a cancellation that is not confirmed. */
 const CONFIRM_TIMEOUT_S = 0.7;
 
-interface GapRow extends Row {
+interface GapRow extends ScenarioRow {
   /** Time from the refusal of the leader to the cancellation, and from its confirmation to the outage. */
   beforeS: number;
   gapS: number;
@@ -45,41 +45,41 @@
     { name: 'links cut for a while', beforeS: 0, gapS: 0, onlyOldLeader: true, linksCutS: 0.6 },
     { name: 'the third lags', beforeS: 0.1, gapS: 0, onlyOldLeader: true, thirdLags: true },
   ]; // prettier-ignore
-  await playAll(rows, { leaseS: LEASE_S, cancelS: CANCEL_S }, playGap);
+  await runScenarios(rows, { leaseS: LEASE_S, cancelS: CANCEL_S }, playGap);
 });
 
 async function playGap(cluster: Cluster, row: GapRow): Promise<void> {
-  const { users, state } = cluster;
+  const { users, store } = cluster;
   const ref = 'wk-000001';
   await users.submit(0, ref, { form: 'daemon', pieces: 3 });
-  await cluster.runs(ref, 3);
-  const old = await cluster.newLeader();
+  await cluster.waitForRunning(ref, 3);
+  const old = await cluster.waitForLeader();
   const confirming = (old + 1) % 3;
   for (const worker of row.onlyOldLeader === true ? cluster.workers : []) {
     for (const at of cluster.indexes) if (at !== old) worker.unreachable.add(at);
   }
-  cluster.access[old]!.refuses = true;
+  cluster.storeAccess[old]!.refuses = true;
   await wait(row.beforeS * 1000);
-  cluster.access[(old + 2) % 3]!.holdsWatches = row.thirdLags === true;
+  cluster.storeAccess[(old + 2) % 3]!.holdsWatches = row.thirdLags === true;
   if (row.linksCutS !== undefined) cluster.cutLinks(true, ...cluster.indexes);
   const confirmed = await confirmsCancellation(cluster, confirming, ref);
   // Without links it need not be confirmed; if it is, the tasks must end in time.
   if (row.linksCutS === undefined) assert.ok(confirmed, 'confirmed');
   if (row.confirmingEnds === true) cluster.stopController(confirming);
   await wait(row.gapS * 1000);
-  state.down = true;
+  store.down = true;
   const linksRestoredS = Math.min(row.linksCutS ?? 0, CANCEL_S + OUTAGE_EXCESS_S);
   await wait(linksRestoredS * 1000);
   cluster.cutLinks(false, ...cluster.indexes);
   await wait((CANCEL_S + OUTAGE_EXCESS_S - linksRestoredS) * 1000);
   cluster.assertRules();
 
-  state.down = false;
-  for (const access of cluster.access) access.refuses = access.holdsWatches = false;
+  store.down = false;
+  for (const access of cluster.storeAccess) access.refuses = access.holdsWatches = false;
   for (const worker of cluster.workers) worker.unreachable.clear();
-  await cluster.newLeader();
+  await cluster.waitForLeader();
   await users.cancel(old, ref);
-  await cluster.gone(ref);
+  await cluster.waitForGone(ref);
 }
 
 test('cancelled tasks end in time: the controller that confirmed stops, an outage follows', async () => {
@@ -104,7 +104,7 @@
       confirmingEnds: true,
     },
   ];
-  await playAll(rows, { leaseS: LEASE_S, cancelS: CANCEL_S }, playGap);
+  await runScenarios(rows, { leaseS: LEASE_S, cancelS: CANCEL_S }, playGap);
 });
 
 test('cancelled tasks end in time: the leader, but not its machines, is refused and cut off from the others', async () => {
@@ -112,13 +112,13 @@
     { name: 'through the new leader', wait: 2 },
     { name: 'at once', wait: 0 },
   ];
-  await playAll(rows, { leaseS: LEASE_S, cancelS: CANCEL_S }, async (cluster, row) => {
+  await runScenarios(rows, { leaseS: LEASE_S, cancelS: CANCEL_S }, async (cluster, row) => {
     const ref = 'wk-000001';
     await cluster.users.submit(0, ref, { form: 'daemon', pieces: 3 });
-    await cluster.runs(ref, 3);
-    const old = await cluster.newLeader();
+    await cluster.waitForRunning(ref, 3);
+    const old = await cluster.waitForLeader();
     cluster.cutLinks(true, old);
-    cluster.access[old]!.refuses = true;
+    cluster.storeAccess[old]!.refuses = true;
     for (const worker of cluster.workers) {
       for (const at of cluster.indexes) if (at !== old) worker.unreachable.add(at);
     }
@@ -127,7 +127,7 @@
     await wait((CANCEL_S + OUTAGE_EXCESS_S) * 1000);
     assert.equal(cluster.tasks(ref).length, 0);
     cluster.cutLinks(false, old);
-    cluster.access[old]!.refuses = false;
+    cluster.storeAccess[old]!.refuses = false;
     await until('the old leader knows of the cancellation', async () => {
       return (await cluster.users.poll(old, ref)).state === 'cancelled';
     });
--- a/test/cluster-leaders.test.ts
+++ b/test/cluster-leaders.test.ts
@@ -1,8 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { until, wait } from './helpers.js';
-import { playAll, type Cluster, type Row } from './standins/cluster.js';
-import { deaf, hang, mute, type MachineTrouble, type Worker } from './standins/worker.js';
+import { runScenarios, type Cluster, type ScenarioRow } from './standins/cluster.js';
+import {
+  inboundLoss,
+  freeze,
+  heartbeatLoss,
+  type MachineFault,
+  type Worker,
+} from './standins/worker.js';
 
 const LEASE_S = 3;
 const REF = 'wk-000001';
@@ -10,14 +16,14 @@
 
 async function startTasks(cluster: Cluster): Promise<Worker> {
   await cluster.users.submit(0, REF, { form: 'daemon', pieces: TASKS });
-  await cluster.runs(REF, TASKS);
+  await cluster.waitForRunning(REF, TASKS);
   return cluster.hosts(REF)[0]!;
 }
 
 /** Ends the leader and waits until another leads. */
 async function changeLeader(cluster: Cluster): Promise<number> {
-  const old = await cluster.endLeader();
-  await cluster.newLeader(old);
+  const old = await cluster.stopLeader();
+  await cluster.waitForLeader(old);
   return old;
 }
 
@@ -26,29 +32,29 @@
 
 const STARTED_ONCE = Array<number>(TASKS).fill(1);
 
-interface TroubleRow extends Row, MachineTrouble {
-  /** Duration of the trouble, in leases. */
+interface FaultRow extends ScenarioRow, MachineFault {
+  /** Duration of the fault, in leases. */
   durationLeases: number;
 }
 
 test('a leader ends while a worker loses answers, loses reports or hangs: all tasks run afterwards', async () => {
-  const rows: TroubleRow[] = [
-    { name: 'answers lost briefly', durationLeases: 0.4, ...deaf },
-    { name: 'reports lost briefly', durationLeases: 0.4, ...mute },
-    { name: 'hanging briefly', durationLeases: 0.4, ...hang },
-    { name: 'answers lost for long', durationLeases: 2, ...deaf },
-    { name: 'reports lost for long', durationLeases: 2, ...mute },
-    { name: 'hanging for long', durationLeases: 2, ...hang },
+  const rows: FaultRow[] = [
+    { name: 'answers lost briefly', durationLeases: 0.4, ...inboundLoss },
+    { name: 'reports lost briefly', durationLeases: 0.4, ...heartbeatLoss },
+    { name: 'hanging briefly', durationLeases: 0.4, ...freeze },
+    { name: 'answers lost for long', durationLeases: 2, ...inboundLoss },
+    { name: 'reports lost for long', durationLeases: 2, ...heartbeatLoss },
+    { name: 'hanging for long', durationLeases: 2, ...freeze },
   ];
-  await playAll(rows, { leaseS: LEASE_S }, async (cluster, row) => {
+  await runScenarios(rows, { leaseS: LEASE_S }, async (cluster, row) => {
     const host = await startTasks(cluster);
     row.begin(host);
-    const old = await cluster.endLeader();
+    const old = await cluster.stopLeader();
     await wait(row.durationLeases * LEASE_S * 1000);
     row.end(host);
-    await cluster.newLeader(old);
+    await cluster.waitForLeader(old);
     await wait(LEASE_S * 500);
-    await cluster.runs(REF, TASKS);
+    await cluster.waitForRunning(REF, TASKS);
     if (row.durationLeases < 1) assert.deepEqual(startsOf(cluster), STARTED_ONCE, 'not restarted');
   });
 });
@@ -58,22 +64,22 @@
     { name: 'while a new leader begins its term', change: true },
     { name: 'after newer heartbeats', change: false },
   ];
-  await playAll(rows, { leaseS: LEASE_S }, async (cluster, { change }) => {
+  await runScenarios(rows, { leaseS: LEASE_S }, async (cluster, { change }) => {
     const host = await startTasks(cluster);
     // The heartbeat from before the tasks were started.
-    const old = { ...(JSON.parse(host.lastReport) as object), tally: 1, pieces: [] };
+    const old = { ...(JSON.parse(host.lastHeartbeat) as object), tally: 1, pieces: [] };
     if (change) {
-      host.mute = true;
-      await cluster.endLeader();
+      host.heartbeatsLost = true;
+      await cluster.stopLeader();
     }
     const end = Date.now() + LEASE_S * 700;
     while (Date.now() < end) {
       await cluster.deliver(JSON.stringify(old));
       await wait(20);
     }
-    host.mute = false;
+    host.heartbeatsLost = false;
     await wait(LEASE_S * 500);
-    await cluster.runs(REF, TASKS);
+    await cluster.waitForRunning(REF, TASKS);
     assert.deepEqual(startsOf(cluster), STARTED_ONCE);
   });
 });
@@ -84,8 +90,8 @@
 const OTHER_JOB = 'wk-000003';
 
 async function nextHeartbeat(worker: Worker): Promise<void> {
-  const { lastReport } = worker;
-  await until(`${worker.id} reports`, () => worker.lastReport !== lastReport);
+  const { lastHeartbeat: lastReport } = worker;
+  await until(`${worker.id} reports`, () => worker.lastHeartbeat !== lastReport);
 }
 
 /**
@@ -95,25 +101,25 @@
 async function withDelayedStart(cluster: Cluster): Promise<{ host: Worker; other: Worker }> {
   const image = { mould: 'j', image_gb: 50 };
   await cluster.users.submit(0, HOST_JOB, { form: 'daemon', gpus: 6 });
-  await cluster.runs(HOST_JOB, 1);
+  await cluster.waitForRunning(HOST_JOB, 1);
   await cluster.users.submit(0, OTHER_JOB, { form: 'daemon', gpus: 3, ...image });
-  await cluster.runs(OTHER_JOB, 1);
+  await cluster.waitForRunning(OTHER_JOB, 1);
   const host = cluster.hosts(HOST_JOB)[0]!;
   const other = cluster.hosts(OTHER_JOB)[0]!;
   assert.notEqual(host, other);
-  other.mute = true;
+  other.heartbeatsLost = true;
   // A machine that has missed its heartbeats gets no new tasks; its present ones continue.
   await wait(HELD_UP_LEASE_S * 350);
   await nextHeartbeat(host);
   // Only the direct command can deliver the start, neither an answer to a heartbeat nor a repetition.
-  host.mute = host.deaf = true;
-  host.holdUpDirect(HELD_UP_LEASE_S * 800);
+  host.heartbeatsLost = host.inboundLost = true;
+  host.delayDirectCommands(HELD_UP_LEASE_S * 800);
   // Its last heartbeat may still be in transit to the leader, and the answer would contain the start.
   await wait(HELD_UP_LEASE_S * 25);
   await cluster.users.submit(1, REF, { form: 'daemon', pieces: 2, ...image });
-  await until('a start command is delayed', () => host.heldUp > 0);
-  host.holdUpDirect(0);
-  other.mute = false;
+  await until('a start command is delayed', () => host.delayedCommands > 0);
+  host.delayDirectCommands(0);
+  other.heartbeatsLost = false;
   await nextHeartbeat(other);
   return { host, other };
 }
@@ -122,16 +128,16 @@
 // do not prove that the claimed task is not started later. Without the fence it is started on the other machine too.
 test("a direct command of a leader that arrives in the next leader's term starts no task twice", async () => {
   const rows = [{ name: 'start' }];
-  await playAll(rows, { leaseS: HELD_UP_LEASE_S }, async (cluster) => {
+  await runScenarios(rows, { leaseS: HELD_UP_LEASE_S }, async (cluster) => {
     const { host, other } = await withDelayedStart(cluster);
     await changeLeader(cluster);
     // The new leader knows of the other machine's capacity before it receives a heartbeat of the host.
     for (let i = 0; i < 3; i++) await nextHeartbeat(other);
-    host.mute = false;
-    await until('the start arrives', () => host.arrivedLate > 0);
+    host.heartbeatsLost = false;
+    await until('the start arrives', () => host.lateCommands > 0);
     await wait(HELD_UP_LEASE_S * 250);
-    host.deaf = false;
-    await cluster.runs(REF, 2);
+    host.inboundLost = false;
+    await cluster.waitForRunning(REF, 2);
   });
 });
 
@@ -140,21 +146,21 @@
     { name: 'without an outage', outage: false },
     { name: 'with an outage', outage: true },
   ];
-  await playAll(rows, { leaseS: LEASE_S }, async (cluster, { outage }) => {
+  await runScenarios(rows, { leaseS: LEASE_S }, async (cluster, { outage }) => {
     await startTasks(cluster);
     for (let i = 0; i < 10; i++) {
-      await cluster.newLeader();
+      await cluster.waitForLeader();
       // The leader must lead long enough to renew the machines' leases, which would otherwise expire.
       await wait(LEASE_S * 150);
-      await cluster.leaderIsHeard();
-      cluster.state.down = outage && i === 5;
-      const old = await cluster.endLeader();
+      await cluster.waitForLeaderAnswers();
+      cluster.store.down = outage && i === 5;
+      const old = await cluster.stopLeader();
       await wait(LEASE_S * 100);
       await cluster.startController(old);
-      cluster.state.down = false;
+      cluster.store.down = false;
     }
-    await cluster.newLeader();
-    await cluster.runs(REF, TASKS);
+    await cluster.waitForLeader();
+    await cluster.waitForRunning(REF, TASKS);
     assert.deepEqual(startsOf(cluster), STARTED_ONCE);
   });
 });
@@ -164,14 +170,14 @@
     { name: 'stopped for less than a lease', leases: 0.3, kept: true },
     { name: 'stopped for longer', leases: 1.5, kept: false },
   ];
-  await playAll(rows, { leaseS: LEASE_S }, async (cluster, { leases, kept }) => {
+  await runScenarios(rows, { leaseS: LEASE_S }, async (cluster, { leases, kept }) => {
     await startTasks(cluster);
     await cluster.users.submit(0, 'wk-000002', { pieces: 4 }, 1);
     for (const at of cluster.indexes) cluster.stopController(at);
     await wait(leases * LEASE_S * 1000);
     for (const at of cluster.indexes) await cluster.startController(at);
-    for (const at of cluster.indexes) await cluster.users.sees(at, 'wk-000002', 'done');
-    await cluster.runs(REF, TASKS);
+    for (const at of cluster.indexes) await cluster.users.waitForState(at, 'wk-000002', 'done');
+    await cluster.waitForRunning(REF, TASKS);
     if (kept) assert.deepEqual(startsOf(cluster), STARTED_ONCE);
   });
 });
--- a/test/cluster-lending.test.ts
+++ b/test/cluster-lending.test.ts
@@ -24,7 +24,7 @@
 /** Checks the output of the command `loans` while the controllers run. */
 async function checkLoansCommand(scenario: Scenario): Promise<void> {
   const { cluster } = scenario;
-  const at = `127.0.0.1:${cluster.ports[await cluster.newLeader()]!.bind}`;
+  const at = `127.0.0.1:${cluster.ports[await cluster.waitForLeader()]!.bind}`;
   const shown = await runProgram('loans', '--at', at);
   assert.match(shown.out, /^loan +tasks +borrower +machine +gpus +state +due +changed +reason\n/);
   assert.match(shown.out, new RegExp(`\n${PATIENT}/0/\\d+ +1 +${SPIKE} +host-000001 +2 +resumed`));
--- a/test/cluster-pipelines.test.ts
+++ b/test/cluster-pipelines.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import * as records from '../src/store/records.js';
 import { until, wait } from './helpers.js';
-import { Cluster, playAll, type Row } from './standins/cluster.js';
+import { Cluster, runScenarios, type ScenarioRow } from './standins/cluster.js';
 
 const LEASE_S = 2;
 /** Longer than the delay after which a doubled transaction is applied again. */
@@ -36,32 +36,32 @@
 }
 
 async function waitForStateEverywhere(cluster: Cluster, ref: string, state: string): Promise<void> {
-  for (const at of runningControllers(cluster)) await cluster.users.sees(at, ref, state);
+  for (const at of runningControllers(cluster)) await cluster.users.waitForState(at, ref, state);
 }
 
-interface FaultRow extends Row {
+interface FaultRow extends ScenarioRow {
   /** The fault once the first job runs. */
   during?: (cluster: Cluster) => Promise<void>;
   /** The fault once the first job is done. */
   between?: (cluster: Cluster) => Promise<void>;
 }
 
-const stopLeader = async (cluster: Cluster): Promise<void> => void (await cluster.endLeader());
+const stopLeader = async (cluster: Cluster): Promise<void> => void (await cluster.stopLeader());
 
 async function outage(cluster: Cluster): Promise<void> {
-  cluster.state.down = true;
+  cluster.store.down = true;
   await wait(LEASE_S * 600);
-  cluster.state.down = false;
+  cluster.store.down = false;
 }
 
-async function loseAnswers({ state }: Cluster): Promise<void> {
-  state.disturb(records.PROGRESS, { how: 'answer_lost' }, 4);
-  state.disturb(records.MACHINES, { how: 'doubled', afterS: 0.3 }, 4);
+async function loseAnswers({ store }: Cluster): Promise<void> {
+  store.injectFault(records.PROGRESS, { how: 'answer_lost' }, 4);
+  store.injectFault(records.MACHINES, { how: 'doubled', afterS: 0.3 }, 4);
   return Promise.resolve();
 }
 
-async function lowerLimits({ state }: Cluster): Promise<void> {
-  state.limits = { valueBytes: 2048, operations: 4 };
+async function lowerLimits({ store }: Cluster): Promise<void> {
+  store.limits = { valueBytes: 2048, operations: 4 };
   return Promise.resolve();
 }
 
@@ -76,15 +76,22 @@
     { name: 'limits are lowered, then the leader stops', during: lowerLimits, between: stopLeader },
   ];
   const nextLimits = 'value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 150.0';
-  await playAll(rows, { leaseS: LEASE_S, nextLimits }, async (cluster, { during, between }) => {
-    await submitAll(cluster);
-    await until('the first job runs', () => cluster.tasks(FIRST).length > 0);
-    await during?.(cluster);
-    await until('the first job is done', () => cluster.rules.jobs.get(FIRST)!.completed.size === 3);
-    await between?.(cluster);
-    for (const [ref] of STAGES) await waitForStateEverywhere(cluster, ref, 'done');
-    assert.equal(cluster.state.tooLarge, 0, 'nothing is refused for its size');
-  });
+  await runScenarios(
+    rows,
+    { leaseS: LEASE_S, nextLimits },
+    async (cluster, { during, between }) => {
+      await submitAll(cluster);
+      await until('the first job runs', () => cluster.tasks(FIRST).length > 0);
+      await during?.(cluster);
+      await until(
+        'the first job is done',
+        () => cluster.rules.jobs.get(FIRST)!.completed.size === 3,
+      );
+      await between?.(cluster);
+      for (const [ref] of STAGES) await waitForStateEverywhere(cluster, ref, 'done');
+      assert.equal(cluster.store.tooLarge, 0, 'nothing is refused for its size');
+    },
+  );
 });
 
 test('each controller publishes the features of its version and reads those of the others, also after they stopped', async () => {
@@ -96,9 +103,9 @@
       cluster.indexes.every(known),
     );
     const entries = cluster.indexes.map((at) =>
-      cluster.state.keys.get(records.versionKey(`n-${at}`)),
+      cluster.store.keys.get(records.versionKey(`n-${at}`)),
     );
-    assert.ok(entries.every((entry) => entry !== undefined && entry.loan === undefined));
+    assert.ok(entries.every((entry) => entry !== undefined && entry.leaseId === undefined));
     // The records outlive their controllers: one that starts alone knows the versions of the others.
     for (const at of cluster.indexes) cluster.stopController(at);
     await cluster.startController(0);
@@ -108,7 +115,7 @@
   }
 });
 
-interface CancellationRow extends Row {
+interface CancellationRow extends ScenarioRow {
   job: string;
   /** Jobs that run long enough to be running when the cancellation arrives. */
   longJobs: string[];
@@ -127,7 +134,7 @@
     { name: 'the leader stops during the cancellation', job: FIRST, longJobs: [FIRST], during: stopLeader, cancelled: [FIRST, ...rest], done: [] },
     { name: 'an outage during the cancellation', job: SECOND, longJobs: [SECOND], during: outage, cancelled: [SECOND, LAST], done: [FIRST, GANG] },
   ]; // prettier-ignore
-  await playAll(rows, { leaseS: LEASE_S }, async (cluster, row) => {
+  await runScenarios(rows, { leaseS: LEASE_S }, async (cluster, row) => {
     await submitAll(cluster, row.longJobs);
     await until('the long job runs', () => cluster.tasks(row.longJobs[0]!).length > 0);
     const fault = row.during?.(cluster);
@@ -136,7 +143,7 @@
     await fault;
     for (const ref of row.cancelled) await waitForStateEverywhere(cluster, ref, 'cancelled');
     for (const ref of row.done) await waitForStateEverywhere(cluster, ref, 'done');
-    for (const ref of row.cancelled) await cluster.gone(ref);
+    for (const ref of row.cancelled) await cluster.waitForGone(ref);
     // A dependent job that is submitted afterwards is cancelled too.
     const late = 'wk-000105';
     await cluster.users.submit(at, late, { awaits: [row.cancelled.at(-1)!] });
--- a/test/cluster-users.test.ts
+++ b/test/cluster-users.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { JOBS, LEADER, PROGRESS } from '../src/store/records.js';
 import { until, wait } from './helpers.js';
-import { playAll, type Cluster, type Row } from './standins/cluster.js';
-import type { StateService } from './standins/state.js';
+import { runScenarios, type Cluster, type ScenarioRow } from './standins/cluster.js';
+import type { StoreServer } from './standins/state.js';
 import { submission } from './standins/users.js';
 
 const LEASE_S = 2;
@@ -36,7 +36,7 @@
   await cluster.users.submit(at, ref, {}, 60);
   await Promise.all([cluster.users.cancel((at + 1) % 3, ref), pollEverywhere(cluster, ref)]);
   await pollEverywhere(cluster, ref);
-  await cluster.gone(ref);
+  await cluster.waitForGone(ref);
 }
 
 /** Cancels the job as soon as its last task has ended. */
@@ -51,8 +51,8 @@
   await pollEverywhere(cluster, ref);
 }
 
-interface FaultRow extends Row {
-  injectFault(state: StateService): void;
+interface FaultRow extends ScenarioRow {
+  injectFault(state: StoreServer): void;
 }
 
 test('right after a job is accepted, ends or is cancelled, no controller gives an older answer', async () => {
@@ -61,35 +61,35 @@
   const doubled = { how: 'doubled', afterS: 0.3 } as const;
   const rows: FaultRow[] = [
     { name: 'no fault', injectFault: () => undefined },
-    { name: 'the key-value store is slow', injectFault: (store) => (store.slowMs = 30) },
+    { name: 'the key-value store is slow', injectFault: (store) => (store.answerDelayMs = 30) },
     {
       name: "answers to users' writes are lost",
-      injectFault: (store) => store.disturb(JOBS, lost, 6),
+      injectFault: (store) => store.injectFault(JOBS, lost, 6),
     },
     {
       name: 'answers to progress writes are lost',
-      injectFault: (store) => store.disturb(PROGRESS, lost, 6),
+      injectFault: (store) => store.injectFault(PROGRESS, lost, 6),
     },
     {
       name: "users' writes are stored late",
-      injectFault: (store) => store.disturb(JOBS, late, 6),
+      injectFault: (store) => store.injectFault(JOBS, late, 6),
     },
     {
       name: 'progress writes are stored late',
-      injectFault: (store) => store.disturb(PROGRESS, late, 6),
+      injectFault: (store) => store.injectFault(PROGRESS, late, 6),
     },
     {
       name: "users' writes are stored twice",
-      injectFault: (store) => store.disturb(JOBS, doubled),
+      injectFault: (store) => store.injectFault(JOBS, doubled),
     },
     {
       name: 'progress writes are stored twice',
-      injectFault: (store) => store.disturb(PROGRESS, doubled),
+      injectFault: (store) => store.injectFault(PROGRESS, doubled),
     },
   ];
-  await playAll(rows, { leaseS: LEASE_S }, async (cluster, { injectFault }) => {
-    await cluster.newLeader();
-    injectFault(cluster.state);
+  await runScenarios(rows, { leaseS: LEASE_S }, async (cluster, { injectFault }) => {
+    await cluster.waitForLeader();
+    injectFault(cluster.store);
     for (const [round, at] of cluster.indexes.entries()) {
       await Promise.all([
         submitUntilDone(cluster, at, `wk-00001${round}`),
@@ -98,33 +98,33 @@
       ]);
     }
     // A controller that reads the whole store anew reports the same states.
-    const returned = await cluster.endLeader();
+    const returned = await cluster.stopLeader();
     await cluster.startController(returned);
-    await cluster.newLeader();
+    await cluster.waitForLeader();
     for (const ref of cluster.rules.jobs.keys()) {
-      await cluster.users.sees(returned, ref, cluster.rules.jobs.get(ref)!.final!);
+      await cluster.users.waitForState(returned, ref, cluster.rules.jobs.get(ref)!.final!);
     }
   });
 });
 
 test('a cancellation stored after the end of the job, whose answers are lost, leaves the job done', async () => {
   const rows = [{ name: 'late cancellation' }];
-  await playAll(rows, { leaseS: LEASE_S }, async (cluster) => {
-    const { users, state } = cluster;
+  await runScenarios(rows, { leaseS: LEASE_S }, async (cluster) => {
+    const { users, store } = cluster;
     const ref = 'wk-000001';
     await users.submit(0, ref, {}, 0.3);
-    await cluster.runs(ref, 1);
-    state.disturb(JOBS, { how: 'late', afterS: 1.5 });
-    state.disturb(PROGRESS, { how: 'answer_lost' });
+    await cluster.waitForRunning(ref, 1);
+    store.injectFault(JOBS, { how: 'late', afterS: 1.5 });
+    store.injectFault(PROGRESS, { how: 'answer_lost' });
     const cancelling = users.cancelOnce(1, ref);
-    await users.sees(2, ref, 'done');
+    await users.waitForState(2, ref, 'done');
     await cancelling;
     // The late cancellation is stored by now; an end that was written again would be newer than it.
     await wait(2000);
-    state.settle();
-    const old = await cluster.endLeader();
+    store.clearFaults();
+    const old = await cluster.stopLeader();
     await cluster.startController(old);
-    await users.sees(old, ref, 'done');
+    await users.waitForState(old, ref, 'done');
     for (const at of cluster.indexes) assert.equal((await users.poll(at, ref)).state, 'done');
   });
 });
@@ -135,15 +135,15 @@
     { name: 'carried out twice', fate: { how: 'doubled', afterS: 0.2 } as const },
     { name: 'carried out late', fate: { how: 'late', afterS: 0.2 } as const },
   ];
-  await playAll(rows, { leaseS: LEASE_S }, async (cluster, { fate }) => {
+  await runScenarios(rows, { leaseS: LEASE_S }, async (cluster, { fate }) => {
     const ref = 'wk-000001';
     await cluster.users.submit(0, ref, { form: 'daemon', pieces: 2 });
-    await cluster.runs(ref, 2);
-    cluster.state.disturb(LEADER, fate, 2);
-    const old = await cluster.endLeader();
-    await cluster.newLeader(old);
-    await cluster.users.sees((old + 1) % 3, ref, 'running');
-    await cluster.runs(ref, 2);
+    await cluster.waitForRunning(ref, 2);
+    cluster.store.injectFault(LEADER, fate, 2);
+    const old = await cluster.stopLeader();
+    await cluster.waitForLeader(old);
+    await cluster.users.waitForState((old + 1) % 3, ref, 'running');
+    await cluster.waitForRunning(ref, 2);
     assert.equal(cluster.rules.starts.get(`${ref}/0`), 1);
   });
 });
--- a/test/cluster-warm-pools.test.ts
+++ b/test/cluster-warm-pools.test.ts
@@ -31,7 +31,7 @@
 function configureModelServers(cloud: Cloud, port: number): void {
   const block = addressBlocks++;
   const hostOf = (id: string): string => `127.1.${block}.${Number(id.split('-')[1])}`;
-  cloud.around.modelServers = { port, loadMs: () => LOAD_MS, hostOf };
+  cloud.fleetContext.modelServers = { port, loadMs: () => LOAD_MS, hostOf };
 }
 
 const REPLICAS = {
@@ -110,31 +110,31 @@
   },
   {
     name: 'the leader ends before anything is added',
-    injectFault: async (cluster) => void (await cluster.endLeader()),
+    injectFault: async (cluster) => void (await cluster.stopLeader()),
   },
   {
     name: 'the store refuses the leader alone, and later serves it again',
     async injectFault(cluster) {
       await until('a machine', () => cluster.workers.length > 0);
       const old = cluster.leader();
-      cluster.access[old]!.refuses = true;
-      await cluster.newLeader(old);
-      cluster.access[old]!.refuses = false;
+      cluster.storeAccess[old]!.refuses = true;
+      await cluster.waitForLeader(old);
+      cluster.storeAccess[old]!.refuses = false;
     },
   },
   {
     name: 'an outage of the key-value store while the model loads',
     async injectFault(cluster) {
       await until('a machine', () => cluster.workers.length > 0);
-      cluster.state.down = true;
+      cluster.store.down = true;
       await wait(1500);
-      cluster.state.down = false;
+      cluster.store.down = false;
     },
   },
   {
     name: 'answers of the key-value store are lost',
     injectFault(cluster) {
-      cluster.state.disturb('ps/x/', { how: 'answer_lost' }, 4);
+      cluster.store.injectFault('ps/x/', { how: 'answer_lost' }, 4);
       return Promise.resolve();
     },
   },
@@ -149,7 +149,7 @@
     try {
       configureModelServers(cluster.cloud, port);
       cluster.cloud.bootMs = 300;
-      await cluster.newLeader();
+      await cluster.waitForLeader();
       await row.injectFault(cluster);
       await until('warm', () => workersWithModel(cluster.workers).length === 1);
       await until('a leader', () => cluster.leader() >= 0);
@@ -159,7 +159,7 @@
         );
       });
       assert.ok(Date.now() < burstMs + 1000, 'in time');
-      assert.equal(cluster.cloud.counted, 1, 'added once');
+      assert.equal(cluster.cloud.rentedCount, 1, 'added once');
       await wait(burstMs - Date.now());
       const at = cluster.leader() < 0 ? 0 : cluster.leader();
       await cluster.users.submit(at, 'wk-000001', REPLICAS);
@@ -194,12 +194,12 @@
     const burstMs = burstIn(14);
     const file = features(burstMs, port);
     for (const index of cluster.indexes) cluster.start(index, undefined, file);
-    for (const index of cluster.indexes) await cluster.serves(index);
+    for (const index of cluster.indexes) await cluster.waitForReady(index);
     const workers = (): Worker[] => [...cluster.rules.workers.values()];
     await until('a machine', () => workers().length > 0);
-    const frozen = await cluster.newLeader();
+    const frozen = await cluster.waitForLeader();
     cluster.freeze(frozen);
-    const next = await cluster.newLeader(frozen);
+    const next = await cluster.waitForLeader(frozen);
     await until('warm', async () => {
       return (await cluster.ask(next, '/metrics'))?.warm_slots_warm === SLOTS;
     });
@@ -208,7 +208,7 @@
       return (await cluster.ask(frozen, '/metrics'))?.role === 'following';
     });
     await wait(LEASE_S * 500);
-    assert.equal(cluster.cloud.counted, 1, 'added once');
+    assert.equal(cluster.cloud.rentedCount, 1, 'added once');
     const [machine] = workers();
     assert.equal(machine!.modelServer!.models.get(MODEL)!.state, 'ready', 'nothing was unloaded');
     await cluster.users.submit(next, 'wk-000001', REPLICAS);
--- a/test/controller-stop.test.ts
+++ b/test/controller-stop.test.ts
@@ -9,7 +9,7 @@
 import { freePort, settingsText, wait } from './helpers.js';
 import { Cloud } from './standins/cloud.js';
 import { RuleChecker } from './standins/rules.js';
-import { StateAccess, StateService } from './standins/state.js';
+import { StoreAccess, StoreServer } from './standins/state.js';
 
 const LEASE_S = 0.5;
 
@@ -26,13 +26,13 @@
 }
 
 /** A key-value store that counts its requests. */
-class CountingStore extends StateService {
+class CountingStore extends StoreServer {
   requestCount = 0;
 
   /** Counts and handles a request. */
   override handle(
-    ...request: Parameters<StateService['handle']>
-  ): ReturnType<StateService['handle']> {
+    ...request: Parameters<StoreServer['handle']>
+  ): ReturnType<StoreServer['handle']> {
     this.requestCount++;
     return super.handle(...request);
   }
@@ -43,8 +43,8 @@
   const rules = new RuleChecker({ cancelS: 1, teams: new Map(), machineGpus: 8 });
   const cloud = new Cloud(rules, { leaseS: LEASE_S, gangPeerS: 1 });
   const state = new CountingStore();
-  state.slowMs = 40;
-  const access = new StateAccess(state);
+  state.answerDelayMs = 40;
+  const access = new StoreAccess(state);
   await Promise.all([cloud.listen(), access.listen()]);
   const ports = [{ bind: await freePort(), peer: await freePort() }];
   const text = settingsText(0, ports, cloud.port, access.port, LEASE_S);
--- a/test/frozen-controllers-random.test.ts
+++ b/test/frozen-controllers-random.test.ts
@@ -6,8 +6,8 @@
  */
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { anyOf, assertDays, type DayEvent } from './support/day-search.js';
-import { TIMES, TROUBLES, type Trouble } from './support/troubled-days.js';
+import { anyOf, assertScenarios, type TimedFault } from './support/scenario-search.js';
+import { TIMES, FAULTS, type Fault } from './support/fault-scenarios.js';
 
 const RUNS = Number(process.env.FREEZES_RUNS ?? 1200);
 const SEED = Number(process.env.FREEZES_SEED ?? 1);
@@ -22,7 +22,7 @@
 const freezeS = (leaseS: number, number: number): number =>
   leaseS * FREEZE_STEP_LEASES * (1 + Math.floor(number / CONTROLLERS));
 
-const FREEZES: Record<string, Trouble> = {
+const FREEZES: Record<string, Fault> = {
   'leader freeze': (world, number) => {
     const leader = world.leader ?? world.controllers[0]!;
     leader.frozenUntil = world.now + freezeS(world.times.leaseS, number);
@@ -33,7 +33,7 @@
   },
 };
 
-const OTHERS: Record<string, Trouble> = {
+const OTHERS: Record<string, Fault> = {
   'a controller is refused alone': (world, number) => {
     world.controllers[number % CONTROLLERS]!.ownStoreHealth = 'refused';
   },
@@ -44,10 +44,10 @@
   },
 };
 
-const ALL: Record<string, Trouble> = { ...TROUBLES, ...OTHERS, ...FREEZES };
+const ALL: Record<string, Fault> = { ...FAULTS, ...OTHERS, ...FREEZES };
 
-const event = (...names: string[]): fc.Arbitrary<DayEvent> => anyOf(names, MAX_EVENT_NUMBER);
-const anyEvents = (maxLength: number): fc.Arbitrary<DayEvent[]> =>
+const event = (...names: string[]): fc.Arbitrary<TimedFault> => anyOf(names, MAX_EVENT_NUMBER);
+const anyEvents = (maxLength: number): fc.Arbitrary<TimedFault[]> =>
   fc.array(event(...Object.keys(ALL)), { maxLength });
 
 /** A freeze together with a condition in which others may renew leases, and then a machine that is unreachable. */
@@ -75,7 +75,7 @@
 
 const events = fc.oneof(anyTroubles, frozenInOutage).map((parts) => parts.flat());
 
-const day = fc.record({
+const scenario = fc.record({
   times: fc.constantFrom(...TIMES),
   reportsNewToken: fc.boolean(),
   gpusMax: fc.constant(GPUS_MAX),
@@ -84,5 +84,5 @@
 
 // Guards against a leader that was frozen during an outage, and starts tasks that others have kept running.
 test('with random freezes and other faults no task is on two machines, and none outlives its cancellation', async () => {
-  await assertDays(day, ALL, { seed: SEED, runs: RUNS });
+  await assertScenarios(scenario, ALL, { seed: SEED, runs: RUNS });
 });
--- a/test/frozen-leader-renewals.test.ts
+++ b/test/frozen-leader-renewals.test.ts
@@ -6,7 +6,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { beginDay } from './support/troubled-days.js';
+import { startScenario } from './support/fault-scenarios.js';
 
 const TIMES = { reportS: 2.5, leaseS: 10, cancelS: 35 };
 /** TTL of the leader's key, see `Election`. */
@@ -23,14 +23,15 @@
 }
 
 async function play({ beginS, freezeS, outageS, silentMachine }: ShortFreeze): Promise<string[]> {
-  const world = await beginDay({ times: TIMES, reportsNewToken: false, events: [] });
+  const world = await startScenario({ times: TIMES, reportsNewToken: false, events: [] });
   await world.runUntil(world.now + beginS);
   const beginAt = world.now;
   world.leader!.frozenUntil = beginAt + freezeS;
   world.storeOutage = true;
   await world.runUntil(beginAt + outageS);
   world.storeOutage = false;
-  for (const worker of world.fleet.workers.values()) worker.mute = worker.id === silentMachine;
+  for (const worker of world.fleet.workers.values())
+    worker.heartbeatsLost = worker.id === silentMachine;
   await world.runUntil(beginAt + 2 * TIMES.leaseS);
   return world.fleet.violations;
 }
@@ -41,8 +42,8 @@
       for (const outageShare of [0.6, 0.8, 0.9]) {
         const freezeS = 0.95 * LEADER_TTL_S;
         const outageS = outageShare * LEADER_TTL_S;
-        const day = { beginS, freezeS, outageS, silentMachine };
-        assert.deepEqual(await play(day), [], JSON.stringify(day));
+        const scenario = { beginS, freezeS, outageS, silentMachine };
+        assert.deepEqual(await play(scenario), [], JSON.stringify(scenario));
       }
     }
   }
@@ -52,7 +53,7 @@
 // from it, have renewed.
 test('a leader that is cut off from refused controllers counts no lease as expired that they renewed', async () => {
   for (let beginS = 0; beginS < TIMES.reportS; beginS += TIMES.reportS / 5) {
-    const world = await beginDay({ times: TIMES, reportsNewToken: false, events: [] });
+    const world = await startScenario({ times: TIMES, reportsNewToken: false, events: [] });
     await world.runUntil(world.now + beginS);
     const leader = world.leader!;
     leader.peersReachable = false;
--- a/test/frozen-leader.test.ts
+++ b/test/frozen-leader.test.ts
@@ -8,15 +8,15 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { TROUBLES, beginDay } from './support/troubled-days.js';
+import { FAULTS, startScenario } from './support/fault-scenarios.js';
 
 const TIMES = { reportS: 1, leaseS: 10, cancelS: 30 };
 const STEP_S = 0.5;
 
 test('a leader that was frozen across an outage counts no lease as expired that others renewed', async () => {
-  const world = await beginDay({ times: TIMES, reportsNewToken: false, events: [] });
-  const play = async (trouble: string, steps: number, number = 0): Promise<void> => {
-    TROUBLES[trouble]!(world, number);
+  const world = await startScenario({ times: TIMES, reportsNewToken: false, events: [] });
+  const play = async (fault: string, steps: number, number = 0): Promise<void> => {
+    FAULTS[fault]!(world, number);
     for (let i = 0; i < steps; i++) await world.runUntil(world.now + STEP_S);
   };
   await play('leader freeze', 1, 5);
--- a/test/heartbeat-bytes.test.ts
+++ b/test/heartbeat-bytes.test.ts
@@ -12,7 +12,7 @@
 import { decodeHeartbeat, type Heartbeat } from '../src/wire/workers.js';
 import { settings } from './helpers.js';
 import { LeaderWorld } from './support/leader-world.js';
-import { fake, type Partially } from './support/fake.js';
+import { fake, type DeepPartial } from './support/fake.js';
 
 const bodyOf = (token: number, tally: number | string, machine = 'm'): string =>
   `{"bench":"${machine}","addr":"127.0.0.1:1","casting":"g8","yard":"z1","loaner":true,"shift":1,` +
@@ -34,7 +34,7 @@
 
 /** The heartbeat handler of a follower that knows the leader, or of the leader itself. */
 function makeHandler(
-  over: Partially<HandlerOptions>,
+  over: DeepPartial<HandlerOptions>,
   ask: Ask = () => Promise.resolve(null),
 ): HeartbeatHandler {
   return new HeartbeatHandler(
--- a/test/large-term.test.ts
+++ b/test/large-term.test.ts
@@ -8,7 +8,7 @@
 import { freePort, g8, settingsText, spec, until, wait } from './helpers.js';
 import { Cloud, MACHINE_GPUS } from './standins/cloud.js';
 import { RuleChecker } from './standins/rules.js';
-import { StateService } from './standins/state.js';
+import { StoreServer } from './standins/state.js';
 
 /** More than any deployment has: there must be no fixed limit below this. */
 const MACHINES = 5000;
@@ -20,16 +20,16 @@
 const CONCURRENT_HEARTBEATS = 50;
 
 test('a term begins with thousands of machines and tens of thousands of running tasks, and knows all of these', async () => {
-  const state = new StateService();
+  const state = new StoreServer();
   const teams = new Map<string, number>();
   const rules = new RuleChecker({ cancelS: 60, teams, machineGpus: MACHINE_GPUS });
   const cloud = new Cloud(rules, { leaseS: 60, gangPeerS: 1 });
-  state.page = 1000;
+  state.pageSize = 1000;
   await state.listen();
   await cloud.listen();
   const put = (key: string, data: unknown): void => {
     const value = JSON.parse(JSON.stringify(data)) as unknown;
-    state.keys.set(key, { value, mark: ++state.ledger, loan: undefined });
+    state.keys.set(key, { value, revision: ++state.revision, leaseId: undefined });
   };
   put(records.MACHINE_TYPES, records.encodeMachineTypes([g8]));
   const id = (i: number): string => `wk-${String(i).padStart(6, '0')}`;
--- a/test/late-starts-random.test.ts
+++ b/test/late-starts-random.test.ts
@@ -8,8 +8,8 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import type { ControlPlaneWorld } from './support/control-plane-world.js';
-import { anyOf, assertDays, type DayEvent } from './support/day-search.js';
-import { TIMES, TROUBLES, type Trouble } from './support/troubled-days.js';
+import { anyOf, assertScenarios, type TimedFault } from './support/scenario-search.js';
+import { TIMES, FAULTS, type Fault } from './support/fault-scenarios.js';
 
 const RUNS = Number(process.env.LATE_STARTS_RUNS ?? 600);
 const SEED = Number(process.env.LATE_STARTS_SEED ?? 51);
@@ -21,10 +21,10 @@
 }
 
 /** Faults that lead to delayed starts, in addition to those for renewals. */
-const START_TROUBLES: Record<string, Trouble> = {
+const START_TROUBLES: Record<string, Fault> = {
   'a job arrives': acceptJob,
   'a job arrives, and its starts are held back': (world) => {
-    world.holdsDirectCommands = true;
+    world.delaysDirectCommands = true;
     acceptJob(world);
   },
   'the newest job is cancelled': (world) => world.cancel(world.accepted.at(-1)!),
@@ -36,12 +36,12 @@
   },
 };
 
-const ALL_TROUBLES: Record<string, Trouble> = { ...TROUBLES, ...START_TROUBLES };
+const ALL_FAULTS: Record<string, Fault> = { ...FAULTS, ...START_TROUBLES };
 
 /** One of these events, and some time after it. */
-const event = (...names: string[]): fc.Arbitrary<DayEvent> => anyOf(names);
+const event = (...names: string[]): fc.Arbitrary<TimedFault> => anyOf(names);
 
-const anyEvent = event(...Object.keys(ALL_TROUBLES));
+const anyEvent = event(...Object.keys(ALL_FAULTS));
 
 /** Most starts are answered before any fault affects them, so each sequence of events contains one that is held back. */
 const events = fc
@@ -56,8 +56,12 @@
   )
   .map((parts) => parts.flat());
 
-const day = fc.record({ times: fc.constantFrom(...TIMES), reportsNewToken: fc.boolean(), events });
+const scenario = fc.record({
+  times: fc.constantFrom(...TIMES),
+  reportsNewToken: fc.boolean(),
+  events,
+});
 
 test('random faults with delayed starts: no start is carried out once its cancelled task must be gone', async () => {
-  await assertDays(day, ALL_TROUBLES, { seed: SEED, runs: RUNS });
+  await assertScenarios(scenario, ALL_FAULTS, { seed: SEED, runs: RUNS });
 });
--- a/test/late-starts.test.ts
+++ b/test/late-starts.test.ts
@@ -31,14 +31,14 @@
 /** n-2 leads. A task runs, and the direct start of another job's task to the same machine is held back. */
 async function holdBackStart(): Promise<HeldBackStart> {
   const world = new ControlPlaneWorld(INCIDENT_TIMES);
-  for (const controller of world.controllers) controller.stands = controller.node === 'n-2';
+  for (const controller of world.controllers) controller.isCandidate = controller.node === 'n-2';
   await world.runUntil(1);
   const worker = world.fleet.add(MACHINE);
   await world.exchangeHeartbeat(worker, 'n-0');
   world.submitJob({ id: JOB, kind: 'service' });
   const held: HeldBackStart = { world, worker, node: 'n-0' };
   await heartbeats(held, 10);
-  world.holdsDirectCommands = true;
+  world.delaysDirectCommands = true;
   world.submitJob({ id: OTHER_JOB });
   await world.runUntil(world.now + 0.5);
   assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), undefined, 'not delivered yet');
@@ -58,7 +58,7 @@
 async function cancel({ world }: HeldBackStart): Promise<void> {
   world.cancel(OTHER_JOB);
   await world.runUntil(world.now + 0.25);
-  assert.ok(world.toldAt.has(OTHER_JOB));
+  assert.ok(world.confirmedAt.has(OTHER_JOB));
 }
 
 /** What happens until the start arrives, the cancellation included; the machine's lease is renewed throughout. */
@@ -113,7 +113,7 @@
   'a successor renews': async (held) => {
     await cancel(held);
     held.world.controller('n-2').kill();
-    held.world.controller('n-1').stands = true;
+    held.world.controller('n-1').isCandidate = true;
   },
 };
 
@@ -126,7 +126,7 @@
     await heartbeats(held, world.times.cancelS + world.times.reportS);
     assert.ok(worker.agentEpoch > before || worker.answeredAt === world.now, `${name}: renewed`);
     assert.deepEqual(world.lateStarts(), [], name);
-    world.deliverHeldBack();
+    world.deliverDelayedCommands();
     assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), undefined, `${name}: must not start`);
     assert.deepEqual(world.fleet.violations, [], name);
   }
@@ -174,10 +174,10 @@
     if (leaderEnds) {
       world.controller('n-2').kill();
       await heartbeats(held, world.times.leaseS);
-      world.controller('n-1').stands = true;
+      world.controller('n-1').isCandidate = true;
     }
     world.storeOutage = false;
-    world.holdsDirectCommands = false;
+    world.delaysDirectCommands = false;
     await heartbeats(held, world.times.leaseS);
     assert.equal(worker.running(JOB).length, 1);
     world.submitJob({ id: 'wk-000003' });
@@ -185,7 +185,7 @@
     assert.equal(worker.running('wk-000003').length, 1, 'new work starts there');
     const record = records.decodeMachine(world.store.value(records.machineKey(MACHINE)));
     assert.ok(!record.claims.some(({ job }) => job === OTHER_JOB), 'its claim is withdrawn');
-    world.deliverHeldBack();
+    world.deliverDelayedCommands();
     assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), undefined);
   }
 });
@@ -203,7 +203,7 @@
 async function claimBeforeOutage(): Promise<LateClaim> {
   const held = await holdBackStart();
   const { world } = held;
-  world.deliverHeldBack();
+  world.deliverDelayedCommands();
   await heartbeats(held, world.times.leaseS);
   const late = 'wk-000004';
   const leader = world.controller('n-2');
@@ -214,7 +214,7 @@
   world.cancel(late);
   // The others run before the leader: they read the cancellation, but no longer the claim.
   await world.runUntil(world.now + world.times.reportS / 10);
-  assert.ok(world.toldAt.has(late));
+  assert.ok(world.confirmedAt.has(late));
   world.storeOutage = true;
   const claims = records.decodeMachine(world.store.value(records.machineKey(MACHINE))).claims;
   assert.ok(
@@ -228,7 +228,7 @@
 test('a start whose claim was stored just before an outage is refused after its leader has ended', async () => {
   const held = await claimBeforeOutage();
   const { world, worker, leader } = held;
-  world.holdsDirectCommands = true;
+  world.delaysDirectCommands = true;
   await leader.step();
   leader.kill();
   await heartbeats(held, world.times.cancelS + world.times.reportS);
@@ -239,7 +239,7 @@
 // A controller that confirms the outage to the leader must also name cancelled jobs that have no task in its own replica.
 test('a leader that claims a cancelled task just before an outage is informed of the cancellation', async () => {
   const { world, worker, late, leader } = await claimBeforeOutage();
-  world.holdsDirectCommands = false;
+  world.delaysDirectCommands = false;
   leader.peersReachable = true;
   await heartbeats({ world, worker, node: 'n-0' }, world.times.cancelS + world.times.reportS);
   assert.equal(worker.answeredAt, world.now, 'its lease is renewed');
--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -7,7 +7,7 @@
 import type { ControllerHealth } from '../src/peers/messages.js';
 import { ANSWER_WAIT_S } from '../src/wire/workers.js';
 import { wait } from './helpers.js';
-import { playAll } from './standins/cluster.js';
+import { runScenarios } from './standins/cluster.js';
 import { fake } from './support/fake.js';
 
 const LEASE_S = 10;
@@ -241,18 +241,18 @@
 
 test('transferred leadership goes to another controller, and running tasks continue', async () => {
   const rows = [{ name: 'once' }];
-  await playAll(rows, { leaseS: 3, cancelS: 6 }, async (cluster) => {
+  await runScenarios(rows, { leaseS: 3, cancelS: 6 }, async (cluster) => {
     await cluster.users.submit(0, 'wk-000001', { form: 'daemon', pieces: 3 });
-    await cluster.runs('wk-000001', 3);
-    const old = await cluster.newLeader();
+    await cluster.waitForRunning('wk-000001', 3);
+    const old = await cluster.waitForLeader();
     const began = Date.now();
     await cluster.controllers[old]!.election.stepDown();
     assert.equal(cluster.leads(old), false);
-    await cluster.newLeader(old);
+    await cluster.waitForLeader(old);
     // If the leader did not delete its key, the others would wait for the key's lease, 0.3 of a worker's lease.
     assert.ok(Date.now() - began < 3 * 0.3 * 1000, 'without waiting for the lease');
     await wait(3000);
-    await cluster.runs('wk-000001', 3);
+    await cluster.waitForRunning('wk-000001', 3);
     for (let i = 0; i < 3; i++) assert.equal(cluster.rules.starts.get(`wk-000001/${i}`), 1);
   });
 });
--- a/test/lending-failures.test.ts
+++ b/test/lending-failures.test.ts
@@ -155,29 +155,29 @@
   {
     name: 'heartbeats of the machine are lost for less than a lease',
     async inject(world) {
-      world.lentMachine.mute = true;
+      world.lentMachine.heartbeatsLost = true;
       await world.run(1.2);
-      world.lentMachine.mute = false;
+      world.lentMachine.heartbeatsLost = false;
     },
     allowedLatenessS: 2,
   },
   {
     name: 'heartbeats of the machine are lost for longer than a lease',
     async inject(world) {
-      world.lentMachine.mute = true;
+      world.lentMachine.heartbeatsLost = true;
       await world.run(5);
-      world.lentMachine.mute = false;
+      world.lentMachine.heartbeatsLost = false;
     },
     allowedLatenessS: 8,
   },
   {
     name: 'messages to the machine are lost for longer than a lease, and the leader ends',
     async inject(world) {
-      world.lentMachine.deaf = true;
+      world.lentMachine.inboundLost = true;
       await world.run(1);
       world.failOver();
       await world.run(4);
-      world.lentMachine.deaf = false;
+      world.lentMachine.inboundLost = false;
     },
     allowedLatenessS: 8,
   },
--- a/test/lending-random.test.ts
+++ b/test/lending-random.test.ts
@@ -38,8 +38,8 @@
   world.store.deliverHeldBack();
   world.batch.saving = 'works';
   for (const worker of world.fleet.workers.values()) {
-    worker.mute = false;
-    worker.deaf = false;
+    worker.heartbeatsLost = false;
+    worker.inboundLost = false;
   }
 }
 
@@ -107,8 +107,8 @@
     if (world.canWrite) world.store.mode = 'hold back';
   },
   'all is well': clearFaults,
-  'a machine is mute': (run, number) => void (machineFor(run, number).mute = true),
-  'a machine is deaf': (run, number) => void (machineFor(run, number).deaf = true),
+  'a machine is mute': (run, number) => void (machineFor(run, number).heartbeatsLost = true),
+  'a machine is deaf': (run, number) => void (machineFor(run, number).inboundLost = true),
   'a machine dies, another one comes': (run, number) => {
     const { world } = run;
     if (world.batch.removedAt.size >= 3) return;
--- a/test/lending-scenario.ts
+++ b/test/lending-scenario.ts
@@ -85,7 +85,7 @@
       await this.start();
       await this.submitBatch();
       await wait(SPIKE_AFTER_S * 1000);
-      const before = cluster.state.ledger;
+      const before = cluster.store.revision;
       const firstAnswerS = await this.spike();
       const frozenLeader = await this.injectFault();
       await wait(SPIKE_S * 1000);
@@ -94,7 +94,7 @@
       await until('all batch work is done', () => this.doneAt.size === 2, 60);
       await wait(LEASE_S * 500);
       const loans = await this.loans();
-      const writes = cluster.state.ledger - before;
+      const writes = cluster.store.revision - before;
       await beforeClose();
       return { ...this.outcome(), firstAnswerS, returnS, writes, loans };
     } finally {
@@ -106,13 +106,13 @@
   private async start(): Promise<void> {
     const { cluster, options } = this;
     await cluster.listen();
-    cluster.cloud.most = 1;
+    cluster.cloud.maxMachines = 1;
     const features = options.lending ? '[lending]\n' : '';
     for (const index of cluster.indexes) cluster.start(index, undefined, features);
-    for (const index of cluster.indexes) await cluster.serves(index);
+    for (const index of cluster.indexes) await cluster.waitForReady(index);
     this.timer = setInterval(() => this.sample(), SAMPLE_MS);
     const shape = { form: 'daemon', rank: 'critical', gpus: 4, cores: 1 };
-    await cluster.users.submit(await cluster.newLeader(), BASE, shape);
+    await cluster.users.submit(await cluster.waitForLeader(), BASE, shape);
     await until('the base service runs', () => this.runs(BASE));
   }
 
@@ -132,7 +132,7 @@
   private async spike(): Promise<number> {
     const began = Date.now();
     const shape = { form: 'daemon', rank: 'critical', gpus: 2, cores: 1 };
-    await this.cluster.users.submit(await this.cluster.newLeader(), SPIKE, shape);
+    await this.cluster.users.submit(await this.cluster.waitForLeader(), SPIKE, shape);
     await until('the replica of the spike runs', () => this.runs(SPIKE));
     return (Date.now() - began) / 1000;
   }
@@ -141,19 +141,19 @@
   private async injectFault(): Promise<number | null> {
     const { cluster, options } = this;
     if (options.leaderFault === 'none') return null;
-    const leader = await cluster.newLeader();
+    const leader = await cluster.waitForLeader();
     if (options.leaderFault === 'killed') {
-      await cluster.end(leader);
+      await cluster.kill(leader);
       return null;
     }
     cluster.freeze(leader);
-    await cluster.newLeader(leader);
+    await cluster.waitForLeader(leader);
     return leader;
   }
 
   private async endSpike(): Promise<number> {
     const { cluster } = this;
-    await cluster.users.cancel(await cluster.newLeader(), SPIKE);
+    await cluster.users.cancel(await cluster.waitForLeader(), SPIKE);
     const began = Date.now();
     const isBack = (ref: string): boolean => this.doneAt.has(ref) || this.runs(ref);
     await until('batch work runs again', () => isBack(TIGHT) && isBack(PATIENT), 60);
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -8,7 +8,7 @@
 import type { ReplicaSync } from '../src/store/replica-sync.js';
 import * as records from '../src/store/records.js';
 import { MemoryStore } from './support/memory-store.js';
-import { fake, type Partially } from './support/fake.js';
+import { fake, type DeepPartial } from './support/fake.js';
 
 /** Short, because the pauses between steps take real time. */
 const LEASE_S = 0.5;
@@ -37,7 +37,7 @@
     healthierCanCampaign: () => boolean = () => false,
   ) {
     const replica = store.listedReplica();
-    const follower: Partially<ReplicaSync> = {
+    const follower: DeepPartial<ReplicaSync> = {
       ready: true,
       freshAt: -Infinity,
       sync: (): Promise<boolean> => sync(),
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -106,18 +106,18 @@
 });
 
 test('tasks on machines without contact to the new leader are not started elsewhere for a lease', async () => {
-  type Trouble = (worker: Worker) => void;
-  const cases: [string, Trouble, Trouble][] = [
-    ['heartbeats lost', (worker) => (worker.mute = true), () => undefined],
+  type WorkerFault = (worker: Worker) => void;
+  const cases: [string, WorkerFault, WorkerFault][] = [
+    ['heartbeats lost', (worker) => (worker.heartbeatsLost = true), () => undefined],
     [
       'heartbeats lost, then delivered',
-      (worker) => (worker.mute = true),
-      (worker) => (worker.mute = false),
+      (worker) => (worker.heartbeatsLost = true),
+      (worker) => (worker.heartbeatsLost = false),
     ],
     [
       'answers lost, then delivered',
-      (worker) => (worker.deaf = true),
-      (worker) => (worker.deaf = false),
+      (worker) => (worker.inboundLost = true),
+      (worker) => (worker.inboundLost = false),
     ],
   ];
   for (const [name, begin, end] of cases) {
@@ -199,7 +199,7 @@
     const [on] = [...world.fleet.workers.values()].filter(
       (worker) => worker.running(JOB).length > 0,
     );
-    on!.mute = true;
+    on!.heartbeatsLost = true;
     world.zoneRenewal = { renewedUntil, provenUntil };
     // The zone lease holder renews its lease.
     if (!lost) on!.answeredAt = Infinity;
@@ -262,7 +262,7 @@
     await world.run(1);
     const [worker, other] = [world.fleet.workers.get('a')!, world.fleet.workers.get('b')!];
     assert.deepEqual([worker.running(JOB).length, other.running(JOB).length], [1, 1]);
-    other.mute = true;
+    other.heartbeatsLost = true;
     world.cancel(JOB);
     if (change) world.failOver();
     world.submitJob({ id: OTHER, tasks: 2 });
@@ -288,7 +288,7 @@
     assert.ok(home !== undefined, kind);
     const away = [...world.fleet.workers.values()].find((worker) => worker !== home)!;
     assert.equal(away.running(JOB).length, 0, `${kind}: the third waits for capacity`);
-    home.mute = true;
+    home.heartbeatsLost = true;
     world.failOver();
     await world.run(world.settings.workers.lease_s * 0.9);
     assert.equal(away.running(JOB).length, 0, kind);
--- a/test/meeting-leases.test.ts
+++ b/test/meeting-leases.test.ts
@@ -65,7 +65,7 @@
   const world = new LeaderWorld();
   const worker = world.fleet.add('a');
   await world.run(1);
-  worker.mute = true;
+  worker.heartbeatsLost = true;
   for (let i = 0; i < 8; i++) {
     world.fleet.now += world.settings.workers.report_s;
     world.machine('a').applyHeartbeat(worker.heartbeat(), 'direct-answer', world.now);
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -82,8 +82,8 @@
     if (this.chance(0.05) && this.jobs.size > 0) this.cancel(this.pick([...this.jobs.keys()]));
     if (this.chance(0.02)) world.failOver();
     const worker = this.pick([...world.fleet.workers.values()]);
-    if (this.chance(0.02)) worker.deaf = !worker.deaf;
-    if (this.chance(0.02)) worker.mute = !worker.mute;
+    if (this.chance(0.02)) worker.inboundLost = !worker.inboundLost;
+    if (this.chance(0.02)) worker.heartbeatsLost = !worker.heartbeatsLost;
     const live = [...world.term.jobs.values()].filter((job) => job.activeAttemptCount > 0);
     if (this.chance(0.01) && live.length > 0) {
       const job = this.pick(live);
@@ -145,7 +145,7 @@
     const { agentEpoch } = machine;
     const { token } = world;
     machine.markSent(commands, 'direct', world.now);
-    const delivery = worker.deaf ? 'lost' : hasFaults ? this.random() : 'answered';
+    const delivery = worker.inboundLost ? 'lost' : hasFaults ? this.random() : 'answered';
     if (delivery === 'lost' || Number(delivery) > 0.85) {
       machine.applyDirectOutcome(commands, 'unknown', agentEpoch, world.now);
     } else if (Number(delivery) > 0.7) {
@@ -201,7 +201,8 @@
 
   /** Ends the loss of messages between workers and leader. */
   clearFaults(): void {
-    for (const worker of this.world.fleet.workers.values()) worker.deaf = worker.mute = false;
+    for (const worker of this.world.fleet.workers.values())
+      worker.inboundLost = worker.heartbeatsLost = false;
   }
 
   /** Jobs that are not in their expected state at the end. */
--- a/test/quorum-acknowledgement.test.ts
+++ b/test/quorum-acknowledgement.test.ts
@@ -38,18 +38,18 @@
 test('two controllers that are each refused alone cause no task to run twice while a third one is served', async () => {
   const ref = 'wk-000001';
   await cluster.users.submit(0, ref, { form: 'daemon', pieces: 2 });
-  await cluster.runs(ref, 2);
+  await cluster.waitForRunning(ref, 2);
 
   // The leader and another controller are refused, each one alone, and cut off from the one that is served.
   // The present machines reach only those two.
-  const old = await cluster.newLeader();
+  const old = await cluster.waitForLeader();
   const served = (old + 1) % 3;
   const third = (old + 2) % 3;
   cluster.cutLinks(true, served);
-  for (const at of [old, third]) cluster.access[at]!.refuses = true;
+  for (const at of [old, third]) cluster.storeAccess[at]!.refuses = true;
   for (const worker of cluster.workers) worker.unreachable.add(served);
   // New machines reach only the one that is served.
-  cluster.cloud.around.unreachable = [old, third];
+  cluster.cloud.fleetContext.unreachable = [old, third];
   await until('the served controller leads', () => cluster.leads(served));
   // Guards against a leader that counts the leases as expired after this time, and starts running tasks again.
   await wait(LEASE_S * 1000 * 2.5);
@@ -59,22 +59,22 @@
 
   cluster.cutLinks(false, served);
   await until('the old leader has stopped leading', () => !cluster.leads(old));
-  for (const access of cluster.access) access.refuses = false;
-  cluster.cloud.around.unreachable = [];
+  for (const access of cluster.storeAccess) access.refuses = false;
+  cluster.cloud.fleetContext.unreachable = [];
   for (const worker of cluster.workers) worker.unreachable.clear();
-  await cluster.newLeader();
-  await cluster.runs(ref, 2);
+  await cluster.waitForLeader();
+  await cluster.waitForRunning(ref, 2);
   cluster.assertRules();
 });
 
 test('without the peer link a new leader is acknowledged through the store', async () => {
   cluster.cutLinks(true, ...cluster.indexes);
-  const old = await cluster.newLeader();
+  const old = await cluster.waitForLeader();
   cluster.stopController(old);
-  await cluster.newLeader(old);
+  await cluster.waitForLeader(old);
   await until('acknowledged in the store', () => {
     const token = cluster.controllers[cluster.leader()]?.election.token ?? 0;
-    return [...cluster.state.keys].some(
+    return [...cluster.store.keys].some(
       ([key, entry]) =>
         key.startsWith(ACKNOWLEDGEMENTS) && (entry.value as { t: number }).t === token,
     );
--- a/test/renewals-at-size.test.ts
+++ b/test/renewals-at-size.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ControlPlaneWorld, INCIDENT_TIMES } from './support/control-plane-world.js';
-import { ReportLoop } from './support/report-loop.js';
+import { HeartbeatLoop } from './support/heartbeat-loop.js';
 
 const MACHINES = Number(process.env.RENEWALS_MACHINES ?? 200);
 const TASKS_PER_JOB = 8;
@@ -23,7 +23,7 @@
   const { reportS } = world.times;
   for (let i = 0; i < MACHINES; i++) {
     const worker = world.fleet.add(`host-${String(i).padStart(6, '0')}`);
-    world.reportLoops.push(new ReportLoop(world, worker, { reportsNewToken: false }, i % 3));
+    world.heartbeatLoops.push(new HeartbeatLoop(world, worker, { reportsNewToken: false }, i % 3));
   }
   await world.runUntil(reportS);
   const shape = { kind: 'service', gpus: GPUS_PER_TASK, cores: 1, tasks: TASKS_PER_JOB } as const;
@@ -43,7 +43,7 @@
   const cancelledAt = world.now;
   let lastGoneAt = cancelledAt;
   const isCancelledTaskRunning = (): boolean =>
-    [...world.toldAt.keys()].some((id) => world.fleet.running(id) > 0);
+    [...world.confirmedAt.keys()].some((id) => world.fleet.running(id) > 0);
   for (let term = 0; term < TERMS; term++) {
     const endsAt = world.now + world.times.leaseS * TERM_LEASES;
     while (world.now < endsAt) {
@@ -60,7 +60,7 @@
     world.omittedStops.filter(({ readByAll }) => readByAll),
     [],
   );
-  assert.equal(world.toldAt.size, Math.ceil(JOBS / 2), 'all users were told');
+  assert.equal(world.confirmedAt.size, Math.ceil(JOBS / 2), 'all users were told');
   assert.deepEqual(world.fleet.violations, []);
   const afterS = lastGoneAt - cancelledAt;
   assert.ok(
--- a/test/renewals-of-cancelled.test.ts
+++ b/test/renewals-of-cancelled.test.ts
@@ -31,7 +31,7 @@
 
 /** From now on, only this controller is a candidate in elections. */
 function makeOnlyCandidate(world: ControlPlaneWorld, node: string): void {
-  for (const controller of world.controllers) controller.stands = controller.node === node;
+  for (const controller of world.controllers) controller.isCandidate = controller.node === node;
 }
 
 /** Starts a service on a machine. n-2 leads with a token that the machine has shown. */
@@ -57,7 +57,7 @@
   await world.runUntil(25.4);
   world.cancel(JOB);
   await world.runUntil(26);
-  assert.ok(world.toldAt.has(JOB), 'two of three controllers have recorded it');
+  assert.ok(world.confirmedAt.has(JOB), 'two of three controllers have recorded it');
 }
 
 interface Term {
@@ -103,7 +103,7 @@
   const { world, worker } = await startService();
   await cancelAfterLeaderKilled(world);
   for (const term of TERMS) await runTerm(world, worker, term);
-  await world.runUntil(world.toldAt.get(JOB)! + world.times.cancelS + 0.25);
+  await world.runUntil(world.confirmedAt.get(JOB)! + world.times.cancelS + 0.25);
   assert.deepEqual(world.overdueTasks(), []);
   assert.deepEqual(world.omittedStops, [], 'every renewal carries the stop');
 });
@@ -140,11 +140,11 @@
     [
       'the first stop is sent directly and lost: the next answer repeats it',
       async (world, worker) => {
-        worker.deaf = true;
+        worker.inboundLost = true;
         await world.runUntil(25.4);
         world.cancel(JOB);
         await world.runUntil(26);
-        worker.deaf = false;
+        worker.inboundLost = false;
         await exchangeAt(world, worker, [26.5]);
       },
     ],
@@ -172,7 +172,7 @@
     const { world, worker } = await startService();
     await play(world, worker);
     assert.equal(world.fleet.running(JOB), 0, name);
-    assert.ok(world.toldAt.has(JOB), name);
+    assert.ok(world.confirmedAt.has(JOB), name);
   }
 });
 
@@ -181,11 +181,11 @@
 
 /** Cancels the job until this is confirmed to its user. Direct commands are held back: only a renewal can stop the tasks. */
 async function cancelWithoutDirect(world: ControlPlaneWorld): Promise<void> {
-  world.holdsDirectCommands = true;
+  world.delaysDirectCommands = true;
   await world.runUntil(25.4);
   world.cancel(JOB);
   await world.runUntil(26);
-  assert.ok(world.toldAt.has(JOB));
+  assert.ok(world.confirmedAt.has(JOB));
 }
 
 type Renewal = (world: ControlPlaneWorld, worker: Worker) => Promise<void>;
@@ -214,7 +214,7 @@
     await exchangeAt(world, worker, [26.5]);
   },
   'a machine that is fenced anew within a term': async (world, worker) => {
-    world.holdsDirectCommands = true;
+    world.delaysDirectCommands = true;
     world.submitJob({ id: OTHER_JOB });
     await world.runUntil(25);
     world.cancel(OTHER_JOB);
@@ -240,14 +240,14 @@
     await world.exchangeHeartbeat(worker, 'n-0', heartbeat);
   },
   'a start of the former leader that arrives before the answer': async (world, worker) => {
-    world.holdsDirectCommands = true;
+    world.delaysDirectCommands = true;
     world.submitJob({ id: OTHER_JOB });
     await world.runUntil(25);
     assert.equal(world.fleet.running(OTHER_JOB), 0, 'its start is in flight');
     world.cancel(OTHER_JOB);
     await cancelAfterLeaderKilled(world);
     makeOnlyCandidate(world, 'n-1');
-    world.deliverBeforeAnswer = () => world.deliverHeldBack();
+    world.deliverBeforeAnswer = () => world.deliverDelayedCommands();
     await exchangeAt(world, worker, [29]);
     assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), 1, 'it arrived');
   },
@@ -279,7 +279,7 @@
     world.controller('n-1').ownStoreHealth = 'refused';
     world.cancel(JOB);
     await world.runUntil(29.5);
-    assert.ok(world.toldAt.has(JOB));
+    assert.ok(world.confirmedAt.has(JOB));
     assert.equal(world.controller('n-1').knowsCancelled(JOB), false);
     await exchangeAt(world, worker, [30]);
   },
@@ -301,7 +301,7 @@
     await renew(world, worker);
     assert.equal(worker.answeredAt, world.now, `${name}: renewed`);
     assert.equal(world.fleet.running(JOB), 0, name);
-    for (const id of world.toldAt.keys())
+    for (const id of world.confirmedAt.keys())
       assert.equal(world.fleet.running(id), 0, `${name}: ${id}`);
     assert.deepEqual(world.omittedStops, [], name);
   }
@@ -334,8 +334,8 @@
 test('cancelled tasks that still run after their time are logged, across terms, and counted', async () => {
   const { world, worker } = await startService();
   // The machine sends no heartbeat, and no term is long enough for its lease to count as expired.
-  worker.mute = true;
-  world.holdsDirectCommands = true;
+  worker.heartbeatsLost = true;
+  world.delaysDirectCommands = true;
   world.cancel(JOB);
   const warnings = (): Record<string, unknown>[] =>
     world.logLines.filter(({ msg }) => msg === 'cancelled task outlasts its cancellation');
@@ -368,18 +368,18 @@
  */
 test('a direct start that is held back beyond cancel_s in an outage does not start a cancelled task', async () => {
   const { world, worker } = await startService();
-  world.holdsDirectCommands = true;
+  world.delaysDirectCommands = true;
   world.submitJob({ id: OTHER_JOB });
   await world.runUntil(25);
   world.cancel(OTHER_JOB);
   await world.runUntil(25.25);
-  assert.ok(world.toldAt.has(OTHER_JOB));
+  assert.ok(world.confirmedAt.has(OTHER_JOB));
   // From now on no record can name a higher token than the one that the start carries.
   world.storeOutage = true;
   const { cancelS, reportS } = world.times;
-  const end = world.toldAt.get(OTHER_JOB)! + cancelS + reportS;
+  const end = world.confirmedAt.get(OTHER_JOB)! + cancelS + reportS;
   while (world.now < end) await exchangeAt(world, worker, [world.now + reportS]);
   assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), undefined, 'still in flight');
-  world.deliverHeldBack();
+  world.deliverDelayedCommands();
   assert.equal(world.fleet.starts.get(`${OTHER_JOB}/0`), undefined, 'it must not start now');
 });
--- a/test/renewals-random.test.ts
+++ b/test/renewals-random.test.ts
@@ -8,7 +8,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import type { ControlPlaneWorld } from './support/control-plane-world.js';
-import { TIMES, TROUBLES, beginDay, type TroubledDay } from './support/troubled-days.js';
+import { TIMES, FAULTS, startScenario, type FaultScenario } from './support/fault-scenarios.js';
 
 const RUNS = Number(process.env.RENEWALS_RUNS ?? 800);
 const SEED = Number(process.env.RENEWALS_SEED ?? 48);
@@ -19,46 +19,46 @@
 function check(world: ControlPlaneWorld): void {
   assert.deepEqual(world.overdueTasks(), []);
   const wrong = world.omittedStops.filter(
-    ({ sinceToldS, readByAll }) => readByAll || sinceToldS > world.allowanceS,
+    ({ sinceConfirmedS: sinceToldS, readByAll }) => readByAll || sinceToldS > world.allowanceS,
   );
   assert.deepEqual(wrong, []);
   assert.deepEqual(world.fleet.violations, []);
 }
 
 const event = fc.record({
-  what: fc.constantFrom(...Object.keys(TROUBLES)),
+  what: fc.constantFrom(...Object.keys(FAULTS)),
   steps: fc.nat(5),
   number: fc.nat(5),
 });
 
-async function play(day: TroubledDay): Promise<void> {
-  const world = await beginDay(day);
-  const stepS = day.times.reportS * STEP_HEARTBEATS;
-  for (const { what, steps, number } of day.events) {
-    TROUBLES[what]!(world, number);
+async function play(scenario: FaultScenario): Promise<void> {
+  const world = await startScenario(scenario);
+  const stepS = scenario.times.reportS * STEP_HEARTBEATS;
+  for (const { what, steps, number } of scenario.events) {
+    FAULTS[what]!(world, number);
     for (let i = 0; i < steps; i++) {
       await world.runUntil(world.now + stepS);
       check(world);
     }
   }
   // Terms stay short until cancel_s has passed since every cancellation that a user was told of.
-  const until = Math.max(...world.toldAt.values(), world.now) + day.times.cancelS + stepS;
+  const until = Math.max(...world.confirmedAt.values(), world.now) + scenario.times.cancelS + stepS;
   for (let i = 0; world.now < until; i++) {
-    if (i % 7 === 3) TROUBLES['leader crash']!(world, i);
-    if (i % 7 === 6) TROUBLES['restart of crashed controllers']!(world, i);
+    if (i % 7 === 3) FAULTS['leader crash']!(world, i);
+    if (i % 7 === 6) FAULTS['restart of crashed controllers']!(world, i);
     await world.runUntil(world.now + stepS);
     check(world);
   }
 }
 
-const day = fc.record({
+const scenario = fc.record({
   times: fc.constantFrom(...TIMES),
   reportsNewToken: fc.boolean(),
   events: fc.array(event, { minLength: 4, maxLength: 24 }),
 });
 
 test('random faults over short terms: no renewal omits a stop, and no cancelled task is overdue', async () => {
-  await fc.assert(fc.asyncProperty(day, play), {
+  await fc.assert(fc.asyncProperty(scenario, play), {
     seed: SEED,
     numRuns: RUNS,
     interruptAfterTimeLimit: Math.max(200, RUNS / 4) * 1000,
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -31,8 +31,8 @@
     users.submit(1, 'wk-000002', { form: 'group', pieces: 3 }),
   ]);
   for (const at of cluster.indexes) {
-    await users.sees(at, 'wk-000001', 'done');
-    await users.sees(at, 'wk-000002', 'done');
+    await users.waitForState(at, 'wk-000001', 'done');
+    await users.waitForState(at, 'wk-000002', 'done');
   }
   assertTasksStartedOnce('wk-000001', 20);
   cluster.assertRules();
@@ -102,7 +102,7 @@
   await users.submit(2, 'wk-000003', { form: 'daemon', pieces: 2 });
   await until('replicas', () => cluster.tasks('wk-000003').length === 2);
   await users.cancel(1, 'wk-000003');
-  await cluster.gone('wk-000003');
+  await cluster.waitForGone('wk-000003');
   for (const at of cluster.indexes) {
     assert.equal((await users.poll(at, 'wk-000003')).state, 'cancelled');
   }
@@ -113,10 +113,10 @@
   await users.submit(0, 'wk-000004', { form: 'daemon', pieces: 3 });
   await users.submit(0, 'wk-000005', { pieces: 30 }, 0.5);
   await until('running', () => cluster.tasks('wk-000004').length === 3);
-  const oldLeader = await cluster.newLeader();
+  const oldLeader = await cluster.waitForLeader();
   cluster.stopController(oldLeader);
-  await cluster.newLeader(oldLeader);
-  await users.sees((oldLeader + 1) % 3, 'wk-000005', 'done');
+  await cluster.waitForLeader(oldLeader);
+  await users.waitForState((oldLeader + 1) % 3, 'wk-000005', 'done');
   assert.equal(cluster.tasks('wk-000004').length, 3);
   assertTasksStartedOnce('wk-000004', 3);
   await cluster.startController(oldLeader);
@@ -127,27 +127,27 @@
 
 test('running work survives an outage of the key-value store longer than the lease', async () => {
   const starts = new Map(cluster.rules.starts);
-  cluster.state.down = true;
+  cluster.store.down = true;
   await wait(LEASE_S * 2000);
   assert.equal(cluster.tasks('wk-000004').length, 3);
   // An uncertain state is answered with 503, a final one is reported.
   assert.equal((await cluster.users.poll(0, 'wk-000903')).status, 503);
-  cluster.state.down = false;
-  await cluster.users.sees(0, 'wk-000004', 'running');
+  cluster.store.down = false;
+  await cluster.users.waitForState(0, 'wk-000004', 'running');
   assert.deepEqual(cluster.rules.starts, starts);
 });
 
 test('if the leader stops in an outage, the other controllers renew the leases and do nothing else', async () => {
   const starts = new Map(cluster.rules.starts);
-  const oldLeader = await cluster.newLeader();
-  cluster.state.down = true;
+  const oldLeader = await cluster.waitForLeader();
+  cluster.store.down = true;
   await wait(LEASE_S * 500);
   cluster.stopController(oldLeader);
   await wait(LEASE_S * 2000);
   assert.equal(cluster.tasks('wk-000004').length, 3);
-  cluster.state.down = false;
-  await cluster.newLeader(oldLeader);
-  await cluster.users.sees((oldLeader + 1) % 3, 'wk-000004', 'running');
+  cluster.store.down = false;
+  await cluster.waitForLeader(oldLeader);
+  await cluster.users.waitForState((oldLeader + 1) % 3, 'wk-000004', 'running');
   assert.deepEqual(cluster.rules.starts, starts);
   await cluster.startController(oldLeader);
   cluster.assertRules();
@@ -155,7 +155,7 @@
 
 test('a machine that is cut off is replaced after its lease has expired, not before', async () => {
   const host = cluster.hosts('wk-000004')[0]!;
-  host.mute = true;
+  host.heartbeatsLost = true;
   const others = () => cluster.workers.filter((worker) => worker !== host);
   await until('replaced', () => cluster.tasks('wk-000004', others()).length === 3);
   cluster.assertRules();
@@ -163,7 +163,7 @@
 
 test('without work, every machine is returned', async () => {
   // Warm capacity was once never returned after the last job.
-  for (const worker of cluster.workers) worker.mute = false;
+  for (const worker of cluster.workers) worker.heartbeatsLost = false;
   await cluster.users.cancel(0, 'wk-000004');
   await until('no machines', () => cluster.workers.length === 0, 60);
 });
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -12,10 +12,10 @@
 
 /** Stand-in of the cloud: rents machines of one type, each with a worker. */
 export class Cloud extends HttpStandIn {
-  readonly around: FleetContext;
+  readonly fleetContext: FleetContext;
   bootMs = 200;
   /** Greatest number of machines that it ever rents. */
-  most = Infinity;
+  maxMachines = Infinity;
   /** Nominal boot time that it reports for the machine type, in seconds. */
   nominalBootS = MACHINE_TYPE.startup_s;
   /** Machines of each rental, with the name of the request and the time in ms. */
@@ -24,14 +24,14 @@
   private readonly rentedAt = new Map<string, number>();
   private readonly machinesByRequest = new Map<string, string[]>();
   /** Number of machines rented so far. */
-  counted = 0;
+  rentedCount = 0;
 
   constructor(
     private readonly rules: RuleChecker,
     times: FleetTimes,
   ) {
     super((method, url, body) => this.handle(method, url.pathname, body));
-    this.around = { rules, times, gpus: MACHINE_GPUS, controllers: [], unreachable: [] };
+    this.fleetContext = { rules, times, gpus: MACHINE_GPUS, controllers: [], unreachable: [] };
   }
 
   private get machineType(): object {
@@ -51,7 +51,7 @@
     const hire = body.hire as string;
     const known = this.machinesByRequest.get(hire);
     if (known !== undefined) return [200, { benches: known }];
-    const count = Math.min(body.number as number, this.most - this.counted);
+    const count = Math.min(body.number as number, this.maxMachines - this.rentedCount);
     if (count <= 0) return [503, { error: 'no capacity' }];
     const benches = Array.from({ length: count }, () => this.startMachine(body));
     this.machinesByRequest.set(hire, benches);
@@ -60,9 +60,9 @@
   }
 
   private startMachine({ casting, yard, loaner }: Json): string {
-    const id = `host-${String(++this.counted).padStart(6, '0')}`;
+    const id = `host-${String(++this.rentedCount).padStart(6, '0')}`;
     const place = { type: casting as string, zone: yard as string, spot: loaner as boolean };
-    const worker = new Worker(this.around, id, place);
+    const worker = new Worker(this.fleetContext, id, place);
     this.rules.workers.set(id, worker);
     this.rentedAt.set(id, Date.now());
     setTimeout(() => void worker.start(), this.bootMs);
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -17,7 +17,7 @@
 import { Cloud, MACHINE_GPUS } from './cloud.js';
 import { CuttableProxy } from './cuttable-proxy.js';
 import { RuleChecker } from './rules.js';
-import { StateAccess, StateService } from './state.js';
+import { StoreAccess, StoreServer } from './state.js';
 import { Users } from './users.js';
 import { occupies, type Task, type Worker } from './worker.js';
 
@@ -44,15 +44,15 @@
 
 /** Controllers in this process, with stand-ins of the outside systems. Each connection to the store and between controllers can be cut. */
 export class Cluster {
-  readonly state = new StateService();
-  readonly access: StateAccess[] = [];
+  readonly store = new StoreServer();
+  readonly storeAccess: StoreAccess[] = [];
   readonly rules: RuleChecker;
   readonly cloud: Cloud;
   readonly users: Users;
   readonly ports: Ports[] = [];
   readonly controllers: (Controller | null)[] = [];
   /** The proxy between each controller and the key-value store. */
-  readonly stateGates: CuttableProxy[] = [];
+  readonly storeProxies: CuttableProxy[] = [];
   /** The proxies from one controller to another. */
   private readonly links: { from: number; to: number; proxy: CuttableProxy }[] = [];
 
@@ -80,16 +80,16 @@
   }
 
   private async listen(): Promise<void> {
-    await this.state.listen();
+    await this.store.listen();
     await this.cloud.listen();
     for (const index of this.indexes) {
       this.ports.push({ bind: await freePort(), peer: await freePort() });
-      const access = new StateAccess(this.state);
+      const access = new StoreAccess(this.store);
       await access.listen();
       const proxy = new CuttableProxy(access.port);
       await proxy.listen();
-      this.access[index] = access;
-      this.stateGates[index] = proxy;
+      this.storeAccess[index] = access;
+      this.storeProxies[index] = proxy;
     }
     for (const from of this.indexes)
       for (const to of this.indexes) {
@@ -98,7 +98,7 @@
         await proxy.listen();
         this.links.push({ from, to, proxy });
       }
-    this.cloud.around.controllers = this.ports.map((port) => port.bind);
+    this.cloud.fleetContext.controllers = this.ports.map((port) => port.bind);
   }
 
   /** Indexes of the controllers. */
@@ -116,7 +116,7 @@
       const link = this.links.find((l) => l.from === index && l.to === to);
       return { ...own, peer: link?.proxy.port ?? own.peer };
     });
-    const storeProxyPort = this.stateGates[index]!.port;
+    const storeProxyPort = this.storeProxies[index]!.port;
     const text = settingsText(
       index, reachablePorts, this.cloud.port, storeProxyPort, leaseS, zones, cancelS, nextLimits,
     ); // prettier-ignore
@@ -156,13 +156,13 @@
   }
 
   /** Waits for a leader other than the given one. Returns its index. */
-  async newLeader(other = -1): Promise<number> {
+  async waitForLeader(other = -1): Promise<number> {
     await until('a leader', () => this.leader() >= 0 && this.leader() !== other);
     return this.leader();
   }
 
   /** Waits until every worker has received the token of the only leader. */
-  async leaderIsHeard(): Promise<void> {
+  async waitForLeaderAnswers(): Promise<void> {
     await until('all workers have the token of the leader', () => {
       const token = this.controllers[this.leader()]?.election.token;
       return this.workers.every((worker) => worker.token === token);
@@ -172,13 +172,13 @@
   /** Cuts or restores all links of these controllers with any other. */
   cutLinks(cut: boolean, ...indexes: number[]): void {
     for (const { from, to, proxy } of this.links) {
-      if (indexes.includes(from) || indexes.includes(to)) proxy.set(cut);
+      if (indexes.includes(from) || indexes.includes(to)) proxy.setCut(cut);
     }
   }
 
   /** Stops the leader. Returns its index. */
-  async endLeader(): Promise<number> {
-    const old = await this.newLeader();
+  async stopLeader(): Promise<number> {
+    const old = await this.waitForLeader();
     this.stopController(old);
     return old;
   }
@@ -214,7 +214,7 @@
   }
 
   /** Waits until exactly this number of tasks of a job run. */
-  async runs(ref: string, count: number): Promise<void> {
+  async waitForRunning(ref: string, count: number): Promise<void> {
     await until(
       `${count} tasks of ${ref} run`,
       () => this.tasks(ref).filter((task) => task.temper === 'running').length === count,
@@ -222,7 +222,7 @@
   }
 
   /** Waits until no task of a job occupies a machine. */
-  async gone(ref: string): Promise<void> {
+  async waitForGone(ref: string): Promise<void> {
     await until(`no task of ${ref} occupies a machine`, () => this.tasks(ref).length === 0);
   }
 
@@ -236,15 +236,15 @@
   /** Stops everything; fails if any rule of the protocol was violated. */
   close(): void {
     // Requests that still wait would keep the process alive.
-    for (const access of this.access) access.refuses = access.holdsWatches = false;
-    this.state.down = false;
+    for (const access of this.storeAccess) access.refuses = access.holdsWatches = false;
+    this.store.down = false;
     for (const index of this.indexes) this.stopController(index);
     for (const { proxy } of this.links) proxy.close();
     for (const standIn of [
-      ...this.stateGates,
-      ...this.access,
+      ...this.storeProxies,
+      ...this.storeAccess,
       this.cloud,
-      this.state,
+      this.store,
       this.rules,
     ]) {
       standIn.close();
@@ -254,7 +254,7 @@
 }
 
 /** A row of a table of test scenarios. */
-export interface Row {
+export interface ScenarioRow {
   name: string;
 }
 
@@ -262,7 +262,7 @@
 const PARALLEL_ROWS = 3;
 
 /** Runs every row with its own cluster; fails with the names of the rows that failed. */
-export async function playAll<R extends Row>(
+export async function runScenarios<R extends ScenarioRow>(
   rows: R[],
   options: Partial<ClusterOptions>,
   play: (cluster: Cluster, row: R) => Promise<void>,
@@ -279,7 +279,7 @@
   assert.deepEqual(failures, []);
 }
 
-async function runScenario<R extends Row>(
+async function runScenario<R extends ScenarioRow>(
   options: Partial<ClusterOptions>,
   row: R,
   play: (cluster: Cluster, row: R) => Promise<void>,
--- a/test/standins/cuttable-proxy.ts
+++ b/test/standins/cuttable-proxy.ts
@@ -34,14 +34,14 @@
   }
 
   /** Cuts all connections, or allows new ones again. */
-  set(cut: boolean): void {
+  setCut(cut: boolean): void {
     this.cut = cut;
     if (cut) for (const socket of this.sockets) socket.destroy();
   }
 
   /** Closes the proxy and its connections. */
   close(): void {
-    this.set(true);
+    this.setCut(true);
     this.server.close();
   }
 }
--- a/test/standins/process-cluster.ts
+++ b/test/standins/process-cluster.ts
@@ -11,7 +11,7 @@
 } from '../helpers.js';
 import { Cloud, MACHINE_GPUS } from './cloud.js';
 import { RuleChecker } from './rules.js';
-import { StateService } from './state.js';
+import { StoreServer } from './state.js';
 import { Users } from './users.js';
 
 /** Number and settings of the processes. */
@@ -28,7 +28,7 @@
 
 /** Controllers as real processes on loopback, with stand-ins of the outside systems. */
 export class ProcessCluster {
-  readonly state = new StateService();
+  readonly store = new StoreServer();
   readonly rules: RuleChecker;
   readonly cloud: Cloud;
   readonly ports: Ports[] = [];
@@ -50,12 +50,12 @@
 
   /** Starts the stand-ins and reserves ports for the controllers. */
   async listen(): Promise<void> {
-    await this.state.listen();
+    await this.store.listen();
     await this.cloud.listen();
     while (this.ports.length < this.options.controllers) {
       this.ports.push({ bind: await freePort(), peer: await freePort() });
     }
-    this.cloud.around.controllers = this.ports.map((port) => port.bind);
+    this.cloud.fleetContext.controllers = this.ports.map((port) => port.bind);
   }
 
   /** Starts a controller. `build`: the folder of the version; `features`: text of a features file, TOML; empty: none. */
@@ -63,7 +63,7 @@
     const { leaseS, cancelS, nextLimits, directory, label } = this.options;
     const zones = this.ports.map(() => 'z1');
     const { port: cloud } = this.cloud;
-    const { port: state } = this.state;
+    const { port: state } = this.store;
     const text = settingsText(
       index, this.ports, cloud, state, leaseS, zones, cancelS, nextLimits,
     ); // prettier-ignore
@@ -83,7 +83,7 @@
   }
 
   /** Kills a controller with SIGKILL and waits for its exit. */
-  async end(index: number): Promise<void> {
+  async kill(index: number): Promise<void> {
     const child = this.processes.get(index);
     if (child === undefined || child.exitCode !== null || child.signalCode !== null) return;
     const gone = new Promise((done) => child.once('exit', done));
@@ -102,7 +102,7 @@
   }
 
   /** Waits until a controller reports that it is ready. */
-  async serves(index: number): Promise<void> {
+  async waitForReady(index: number): Promise<void> {
     const url = `http://127.0.0.1:${this.ports[index]!.bind}/ready`;
     const isReady = (): Promise<boolean> =>
       fetch(url).then(
@@ -134,7 +134,7 @@
   }
 
   /** Waits for a leader other than the given one. Returns its index. */
-  async newLeader(other = -1): Promise<number> {
+  async waitForLeader(other = -1): Promise<number> {
     let leader = -1;
     await until('a leader', async () => {
       leader = await this.leader();
@@ -145,9 +145,9 @@
 
   /** Kills all processes and closes the stand-ins. */
   async close(): Promise<void> {
-    for (const index of this.processes.keys()) await this.end(index);
+    for (const index of this.processes.keys()) await this.kill(index);
     this.cloud.close();
-    this.state.close();
+    this.store.close();
     this.rules.close();
   }
 }
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -3,8 +3,8 @@
 
 interface Entry {
   value: unknown;
-  mark: number;
-  loan: number | undefined;
+  revision: number;
+  leaseId: number | undefined;
 }
 
 interface Operation {
@@ -18,11 +18,11 @@
  * Effect of a fault on a transaction. `answer_lost`: it is applied at once, but its answer is lost. `late`: it
  * gets no answer and is applied later, after newer ones. `doubled`: it is applied at once and again later.
  */
-export type Fate = { how: 'answer_lost' } | { how: 'late' | 'doubled'; afterS: number };
+export type FaultEffect = { how: 'answer_lost' } | { how: 'late' | 'doubled'; afterS: number };
 
 interface TransactionFault {
   prefix: string;
-  effect: Fate;
+  effect: FaultEffect;
   left: number;
 }
 
@@ -31,22 +31,22 @@
 const TRANSACTION_BYTES = 65536;
 
 /** Stand-in of the key-value store. */
-export class StateService extends HttpStandIn {
-  ledger = 0;
+export class StoreServer extends HttpStandIn {
+  revision = 0;
   /** An outage: all requests are refused, and leases do not expire. */
   down = false;
   /** Delay of every answer. */
-  slowMs = 0;
+  answerDelayMs = 0;
   /** Limits: bytes of a value; puts and deletes in a transaction. */
   limits = { valueBytes: 8192, operations: 8 };
   /** Number of transactions that were refused for their size. */
   tooLarge = 0;
   /** Items in a page of a listing; a small number, so that tests cover reading in pages. */
-  page = 3;
+  pageSize = 3;
   /** Number of transactions that a fault affected. */
-  disturbed = 0;
+  faultsInjected = 0;
   /** Number of delayed transactions that were applied. */
-  carriedOutLate = 0;
+  lateCommits = 0;
   readonly keys = new Map<string, Entry>();
   private readonly log: Json[] = [];
   private readonly leases = new Map<number, { until: number; life: number }>();
@@ -60,12 +60,12 @@
   }
 
   /** Injects a fault into the next `times` transactions that touch a key with the prefix. */
-  disturb(prefix: string, effect: Fate, times = Infinity): void {
+  injectFault(prefix: string, effect: FaultEffect, times = Infinity): void {
     this.faults.push({ prefix, effect, left: times });
   }
 
   /** Removes all faults. */
-  settle(): void {
+  clearFaults(): void {
     this.faults = [];
   }
 
@@ -81,16 +81,16 @@
   private endLease(id: number): void {
     this.leases.delete(id);
     for (const [key, entry] of this.keys) {
-      if (entry.loan !== id) continue;
+      if (entry.leaseId !== id) continue;
       this.keys.delete(key);
-      this.log.push({ remove: key, mark: ++this.ledger });
+      this.log.push({ remove: key, mark: ++this.revision });
     }
   }
 
   /** Answers a request by the protocol of the key-value store. */
   async handle(method: string, url: URL, body: Json): Promise<Answer | null> {
     const path = url.pathname;
-    if (this.slowMs > 0) await wait(this.slowMs);
+    if (this.answerDelayMs > 0) await wait(this.answerDelayMs);
     if (this.down) return [503, { error: 'trouble' }];
     if (path === '/commit') return this.commitWithFaults(body);
     if (path === '/grants') return this.grant(body.life_ms as number);
@@ -101,8 +101,8 @@
     const key = path.slice('/keys/'.length);
     const entry = this.keys.get(key);
     return entry === undefined
-      ? [404, { ledger: this.ledger }]
-      : [200, { path: key, data: entry.value, mark: entry.mark }];
+      ? [404, { ledger: this.revision }]
+      : [200, { path: key, data: entry.value, mark: entry.revision }];
   }
 
   private grant(life: number): Answer {
@@ -128,7 +128,7 @@
           (entry.mark as number) > after && String(entry.put ?? entry.remove).startsWith(prefix),
       );
       if (this.closed || (!this.down && (log.length > 0 || Date.now() >= end))) {
-        return [200, { ledger: this.ledger, log }];
+        return [200, { ledger: this.revision, log }];
       }
       await wait(POLL_MS);
     }
@@ -140,11 +140,11 @@
     const names = [...this.keys.keys()]
       .filter((key) => key.startsWith(prefix) && key > after)
       .sort();
-    const items = names.slice(0, this.page).map((path) => {
-      const { value, mark } = this.keys.get(path)!;
+    const items = names.slice(0, this.pageSize).map((path) => {
+      const { value, revision: mark } = this.keys.get(path)!;
       return { path, data: value, mark };
     });
-    return [200, { items, more: names.length > this.page, ledger: this.ledger }];
+    return [200, { items, more: names.length > this.pageSize, ledger: this.revision }];
   }
 
   private commitWithFaults(body: Json): Answer | null {
@@ -154,7 +154,7 @@
     const fault = this.faults.find((each) => each.left > 0 && touches(each.prefix));
     if (fault === undefined) return this.commit(body);
     fault.left--;
-    this.disturbed++;
+    this.faultsInjected++;
     const { effect } = fault;
     if (effect.how !== 'answer_lost')
       setTimeout(() => void this.commitLate(body), effect.afterS * 1000);
@@ -165,7 +165,7 @@
   private async commitLate(body: Json): Promise<void> {
     while (this.down && !this.closed) await wait(POLL_MS);
     if (this.closed) return;
-    this.carriedOutLate++;
+    this.lateCommits++;
     this.commit(body);
   }
 
@@ -173,9 +173,9 @@
     const guards = body.guards as { path: string; mark: number }[];
     const apply = body.apply as Operation[];
     const failed = guards
-      .filter((guard) => (this.keys.get(guard.path)?.mark ?? 0) !== guard.mark)
+      .filter((guard) => (this.keys.get(guard.path)?.revision ?? 0) !== guard.mark)
       .map((guard) => guard.path);
-    if (failed.length > 0) return [409, { failed, ledger: this.ledger }];
+    if (failed.length > 0) return [409, { failed, ledger: this.revision }];
     if (
       apply.some((operation) => operation.loan !== undefined && !this.leases.has(operation.loan))
     ) {
@@ -193,16 +193,16 @@
       this.tooLarge++;
       return [400, { error: 'too large' }];
     }
-    this.ledger++;
+    this.revision++;
     for (const operation of apply) this.apply(operation);
-    return [200, { ledger: this.ledger }];
+    return [200, { ledger: this.revision }];
   }
 
   private apply({ put, data, loan, remove }: Operation): void {
     if (put !== undefined) {
-      this.keys.set(put, { value: data, mark: this.ledger, loan });
-      this.log.push({ put, data, mark: this.ledger });
-    } else if (this.keys.delete(remove!)) this.log.push({ remove, mark: this.ledger });
+      this.keys.set(put, { value: data, revision: this.revision, leaseId: loan });
+      this.log.push({ put, data, mark: this.revision });
+    } else if (this.keys.delete(remove!)) this.log.push({ remove, mark: this.revision });
   }
 
   /** Closes the store with its connections; requests that wait for changes get no answer. */
@@ -214,12 +214,12 @@
 }
 
 /** Access of one controller to the key-value store; it can refuse the requests of this controller only. */
-export class StateAccess extends HttpStandIn {
+export class StoreAccess extends HttpStandIn {
   refuses = false;
   /** Delays the answers to watches. */
   holdsWatches = false;
 
-  constructor(state: StateService) {
+  constructor(state: StoreServer) {
     super(async (method, url, body) => {
       if (this.refuses) return [503, { error: 'trouble' }];
       const answer = await state.handle(method, url, body);
--- a/test/standins/users.ts
+++ b/test/standins/users.ts
@@ -109,7 +109,7 @@
   }
 
   /** Waits until a controller answers with this state of a job. */
-  async sees(at: number, ref: string, state: string): Promise<void> {
+  async waitForState(at: number, ref: string, state: string): Promise<void> {
     await until(`${ref} is ${state}`, async () => (await this.poll(at, ref)).state === state);
   }
 }
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -62,17 +62,17 @@
 export class Worker extends HttpStandIn {
   tasks: Task[] = [];
   /** Its heartbeats are lost; direct commands reach it. */
-  mute = false;
+  heartbeatsLost = false;
   /** Its heartbeats arrive; answers and direct commands to it are lost. */
-  deaf = false;
+  inboundLost = false;
   /** Controllers that it cannot reach. */
   readonly unreachable: Set<number>;
   /** Body of the last heartbeat that it sent. */
-  lastReport = '{}';
+  lastHeartbeat = '{}';
   /** Number of requests with direct commands whose delivery was delayed. */
-  heldUp = 0;
+  delayedCommands = 0;
   /** Number of these that have been delivered since. */
-  arrivedLate = 0;
+  lateCommands = 0;
   private isFrozen = false;
   private directDelayMs = 0;
   private agentEpoch = 1;
@@ -133,12 +133,12 @@
   // Faults
 
   /** Freezes the worker; its tasks stay on it. */
-  hang(): void {
+  freeze(): void {
     this.isFrozen = true;
   }
 
   /** Ends the freeze. Tasks that ended with the lease in the meantime stay ended. */
-  goOn(): void {
+  thaw(): void {
     this.isFrozen = false;
   }
 
@@ -146,7 +146,7 @@
    * Leaves direct commands unanswered and executes them after this delay if they are still valid by then,
    * even if messages to the worker are lost when they are sent.
    */
-  holdUpDirect(ms: number): void {
+  delayDirectCommands(ms: number): void {
     this.directDelayMs = ms;
   }
 
@@ -158,18 +158,18 @@
 
   private async answer(path: string, body: Json): Promise<Answer | null> {
     if (path === '/do' && this.directDelayMs > 0) {
-      this.heldUp++;
+      this.delayedCommands++;
       setTimeout(() => this.deliverLate(body), this.directDelayMs);
       return null;
     }
-    if (this.deaf) return null;
+    if (this.inboundLost) return null;
     await this.untilThawed();
     if (path === '/status') return [200, this.createHeartbeat()];
     return [this.executeDirect(body, false) ? 200 : 409, this.createHeartbeat()];
   }
 
   private deliverLate(body: Json): void {
-    this.arrivedLate++;
+    this.lateCommands++;
     this.executeDirect(body, true);
   }
 
@@ -208,7 +208,7 @@
     while (!this.isTerminated) {
       await wait(this.context.times.leaseS * HEARTBEAT_INTERVAL_LEASES * 1000);
       await this.untilThawed();
-      if (this.isTerminated || this.mute) continue;
+      if (this.isTerminated || this.heartbeatsLost) continue;
       try {
         await this.sendHeartbeat();
       } catch {
@@ -223,16 +223,16 @@
     if (this.unreachable.has(index)) throw new Error('unreachable');
     const sentAt = Date.now();
     const { agentEpoch } = this;
-    this.lastReport = JSON.stringify(this.createHeartbeat());
+    this.lastHeartbeat = JSON.stringify(this.createHeartbeat());
     const response = await fetch(`http://127.0.0.1:${controllers[index]}/checkin`, {
       method: 'POST',
-      body: this.lastReport,
+      body: this.lastHeartbeat,
       signal: AbortSignal.timeout(Math.round(times.leaseS * ANSWER_TIMEOUT_LEASES * 1000)),
     });
     const body = (await response.json()) as Json;
     await this.untilThawed();
     const late = Date.now() - sentAt > times.leaseS * ANSWER_TIMEOUT_LEASES * 1000;
-    if (this.deaf || late) throw new Error('no answer in time');
+    if (this.inboundLost || late) throw new Error('no answer in time');
     if (response.status === 200) this.applyReply(body, sentAt, agentEpoch);
     else if (response.status === 421 && typeof body.foreman === 'string') {
       this.controllerIndex = Number(body.foreman.split('-')[1]);
@@ -383,25 +383,25 @@
 }
 
 /** A fault of one machine, for tables of tests. */
-export interface MachineTrouble {
+export interface MachineFault {
   begin(worker: Worker): void;
   end(worker: Worker): void;
 }
 
 /** Its heartbeats are lost. */
-export const mute: MachineTrouble = {
-  begin: (worker) => (worker.mute = true),
-  end: (worker) => (worker.mute = false),
+export const heartbeatLoss: MachineFault = {
+  begin: (worker) => (worker.heartbeatsLost = true),
+  end: (worker) => (worker.heartbeatsLost = false),
 };
 
 /** Answers and direct commands to it are lost. */
-export const deaf: MachineTrouble = {
-  begin: (worker) => (worker.deaf = true),
-  end: (worker) => (worker.deaf = false),
+export const inboundLoss: MachineFault = {
+  begin: (worker) => (worker.inboundLost = true),
+  end: (worker) => (worker.inboundLost = false),
 };
 
 /** Its process is frozen. */
-export const hang: MachineTrouble = {
-  begin: (worker) => worker.hang(),
-  end: (worker) => worker.goOn(),
+export const freeze: MachineFault = {
+  begin: (worker) => worker.freeze(),
+  end: (worker) => worker.thaw(),
 };
--- a/test/substitute-renewals.test.ts
+++ b/test/substitute-renewals.test.ts
@@ -86,7 +86,7 @@
     world.submitJob({ id: JOB, gpus: 8, cores: 8 });
     await world.run(1);
     const [host] = [...world.fleet.workers.values()].filter(({ tasks }) => tasks.size > 0);
-    host!.mute = true;
+    host!.heartbeatsLost = true;
     // Its lease is renewed by others.
     if (!isLost) host!.answeredAt = Infinity;
     world.substituteRenewal = {
--- a/test/support/control-plane-world.ts
+++ b/test/support/control-plane-world.ts
@@ -13,7 +13,7 @@
 import { attemptKey } from '../../src/workers/attempt.js';
 import { g8, settingsText } from '../helpers.js';
 import { MemoryStore } from './memory-store.js';
-import type { ReportLoop } from './report-loop.js';
+import type { HeartbeatLoop } from './heartbeat-loop.js';
 import { LEADER_TTL_LEASES, SimulatedController } from './simulated-controller.js';
 import { decodeHeartbeatReply, Fleet, type Worker } from './simulated-fleet.js';
 
@@ -35,7 +35,7 @@
   token: number;
   job: string;
   /** Seconds since the cancellation of the job was confirmed to a user. */
-  sinceToldS: number;
+  sinceConfirmedS: number;
   /** Whether all controllers that were running at that time had read the cancellation. */
   readByAll: boolean;
 }
@@ -69,14 +69,14 @@
   /** Ids of accepted jobs, in the order of acceptance. */
   readonly accepted: string[] = [];
   /** When the cancellation of a job was first confirmed to a user, by job id. */
-  readonly toldAt = new Map<string, number>();
+  readonly confirmedAt = new Map<string, number>();
   readonly omittedStops: OmittedStop[] = [];
   /** Loops of the workers that send heartbeats periodically. */
-  readonly reportLoops: ReportLoop[] = [];
+  readonly heartbeatLoops: HeartbeatLoop[] = [];
   /** Called after a controller has answered a heartbeat and before the worker receives the answer. */
   deliverBeforeAnswer = (): void => undefined;
   /** Whether new direct commands are delayed until `deliverHeldBack`. */
-  holdsDirectCommands = false;
+  delaysDirectCommands = false;
   private readonly delayedCommands: DelayedCommand[] = [];
   private readonly unconfirmed = new Set<string>();
   private leaderKeyUntil = -Infinity;
@@ -168,8 +168,8 @@
   private async confirmCancellations(): Promise<void> {
     for (const id of [...this.unconfirmed]) {
       for (const controller of this.controllers) {
-        if (this.toldAt.has(id) || !(await controller.confirmsCancellation(id))) continue;
-        this.toldAt.set(id, this.now);
+        if (this.confirmedAt.has(id) || !(await controller.confirmsCancellation(id))) continue;
+        this.confirmedAt.set(id, this.now);
         this.unconfirmed.delete(id);
       }
     }
@@ -183,7 +183,7 @@
     while (this.now < at - TIME_TOLERANCE_S) {
       this.fleet.now = Math.min(at, this.now + stepS);
       for (const worker of this.fleet.workers.values()) worker.tick();
-      for (const loop of this.reportLoops) await loop.step();
+      for (const loop of this.heartbeatLoops) await loop.step();
       this.expireLeaderKey();
       for (const controller of this.controllers) await controller.step();
       await this.confirmCancellations();
@@ -200,11 +200,11 @@
   ): Promise<Reply | null> {
     const sentAt = this.now;
     const controller = this.controller(node);
-    if (worker.mute || !controller.isRunning) return null;
+    if (worker.heartbeatsLost || !controller.isRunning) return null;
     const reply = await controller.handler.handle(encodeHeartbeat(heartbeat));
     // Other messages can reach the worker before this answer does.
     this.deliverBeforeAnswer();
-    if (worker.deaf) return null;
+    if (worker.inboundLost) return null;
     if (reply.status === 200) this.takeAnswer(worker, heartbeat, String(reply.body), sentAt);
     return reply;
   }
@@ -218,7 +218,7 @@
   /** Records each task with a confirmed cancellation for which an answer that renews the lease has no stop command. */
   private noteOmittedStops(heartbeat: Heartbeat, token: number, commands: Command[]): void {
     for (const task of heartbeat.tasks) {
-      const confirmedAt = this.toldAt.get(task.job);
+      const confirmedAt = this.confirmedAt.get(task.job);
       if (confirmedAt === undefined || task.state === 'ended') continue;
       const isStopped = commands.some(
         ({ kind, job, index }) => kind === 'stop' && job === task.job && index === task.index,
@@ -229,7 +229,7 @@
       );
       const sinceConfirmedS = this.now - confirmedAt;
       this.omittedStops.push({
-        at: this.now, machine: heartbeat.machine, token, job: task.job, sinceToldS: sinceConfirmedS, readByAll,
+        at: this.now, machine: heartbeat.machine, token, job: task.job, sinceConfirmedS, readByAll,
       }); // prettier-ignore
     }
   }
@@ -238,15 +238,15 @@
   takeDirect(id: string, token: number, epoch: number, commands: Command[]): Heartbeat | null {
     const worker = this.fleet.workers.get(id);
     if (worker === undefined) return null;
-    if (this.holdsDirectCommands) {
+    if (this.delaysDirectCommands) {
       this.delayedCommands.push({ worker, token, agentEpoch: epoch, commands });
       return null;
     }
-    return worker.deaf ? null : worker.takeDirect(token, epoch, commands);
+    return worker.inboundLost ? null : worker.takeDirect(token, epoch, commands);
   }
 
   /** Delivers all delayed direct commands. */
-  deliverHeldBack(): void {
+  deliverDelayedCommands(): void {
     this.fleet.violations.push(...this.lateStarts());
     for (const { worker, token, agentEpoch, commands } of this.delayedCommands.splice(0))
       worker.takeDirect(token, agentEpoch, commands);
@@ -266,7 +266,7 @@
     for (const { worker, token, agentEpoch, commands } of this.delayedCommands) {
       if (token < worker.token || agentEpoch !== worker.agentEpoch) continue;
       for (const { kind, job, index, attempt } of commands) {
-        const confirmedAt = this.toldAt.get(job) ?? Infinity;
+        const confirmedAt = this.confirmedAt.get(job) ?? Infinity;
         if (kind !== 'start' || this.now <= confirmedAt + this.times.cancelS) continue;
         if (worker.tasks.has(attemptKey(job, index, attempt))) continue;
         late.push(
@@ -287,7 +287,7 @@
   /** Cancelled tasks that still run later than `cancel_s` after the confirmation. */
   overdueTasks(): string[] {
     const overdue: string[] = [];
-    for (const [job, confirmedAt] of this.toldAt) {
+    for (const [job, confirmedAt] of this.confirmedAt) {
       if (this.now <= confirmedAt + this.times.cancelS) continue;
       for (const worker of this.fleet.workers.values()) {
         for (const task of worker.running(job))
--- a/test/support/troubled-days.ts
+++ b/test/support/fault-scenarios.ts
@@ -1,6 +1,6 @@
 /** Scenarios of faults in any order, for several controllers in simulated time: the faults and the initial state. */
 import { ControlPlaneWorld, INCIDENT_TIMES, type DeploymentTimes } from './control-plane-world.js';
-import { ReportLoop } from './report-loop.js';
+import { HeartbeatLoop } from './heartbeat-loop.js';
 import type { SimulatedController } from './simulated-controller.js';
 
 const MACHINES = 3;
@@ -18,7 +18,7 @@
 const jobIdOf = (number: number): string => `wk-${String(number % JOBS).padStart(6, '0')}`;
 
 /** Injects a fault or another event; `number` selects its target. */
-export type Trouble = (world: ControlPlaneWorld, number: number) => void;
+export type Fault = (world: ControlPlaneWorld, number: number) => void;
 
 const controllerAt = (world: ControlPlaneWorld, number: number): SimulatedController =>
   world.controllers[number % world.controllers.length]!;
@@ -26,7 +26,7 @@
   world.leader ?? controllerAt(world, number);
 
 /** Faults of controllers, store, links and workers, and cancellations of jobs. */
-export const TROUBLES: Record<string, Trouble> = {
+export const FAULTS: Record<string, Fault> = {
   'leader crash': (world, number) => leaderOrControllerAt(world, number).kill(),
   'second leader crash': (world, number) => leaderOrControllerAt(world, number).kill(),
   'controller crash': (world, number) => controllerAt(world, number).kill(),
@@ -66,15 +66,17 @@
   },
   outage: (world) => void (world.storeOutage = true),
   'end of the outage': (world) => void (world.storeOutage = false),
-  'lost messages to a worker': (world, number) => void (workerAt(world, number).deaf = true),
-  'lost heartbeats of a worker': (world, number) => void (workerAt(world, number).mute = true),
+  'lost messages to a worker': (world, number) => void (workerAt(world, number).inboundLost = true),
+  'lost heartbeats of a worker': (world, number) =>
+    void (workerAt(world, number).heartbeatsLost = true),
   'worker links restored': (world) => {
-    for (const worker of world.fleet.workers.values()) worker.deaf = worker.mute = false;
+    for (const worker of world.fleet.workers.values())
+      worker.inboundLost = worker.heartbeatsLost = false;
   },
-  'delayed direct commands': (world) => void (world.holdsDirectCommands = true),
+  'delayed direct commands': (world) => void (world.delaysDirectCommands = true),
   'delivery of delayed direct commands': (world) => {
-    world.holdsDirectCommands = false;
-    world.deliverHeldBack();
+    world.delaysDirectCommands = false;
+    world.deliverDelayedCommands();
   },
   'a job is cancelled': (world, number) => world.cancel(jobIdOf(number)),
   'another job is cancelled': (world, number) => world.cancel(jobIdOf(number + 1)),
@@ -84,7 +86,7 @@
   [...world.fleet.workers.values()][number % MACHINES]!;
 
 /** A scenario: the times, the behaviour of workers, and events, each followed by a number of steps. */
-export interface TroubledDay {
+export interface FaultScenario {
   times: DeploymentTimes;
   reportsNewToken: boolean;
   /** GPU quota of the jobs; missing: unlimited. */
@@ -93,15 +95,15 @@
 }
 
 /** Creates a fleet with running jobs, before the first event. */
-export async function beginDay({
+export async function startScenario({
   times,
   reportsNewToken,
   gpusMax = 0,
-}: TroubledDay): Promise<ControlPlaneWorld> {
+}: FaultScenario): Promise<ControlPlaneWorld> {
   const world = new ControlPlaneWorld(times, gpusMax);
   for (let i = 0; i < MACHINES; i++) {
     const worker = world.fleet.add(`host-00000${i}`);
-    world.reportLoops.push(new ReportLoop(world, worker, { reportsNewToken }, i));
+    world.heartbeatLoops.push(new HeartbeatLoop(world, worker, { reportsNewToken }, i));
   }
   await world.runUntil(times.leaseS / 2);
   for (let i = 0; i < JOBS; i++) {
--- a/test/support/report-loop.ts
+++ b/test/support/heartbeat-loop.ts
@@ -16,7 +16,7 @@
 }
 
 /** Sends the heartbeats of one worker as simulated time passes. */
-export class ReportLoop {
+export class HeartbeatLoop {
   private nextAt: number;
   private reportedToken = 0;
   private tokenReportedAt = -Infinity;
--- a/test/support/leader-world.ts
+++ b/test/support/leader-world.ts
@@ -176,7 +176,7 @@
 
   /** Sends a worker's heartbeat to the leader and delivers the answer. */
   exchangeHeartbeat(worker: Worker): void {
-    if (worker.mute) return;
+    if (worker.heartbeatsLost) return;
     const sentAt = this.now;
     const reply = this.leader.answerHeartbeat(worker.heartbeat());
     if (reply.status !== 200) return;
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -285,7 +285,7 @@
   for (const worker of world.fleet.workers.values()) {
     for (const task of worker.running('wk-5')) worker.end(task, 'done');
   }
-  world.fleet.workers.get('m4')!.mute = true;
+  world.fleet.workers.get('m4')!.heartbeatsLost = true;
   await world.run(3);
   world.cancel('wk-1');
   world.failOver();
--- a/test/support/day-search.ts
+++ b/test/support/scenario-search.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import fc from 'fast-check';
 import type { ControlPlaneWorld } from './control-plane-world.js';
-import { beginDay, type Trouble, type TroubledDay } from './troubled-days.js';
+import { startScenario, type Fault, type FaultScenario } from './fault-scenarios.js';
 
 /** Greatest time between two checks, in tenths of a heartbeat interval. */
 const CHECK_INTERVAL_TENTHS = 5;
@@ -13,7 +13,7 @@
 const GAP_CHOICES_TENTHS = [0, 1, 2, 3, 5, 10, 20];
 
 /** An event and the time that passes after it. */
-export interface DayEvent {
+export interface TimedFault {
   what: string;
   number: number;
   /** Time until the next event, in tenths of a heartbeat interval. */
@@ -21,8 +21,8 @@
 }
 
 /** A scenario whose events have individual gaps. */
-export interface TimedFaultScenario extends Omit<TroubledDay, 'events'> {
-  events: readonly DayEvent[];
+export interface TimedFaultScenario extends Omit<FaultScenario, 'events'> {
+  events: readonly TimedFault[];
 }
 
 /** Invariants that hold at all times. */
@@ -49,23 +49,23 @@
  */
 async function runScenario(
   { events, ...scenario }: TimedFaultScenario,
-  faults: Record<string, Trouble>,
+  faults: Record<string, Fault>,
 ): Promise<void> {
-  const world = await beginDay({ ...scenario, events: [] });
+  const world = await startScenario({ ...scenario, events: [] });
   for (const { what, number, gap } of events) {
     faults[what]!(world, number);
     await runWithChecks(world, gap);
   }
-  const until = Math.max(...world.toldAt.values(), world.now) + scenario.times.cancelS;
+  const until = Math.max(...world.confirmedAt.values(), world.now) + scenario.times.cancelS;
   while (world.now <= until) await runWithChecks(world, CHECK_INTERVAL_TENTHS);
-  world.deliverHeldBack();
+  world.deliverDelayedCommands();
   checkInvariants(world);
 }
 
 /** Runs random scenarios; fails with the shortest one found that violates an invariant. */
-export async function assertDays(
+export async function assertScenarios(
   scenario: fc.Arbitrary<TimedFaultScenario>,
-  faults: Record<string, Trouble>,
+  faults: Record<string, Fault>,
   { seed, runs }: { seed: number; runs: number },
 ): Promise<void> {
   await fc.assert(
@@ -80,7 +80,7 @@
 }
 
 /** One of these events with a random gap. `largest`: the greatest number that selects the target or the duration. */
-export function anyOf(names: readonly string[], largest = 5): fc.Arbitrary<DayEvent> {
+export function anyOf(names: readonly string[], largest = 5): fc.Arbitrary<TimedFault> {
   return fc.record({
     what: fc.constantFrom(...names),
     number: fc.nat(largest),
--- a/test/support/simulated-controller.ts
+++ b/test/support/simulated-controller.ts
@@ -69,7 +69,7 @@
   /** Whether messages between this controller and the others arrive, in both directions. */
   peersReachable = true;
   /** Whether it is a candidate when there is no leader. */
-  stands = true;
+  isCandidate = true;
   /** Controllers whose answers to this one are lost; requests to them arrive. */
   readonly answersLostFrom = new Set<string>();
   /** Its reads of the store are not answered, while its lease renewals are. */
@@ -360,7 +360,7 @@
   }
 
   private campaign(): void {
-    if (!this.stands || !this.ready || this.storeHealth !== 'served') return;
+    if (!this.isCandidate || !this.ready || this.storeHealth !== 'served') return;
     if (this.world.now < this.outage.promisedUntil) return;
     const { leader } = this.replica;
     if (leader !== null && leader.node !== this.node) return;
--- a/test/support/simulated-fleet.ts
+++ b/test/support/simulated-fleet.ts
@@ -8,9 +8,9 @@
   sequence = 0;
   token = 0;
   /** All messages to it are lost; its heartbeats arrive. */
-  deaf = false;
+  inboundLost = false;
   /** Its heartbeats are lost; direct commands reach it. */
-  mute = false;
+  heartbeatsLost = false;
   reclaimNoticeS: number | null = null;
   answeredAt: number;
   readonly tasks = new Map<string, TaskStatus>();
@@ -43,7 +43,7 @@
 
   /** Applies the answer to a heartbeat that was sent at `sentAt`. */
   takeAnswer(token: number, commands: Command[], sentAt: number): void {
-    if (this.deaf || token < this.token) return;
+    if (this.inboundLost || token < this.token) return;
     this.token = token;
     this.answeredAt = sentAt;
     this.execute(commands);
--- a/test/time-of-day.test.ts
+++ b/test/time-of-day.test.ts
@@ -67,14 +67,14 @@
   let jumpMs = 0;
   const cluster = await Cluster.start({ wallMs: () => Date.now() + jumpMs });
   try {
-    await cluster.newLeader();
+    await cluster.waitForLeader();
     for (const [index, byMs] of JUMPS_MS.entries()) {
       jumpMs = byMs;
       await wait(50);
       const ref = `wk-00000${index}`;
       await cluster.users.submit(index, ref, {});
       jumpMs = 0;
-      const batches = [...cluster.state.keys].filter(([key]) => key.startsWith(JOBS));
+      const batches = [...cluster.store.keys].filter(([key]) => key.startsWith(JOBS));
       const accepted = batches
         .flatMap(([, { value }]) => decodeRequestBatch(value).jobs)
         .find(({ spec }) => spec.id === ref)!;
--- a/test/warm-pools-troubles.test.ts
+++ b/test/warm-pools-troubles.test.ts
@@ -99,10 +99,10 @@
         await world.runUntil(BURST_AT_S - 1);
         world.zoneRenewal = { renewedUntil: Infinity, provenUntil: Infinity };
         const worker = world.worker('host-000001');
-        worker.mute = true;
+        worker.heartbeatsLost = true;
         await world.run(8);
         assert.equal(world.states(), 'warm warm');
-        worker.mute = false;
+        worker.heartbeatsLost = false;
         world.zoneRenewal = { renewedUntil: -Infinity, provenUntil: Infinity };
         await world.run(2);
         assert.equal(world.states(), 'warm warm');
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -194,13 +194,13 @@
   for (const [ref, yard] of Object.entries(jobs)) {
     await users.submit(0, ref, { form: 'daemon', yard });
   }
-  for (const ref of Object.keys(jobs)) await cluster.runs(ref, 1);
+  for (const ref of Object.keys(jobs)) await cluster.waitForRunning(ref, 1);
   // The zone lease holder renews leases only after it has held its key.
-  await until('the holder has put its key', () => cluster.state.keys.has(controllerKey('n-1')));
+  await until('the holder has put its key', () => cluster.store.keys.has(controllerKey('n-1')));
 
   const cut = (is: boolean): void => {
     cluster.cutLinks(is, 1);
-    cluster.stateGates[1]!.set(is);
+    cluster.storeProxies[1]!.setCut(is);
   };
   cut(true);
   for (const worker of cluster.workers) {
@@ -218,8 +218,8 @@
   cut(false);
   for (const worker of cluster.workers) worker.unreachable.clear();
   await users.cancel(0, 'wk-000003');
-  await cluster.gone('wk-000003');
-  await users.sees(1, 'wk-000002', 'running');
+  await cluster.waitForGone('wk-000003');
+  await users.waitForState(1, 'wk-000002', 'running');
   assert.equal(cluster.tasks('wk-000002', inZone('z2')).length, 1);
   assert.equal(cluster.rules.starts.get('wk-000002/0'), 1, 'never started again');
 });
