--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -307,11 +307,11 @@
     });
   }
 
-  private makeZoneLeaseWatch(byZone: Map<string, string>): ZoneLeaseWatch {
+  private makeZoneLeaseWatch(holderByZone: Map<string, string>): ZoneLeaseWatch {
     const { settings, clock } = this.options;
     const { replica, replicaSync, store } = this;
     const leaseS = settings.workers.lease_s;
-    return new ZoneLeaseWatch({ holderByZone: byZone, leaseS, replica, replicaSync, store, clock });
+    return new ZoneLeaseWatch({ holderByZone, leaseS, replica, replicaSync, store, clock });
   }
 
   private makeZoneLeaseHolder(): ZoneLeaseHolder {
--- a/src/controller/controller-versions.ts
+++ b/src/controller/controller-versions.ts
@@ -77,11 +77,11 @@
   /** Stores the features of this controller's version; retries until they are stored. */
   async publish(): Promise<void> {
     const { node, leaseS, replica, store, replicaSync, log } = this.options;
-    const { featuresFile: file } = this.options;
+    const { featuresFile } = this.options;
     const key = records.versionKey(node);
     const value = records.encodeVersion({
       features: [...FEATURES],
-      ...(file === undefined ? {} : { file }),
+      ...(featuresFile === undefined ? {} : { file: featuresFile }),
     });
     while (!this.stopped && !this.isPublished()) {
       try {
@@ -110,11 +110,13 @@
 
   /** Controllers whose published features file differs from the leader's, or that have published none. */
   withDifferentFeatures(): string[] {
-    const { replica, node, others, featuresFile: file } = this.options;
+    const { replica, node, others, featuresFile } = this.options;
     const leader = replica.leader?.node;
     if (leader === undefined) return [];
     const hashOf = (controller: string): string | undefined =>
-      controller === node ? file?.hash : replica.versions.get(controller)?.record.file?.hash;
+      controller === node
+        ? featuresFile?.hash
+        : replica.versions.get(controller)?.record.file?.hash;
     return [node, ...others].filter((of) => hashOf(of) !== hashOf(leader)).sort();
   }
 
--- a/src/leader/heartbeat-answerer.ts
+++ b/src/leader/heartbeat-answerer.ts
@@ -15,7 +15,7 @@
     private readonly onJoined: (machine: Machine) => void,
   ) {}
 
-  /** Decodes the heartbeat in a body; parses it only if it differs from the machine's last one. Throws BadRequestError. */
+  /** Decodes a body's heartbeat; parses it only if it differs from the machine's last one. Throws BadRequestError. */
   decode(body: Buffer): Heartbeat {
     const machine = scanMachineId(body);
     const known = machine === null ? undefined : this.term.machines.get(machine);
@@ -31,7 +31,7 @@
     if (!this.mayAnswer(heartbeat)) return { status: 503, retryAfter: 1 };
     const machine = this.machineOf(heartbeat);
     const repeated = machine.isRepeated(heartbeat);
-    if (body !== undefined && !repeated && !machine.lastHeartbeat.wasDecodedFrom(heartbeat)) {
+    if (body !== undefined && !repeated && !machine.lastHeartbeat.isDerivedFromCached(heartbeat)) {
       machine.lastHeartbeat.cache(heartbeat, body);
     }
     const isFenced = this.applyHeartbeat(machine, heartbeat);
--- a/src/wire/last-heartbeat.ts
+++ b/src/wire/last-heartbeat.ts
@@ -69,7 +69,7 @@
   }
 
   /** Whether `decodeRepetition` derived this heartbeat from the cached one. */
-  wasDecodedFrom(heartbeat: Heartbeat): boolean {
+  isDerivedFromCached(heartbeat: Heartbeat): boolean {
     return this.cached?.heartbeat.tasks === heartbeat.tasks;
   }
 }
--- a/test/cluster-leaders.test.ts
+++ b/test/cluster-leaders.test.ts
@@ -90,8 +90,8 @@
 const OTHER_JOB = 'wk-000003';
 
 async function nextHeartbeat(worker: Worker): Promise<void> {
-  const { lastHeartbeat: lastReport } = worker;
-  await until(`${worker.id} reports`, () => worker.lastHeartbeat !== lastReport);
+  const { lastHeartbeat } = worker;
+  await until(`${worker.id} reports`, () => worker.lastHeartbeat !== lastHeartbeat);
 }
 
 /**
--- a/test/renewals-random.test.ts
+++ b/test/renewals-random.test.ts
@@ -19,7 +19,7 @@
 function check(world: ControlPlaneWorld): void {
   assert.deepEqual(world.overdueTasks(), []);
   const wrong = world.omittedStops.filter(
-    ({ sinceConfirmedS: sinceToldS, readByAll }) => readByAll || sinceToldS > world.allowanceS,
+    ({ sinceConfirmedS, readByAll }) => readByAll || sinceConfirmedS > world.allowanceS,
   );
   assert.deepEqual(wrong, []);
   assert.deepEqual(world.fleet.violations, []);
