--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -140,7 +140,10 @@
   assert.deepEqual(first(), node.own);
 
   const asked: string[] = [];
-  const peers = { names: ['a', 'b'], ask: (to: string) => Promise.resolve(void asked.push(to)) };
+  const peers = {
+    peerNames: ['a', 'b'],
+    ask: (to: string) => Promise.resolve(void asked.push(to)),
+  };
   const refresh = (): string[] => {
     now += TICK_S;
     node.health.recordHealth('b', idle);
