--- a/test/late-starts-random.test.ts
+++ b/test/late-starts-random.test.ts
@@ -21,7 +21,7 @@
 }
 
 /** Faults that lead to delayed starts, in addition to those for renewals. */
-const START_TROUBLES: Record<string, Fault> = {
+const START_FAULTS: Record<string, Fault> = {
   'a job arrives': acceptJob,
   'a job arrives, and its starts are held back': (world) => {
     world.delaysDirectCommands = true;
@@ -36,7 +36,7 @@
   },
 };
 
-const ALL_FAULTS: Record<string, Fault> = { ...FAULTS, ...START_TROUBLES };
+const ALL_FAULTS: Record<string, Fault> = { ...FAULTS, ...START_FAULTS };
 
 /** One of these events, and some time after it. */
 const event = (...names: string[]): fc.Arbitrary<TimedFault> => anyOf(names);
--- a/test/late-starts.test.ts
+++ b/test/late-starts.test.ts
@@ -209,7 +209,7 @@
   const leader = world.controller('n-2');
   // The leader reads the job but not its cancellation.
   world.submitJob({ id: late });
-  (leader as unknown as { read(): void }).read();
+  (leader as unknown as { syncReplica(): void }).syncReplica();
   Object.assign(leader, { readsLost: true, peersReachable: false });
   world.cancel(late);
   // The others run before the leader: they read the cancellation, but no longer the claim.
--- a/test/support/simulated-controller.ts
+++ b/test/support/simulated-controller.ts
@@ -253,7 +253,7 @@
 
   /** Sets the names of the other controllers. */
   connect(names: readonly string[]): void {
-    Object.assign(this.peers, { names: names.filter((name) => name !== this.node) });
+    Object.assign(this.peers, { peerNames: names.filter((name) => name !== this.node) });
   }
 
   private async ask(node: string, question: Question): Promise<Answer | null> {
