--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -132,7 +132,7 @@
     for (const id of ids) {
       this.cancellations.noteStored(id);
       this.cancellationTimes.note(id);
-      this.terms.leader?.onCancellationHeard(id);
+      this.terms.leader?.onCancellationStored(id);
     }
   }
 
@@ -144,12 +144,12 @@
         if (storedJob.claimCount > 0) this.cancellationTimes.note(storedJob.spec.id);
         this.terms.leader?.onCancelled(storedJob);
       },
-      onLeader: () => {
+      onLeaderChange: () => {
         this.election.wake();
         void this.acknowledgements.acknowledgeLeader();
       },
-      onAcknowledgement: (node, record) => this.acknowledgements.noteStored(node, record),
-      onPresence: (node) => this.zoneLeases.keyChanged(node),
+      onAcknowledgement: (node, record) => this.acknowledgements.recordStored(node, record),
+      onPresenceChange: (node) => this.zoneLeases.keyChanged(node),
     };
   }
 
@@ -197,7 +197,7 @@
       clock,
       log,
       pauseS: () => (this.terms.leader === null ? FOLLOWER_WATCH_PAUSE_S : LEADER_WATCH_PAUSE_S),
-      syncGapS: Math.min(
+      minSyncIntervalS: Math.min(
         MAX_READ_GAP_S,
         (READ_GAP_REQUESTS * settings.controllerCount) / settings.state.rps,
       ),
@@ -252,7 +252,7 @@
         onKnownCancelled: (ids) => this.onCancellationsStored(ids),
         cancelledSince: (revision) => this.cancellations.storedSince(revision),
       },
-      healthierCanCampaign: () => this.overload.late && this.health.healthier() !== null,
+      healthierCanCampaign: () => this.overload.isLate && this.health.findHealthier() !== null,
     });
   }
 
@@ -289,7 +289,7 @@
       replicaSync: this.replicaSync,
       clock,
       log,
-      ...(featuresFile === undefined ? {} : { file: featuresFile }),
+      ...(featuresFile === undefined ? {} : { featuresFile }),
     });
   }
 
@@ -301,17 +301,17 @@
       clock,
       log,
       leaseS: settings.workers.lease_s,
-      leads: () => this.election.canWrite,
+      isLeader: () => this.election.canWrite,
       electedAt: () => this.terms.leader?.term.startedAt ?? clock.now(),
       stepDown: () => this.election.stepDown(),
     });
   }
 
-  private makeZoneLeaseWatch(byZone: Map<string, string>): ZoneLeaseWatch {
+  private makeZoneLeaseWatch(holderByZone: Map<string, string>): ZoneLeaseWatch {
     const { settings, clock } = this.options;
     const { replica, replicaSync, store } = this;
     const leaseS = settings.workers.lease_s;
-    return new ZoneLeaseWatch({ byZone, leaseS, replica, replicaSync, store, clock });
+    return new ZoneLeaseWatch({ holderByZone, leaseS, replica, replicaSync, store, clock });
   }
 
   private makeZoneLeaseHolder(): ZoneLeaseHolder {
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -165,18 +165,18 @@
 
   /** Handles a job that has become ready: accepted without dependencies, or its last dependency is done. */
   onReady(storedJob: StoredJob): void {
-    this.forecast.jobArrived(storedJob.spec, storedJob.readyMs);
+    this.forecast.jobBecameReady(storedJob.spec, storedJob.readyMs);
     this.term.addJob(storedJob);
   }
 
   /** Handles a cancellation that was read from the store. */
   onCancelled(storedJob: StoredJob): void {
-    if (this.term.jobs.has(storedJob.spec.id)) this.forecast.jobLeft(storedJob.spec);
+    if (this.term.jobs.has(storedJob.spec.id)) this.forecast.serviceEnded(storedJob.spec);
     this.term.jobCancelled(storedJob);
   }
 
   /** Handles a stored cancellation reported by another controller, which an outage keeps this one from reading. */
-  onCancellationHeard(id: string): void {
+  onCancellationStored(id: string): void {
     this.term.cancellationReported(id);
   }
 
@@ -284,8 +284,8 @@
   const wallMs = (): number => term.timeOfDay.nowMs();
   const types = (): MachineType[] => [...term.machineTypes.values()];
   const forecast = new DemandForecast(wallMs, settings.workers.report_s, types);
-  for (const { readyAt, readyMs, spec } of replica.jobs.values()) {
-    if (readyAt !== null) forecast.jobArrived(spec, readyMs);
+  for (const { readyRevision, readyMs, spec } of replica.jobs.values()) {
+    if (readyRevision !== null) forecast.jobBecameReady(spec, readyMs);
   }
   return forecast;
 }
--- a/src/leader/term/subsystem-view.ts
+++ b/src/leader/term/subsystem-view.ts
@@ -128,8 +128,8 @@
     return this.options.migrationGapS(jobClass);
   }
 
-  /** See `TermView.endStopped`. */
-  endStopped({ job, index, number }: AttemptView): void {
+  /** See `TermView.endStoppingAttempt`. */
+  endStoppingAttempt({ job, index, number }: AttemptView): void {
     const { term } = this.options;
     const live = term.jobs.get(job);
     const attempt = live?.attemptsByTask.get(index)?.find((attempt) => attempt.number === number);
@@ -150,7 +150,7 @@
 
   /** See `TermView.records`. */
   records(): ReadonlyMap<string, OwnedRecord> {
-    return this.options.term.context.replica.subsystems.of(this.subsystem);
+    return this.options.term.context.replica.subsystems.forSubsystem(this.subsystem);
   }
 
   /** See `TermView.wakeWriter`. */
--- a/src/leader/writes/record-writer.ts
+++ b/src/leader/writes/record-writer.ts
@@ -126,7 +126,7 @@
       batch.push(write);
     }
     if (batch.length === 0) return false;
-    writeBudget.force(batch.reduce((sum, write) => sum + 1 + write.alsoOperations.length, 0));
+    writeBudget.forceTake(batch.reduce((sum, write) => sum + 1 + write.alsoOperations.length, 0));
     await this.commitBatch(batch);
     return true;
   }
@@ -139,7 +139,7 @@
       if (this.stopped) return;
       if (result.ok) {
         term.latestRevision = Math.max(term.latestRevision, result.revision);
-        for (const write of batch) write.stored(result.revision);
+        for (const write of batch) write.onStored(result.revision);
         return;
       }
       for (const write of batch) write.failed();
@@ -171,7 +171,7 @@
     if (batch.length === 1) return;
     for (const write of batch) {
       if (this.stopped) return;
-      this.options.store.writeBudget.force(1 + write.alsoOperations.length);
+      this.options.store.writeBudget.forceTake(1 + write.alsoOperations.length);
       write.started();
       await this.commitBatch([write]);
     }
@@ -182,7 +182,7 @@
       while (!this.stopped) {
         try {
           const item = await this.options.store.get(write.key, 1);
-          write.readBack(item);
+          write.onReadBack(item);
           break;
         } catch {
           await sleep(RETRY_S);
--- a/src/lending/command.ts
+++ b/src/lending/command.ts
@@ -1,7 +1,7 @@
 /** `pewtershelf loans`: prints the loans that a running controller reports. */
 
 import * as v from 'valibot';
-import { fetchView, table, type ViewRequest } from '../subsystems/view-command.js';
+import { fetchView, formatTable, type ViewRequest } from '../subsystems/view-command.js';
 import { LOAN_STATES } from './loan.js';
 import type { LoanRow, LoansView } from './view.js';
 
@@ -37,7 +37,7 @@
       ...[loan, tasks, borrower, machine, gpus, state, due ?? '-', changed, reason],
     ],
   );
-  return table([...head, 'reason'], rows);
+  return formatTable([...head, 'reason'], rows);
 }
 
 /** The command's options. */
--- a/src/lending/loan-table.ts
+++ b/src/lending/loan-table.ts
@@ -91,7 +91,7 @@
 
   /** Drops a loan that is not known to be stored. If it has been stored after all, `reconcile` adds it again. */
   dropUnstored(entry: LoanEntry): void {
-    this.table.removed(entry.id);
+    this.table.deleteEntry(entry.id);
     this.options.onRemoved(entry.id);
   }
 
--- a/src/store/request-writer.ts
+++ b/src/store/request-writer.ts
@@ -56,7 +56,7 @@
   }
 
   /** Whether the queue holds more than can be stored within this time, so that a new request would time out. */
-  full(timeoutS: number): boolean {
+  isFull(timeoutS: number): boolean {
     const bytes = this.queue.reduce((sum, request) => sum + request.size, 0);
     return bytes > this.options.budget.perSecond * timeoutS * this.options.store.valueBytes;
   }
@@ -141,7 +141,7 @@
   private async storeBatch(batch: PendingRequest[]): Promise<void> {
     const puts = this.encodePuts(batch);
     // One write has been taken from the budget; a batch with both dependent and independent jobs needs two.
-    if (puts.length > 1) this.options.budget.force(puts.length - 1);
+    if (puts.length > 1) this.options.budget.forceTake(puts.length - 1);
     const deadline = Math.max(...batch.map((request) => request.deadline));
     const stored = await this.writePuts(puts, deadline);
     const synced = stored && (await this.readBack(deadline));
--- a/src/subsystems/record-table.ts
+++ b/src/subsystems/record-table.ts
@@ -113,7 +113,7 @@
   }
 
   /** Drops an entry whose record was removed or never stored. */
-  removed(id: string): void {
+  deleteEntry(id: string): void {
     this.entries.delete(id);
     this.unstoredIds.delete(id);
     this.removalIds.delete(id);
@@ -149,8 +149,8 @@
       revision: entry.revision,
       value: this.codec.encode(value),
       alsoChanges: [],
-      stored: (at) => this.markStored(entry, value, at),
-      readBack: (record) => this.applyReadBack(entry, value, record),
+      onStored: (at) => this.markStored(entry, value, at),
+      onReadBack: (record) => this.applyReadBack(entry, value, record),
     };
   }
 
@@ -163,9 +163,9 @@
         revision: entry.revision,
         value: null,
         alsoChanges: [],
-        stored: () => this.removed(id),
-        readBack: (record) => {
-          if (record === null) this.removed(id);
+        onStored: () => this.deleteEntry(id),
+        onReadBack: (record) => {
+          if (record === null) this.deleteEntry(id);
           else entry.revision = record.revision;
         },
       },
--- a/src/subsystems/view-command.ts
+++ b/src/subsystems/view-command.ts
@@ -48,7 +48,7 @@
 export type Cell = string | number;
 
 /** Formats a table. Columns are as wide as their widest cell; numbers are right-aligned. */
-export function table(header: readonly string[], rows: readonly (readonly Cell[])[]): string {
+export function formatTable(header: readonly string[], rows: readonly (readonly Cell[])[]): string {
   const widths = header.map((title, column) =>
     Math.max(title.length, ...rows.map((row) => String(row[column]).length)),
   );
--- a/src/warm-pools/slot-monitor.ts
+++ b/src/warm-pools/slot-monitor.ts
@@ -104,7 +104,7 @@
     }
     if (machine.condition.quarantined)
       return { kind: 'lost', reason: 'faulty', atMs, uncertainMs: 0 };
-    if (machine.reclaimedAt === null) return null;
+    if (machine.reclaimAt === null) return null;
     return { kind: 'lost', reason: 'taken back', atMs, uncertainMs: 0 };
   }
 
@@ -146,7 +146,7 @@
       const pool = this.options.pool(entry.current.pool);
       if (pool === undefined) continue;
       const task = this.modelTasks(machine, pool).find(({ name }) => {
-        return !used.has(name) && !entry.current.beside.includes(name);
+        return !used.has(name) && !entry.current.earlierTasks.includes(name);
       });
       if (task === undefined) continue;
       used.add(task.name);
--- a/src/warm-pools/slot-planner.ts
+++ b/src/warm-pools/slot-planner.ts
@@ -202,7 +202,7 @@
   private mayAdopt(machine: string): boolean {
     const m = this.options.view.machine(machine);
     if (m === undefined || m.state !== 'ready') return false;
-    return !m.condition.quarantined && m.reclaimedAt === null && m.drainingSince === null;
+    return !m.condition.quarantined && m.reclaimAt === null && m.drainingSince === null;
   }
 
   /** The assignment of a machine to a slot. Replicas that are already on the machine do not use the slot. */
@@ -216,7 +216,7 @@
       machine,
       share: pool !== undefined && type !== undefined ? slotShare(pool.shape, type) : 1,
       pricePerHour: type?.price ?? 0,
-      beside: isKnown ? modelTasks(view, machineView, pool).map(({ name }) => name) : [],
+      earlierTasks: isKnown ? modelTasks(view, machineView, pool).map(({ name }) => name) : [],
     };
   }
 
--- a/src/warm-pools/slot-reservations.ts
+++ b/src/warm-pools/slot-reservations.ts
@@ -134,7 +134,7 @@
     if (machineView === undefined) return 0;
     const { tasks } = this.claims;
     const isNew = ({ name }: ModelTask): boolean =>
-      !tasks.has(name) && !current.beside.includes(name);
+      !tasks.has(name) && !current.earlierTasks.includes(name);
     return modelTasks(view, machineView, pool).filter(isNew).length;
   }
 
--- a/src/warm-pools/slot-table.ts
+++ b/src/warm-pools/slot-table.ts
@@ -84,8 +84,8 @@
   }
 
   /** Removes a slot whose record was removed from the store. */
-  removed(id: string): void {
-    this.table.removed(id);
+  deleteEntry(id: string): void {
+    this.table.deleteEntry(id);
   }
 
   /** The next changes to store; ends of slots come first. */
--- a/src/wire/last-heartbeat.ts
+++ b/src/wire/last-heartbeat.ts
@@ -30,7 +30,7 @@
   private memory: Buffer = Buffer.alloc(0);
 
   /** Caches a heartbeat for comparison, unless it is too long. */
-  keep(heartbeat: Heartbeat, body: Buffer): void {
+  cache(heartbeat: Heartbeat, body: Buffer): void {
     this.cached = null;
     const { length } = body;
     if (length > MAX_CACHED_BYTES) return;
@@ -69,7 +69,7 @@
   }
 
   /** Whether `decodeRepetition` derived this heartbeat from the cached one. */
-  wasDecodedFrom(heartbeat: Heartbeat): boolean {
+  isDerivedFromCached(heartbeat: Heartbeat): boolean {
     return this.cached?.heartbeat.tasks === heartbeat.tasks;
   }
 }
--- a/test/cluster-lending.test.ts
+++ b/test/cluster-lending.test.ts
@@ -24,7 +24,7 @@
 /** Checks the output of the command `loans` while the controllers run. */
 async function checkLoansCommand(scenario: Scenario): Promise<void> {
   const { cluster } = scenario;
-  const at = `127.0.0.1:${cluster.ports[await cluster.newLeader()]!.bind}`;
+  const at = `127.0.0.1:${cluster.ports[await cluster.waitForLeader()]!.bind}`;
   const shown = await runProgram('loans', '--at', at);
   assert.match(shown.out, /^loan +tasks +borrower +machine +gpus +state +due +changed +reason\n/);
   assert.match(shown.out, new RegExp(`\n${PATIENT}/0/\\d+ +1 +${SPIKE} +host-000001 +2 +resumed`));
@@ -45,7 +45,7 @@
 for (const fault of ['killed', 'frozen'] satisfies LeaderFault[]) {
   test(`real processes: the leader is ${fault} while GPUs are lent; both deadlines are met`, async () => {
     const scenario = new Scenario({
-      ...{ lending: true, trouble: fault, tightFirst: true, label: fault },
+      ...{ lending: true, leaderFault: fault, tightFirst: true, label: fault },
       directory: mkdtempSync(join(tmpdir(), 'shelf-')),
     });
     const outcome = await scenario.play(() => checkLoansCommand(scenario));
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -174,9 +174,9 @@
   const room = null!;
   assert.deepEqual(
     [
-      active.keeps('m1'),
-      active.keeps('m2'),
-      active.keptMachines(),
+      active.retainsMachine('m1'),
+      active.retainsMachine('m2'),
+      active.reservedMachines(),
       active.scaleOutRequests().length,
     ],
     [true, false, 2, 0],
@@ -184,7 +184,10 @@
   assert.deepEqual([active.mayUse(spec(), room), active.preferenceS(spec(), room)], [false, 3]);
   assert.deepEqual(active.statistics(), { works: 1 });
   const none = new ActiveSubsystems(silentLog());
-  assert.deepEqual([none.hasAny, none.keptMachines(), none.mayUse(spec(), room)], [false, 0, true]);
+  assert.deepEqual(
+    [none.hasAny, none.reservedMachines(), none.mayUse(spec(), room)],
+    [false, 0, true],
+  );
 });
 
 test('controllers publish the hashes of their features files; differences from the leader are detected', () => {
@@ -203,7 +206,7 @@
   const versions = new ControllerVersions({
     ...{ node: 'a', others: ['b', 'c'], leaseS: 2, replica, store: null!, replicaSync: null! },
     ...{ peers: () => null!, health: null!, clock: { now: () => 0 }, log: silentLog() },
-    file: { hash: 'one', subsystems: [] },
+    featuresFile: { hash: 'one', subsystems: [] },
   });
   assert.deepEqual(versions.withDifferentFeatures(), [], 'there is no leader');
   put(records.LEADER, records.encodeLeader({ node: 'b', incarnation: 'x' }));
@@ -245,17 +248,17 @@
   listed.applyListed(item);
   for (const replica of [streamed, listed]) {
     assert.deepEqual(
-      [...replica.subsystems.of('later')],
+      [...replica.subsystems.forSubsystem('later')],
       [['a/b', { value: item.value, revision: 3 }]],
     );
-    assert.equal(replica.subsystems.of('other').size, 0);
+    assert.equal(replica.subsystems.forSubsystem('other').size, 0);
     replica.advance(4, [{ kind: 'removed', key, revision: 2 }]);
-    assert.equal(replica.subsystems.of('later').size, 1, 'an older removal is ignored');
+    assert.equal(replica.subsystems.forSubsystem('later').size, 1, 'an older removal is ignored');
   }
   streamed.advance(5, [{ kind: 'removed', key, revision: 5 }]);
   listed.removeMissing(new Set(), 5);
   for (const replica of [streamed, listed]) {
-    assert.equal(replica.subsystems.of('later').size, 0);
+    assert.equal(replica.subsystems.forSubsystem('later').size, 0);
     assert.equal(replica.malformedRecords, 0);
   }
 });
--- a/test/heartbeat-bytes.test.ts
+++ b/test/heartbeat-bytes.test.ts
@@ -8,11 +8,11 @@
 import { random, seedRandom } from '../src/random.js';
 import { LastHeartbeat } from '../src/wire/last-heartbeat.js';
 import { scanHeartbeat } from '../src/wire/heartbeat-scan.js';
-import { BadMessage } from '../src/wire/users.js';
+import { BadRequestError } from '../src/wire/users.js';
 import { decodeHeartbeat, type Heartbeat } from '../src/wire/workers.js';
 import { settings } from './helpers.js';
 import { LeaderWorld } from './support/leader-world.js';
-import { fake, type Partially } from './support/fake.js';
+import { fake, type DeepPartial } from './support/fake.js';
 
 const bodyOf = (token: number, tally: number | string, machine = 'm'): string =>
   `{"bench":"${machine}","addr":"127.0.0.1:1","casting":"g8","yard":"z1","loaner":true,"shift":1,` +
@@ -24,7 +24,7 @@
   try {
     return decodeHeartbeat(body);
   } catch (error) {
-    if (error instanceof BadMessage) return null;
+    if (error instanceof BadRequestError) return null;
     throw error;
   }
 }
@@ -34,13 +34,16 @@
 
 /** The heartbeat handler of a follower that knows the leader, or of the leader itself. */
 function makeHandler(
-  over: Partially<HandlerOptions>,
+  over: DeepPartial<HandlerOptions>,
   ask: Ask = () => Promise.resolve(null),
 ): HeartbeatHandler {
   return new HeartbeatHandler(
     fake<HandlerOptions>({
       settings: settings(),
-      election: { isEntitled: over.leader !== undefined, outage: { mayRenewLeases: () => true } },
+      election: {
+        isEntitled: over.leader !== undefined,
+        outageQuorum: { mayRenewLeases: () => true },
+      },
       store: { health: 'served' },
       replica: {
         leader: { node: 'n-1', revision: 5 },
@@ -49,7 +52,7 @@
         machines: new Map(),
         mayLackClaimsSince: () => false,
       },
-      peers: { names: ['n-1'], ask },
+      peers: { peerNames: ['n-1'], ask },
       zoneLeaseHolder: null,
       zoneLeases: { holderOf: () => null, isSteady: () => true },
       isLate: () => false,
@@ -73,7 +76,7 @@
       machine.sequence,
       machine.fencedSequence,
       machine.token,
-      machine.reclaimedAt,
+      machine.reclaimAt,
       machine.leaseExpiresAt,
       machine.addr,
     ],
@@ -243,7 +246,7 @@
     ['renewed in an outage', makeHandler({}, unavailable), 200],
     [
       'no controller answers',
-      makeHandler({ election: { outage: { mayRenewLeases: () => false } } }),
+      makeHandler({ election: { outageQuorum: { mayRenewLeases: () => false } } }),
       421,
     ],
     ['detected by the leader', makeHandler({}, rejected), 400],
@@ -322,7 +325,7 @@
   const [largest, tooLarge] = ['9007199254740991', '9007199254740993'];
   const last = new LastHeartbeat();
   const body = Buffer.from(bodyOf(5, largest));
-  last.keep(decodeHeartbeat(body), body);
+  last.cache(decodeHeartbeat(body), body);
   assert.equal(last.decodeRepetition(Buffer.from(bodyOf(5, tooLarge))), null);
   assert.equal(decodeOrNull(Buffer.from(bodyOf(5, tooLarge))), null);
 });
@@ -340,7 +343,7 @@
     [2, true],
   ] as const) {
     const body = long(tasks);
-    last.keep(decodeHeartbeat(body), body);
+    last.cache(decodeHeartbeat(body), body);
     assert.equal(last.decodeRepetition(body) !== null, isStored, `${tasks} tasks`);
     const { memory } = last as unknown as { memory: Buffer };
     assert.ok(memory.buffer.byteLength <= 4096 && memory.buffer !== body.buffer);
--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -7,7 +7,7 @@
 import type { ControllerHealth } from '../src/peers/messages.js';
 import { ANSWER_WAIT_S } from '../src/wire/workers.js';
 import { wait } from './helpers.js';
-import { playAll } from './standins/cluster.js';
+import { runScenarios } from './standins/cluster.js';
 import { fake } from './support/fake.js';
 
 const LEASE_S = 10;
@@ -84,7 +84,7 @@
       clock,
       log: silentLog(),
       leaseS: LEASE_S,
-      leads,
+      isLeader: leads,
       electedAt,
       stepDown: () => {
         this.stepDowns++;
@@ -119,11 +119,11 @@
       others.forEach((health, i) => {
         const at = now;
         now -= figuresAgeIntervals * HEARTBEAT_INTERVAL_S;
-        if (health !== null) node.health.note(`n-${i}`, health);
+        if (health !== null) node.health.recordHealth(`n-${i}`, health);
         now = at;
       });
-      node.overload.noteLag(lag, now);
-      node.leadershipTransfer.consider();
+      node.overload.recordTimerLag(lag, now);
+      node.leadershipTransfer.transferIfOverloaded();
     }
     assert.equal(node.stepDowns, stepDowns, name);
   }
@@ -132,7 +132,7 @@
 test('health data is sent once in a quarter of a heartbeat interval; a silent controller is asked', () => {
   let now = 0;
   const node = new TestController({ now: () => now }, () => true);
-  const [first, second] = [node.health.nextToSend(), node.health.nextToSend()];
+  const [first, second] = [node.health.createSender(), node.health.createSender()];
   assert.deepEqual([first(), first(), second()], [node.own, null, node.own], 'per connection');
   now += HEARTBEAT_INTERVAL_S * 0.2;
   assert.equal(first(), null);
@@ -140,10 +140,13 @@
   assert.deepEqual(first(), node.own);
 
   const asked: string[] = [];
-  const peers = { names: ['a', 'b'], ask: (to: string) => Promise.resolve(void asked.push(to)) };
+  const peers = {
+    peerNames: ['a', 'b'],
+    ask: (to: string) => Promise.resolve(void asked.push(to)),
+  };
   const refresh = (): string[] => {
     now += TICK_S;
-    node.health.note('b', idle);
+    node.health.recordHealth('b', idle);
     node.health.refresh(fake<Parameters<HealthTable['refresh']>[0]>(peers));
     return asked.splice(0);
   };
@@ -153,27 +156,28 @@
 test('of several healthier controllers the healthiest is chosen; a late one is known to be late', () => {
   let now = 0;
   const node = new TestController({ now: () => now }, () => true);
-  for (let i = 0; i < 6; i++) node.overload.noteLag(LATE_S, now);
+  for (let i = 0; i < 6; i++) node.overload.recordTimerLag(LATE_S, now);
   const healthData: [string, number, boolean][] = [
     ['a', LATE_S * 0.3, true],
     ['b', LATE_S * 0.1, true],
     ['c', LATE_S * 0.2, true],
     ['d', 0, false],
   ];
-  for (const [name, latenessS, served] of healthData) node.health.note(name, { latenessS, served });
-  assert.equal(node.health.healthier(), 'b');
+  for (const [name, latenessS, served] of healthData)
+    node.health.recordHealth(name, { latenessS, served });
+  assert.equal(node.health.findHealthier(), 'b');
   assert.deepEqual(
     ['a', 'b', 'nobody'].map((name) => node.health.isLate(name)),
     [true, false, false],
   );
-  node.health.note('e', withForwardingDelay(ANSWER_WAIT_S * 0.2));
+  node.health.recordHealth('e', withForwardingDelay(ANSWER_WAIT_S * 0.2));
   assert.equal(
     node.health.isLate('e'),
     false,
     'its forwarded heartbeats wait because of the leader',
   );
   now += HEARTBEAT_INTERVAL_S * 4;
-  assert.deepEqual([node.health.healthier(), node.health.isLate('a')], [null, false], 'stale');
+  assert.deepEqual([node.health.findHealthier(), node.health.isLate('a')], [null, false], 'stale');
 });
 
 /** How late a controller is at a given time, as leader or follower. */
@@ -208,7 +212,7 @@
       // Elects the next controller that is not late.
       const next = (): number => {
         const others = nodes.map((_node, k) => (i + 1 + k) % nodes.length);
-        return others.find((k) => k !== i && !nodes[k]!.overload.late) ?? i;
+        return others.find((k) => k !== i && !nodes[k]!.overload.isLate) ?? i;
       };
       const stepDown = (): void => {
         leader = next();
@@ -227,10 +231,10 @@
     while (now < MINUTES * 60) {
       now += TICK_S;
       nodes.forEach((node, i) => {
-        node.overload.noteLag(latenesses[i]!(leader === i, now), now);
-        nodes.forEach((other, k) => k !== i && other.health.note(`n-${i}`, node.own));
+        node.overload.recordTimerLag(latenesses[i]!(leader === i, now), now);
+        nodes.forEach((other, k) => k !== i && other.health.recordHealth(`n-${i}`, node.own));
       });
-      for (const node of nodes) node.leadershipTransfer.consider();
+      for (const node of nodes) node.leadershipTransfer.transferIfOverloaded();
     }
     assert.ok(changes >= least && changes <= most, `${name}: ${changes}`);
     for (const node of nodes)
@@ -240,18 +244,18 @@
 
 test('transferred leadership goes to another controller, and running tasks continue', async () => {
   const rows = [{ name: 'once' }];
-  await playAll(rows, { leaseS: 3, cancelS: 6 }, async (cluster) => {
+  await runScenarios(rows, { leaseS: 3, cancelS: 6 }, async (cluster) => {
     await cluster.users.submit(0, 'wk-000001', { form: 'daemon', pieces: 3 });
-    await cluster.runs('wk-000001', 3);
-    const old = await cluster.newLeader();
+    await cluster.waitForRunning('wk-000001', 3);
+    const old = await cluster.waitForLeader();
     const began = Date.now();
     await cluster.controllers[old]!.election.stepDown();
     assert.equal(cluster.leads(old), false);
-    await cluster.newLeader(old);
+    await cluster.waitForLeader(old);
     // If the leader did not delete its key, the others would wait for the key's lease, 0.3 of a worker's lease.
     assert.ok(Date.now() - began < 3 * 0.3 * 1000, 'without waiting for the lease');
     await wait(3000);
-    await cluster.runs('wk-000001', 3);
+    await cluster.waitForRunning('wk-000001', 3);
     for (let i = 0; i < 3; i++) assert.equal(cluster.rules.starts.get(`wk-000001/${i}`), 1);
   });
 });
--- a/test/lending-random.test.ts
+++ b/test/lending-random.test.ts
@@ -38,8 +38,8 @@
   world.store.deliverHeldBack();
   world.batch.saving = 'works';
   for (const worker of world.fleet.workers.values()) {
-    worker.mute = false;
-    worker.deaf = false;
+    worker.heartbeatsLost = false;
+    worker.inboundLost = false;
   }
 }
 
@@ -107,8 +107,10 @@
     if (world.canWrite) world.store.mode = 'hold back';
   },
   'all faults end': clearFaults,
-  'heartbeats of a machine are lost': (run, number) => void (machineFor(run, number).mute = true),
-  'messages to a machine are lost': (run, number) => void (machineFor(run, number).deaf = true),
+  'heartbeats of a machine are lost': (run, number) =>
+    void (machineFor(run, number).heartbeatsLost = true),
+  'messages to a machine are lost': (run, number) =>
+    void (machineFor(run, number).inboundLost = true),
   'a machine fails and another one is added': (run, number) => {
     const { world } = run;
     if (world.batch.removedAt.size >= 3) return;
--- a/test/meeting-elections.test.ts
+++ b/test/meeting-elections.test.ts
@@ -8,7 +8,7 @@
 import type { ReplicaSync } from '../src/store/replica-sync.js';
 import * as records from '../src/store/records.js';
 import { MemoryStore } from './support/memory-store.js';
-import { fake, type Partially } from './support/fake.js';
+import { fake, type DeepPartial } from './support/fake.js';
 
 /** Short, because the pauses between steps take real time. */
 const LEASE_S = 0.5;
@@ -36,20 +36,20 @@
     private readonly peerAnswers: () => (Answer | null)[] = () => [null, null],
     healthierCanCampaign: () => boolean = () => false,
   ) {
-    const replica = store.listed();
-    const follower: Partially<ReplicaSync> = {
+    const replica = store.listedReplica();
+    const follower: DeepPartial<ReplicaSync> = {
       ready: true,
       freshAt: -Infinity,
       sync: (): Promise<boolean> => sync(),
     };
     const sync = (): Promise<boolean> => {
       follower.freshAt = this.now;
-      return Promise.resolve(store.feed(replica) !== null);
+      return Promise.resolve(store.replayInto(replica) !== null);
     };
     this.sync = sync;
     const names = ['x', 'y'];
     const peers = fake<PeerNetwork>({
-      names,
+      peerNames: names,
       ask: (to: string, _q: Question) =>
         Promise.resolve(this.peerAnswers()[names.indexOf(to)] ?? null),
     });
@@ -148,7 +148,7 @@
     const controller = new Controller(store);
     if (acknowledged > 0) controller.election.acknowledge(token + acknowledged);
     store.mode = mode;
-    const answer = await controller.election.outage.answer(token, 100, 0);
+    const answer = await controller.election.outageQuorum.answer(token, 100, 0);
     assert.equal(answer.refused, want, name);
     if (want !== true) continue;
     assert.deepEqual(answer.cancelled, ['wk-1'], 'the answer tells of the cancellation');
@@ -175,16 +175,16 @@
     store.mode = 'refuse';
     store.rejectedSince = controller.now - LEADER_TTL_S * refusedForTtls;
     if (acknowledged) controller.election.acknowledge(token + 1);
-    assert.equal(await controller.election.outage.mayRenewLeases(), mayRenew, name);
+    assert.equal(await controller.election.outageQuorum.mayRenewLeases(), mayRenew, name);
     if (!mayRenew) continue;
     controller.election.acknowledge(token + 1);
     assert.equal(
-      await controller.election.outage.mayRenewLeases(),
+      await controller.election.outageQuorum.mayRenewLeases(),
       false,
       'no longer once a later leader is acknowledged',
     );
     controller.now += LEADER_TTL_S;
-    assert.equal(await controller.election.outage.mayRenewLeases(), false);
+    assert.equal(await controller.election.outageQuorum.mayRenewLeases(), false);
   }
 });
 
@@ -317,8 +317,8 @@
 test('a controller that is frozen while it catches up is not elected', async () => {
   const controller = new Controller(new MemoryStore());
   const { store } = controller;
-  const feed = store.feed.bind(store);
-  store.feed = (replica) => {
+  const feed = store.replayInto.bind(store);
+  store.replayInto = (replica) => {
     controller.now += LEADER_TTL_S * 1.1;
     return feed(replica);
   };
--- a/test/meeting-leaders.test.ts
+++ b/test/meeting-leaders.test.ts
@@ -35,8 +35,9 @@
       await until(world);
       const late = world.machine('a').activeAttempts().length > 0 ? world.sendDirect('a') : null;
       world.cancel(JOB);
-      if (seen === 'by word of another') world.leader.onCancellationHeard(JOB);
-      if (seen === 'by the old leader' || seen === 'no change') world.store.feed(world.replica);
+      if (seen === 'by word of another') world.leader.onCancellationStored(JOB);
+      if (seen === 'by the old leader' || seen === 'no change')
+        world.store.replayInto(world.replica);
       if (seen !== 'by the next') await world.parts.writer.writeBatch();
       if (seen !== 'no change') world.failOver();
       else late?.unanswered();
@@ -50,7 +51,11 @@
       if (seen !== 'no change') assert.deepEqual(world.fleet.violations, [], `${name}, ${seen}`);
       assert.deepEqual(world.machine('a').activeAttempts(), [], `${name}, ${seen}`);
       if (seen !== 'no change') assert.equal(world.term.jobs.size, 0, `${name}, ${seen}`);
-      assert.equal(outcome(world.store.feed(world.replica).jobs.get(JOB)!), 'cancelled', name);
+      assert.equal(
+        outcome(world.store.replayInto(world.replica).jobs.get(JOB)!),
+        'cancelled',
+        name,
+      );
     }
   }
 });
@@ -92,7 +97,7 @@
   await world.run(1);
   world.canWrite = false;
   world.cancel(JOB);
-  world.leader.onCancellationHeard(JOB);
+  world.leader.onCancellationStored(JOB);
   for (let i = 0; i < 3; i++) world.exchangeHeartbeat(world.fleet.workers.get('a')!);
   assert.deepEqual([world.fleet.running(JOB), world.fleet.running(OTHER)], [0, 1]);
   world.canWrite = true;
@@ -101,18 +106,18 @@
 });
 
 test('tasks on machines without contact to the new leader are not started elsewhere for a lease', async () => {
-  type Trouble = (worker: Worker) => void;
-  const cases: [string, Trouble, Trouble][] = [
-    ['heartbeats lost', (worker) => (worker.mute = true), () => undefined],
+  type WorkerFault = (worker: Worker) => void;
+  const cases: [string, WorkerFault, WorkerFault][] = [
+    ['heartbeats lost', (worker) => (worker.heartbeatsLost = true), () => undefined],
     [
       'heartbeats lost, then delivered',
-      (worker) => (worker.mute = true),
-      (worker) => (worker.mute = false),
+      (worker) => (worker.heartbeatsLost = true),
+      (worker) => (worker.heartbeatsLost = false),
     ],
     [
       'answers lost, then delivered',
-      (worker) => (worker.deaf = true),
-      (worker) => (worker.deaf = false),
+      (worker) => (worker.inboundLost = true),
+      (worker) => (worker.inboundLost = false),
     ],
   ];
   for (const [name, begin, end] of cases) {
@@ -187,15 +192,15 @@
     ['its zone lease holder does not renew, by an old proof', -Infinity, 0, false],
     ['its zone lease holder does not renew, by a fresh proof', -Infinity, 60, true],
   ];
-  for (const [name, keptUntil, provenAt, lost] of cases) {
+  for (const [name, renewedUntil, provenUntil, lost] of cases) {
     const world = await worldWith(['a', 'b']);
     world.submitJob({ id: JOB, gpus: 8, cores: 8 });
     await world.run(1);
     const [on] = [...world.fleet.workers.values()].filter(
       (worker) => worker.running(JOB).length > 0,
     );
-    on!.mute = true;
-    world.zoneRenewal = { keptUntil, provenAt };
+    on!.heartbeatsLost = true;
+    world.zoneRenewal = { renewedUntil, provenUntil };
     // The zone lease holder renews its lease.
     if (!lost) on!.answeredAt = Infinity;
     await world.run(world.settings.workers.lease_s * 2);
@@ -257,7 +262,7 @@
     await world.run(1);
     const [worker, other] = [world.fleet.workers.get('a')!, world.fleet.workers.get('b')!];
     assert.deepEqual([worker.running(JOB).length, other.running(JOB).length], [1, 1]);
-    other.mute = true;
+    other.heartbeatsLost = true;
     world.cancel(JOB);
     if (change) world.failOver();
     world.submitJob({ id: OTHER, tasks: 2 });
@@ -283,7 +288,7 @@
     assert.ok(home !== undefined, kind);
     const away = [...world.fleet.workers.values()].find((worker) => worker !== home)!;
     assert.equal(away.running(JOB).length, 0, `${kind}: the third waits for capacity`);
-    home.mute = true;
+    home.heartbeatsLost = true;
     world.failOver();
     await world.run(world.settings.workers.lease_s * 0.9);
     assert.equal(away.running(JOB).length, 0, kind);
--- a/test/meeting-random.test.ts
+++ b/test/meeting-random.test.ts
@@ -82,8 +82,8 @@
     if (this.chance(0.05) && this.jobs.size > 0) this.cancel(this.pick([...this.jobs.keys()]));
     if (this.chance(0.02)) world.failOver();
     const worker = this.pick([...world.fleet.workers.values()]);
-    if (this.chance(0.02)) worker.deaf = !worker.deaf;
-    if (this.chance(0.02)) worker.mute = !worker.mute;
+    if (this.chance(0.02)) worker.inboundLost = !worker.inboundLost;
+    if (this.chance(0.02)) worker.heartbeatsLost = !worker.heartbeatsLost;
     const live = [...world.term.jobs.values()].filter((job) => job.activeAttemptCount > 0);
     if (this.chance(0.01) && live.length > 0) {
       const job = this.pick(live);
@@ -93,7 +93,7 @@
 
   private cancel(id: string): void {
     const { world } = this;
-    if (outcome(world.store.feed(world.replica).jobs.get(id)!) !== 'open') return;
+    if (outcome(world.store.replayInto(world.replica).jobs.get(id)!) !== 'open') return;
     world.store.cancel(id);
     this.cancelledAt.set(id, world.now);
   }
@@ -145,16 +145,16 @@
     const { agentEpoch } = machine;
     const { token } = world;
     machine.markSent(commands, 'direct', world.now);
-    const delivery = worker.deaf ? 'lost' : hasFaults ? this.random() : 'answered';
+    const delivery = worker.inboundLost ? 'lost' : hasFaults ? this.random() : 'answered';
     if (delivery === 'lost' || Number(delivery) > 0.85) {
-      machine.directCommandsEnded(commands, 'unknown', agentEpoch, world.now);
+      machine.applyDirectOutcome(commands, 'unknown', agentEpoch, world.now);
     } else if (Number(delivery) > 0.7) {
       this.delay(this.random() * 8, () => void worker.takeDirect(token, agentEpoch, commands));
-      machine.directCommandsEnded(commands, 'unknown', agentEpoch, world.now);
+      machine.applyDirectOutcome(commands, 'unknown', agentEpoch, world.now);
     } else {
       const heartbeat = worker.takeDirect(token, agentEpoch, commands);
       const result = Number(delivery) > 0.6 ? 'unknown' : heartbeat === null ? 'refused' : 'done';
-      machine.directCommandsEnded(commands, result, agentEpoch, world.now);
+      machine.applyDirectOutcome(commands, result, agentEpoch, world.now);
       if (result === 'unknown') return;
       world.term.reconcile(
         machine,
@@ -201,13 +201,14 @@
 
   /** Ends the loss of messages between workers and leader. */
   clearFaults(): void {
-    for (const worker of this.world.fleet.workers.values()) worker.deaf = worker.mute = false;
+    for (const worker of this.world.fleet.workers.values())
+      worker.inboundLost = worker.heartbeatsLost = false;
   }
 
   /** Jobs that are not in their expected state at the end. */
   unfinished(): string[] {
     const { world } = this;
-    world.store.feed(world.replica);
+    world.store.replayInto(world.replica);
     const open = [...this.jobs].filter(([id]) => outcome(world.replica.jobs.get(id)!) === 'open');
     const wanted = open.reduce((n, [, job]) => n + job.tasks, 0);
     const problems: string[] = [];
--- a/test/scheduler-rules.test.ts
+++ b/test/scheduler-rules.test.ts
@@ -91,9 +91,9 @@
 });
 
 test('jobs are ordered by priority, guarantee, score and age', () => {
-  const entry = { priority: 1, guaranteed: false, score: 1, readyAt: 5 };
+  const entry = { priority: 1, guaranteed: false, score: 1, readyRevision: 5 };
   const sorted = [
-    { ...entry, n: 'old', readyAt: 1 },
+    { ...entry, n: 'old', readyRevision: 1 },
     { ...entry, n: 'low', priority: 3, score: 9 },
     { ...entry, n: 'score', score: 2 },
     { ...entry, n: 'guaranteed', guaranteed: true },
@@ -152,7 +152,7 @@
 
 test('a machine with a hot image is left to tasks that need that image', () => {
   const big = spec({ image: 'big', gpus: 4, cores: 4 });
-  const hotImages = [{ image: 'big', gb: 30, spec: big, expected: 0.5 }];
+  const hotImages = [{ image: 'big', gb: 30, spec: big, expectedTasks: 0.5 }];
   const cached = freeCapacity({ id: 'cached', gpus: 4 });
   const cold = freeCapacity({ id: 'cold', imageDelayS: (i) => (i === 'big' ? 30 : 0) });
   const where = { zones: new Map() };
--- a/test/support/leader-world.ts
+++ b/test/support/leader-world.ts
@@ -59,14 +59,14 @@
   replica!: Replica;
   token = 0;
   canWrite = true;
-  zoneRenewal = { keptUntil: -Infinity, provenAt: Infinity };
+  zoneRenewal = { renewedUntil: -Infinity, provenUntil: Infinity };
   /** Renewals that other controllers give in the leader's place. */
-  othersRenewal = { keptUntil: -Infinity, provenAt: Infinity };
+  substituteRenewal = { renewedUntil: -Infinity, provenUntil: Infinity };
   /** How often the leader has asked a majority for a proof of these renewals. */
   proofsRequested = 0;
   machinesReturned: string[] = [];
   /** Offset of the time of day on the leader's machine after a clock jump. */
-  wallJumpMs = 0;
+  wallClockJumpMs = 0;
 
   constructor(
     gpusMax = 100,
@@ -85,7 +85,7 @@
 
   /** Time of day on the leader's machine, in ms. */
   wallMs(): number {
-    return 1e9 + this.now * 1000 + this.wallJumpMs;
+    return 1e9 + this.now * 1000 + this.wallClockJumpMs;
   }
 
   /** The present leader's term. */
@@ -115,7 +115,7 @@
     });
     this.token = this.store.put(records.LEADER, value);
     const { token } = this;
-    const replica = this.store.listed();
+    const replica = this.store.listedReplica();
     this.replica = replica;
     this.leader = new Leader(
       {
@@ -130,8 +130,8 @@
         allReadDenseRecords: () => true,
         isEntitled: () => this.token === token,
         canWrite: () => this.canWrite && this.token === token,
-        othersRenewal: () => this.othersRenewal,
-        requestOthersProof: () => void this.proofsRequested++,
+        substituteRenewal: () => this.substituteRenewal,
+        requestSubstituteProof: () => void this.proofsRequested++,
         zoneRenewal: () => this.zoneRenewal,
         requestZoneProof: () => undefined,
         cancellationKnownAt: () => undefined,
@@ -158,7 +158,7 @@
   /** Stores a job as accepted; the leader reads it. */
   submitJob(over: Partial<JobSpec> = {}): void {
     this.store.accept(over, 1e9 + this.now * 1000);
-    this.store.feed(this.replica);
+    this.store.replayInto(this.replica);
   }
 
   /** Stores a cancellation; the user gets the answer as soon as it is stored. */
@@ -170,13 +170,13 @@
   /** As `cancel`, with the leader reachable: the user gets the answer once the leader has noted the cancellation. */
   cancelNotedByLeader(id: string): void {
     this.store.cancel(id);
-    this.leader.onCancellationHeard(id);
+    this.leader.onCancellationStored(id);
     this.fleet.cancelled.add(id);
   }
 
   /** Sends a worker's heartbeat to the leader and delivers the answer. */
   exchangeHeartbeat(worker: Worker): void {
-    if (worker.mute) return;
+    if (worker.heartbeatsLost) return;
     const sentAt = this.now;
     const reply = this.leader.answerHeartbeat(worker.heartbeat());
     if (reply.status !== 200) return;
@@ -194,14 +194,14 @@
     machine.markSent(commands, 'direct', this.now);
     return {
       arrive: () => void worker.takeDirect(token, agentEpoch, commands),
-      unanswered: () => machine.directCommandsEnded(commands, 'unknown', agentEpoch, this.now),
+      unanswered: () => machine.applyDirectOutcome(commands, 'unknown', agentEpoch, this.now),
     };
   }
 
   /** Writes until nothing is due; the leader reads the changes. */
   async writeAll(): Promise<void> {
     for (let i = 0; i < 20 && this.canWrite && (await this.parts.writer.writeBatch()); i++);
-    this.store.feed(this.replica);
+    this.store.replayInto(this.replica);
   }
 
   /** Writes one batch with the store in this mode, then sets the store to `serve`. */
@@ -226,7 +226,7 @@
 
   /** The leader reads the store's changes and runs a scheduling cycle. */
   runCycle(): void {
-    this.store.feed(this.replica);
+    this.store.replayInto(this.replica);
     this.parts.runCycle();
   }
 
--- a/test/support/recorded-forms.ts
+++ b/test/support/recorded-forms.ts
@@ -77,7 +77,7 @@
     images: Array.from({ length: 8 }, (_, i): [string, number] => [`img-${i}`, 6.2]),
   }; // prettier-ignore
   const submissions = records.encodeRequestBatch({
-    jobs: [fullSpec, spec({ kind: 'service' })].map((each) => ({ spec: each, atMs: 1000 })),
+    jobs: [fullSpec, spec({ kind: 'service' })].map((each) => ({ spec: each, acceptedAtMs: 1000 })),
     cancelledIds: ['wk-000398'],
   });
   const progress = [
@@ -154,7 +154,7 @@
     pricePerHour: 10,
     held: { fromMs: 1000, toMs: index % 2 === 0 ? null : 9000, uncertainMs: 50, clockSetMs: 0 },
     warmAtMs: 4000,
-    beside: ['wk-1/0#1'],
+    earlierTasks: ['wk-1/0#1'],
     task: 'wk-1/0#2',
     reason: 'why',
   }));
@@ -285,7 +285,7 @@
   for (const worker of world.fleet.workers.values()) {
     for (const task of worker.running('wk-5')) worker.end(task, 'done');
   }
-  world.fleet.workers.get('m4')!.mute = true;
+  world.fleet.workers.get('m4')!.heartbeatsLost = true;
   await world.run(3);
   world.cancel('wk-1');
   world.failOver();
--- a/test/support/scheduler-world.ts
+++ b/test/support/scheduler-world.ts
@@ -46,9 +46,9 @@
       allReadDenseRecords: () => true,
       isEntitled: () => true,
       canWrite: () => true,
-      othersRenewal: () => ({ keptUntil: -Infinity, provenAt: Infinity }),
-      requestOthersProof: () => undefined,
-      zoneRenewal: () => ({ keptUntil: this.zoneRenewedUntil, provenAt: Infinity }),
+      substituteRenewal: () => ({ renewedUntil: -Infinity, provenUntil: Infinity }),
+      requestSubstituteProof: () => undefined,
+      zoneRenewal: () => ({ renewedUntil: this.zoneRenewedUntil, provenUntil: Infinity }),
       requestZoneProof: () => undefined,
       cancellationKnownAt: () => undefined,
     });
@@ -88,7 +88,7 @@
   submitJob(over: Partial<JobSpec>): void {
     const jobSpec = spec(over);
     const value = records.encodeRequestBatch({
-      jobs: [{ spec: jobSpec, atMs: this.now * 1000 }],
+      jobs: [{ spec: jobSpec, acceptedAtMs: this.now * 1000 }],
       cancelledIds: [],
     });
     this.replica.applyListed({
--- a/test/support/user-api-world.ts
+++ b/test/support/user-api-world.ts
@@ -37,7 +37,7 @@
 ): UserApiWorld {
   const clock = { now: () => 0 };
   const log = silentLog();
-  const replica = store.listed();
+  const replica = store.listedReplica();
   const storeClient = store.client();
   const replicaSync = new ReplicaSync({
     store: storeClient,
@@ -45,11 +45,11 @@
     clock,
     log,
     pauseS: () => 0,
-    syncGapS: 0,
+    minSyncIntervalS: 0,
   });
   replicaSync.ready = true;
-  const force = (): void => undefined;
-  const budget = fake<TokenBucket>({ tryTake: () => true, perSecond: 100, force });
+  const forceTake = (): void => undefined;
+  const budget = fake<TokenBucket>({ tryTake: () => true, perSecond: 100, forceTake });
   const requestWriter = new RequestWriter({
     incarnation: name,
     store: storeClient,
--- a/test/time-of-day.test.ts
+++ b/test/time-of-day.test.ts
@@ -29,7 +29,7 @@
       const priority = (): number => world.term.jobs.get('wk-1')!.spec.priority;
       const before = priority();
       assert.equal(before, deadlineS === 60 ? 0 : 2);
-      world.wallJumpMs = byMs;
+      world.wallClockJumpMs = byMs;
       await world.run(1);
       assert.equal(priority(), before, `${deadlineS} s, ${byMs} ms`);
     }
@@ -52,10 +52,10 @@
     ];
     const before = expected();
     assert.ok(before.length > 1);
-    world.wallJumpMs = byMs;
+    world.wallClockJumpMs = byMs;
     await world.run(1);
     expected();
-    world.wallJumpMs = 0;
+    world.wallClockJumpMs = 0;
     await world.run(1);
     assert.deepEqual(expected()[0], before[0], `${byMs} ms`);
     assert.ok(Number(expected()[1]) >= Number(before[1]) * 0.9, `${byMs} ms`);
@@ -67,18 +67,18 @@
   let jumpMs = 0;
   const cluster = await Cluster.start({ wallMs: () => Date.now() + jumpMs });
   try {
-    await cluster.newLeader();
+    await cluster.waitForLeader();
     for (const [index, byMs] of JUMPS_MS.entries()) {
       jumpMs = byMs;
       await wait(50);
       const ref = `wk-00000${index}`;
       await cluster.users.submit(index, ref, {});
       jumpMs = 0;
-      const batches = [...cluster.state.keys].filter(([key]) => key.startsWith(JOBS));
+      const batches = [...cluster.store.keys].filter(([key]) => key.startsWith(JOBS));
       const accepted = batches
         .flatMap(([, { value }]) => decodeRequestBatch(value).jobs)
         .find(({ spec }) => spec.id === ref)!;
-      assert.ok(Math.abs(accepted.atMs - Date.now()) < HOUR_MS / 2, `${byMs} ms`);
+      assert.ok(Math.abs(accepted.acceptedAtMs - Date.now()) < HOUR_MS / 2, `${byMs} ms`);
     }
   } finally {
     cluster.close();
--- a/test/zone-lease.test.ts
+++ b/test/zone-lease.test.ts
@@ -8,7 +8,7 @@
   zoneLeaseTimes,
 } from '../src/leadership/zone-lease.js';
 import { silentLog } from '../src/log.js';
-import { RENEWAL_WAIT_SHARE } from '../src/heartbeat/heartbeat-handler.js';
+import { HEARTBEAT_WAIT_SHARE } from '../src/heartbeat/heartbeat-handler.js';
 import {
   RequestRejectedError,
   OutcomeUnknownError,
@@ -41,7 +41,7 @@
 test('a zone lease holder may renew before workers stop waiting for an answer, whatever their lease', () => {
   for (const lease of [2, 10, 13, 15.25, 120]) {
     const { ttlS, renewalDelayS, maxRenewalS } = zoneLeaseTimes(lease);
-    assert.ok(renewalDelayS <= ANSWER_WAIT_S * RENEWAL_WAIT_SHARE, `${lease}: ${renewalDelayS}`);
+    assert.ok(renewalDelayS <= ANSWER_WAIT_S * HEARTBEAT_WAIT_SHARE, `${lease}: ${renewalDelayS}`);
     // The key has certainly expired after 3.5 TTLs, see `RENEWAL_DELAY_TTLS`.
     assert.ok(renewalDelayS >= ttlS * 3.5 && maxRenewalS > lease && ttlS <= lease / 10, `${lease}`);
   }
@@ -54,7 +54,7 @@
   const setup = (present: boolean, freshAt: number, rejectedAt: number): ZoneLeaseWatch => {
     const replica = { controllers: new Map(present ? [['a', 5]] : []) };
     const watch = new ZoneLeaseWatch({
-      byZone: new Map([['x', 'a']]),
+      holderByZone: new Map([['x', 'a']]),
       leaseS: lease,
       replica,
       replicaSync: { ready: true, freshAt },
@@ -74,10 +74,13 @@
     ['long after an outage it does', setup(true, 99, 99 - renewalDelayS * 2), 'x', 90, 99],
     ['key removed: up to the bound', setup(false, 99, -Infinity), 'x', gone, Infinity],
   ]; // prettier-ignore
-  for (const [name, watch, zone, keptUntil, provenAt] of cases) {
-    const renewal = watch.zone(zone);
-    assert.ok(Math.abs(renewal.keptUntil - keptUntil) < 1 || renewal.keptUntil === keptUntil, name);
-    assert.equal(renewal.provenAt, provenAt, name);
+  for (const [name, watch, zone, renewedUntil, provenUntil] of cases) {
+    const renewal = watch.zoneRenewal(zone);
+    assert.ok(
+      Math.abs(renewal.renewedUntil - renewedUntil) < 1 || renewal.renewedUntil === renewedUntil,
+      name,
+    );
+    assert.equal(renewal.provenUntil, provenUntil, name);
   }
 });
 
@@ -89,7 +92,7 @@
   let lastAnsweredSentAt = -Infinity;
   const store = fake<KeyValueStoreClient>({
     answeredAt: 0,
-    writeBudget: { force: () => undefined },
+    writeBudget: { forceTake: () => undefined },
     grantLease: async () => 7,
     compareAndSwap: async () => ({ ok: true, revision: 1 }),
     get: async () => {
@@ -110,7 +113,7 @@
   const log = silentLog();
   const replicaSync = fake<ReplicaSync>({ ready: true, sync: async () => true });
   const replica = fake<Replica>({ controllers: new Map() });
-  const peers = fake<PeerNetwork>({ names: ['b'], ask: async () => null });
+  const peers = fake<PeerNetwork>({ peerNames: ['b'], ask: async () => null });
   const zoneLeaseHolder = new ZoneLeaseHolder({
     node: 'a',
     incarnation: 'a-1',
@@ -144,7 +147,7 @@
 
 test('an outage does not count as being cut off: a refusal is an answer', async () => {
   const store = fake<KeyValueStoreClient>({
-    writeBudget: { force: () => undefined },
+    writeBudget: { forceTake: () => undefined },
     grantLease: async () => 7,
     compareAndSwap: async () => ({ ok: true, revision: 1 }),
     get: async () => {
@@ -155,7 +158,7 @@
     },
   });
   const replicaSync = fake<ReplicaSync>({ ready: true, sync: async () => true });
-  const peers = fake<PeerNetwork>({ names: ['b'], ask: async () => null });
+  const peers = fake<PeerNetwork>({ peerNames: ['b'], ask: async () => null });
   const zoneLeaseHolder = new ZoneLeaseHolder({
     node: 'a',
     incarnation: 'a-1',
@@ -191,13 +194,13 @@
   for (const [ref, yard] of Object.entries(jobs)) {
     await users.submit(0, ref, { form: 'daemon', yard });
   }
-  for (const ref of Object.keys(jobs)) await cluster.runs(ref, 1);
+  for (const ref of Object.keys(jobs)) await cluster.waitForRunning(ref, 1);
   // The zone lease holder renews leases only after it has held its key.
-  await until('the holder has put its key', () => cluster.state.keys.has(controllerKey('n-1')));
+  await until('the holder has put its key', () => cluster.store.keys.has(controllerKey('n-1')));
 
   const cut = (is: boolean): void => {
     cluster.cutLinks(is, 1);
-    cluster.stateGates[1]!.set(is);
+    cluster.storeProxies[1]!.setCut(is);
   };
   cut(true);
   for (const worker of cluster.workers) {
@@ -215,8 +218,8 @@
   cut(false);
   for (const worker of cluster.workers) worker.unreachable.clear();
   await users.cancel(0, 'wk-000003');
-  await cluster.gone('wk-000003');
-  await users.sees(1, 'wk-000002', 'running');
+  await cluster.waitForGone('wk-000003');
+  await users.waitForState(1, 'wk-000002', 'running');
   assert.equal(cluster.tasks('wk-000002', inZone('z2')).length, 1);
   assert.equal(cluster.rules.starts.get('wk-000002/0'), 1, 'never started again');
 });
@@ -241,7 +244,7 @@
     incarnation: 'a-1',
     leaseS: lease,
     store: fake<KeyValueStoreClient>({
-      writeBudget: { force: () => undefined },
+      writeBudget: { forceTake: () => undefined },
       grantLease: () => answer(7),
       compareAndSwap: async () => {
         puts.push({ at: steadyClock.now(), renews: zoneLeaseHolder.mayRenewLeases() });
@@ -257,7 +260,7 @@
     }),
     replicaSync: fake<ReplicaSync>({ ready: true, sync: async () => true }),
     replica: fake<Replica>({ controllers: new Map() }),
-    peers: () => fake<PeerNetwork>({ names: ['b'], ask: async () => null }),
+    peers: () => fake<PeerNetwork>({ peerNames: ['b'], ask: async () => null }),
     clock: steadyClock,
     log: silentLog(),
   });
