--- a/src/api/request-forwarder.ts
+++ b/src/api/request-forwarder.ts
@@ -6,16 +6,16 @@
 import { mayHaveDependencies, SUBMIT_WAIT_S } from '../wire/users.js';
 import type { UserApi } from './user-api.js';
 
-/** What a user asks for, in a form that can be forwarded to another controller. */
+/** A user's request, in a form that can be forwarded to another controller. */
 export type UserRequest =
   { to: 'submit'; body: Buffer } | { to: 'poll'; id: string } | { to: 'cancel'; id: string };
 
-/** How long another controller may take with a user's request: half of what the user waits. */
+/** Time-out of a forwarded request: half of the time for which the user waits. */
 const FORWARD_TIMEOUT_S = SUBMIT_WAIT_S / 2;
-/** For so many leases nobody was of help: users are better served elsewhere. */
-const ALONE_LEASES = 0.2;
+/** After so many leases without an answer from any peer, `isReady` directs users to other controllers. */
+const ISOLATION_GRACE_LEASES = 0.2;
 
-/** What a `RequestForwarder` works with. */
+/** Dependencies of a `RequestForwarder`. */
 export interface RequestForwarderOptions {
   userApi: UserApi;
   store: Pick<KeyValueStoreClient, 'health'>;
@@ -27,38 +27,38 @@
 }
 
 /**
- * Users' requests as they come to any controller. One that the key-value store refuses, or that is cut
- * off from it, passes them on to a controller that is served: nothing is told but what that one has
- * read or stored. Where nobody is served the answer is 503 at once, never a wait for better times.
+ * Serves users' requests on any controller. A controller that the key-value store refuses, or that is cut
+ * off from it, forwards them to one that the store serves, so every answer rests on what that one has read
+ * or stored. If the store serves no controller, the answer is 503 at once; requests do not wait.
  */
 export class RequestForwarder {
-  private aloneSince: number | null = null;
+  private isolatedSince: number | null = null;
 
   constructor(private readonly options: RequestForwarderOptions) {}
 
-  /** The key-value store serves this controller, and it has read the store. */
+  /** Whether the key-value store serves this controller and its replica has been loaded. */
   get isServed(): boolean {
     return this.options.store.health === 'served' && this.options.replicaSync.ready;
   }
 
-  /** Whether users should be sent here. */
+  /** Whether this controller should receive users' requests. */
   isReady(): boolean {
     if (!this.options.userApi.ready()) return false;
-    if (this.isServed) this.aloneSince = null;
-    const { aloneSince } = this;
+    if (this.isServed) this.isolatedSince = null;
+    const { isolatedSince } = this;
     return (
-      aloneSince === null ||
-      this.options.now() - aloneSince < this.options.workers.lease_s * ALONE_LEASES
+      isolatedSince === null ||
+      this.options.now() - isolatedSince < this.options.workers.lease_s * ISOLATION_GRACE_LEASES
     );
   }
 
-  /** Answers a user's request here, or has another controller answer it. */
+  /** Answers a user's request on this controller or forwards it to another one. */
   async serve(request: UserRequest): Promise<Reply> {
-    if (this.isServed || this.options.userApi.knows(request)) {
+    if (this.isServed || this.options.userApi.hasFinalState(request)) {
       const reply = await this.serveLocally(request);
       if (reply.status !== 503 || this.isServed) return reply;
     }
-    // Looks whether the state service is back, besides.
+    // Also checks whether the key-value store is available again.
     else void this.options.replicaSync.sync();
     return (await this.forward(request)) ?? (await this.serveLocally(request));
   }
@@ -77,25 +77,25 @@
   private async forward(request: UserRequest): Promise<Reply | null> {
     const text = request.to === 'submit' ? request.body.toString('utf8') : request.id;
     const question: QuestionOf<'user'> = { q: 'user', to: request.to, text };
-    let reached = false;
-    // A version that does not know them would take a job that needs others for one that does not.
-    const awaits = request.to === 'submit' && mayHaveDependencies(request.body);
+    let anyPeerAnswered = false;
+    // A version without pipeline support would ignore the dependencies and start the job too early.
+    const hasDependencies = request.to === 'submit' && mayHaveDependencies(request.body);
     for (const node of this.options.peers.byLatestAnswer()) {
-      if (awaits && !this.options.knowsPipelines(node)) continue;
+      if (hasDependencies && !this.options.knowsPipelines(node)) continue;
       const answer = await this.options.peers.ask(node, question, FORWARD_TIMEOUT_S);
-      reached ||= answer !== null;
+      anyPeerAnswered ||= answer !== null;
       if (answer?.status === undefined) continue;
-      this.aloneSince = null;
+      this.isolatedSince = null;
       const { status, body = '', retryAfter } = answer;
       return { status, body, retryAfter };
     }
-    // In an outage the others answer that they are refused too: users are no better off there.
-    if (reached) this.aloneSince = null;
-    else this.aloneSince ??= this.options.now();
+    // In an outage of the store the peers answer that they are refused too: redirecting users would not help.
+    if (anyPeerAnswered) this.isolatedSince = null;
+    else this.isolatedSince ??= this.options.now();
     return null;
   }
 
-  /** Forwarded by another controller; it goes no further. Without a status: ask somebody else. */
+  /** Answers a request that a peer forwarded; never forwards it again. No status: the peer asks another one. */
   async serveForwarded(to: UserRequest['to'], text: string): Promise<ReplyAnswer> {
     if (!this.isServed) return {};
     const request: UserRequest =
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -7,7 +7,7 @@
 /** The cloud answered with an error: nothing was done. */
 export class CloudError extends Error {
   constructor(
-    /** What was asked for. */
+    /** The operation that failed. */
     operation: string,
     readonly status: number,
   ) {
@@ -16,22 +16,22 @@
   }
 }
 
-/** What became of a scale-out request; `unknown`: it may have been carried out, or may still be. */
+/** Outcome of a scale-out request; `unknown`: it may have been carried out, or may still be. */
 export type ScaleOutResult =
   | { how: 'added'; ids: string[] }
   | { how: 'none' }
-  /** Nobody knows; the same request may be sent again under the same name. */
+  /** The outcome is unknown; the same request may be sent again under the same name. */
   | { how: 'unknown' }
   | { how: 'refused'; status: number };
 
-/** The cloud's interface, within its limit of requests. */
+/** A client of the cloud's API, within its request rate limit. */
 export class CloudClient {
   private readonly http: HttpClient;
   private readonly budget: TokenBucket;
 
   constructor(settings: Settings, clock: Clock) {
     this.http = new HttpClient(settings.cloudAddress, 4);
-    // A tenth stays for what other nodes ask at their start.
+    // A tenth of the rate limit is left for the requests that other controllers send at their start.
     this.budget = new TokenBucket(settings.cloud.rps * 0.9, clock, 1.5);
   }
 
@@ -45,12 +45,12 @@
     return JSON.parse(response.body.toString('utf8'));
   }
 
-  /** Machine types with their present prices. Throws CloudError, NoResponseError. */
+  /** Fetches the machine types with their present prices. Throws CloudError, NoResponseError. */
   async fetchMachineTypes(): Promise<MachineType[]> {
     return wire.parseTypes(CloudClient.parseJson(await this.call('GET', wire.TYPES_PATH)));
   }
 
-  /** All machines that the cloud lists. Throws CloudError, NoResponseError. */
+  /** Lists all machines, page by page. Throws CloudError, NoResponseError. */
   async listMachines(): Promise<wire.ListedMachine[]> {
     const all: wire.ListedMachine[] = [];
     let after = '';
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Sends a scale-out request. A request name that was answered gets the same answer for ever. */
+  /** Sends a scale-out request. The cloud answers a repeated request name with its first answer. */
   async scaleOut(request: wire.ScaleOutRequest): Promise<ScaleOutResult> {
     let response: Response;
     try {
@@ -83,7 +83,7 @@
     return { how: 'refused', status: response.status };
   }
 
-  /** True: they and all that was on them are gone. */
+  /** Returns machines to the cloud. True: they and everything on them no longer exist. */
   async scaleIn(ids: string[]): Promise<boolean> {
     try {
       const response = await this.call('POST', wire.SCALE_IN_PATH, wire.encodeScaleIn(ids));
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void {
     this.http.close();
   }
--- a/src/cloud/demand-forecast.ts
+++ b/src/cloud/demand-forecast.ts
@@ -2,121 +2,130 @@
 import type { HotImage } from '../scheduler/bin-packing.js';
 import { warmTarget, type Arrival } from './warm-capacity.js';
 
-/** Windows of observation, in boots of the slowest machine type. */
-const HOT_BOOTS = 12;
-const WARM_BOOTS = 8;
-/** What is to be bridged by warm capacity: a boot and the slower ones among them. */
-const AHEAD_BOOTS = 1.2;
-/** Images that are told apart as wanted soon, at most. */
-const HOT_MOST = 32;
-/** Of the capacity that ended work leaves, the share that fits those that come. */
-const REUSED = 0.7;
-/** One job counts for so many tasks at most: what is larger than that is not kept capacity for. */
-const TASKS_MOST = 50;
+/** Observation windows, in boot times of the slowest machine type. */
+const HOT_IMAGE_WINDOW_BOOTS = 12;
+const WARM_TARGET_WINDOW_BOOTS = 8;
+/** Time that warm capacity has to bridge: a boot, with a margin for slow ones. */
+const LOOKAHEAD_BOOTS = 1.2;
+/** Largest number of images, with task sizes, that are tracked as needed soon. */
+const MAX_HOT_IMAGES = 32;
+/** Share of the capacity that ended services free which new jobs can use. */
+const REUSED_SHARE = 0.7;
+/** Tasks of one job that are counted at most: no warm capacity is kept for the rest of a larger job. */
+const MAX_TASKS_PER_JOB = 50;
 
-/** GPUs or, without any, cores: what machines and tasks are measured in. */
+/** Size of a machine or task: its GPUs or, without any, its cores. */
 export const unitsOf = (size: { gpus: number; cores: number }): number =>
   size.gpus > 0 ? size.gpus : size.cores;
 
-interface SeenJob {
+interface JobEvent {
   spec: JobSpec;
   atMs: number;
 }
 
 /**
- * Jobs that came lately, best effort aside: what is likely to come next is estimated from them. What
- * is derived is refreshed once in `everyS`, however many passes ask for it.
+ * Estimates demand from recent jobs, except best-effort ones. The estimates are refreshed once in
+ * `refreshIntervalS`, however many scheduling cycles ask for them.
  */
 export class DemandForecast {
-  private recent: SeenJob[] = [];
-  private gone: SeenJob[] = [];
-  private readonly firstMs = new Map<boolean, number>();
-  private hotList: HotImage[] = [];
-  private readonly targets = new Map<boolean, number>();
-  private refreshedMs = -Infinity;
+  private arrivals: JobEvent[] = [];
+  private departures: JobEvent[] = [];
+  private readonly firstArrivalMs = new Map<boolean, number>();
+  private latestHotImages: HotImage[] = [];
+  private readonly latestWarmTargets = new Map<boolean, number>();
+  private lastRefreshMs = -Infinity;
 
   constructor(
     private readonly wallMs: () => number,
-    private readonly everyS: number,
+    private readonly refreshIntervalS: number,
     private readonly types: () => MachineType[],
   ) {}
 
-  /** A service has ended: the capacity that it leaves serves those that come. */
+  /** Records that a service has ended: new jobs can use the capacity that it frees. */
   jobLeft(spec: JobSpec): void {
     if (spec.priority === 3) return;
-    this.gone.push({ spec, atMs: this.wallMs() });
+    this.departures.push({ spec, atMs: this.wallMs() });
   }
 
-  /** A job became ready at this time of day, in ms. */
+  /** Records that a job became ready at this time of day, in ms. */
   jobArrived(spec: JobSpec, atMs: number): void {
     if (spec.priority === 3) return;
-    this.firstMs.set(spec.spot, Math.min(atMs, this.firstMs.get(spec.spot) ?? Infinity));
-    this.recent.push({ spec, atMs });
+    this.firstArrivalMs.set(
+      spec.spot,
+      Math.min(atMs, this.firstArrivalMs.get(spec.spot) ?? Infinity),
+    );
+    this.arrivals.push({ spec, atMs });
   }
 
   private refresh(): void {
     const now = this.wallMs();
-    if (Math.abs(now - this.refreshedMs) < this.everyS * 1000) return;
-    this.refreshedMs = now;
+    if (Math.abs(now - this.lastRefreshMs) < this.refreshIntervalS * 1000) return;
+    this.lastRefreshMs = now;
     const types = this.types();
     const bootS = Math.max(1, ...types.map((type) => type.bootS));
-    const from = now - Math.max(HOT_BOOTS, WARM_BOOTS) * bootS * 1000;
-    this.recent = this.recent.filter((job) => job.atMs >= from);
-    this.gone = this.gone.filter((job) => job.atMs >= from);
-    this.hotList = this.hotNow(now, bootS);
-    for (const spot of [false, true]) this.targets.set(spot, this.targetNow(now, bootS, spot));
+    const from = now - Math.max(HOT_IMAGE_WINDOW_BOOTS, WARM_TARGET_WINDOW_BOOTS) * bootS * 1000;
+    this.arrivals = this.arrivals.filter((job) => job.atMs >= from);
+    this.departures = this.departures.filter((job) => job.atMs >= from);
+    this.latestHotImages = this.computeHotImages(now, bootS);
+    for (const spot of [false, true])
+      this.latestWarmTargets.set(spot, this.computeWarmTarget(now, bootS, spot));
   }
 
-  private hotNow(now: number, bootS: number): HotImage[] {
-    const windowS = bootS * HOT_BOOTS;
-    const by = new Map<string, HotImage>();
-    for (const { spec, atMs } of this.recent) {
+  private computeHotImages(now: number, bootS: number): HotImage[] {
+    const windowS = bootS * HOT_IMAGE_WINDOW_BOOTS;
+    const byShape = new Map<string, HotImage>();
+    for (const { spec, atMs } of this.arrivals) {
       if (atMs < now - windowS * 1000) continue;
       const key = `${spec.image} ${spec.gpus} ${spec.cores}`;
-      const hotImage = by.get(key) ?? { image: spec.image, gb: spec.imageGb, spec, expected: 0 };
-      hotImage.expected += (Math.min(spec.tasks, TASKS_MOST) * bootS) / windowS;
-      by.set(key, hotImage);
+      const hotImage = byShape.get(key) ?? {
+        image: spec.image,
+        gb: spec.imageGb,
+        spec,
+        expected: 0,
+      };
+      hotImage.expected += (Math.min(spec.tasks, MAX_TASKS_PER_JOB) * bootS) / windowS;
+      byShape.set(key, hotImage);
     }
-    return [...by.values()]
+    return [...byShape.values()]
       .sort((a, b) => b.expected * b.gb - a.expected * a.gb)
-      .slice(0, HOT_MOST);
+      .slice(0, MAX_HOT_IMAGES);
   }
 
-  private targetNow(now: number, bootS: number, spot: boolean): number {
+  private computeWarmTarget(now: number, bootS: number, spot: boolean): number {
     const types = this.types();
-    const sized = (seen: SeenJob[]): Arrival[] => {
+    const toArrivals = (events: JobEvent[]): Arrival[] => {
       const out: Arrival[] = [];
-      for (const { spec, atMs } of seen) {
+      for (const { spec, atMs } of events) {
         if (spec.spot !== spot) continue;
         const type = types.find((type) => fits(spec, type));
         if (type === undefined) continue;
         out.push({
           atMs,
-          size: (unitsOf(spec) / unitsOf(type)) * Math.min(spec.tasks, TASKS_MOST),
+          size: (unitsOf(spec) / unitsOf(type)) * Math.min(spec.tasks, MAX_TASKS_PER_JOB),
         });
       }
       return out;
     };
     return warmTarget(
-      sized(this.recent),
-      sized(this.gone),
-      this.firstMs.get(spot) ?? Infinity,
+      toArrivals(this.arrivals),
+      toArrivals(this.departures),
+      this.firstArrivalMs.get(spot) ?? Infinity,
       now,
-      bootS * WARM_BOOTS,
-      bootS * AHEAD_BOOTS,
-      { mean: 1, deviations: 1, least: spot ? 0 : 1, reused: REUSED },
+      bootS * WARM_TARGET_WINDOW_BOOTS,
+      bootS * LOOKAHEAD_BOOTS,
+      { mean: 1, deviations: 1, least: spot ? 0 : 1, reused: REUSED_SHARE },
     );
   }
 
-  /** Images of recent jobs with the tasks expected within a boot. The same list until refreshed. */
+  /** Images of recent jobs with the tasks expected within a boot. The list is the same until the next refresh. */
   hotImages(): HotImage[] {
     this.refresh();
-    return this.hotList;
+    return this.latestHotImages;
   }
 
-  /** Free capacity to keep, in machines. */
+  /** Warm capacity to keep, in machines. */
   warmTarget(spot: boolean): number {
     this.refresh();
-    return this.targets.get(spot) ?? 0;
+    return this.latestWarmTargets.get(spot) ?? 0;
   }
 }
--- a/src/cloud/provisioner.ts
+++ b/src/cloud/provisioner.ts
@@ -12,11 +12,11 @@
 import type { StoredScaleOutRequest } from '../subsystems/subsystem.js';
 import type { MachineOrder } from './scale-out-plan.js';
 
-/** Lags of the cloud's list after which a machine that it does not name is given up: listed before, or never. */
-const LISTED_LAGS = 2;
-const UNLISTED_LAGS = 4;
-/** Lags for which a returned machine is remembered: lists may still name it. */
-const RETURNED_LAGS = 20;
+/** After so many lags of the cloud's list, a pending machine missing from it is dropped: listed before, or never. */
+const LISTED_TIMEOUT_LAGS = 2;
+const UNLISTED_TIMEOUT_LAGS = 4;
+/** Retention of returned machines' ids, in lags of the list: lists may still contain them. */
+const RETURNED_RETENTION_LAGS = 20;
 
 /** A machine that was added but has sent no heartbeat yet. */
 export interface PendingMachine {
@@ -29,14 +29,14 @@
   running: boolean;
 }
 
-/** What a `MachineProvisioner` asks and tells its term. */
+/** What a `MachineProvisioner` reads from its leadership term and reports to it. */
 export interface ProvisionerHost {
   isEntitled(): boolean;
-  /** Requests under names that are stored: sent before all others. */
+  /** Requests whose names are stored; sent before all others. */
   storedScaleOutRequests(): StoredScaleOutRequest[];
-  /** Which machines to add now. */
+  /** Machines to add now. */
   machinesToAdd(): MachineOrder[];
-  /** Machines to give back now, their records already marked. */
+  /** Machines to return now; their records are already marked. */
   machinesToRemove(): string[];
   machinesReturned(ids: string[]): void;
   isKnown(id: string): boolean;
@@ -44,7 +44,7 @@
   onMachineTypes(types: MachineType[]): void;
 }
 
-/** What a `MachineProvisioner` works with. */
+/** Dependencies of a `MachineProvisioner`. */
 export interface MachineProvisionerOptions {
   name: string;
   cloud: CloudClient;
@@ -55,23 +55,23 @@
   log: Log;
 }
 
-/** Scale-out and scale-in for the leader. Request names carry the incarnation: they never recur. */
+/** Scales out and in for the leader. Request names contain the incarnation, so they are never reused. */
 export class MachineProvisioner {
   readonly pending = new Map<string, PendingMachine>();
   private readonly shortages = new Map<string, { until: number; fails: number }>();
   private readonly unanswered: { request: ScaleOutRequest; since: number }[] = [];
-  /** What the cloud confirmed as gone; lists may still name them. */
+  /** Machines whose return the cloud confirmed; lists may still contain them. */
   private readonly returnedAt = new Map<string, number>();
-  private counter = 0;
+  private nextRequestNumber = 0;
   private stopped = false;
-  private listAt = -Infinity;
-  private typesAt = -Infinity;
-  private readonly pause = new WakeableSleep();
+  private lastListAt = -Infinity;
+  private lastTypesAt = -Infinity;
+  private readonly roundPause = new WakeableSleep();
   listedOnce = false;
 
   constructor(private readonly options: MachineProvisionerOptions) {}
 
-  /** Whether the cloud has just had no machine of this type, zone and kind. */
+  /** Whether the cloud recently had no capacity for this type and zone, spot or not. */
   isShort(type: string, zone: string, spot: boolean): boolean {
     const shortage = this.shortages.get(`${type} ${zone} ${spot}`);
     return shortage !== undefined && shortage.until > this.options.clock.now();
@@ -80,25 +80,25 @@
   private recordShortage(kind: { type: string; zone: string; spot: boolean }): void {
     const key = `${kind.type} ${kind.zone} ${kind.spot}`;
     const shortage = this.shortages.get(key);
-    const fails =
+    const failures =
       shortage === undefined || this.options.clock.now() - shortage.until > 60
         ? 0
         : shortage.fails + 1;
-    const pause = Math.min(this.options.bootS(kind.type), 5 * 2 ** fails);
-    this.shortages.set(key, { until: this.options.clock.now() + pause, fails });
+    const retryDelayS = Math.min(this.options.bootS(kind.type), 5 * 2 ** failures);
+    this.shortages.set(key, { until: this.options.clock.now() + retryDelayS, fails: failures });
   }
 
-  /** A machine that was added has sent its first heartbeat. */
+  /** Records that an added machine has sent its first heartbeat. */
   machineReported(id: string): void {
     this.pending.delete(id);
   }
 
-  /** There is something to add or give back: the next round begins at once. */
+  /** Starts the next round at once, because there are machines to add or return. */
   wake(): void {
-    this.pause.wakeUp();
+    this.roundPause.wakeUp();
   }
 
-  /** Scales out and in, round after round, until `stop`. */
+  /** Runs provisioning rounds until `stop`. */
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -107,43 +107,43 @@
         this.options.log.debug({ err: error }, 'provisioning round failed');
         await sleep(0.5 + random() * 0.5);
       }
-      await this.pause.wait(0.5);
+      await this.roundPause.wait(0.5);
     }
   }
 
   private async runRound(): Promise<void> {
     const now = this.options.clock.now();
-    if (now - this.typesAt > 120) {
+    if (now - this.lastTypesAt > 120) {
       this.options.host.onMachineTypes(await this.options.cloud.fetchMachineTypes());
-      this.typesAt = now;
+      this.lastTypesAt = now;
     }
-    const every = this.pending.size > 0 ? this.options.lagS / 2 : this.options.lagS;
-    if (!this.listedOnce || now - this.listAt > every) {
-      this.listAt = now;
+    const listIntervalS = this.pending.size > 0 ? this.options.lagS / 2 : this.options.lagS;
+    if (!this.listedOnce || now - this.lastListAt > listIntervalS) {
+      this.lastListAt = now;
       this.applyList(await this.options.cloud.listMachines());
     }
     if (this.stopped || !this.options.host.isEntitled()) return;
-    const back = this.options.host.machinesToRemove().slice(0, SCALE_IN_MAX);
-    if (back.length > 0 && (await this.options.cloud.scaleIn(back))) {
-      const at = this.options.clock.now();
-      for (const id of back) {
-        this.returnedAt.set(id, at);
+    const toReturn = this.options.host.machinesToRemove().slice(0, SCALE_IN_MAX);
+    if (toReturn.length > 0 && (await this.options.cloud.scaleIn(toReturn))) {
+      const returnedAtS = this.options.clock.now();
+      for (const id of toReturn) {
+        this.returnedAt.set(id, returnedAtS);
         this.pending.delete(id);
       }
-      this.options.log.info({ machines: back }, 'scale-in: machines returned');
-      this.options.host.machinesReturned(back);
+      this.options.log.info({ machines: toReturn }, 'scale-in: machines returned');
+      this.options.host.machinesReturned(toReturn);
     }
     await this.retryUnanswered();
     await this.sendStoredRequests();
     for (const wanted of this.options.host.machinesToAdd()) {
-      for (let left = wanted.count; left > 0; left -= SCALE_OUT_MAX) {
+      for (let remaining = wanted.count; remaining > 0; remaining -= SCALE_OUT_MAX) {
         if (this.stopped || !this.options.host.isEntitled()) return;
         const request: ScaleOutRequest = {
-          name: `${this.options.name}-${this.counter++}`,
+          name: `${this.options.name}-${this.nextRequestNumber++}`,
           type: wanted.type,
           zone: wanted.zone,
           spot: wanted.spot,
-          count: Math.min(left, SCALE_OUT_MAX),
+          count: Math.min(remaining, SCALE_OUT_MAX),
         };
         await this.scaleOut(request, this.options.clock.now());
       }
@@ -151,15 +151,15 @@
   }
 
   private async retryUnanswered(): Promise<void> {
-    const again = this.unanswered.splice(0, this.unanswered.length);
-    for (const unanswered of again) {
-      // Given up after a while: whatever it added shows up in the list and by its heartbeats.
+    const retries = this.unanswered.splice(0, this.unanswered.length);
+    for (const unanswered of retries) {
+      // Not retried after 30 s: machines that it added appear in the list and by their heartbeats.
       if (this.options.clock.now() - unanswered.since < 30)
         await this.scaleOut(unanswered.request, unanswered.since);
     }
   }
 
-  /** Each is asked for until it is answered, by whoever leads: the name is the same, and so is the answer. */
+  /** Every leader sends them until they are answered: the same request name gets the same answer. */
   private async sendStoredRequests(): Promise<void> {
     for (const storedRequest of this.options.host.storedScaleOutRequests()) {
       if (this.stopped || !this.options.host.isEntitled()) return;
@@ -198,12 +198,12 @@
         this.unanswered.push({ request, since });
         break;
       case 'refused':
-        // An outage, or too many calls: nothing was added.
+        // An outage, or the rate limit was exceeded: nothing was added.
         throw new CloudError('rent', result.status);
     }
   }
 
-  /** Whether requests are under way whose outcome is open. */
+  /** Scale-out requests whose outcome is unknown. */
   get unansweredRequests(): ScaleOutRequest[] {
     return this.unanswered.map((entry) => entry.request);
   }
@@ -211,16 +211,16 @@
   private applyList(all: ListedMachine[]): void {
     const now = this.options.clock.now();
     this.listedOnce = true;
-    const names = new Set<string>();
+    const listedIds = new Set<string>();
     for (const listed of all) {
-      names.add(listed.id);
-      this.noteListed(listed, now);
+      listedIds.add(listed.id);
+      this.applyListedMachine(listed, now);
     }
-    this.dropUnlisted(names, now);
+    this.dropUnlisted(listedIds, now);
     this.options.host.applyList(all.filter((listed) => !this.returnedAt.has(listed.id)));
   }
 
-  private noteListed(listed: ListedMachine, now: number): void {
+  private applyListedMachine(listed: ListedMachine, now: number): void {
     const { id, type, zone, spot, ageS } = listed;
     const running = listed.state === 'running';
     const isReturned = this.returnedAt.has(id);
@@ -237,21 +237,21 @@
     pending.running ||= running;
   }
 
-  /** Lists lag: what is missing from one is given time to appear, or to disappear for certain. */
-  private dropUnlisted(names: ReadonlySet<string>, now: number): void {
+  /** Drops machines that the list has not contained for long enough: lists lag behind the cloud's state. */
+  private dropUnlisted(listedIds: ReadonlySet<string>, now: number): void {
     const { lagS } = this.options;
     for (const { id, since, listed } of [...this.pending.values()]) {
-      const patienceS = lagS * (listed ? LISTED_LAGS : UNLISTED_LAGS);
-      if (!names.has(id) && now - since > patienceS) this.pending.delete(id);
+      const timeoutS = lagS * (listed ? LISTED_TIMEOUT_LAGS : UNLISTED_TIMEOUT_LAGS);
+      if (!listedIds.has(id) && now - since > timeoutS) this.pending.delete(id);
     }
     for (const [id, at] of [...this.returnedAt]) {
-      if (now - at > lagS * RETURNED_LAGS) this.returnedAt.delete(id);
+      if (now - at > lagS * RETURNED_RETENTION_LAGS) this.returnedAt.delete(id);
     }
   }
 
-  /** Ends after the call that is under way. */
+  /** Stops `run` after the call that is in progress. */
   stop(): void {
     this.stopped = true;
-    this.pause.wakeUp();
+    this.roundPause.wakeUp();
   }
 }
--- a/src/cloud/scale-out-plan.ts
+++ b/src/cloud/scale-out-plan.ts
@@ -10,18 +10,18 @@
   type PlacementWeights,
 } from '../scheduler/bin-packing.js';
 
-/** Tasks that found no capacity, in the order in which they are wanted. */
+/** Tasks of a job for which there was no capacity. Capacity is planned in the order of the list of demands. */
 export interface Demand {
   spec: JobSpec;
   tasks: number;
-  /** Tasks of the job in each zone at present. */
+  /** The job's present tasks in each zone. */
   zones: Map<string, number>;
 }
 
-/** Where the cloud had nothing, and until when not to ask again. */
+/** Whether the cloud recently had no capacity for a type and zone, spot or not. */
 export type Shortage = (type: string, zone: string, spot: boolean) => boolean;
 
-/** Machines to add of one type, zone and kind. */
+/** Machines to add of one type and zone, spot or not. */
 export interface MachineOrder {
   type: string;
   zone: string;
@@ -29,25 +29,25 @@
   count: number;
 }
 
-/** What a scale-out plan rests on. */
+/** Input of a scale-out plan. */
 export interface ScaleOutInput {
   demand: Demand[];
-  /** Machines on their way, and capacity that is free. They are used up. */
+  /** Pending machines and free capacity. Planning allocates from them. */
   capacities: FreeCapacity[];
   types: MachineType[];
   zones: string[];
   isShort: Shortage;
-  /** Machines in each zone, to spread new ones. */
+  /** Number of machines in each zone, to spread new ones. */
   machinesByZone: Map<string, number>;
   weights: PlacementWeights;
   maxMachines: number;
-  /** Whether a job may use a machine that is there or on its way; missing: it may. */
+  /** Whether a job may use an existing or pending machine; absent: it may. */
   mayUse?: (spec: JobSpec, capacity: FreeCapacity) => boolean;
 }
 
-let serial = 0;
+let plannedCount = 0;
 
-/** A machine that is not there yet: empty, and every image has to be fetched. */
+/** Capacity of a machine that does not exist yet: it is empty and has to fetch every image. */
 export function emptyMachineCapacity(
   id: string,
   type: MachineType,
@@ -71,7 +71,7 @@
   };
 }
 
-/** The cheapest kind of machine that one task of the job may have now; null: none to be had. */
+/** The cheapest type, zone and pricing that a task of the job may use now; null: none is available. */
 function cheapestKind(
   spec: JobSpec,
   zones: Map<string, number>,
@@ -88,7 +88,7 @@
         if (!isAllowedOn(spec, { type: type.name, zone, spot })) continue;
         if (!isZoneAllowed(spec, zone, zones) || input.isShort(type.name, zone, spot)) continue;
         const share = type.gpus > 0 ? type.gpus : Math.max(type.cores, 1e-9);
-        // Zones are evened out, but not at the price of a dearer kind of machine.
+        // Spreads machines over the zones, but does not choose a more expensive type for that.
         const cost = (price / share) * (1 + 0.001 * (input.machinesByZone.get(zone) ?? 0));
         if (cost < bestCost) {
           bestCost = cost;
@@ -100,36 +100,41 @@
   return best;
 }
 
-/** Which machines to add so that all demand finds capacity. Pure: the free capacities given are used up. */
+/** Plans which machines to add to satisfy the demand. Changes only its input: it allocates from `capacities`. */
 export function planScaleOut(input: ScaleOutInput): MachineOrder[] {
-  const wanted = new Map<string, MachineOrder>();
-  let count = 0;
+  const orders = new Map<string, MachineOrder>();
+  let addedMachines = 0;
   for (const demand of input.demand) {
     const zones = new Map(demand.zones);
     const { mayUse } = input;
-    const where: PlacementConstraints =
+    const constraints: PlacementConstraints =
       mayUse === undefined
         ? { zones }
         : { zones, mayUse: (capacity) => mayUse(demand.spec, capacity) };
     for (let i = 0; i < demand.tasks; i++) {
-      let capacity = bestFit(demand.spec, input.capacities, where, input.weights);
+      let capacity = bestFit(demand.spec, input.capacities, constraints, input.weights);
       if (capacity === null) {
-        if (count >= input.maxMachines) break;
+        if (addedMachines >= input.maxMachines) break;
         const kind = cheapestKind(demand.spec, zones, input);
         if (kind === null) break;
-        capacity = emptyMachineCapacity(`planned-${serial++}`, kind.type, kind.zone, kind.spot);
+        capacity = emptyMachineCapacity(
+          `planned-${plannedCount++}`,
+          kind.type,
+          kind.zone,
+          kind.spot,
+        );
         input.capacities.push(capacity);
-        count++;
+        addedMachines++;
         input.machinesByZone.set(kind.zone, (input.machinesByZone.get(kind.zone) ?? 0) + 1);
         const key = `${kind.type.name} ${kind.zone} ${kind.spot}`;
-        const order = wanted.get(key);
+        const order = orders.get(key);
         if (order === undefined) {
-          wanted.set(key, { type: kind.type.name, zone: kind.zone, spot: kind.spot, count: 1 });
+          orders.set(key, { type: kind.type.name, zone: kind.zone, spot: kind.spot, count: 1 });
         } else order.count++;
       }
       allocate(demand.spec, capacity);
       zones.set(capacity.zone, (zones.get(capacity.zone) ?? 0) + 1);
     }
   }
-  return [...wanted.values()];
+  return [...orders.values()];
 }
--- a/src/cloud/warm-capacity.ts
+++ b/src/cloud/warm-capacity.ts
@@ -1,25 +1,27 @@
 /**
- * How much capacity to keep free for work that is to come. New machines take a boot to arrive; until
- * then what comes must find capacity that is there. The capacity expected to be wanted within that time is
- * estimated from recent arrivals, as a compound Poisson process: its mean and a deviation more.
- * `firstMs`: when the very first came.
+ * A job that became ready or a service that ended. Recent ones determine the warm capacity, which bridges
+ * the boot of new machines. Arrivals are modelled as a compound Poisson process: the warm capacity is the
+ * mean demand within the look-ahead plus a multiple of its standard deviation.
  */
 export interface Arrival {
   atMs: number;
-  /** Capacity it takes, in machines. */
+  /** Capacity that it uses, in machines. */
   size: number;
 }
 
-/** How carefully capacity is kept free; `least`: in machines. */
+/** Factors of the mean and the standard deviation; `least`: lower bound, in machines. */
 export interface WarmFactors {
   mean: number;
   deviations: number;
   least: number;
-  /** Of the capacity that is left meanwhile, the share that serves those that come. */
+  /** Share of the capacity freed in the window which new jobs can use. */
   reused: number;
 }
 
-/** Machines to keep free for what arrives within `aheadS`, from what was seen within `windowS`. */
+/**
+ * Machines to keep free for arrivals within `aheadS`, estimated from the past `windowS`. `firstMs`: time of
+ * the first arrival ever.
+ */
 export function warmTarget(
   arrivals: Arrival[],
   departures: Arrival[],
@@ -29,21 +31,21 @@
   aheadS: number,
   factors: WarmFactors,
 ): number {
-  // What was there at the start of a fleet came at once and says nothing of later.
-  const from = Math.max(nowMs - windowS * 1000, firstMs + aheadS * 1000);
-  const span = (nowMs - from) / 1000;
-  if (span < aheadS) return factors.least;
+  // The jobs that exist when a fleet starts arrive all at once and do not predict later arrivals.
+  const fromMs = Math.max(nowMs - windowS * 1000, firstMs + aheadS * 1000);
+  const spanS = (nowMs - fromMs) / 1000;
+  if (spanS < aheadS) return factors.least;
   let sum = 0;
   let squares = 0;
   for (const arrival of arrivals) {
-    if (arrival.atMs < from) continue;
+    if (arrival.atMs < fromMs) continue;
     sum += arrival.size;
     squares += arrival.size * arrival.size;
   }
-  let left = 0;
-  for (const arrival of departures) if (arrival.atMs >= from) left += arrival.size;
-  const net = Math.max(0, sum - left * factors.reused);
-  const share = aheadS / span;
+  let departed = 0;
+  for (const arrival of departures) if (arrival.atMs >= fromMs) departed += arrival.size;
+  const net = Math.max(0, sum - departed * factors.reused);
+  const share = aheadS / spanS;
   return Math.max(
     factors.least,
     factors.mean * net * share + factors.deviations * Math.sqrt(squares * share),
--- a/src/config/endpoint.ts
+++ b/src/config/endpoint.ts
@@ -1,10 +1,10 @@
-/** An address for TCP. */
+/** A TCP address. */
 export interface Endpoint {
   host: string;
   port: number;
 }
 
-/** Of `HOST:PORT`, which was validated before. */
+/** Parses `HOST:PORT`, which must have been validated. */
 export function parseEndpoint(text: string): Endpoint {
   const colon = text.lastIndexOf(':');
   return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -2,13 +2,13 @@
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
 import { parseEndpoint, type Endpoint } from './endpoint.js';
-import { withNext, type StateLimits } from './state-limits.js';
+import { stricterLimits, type StateLimits } from './state-limits.js';
 
-/** The platform's settings file, checked. Fields that are not listed here are ignored. */
+/** Validates the platform's settings file. Fields that are not listed here are ignored. */
 
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const whole = v.pipe(v.number(), v.integer(), v.minValue(1));
+const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
+const positiveInteger = v.pipe(v.number(), v.integer(), v.minValue(1));
 const address = v.pipe(
   v.string(),
   v.regex(/^[^\s:]+:\d{1,5}$/, 'must be HOST:PORT'),
@@ -19,7 +19,12 @@
 );
 const name = v.pipe(v.string(), v.minLength(1), v.maxLength(100), v.regex(/^\S+$/, 'has spaces'));
 
-const stateLimits = { rps: positive, write_rps: positive, value_kb: positive, txn_ops: whole };
+const stateLimits = {
+  rps: positive,
+  write_rps: positive,
+  value_kb: positive,
+  txn_ops: positiveInteger,
+};
 
 const schema = v.object({
   host_name: name,
@@ -29,17 +34,17 @@
   seeds: v.optional(v.array(v.object({ host_name: name, domain: name, addr: address })), []),
   endpoints: v.object({ cloud: address, state: address }),
   settings: v.object({
-    count: whole,
+    count: positiveInteger,
     zones: v.pipe(v.array(name), v.minLength(1)),
-    skew_ms: v.optional(amount, 100),
+    skew_ms: v.optional(nonNegative, 100),
     teams: v.optional(
       v.array(
         v.object({
           name,
-          cpus: v.optional(amount, 0),
-          cpus_max: v.optional(amount, 0),
-          gpus: v.optional(amount, 0),
-          gpus_max: v.optional(amount, 0),
+          cpus: v.optional(nonNegative, 0),
+          cpus_max: v.optional(nonNegative, 0),
+          gpus: v.optional(nonNegative, 0),
+          gpus_max: v.optional(nonNegative, 0),
         }),
       ),
       [],
@@ -49,8 +54,8 @@
         v.object({
           kind: v.string(),
           class: v.optional(v.string()),
-          within_s: v.optional(amount),
-          share: v.optional(amount),
+          within_s: v.optional(nonNegative),
+          share: v.optional(nonNegative),
         }),
       ),
       [],
@@ -63,15 +68,15 @@
       cancel_s: positive,
     }),
     state: v.object({ ...stateLimits, next: v.optional(v.partial(v.object(stateLimits)), {}) }),
-    cloud: v.object({ rps: positive, list_lag_s: amount }),
-    limits: v.object({ cpu_share: positive, mem_mb: positive, sockets: whole }),
+    cloud: v.object({ rps: positive, list_lag_s: nonNegative }),
+    limits: v.object({ cpu_share: positive, mem_mb: positive, sockets: positiveInteger }),
   }),
 });
 
-/** A settings file after validation, by the names of the file. */
-export type Parsed = v.InferOutput<typeof schema>;
+/** A validated settings file, with the file's field names. */
+export type ParsedSettings = v.InferOutput<typeof schema>;
 
-/** A team: guaranteed and most CPUs and GPUs; 0: none. */
+/** A team with its guaranteed and largest numbers of cores and GPUs; 0: not set. */
 export interface Team {
   name: string;
   cores: number;
@@ -91,28 +96,28 @@
   storeAddress: Endpoint;
   controllerCount: number;
   zones: string[];
-  /** How far a machine's time of day may be from the true one, in ms. */
+  /** Largest clock skew of a machine, in ms. */
   skewMs: number;
   teams: Map<string, Team>;
-  objectives: Parsed['settings']['objectives'];
-  workers: Parsed['settings']['workers'];
-  /** The smaller ones of the present limits and of those that come next. */
+  objectives: ParsedSettings['settings']['objectives'];
+  workers: ParsedSettings['settings']['workers'];
+  /** The stricter of the present and the next limits. */
   state: StateLimits;
-  /** KiB of a value by which progress is divided into records: part of the stored format. */
+  /** Largest value, in KiB, by which progress is divided into records; part of the stored format. */
   progressValueKb: number;
-  cloud: Parsed['settings']['cloud'];
-  limits: Parsed['settings']['limits'];
+  cloud: ParsedSettings['settings']['cloud'];
+  limits: ParsedSettings['settings']['limits'];
 }
 
-/** What is wrong with a settings file, in one line. */
+/** A settings file is invalid; the message is one line. */
 export class SettingsError extends Error {}
 
-/** Checks a settings file. Throws SettingsError, which names the first field that is wrong. */
+/** Parses a settings file. Throws SettingsError, which names the first invalid field. */
 export function parseSettings(text: string): Settings {
   return toSettings(validate(text));
 }
 
-function validate(text: string): Parsed {
+function validate(text: string): ParsedSettings {
   let raw: unknown;
   try {
     raw = parse(text);
@@ -125,24 +130,24 @@
   throw new SettingsError(`${v.getDotPath(issue) ?? 'file'}: ${issue.message}`);
 }
 
-function toSettings(platform: Parsed): Settings {
+function toSettings(parsed: ParsedSettings): Settings {
   return {
-    node: platform.host_name,
-    zone: platform.domain,
-    bind: parseEndpoint(platform.bind),
-    peerBind: parseEndpoint(platform.peer_bind),
-    peers: platform.seeds.map((seed) => ({
+    node: parsed.host_name,
+    zone: parsed.domain,
+    bind: parseEndpoint(parsed.bind),
+    peerBind: parseEndpoint(parsed.peer_bind),
+    peers: parsed.seeds.map((seed) => ({
       node: seed.host_name,
       zone: seed.domain,
       addr: parseEndpoint(seed.addr),
     })),
-    cloudAddress: parseEndpoint(platform.endpoints.cloud),
-    storeAddress: parseEndpoint(platform.endpoints.state),
-    controllerCount: platform.settings.count,
-    zones: platform.settings.zones,
-    skewMs: platform.settings.skew_ms,
+    cloudAddress: parseEndpoint(parsed.endpoints.cloud),
+    storeAddress: parseEndpoint(parsed.endpoints.state),
+    controllerCount: parsed.settings.count,
+    zones: parsed.settings.zones,
+    skewMs: parsed.settings.skew_ms,
     teams: new Map(
-      platform.settings.teams.map((team) => [
+      parsed.settings.teams.map((team) => [
         team.name,
         {
           name: team.name,
@@ -153,16 +158,16 @@
         },
       ]),
     ),
-    objectives: platform.settings.objectives,
-    workers: platform.settings.workers,
-    state: withNext(platform.settings.state, platform.settings.state.next),
-    progressValueKb: platform.settings.state.value_kb,
-    cloud: platform.settings.cloud,
-    limits: platform.settings.limits,
+    objectives: parsed.settings.objectives,
+    workers: parsed.settings.workers,
+    state: stricterLimits(parsed.settings.state, parsed.settings.state.next),
+    progressValueKb: parsed.settings.state.value_kb,
+    cloud: parsed.settings.cloud,
+    limits: parsed.settings.limits,
   };
 }
 
-/** Reads and checks a settings file. Throws SettingsError. */
+/** Reads and parses a settings file. Throws SettingsError. */
 export function loadSettings(file: string): Settings {
   let text: string;
   try {
--- a/src/config/state-limits.ts
+++ b/src/config/state-limits.ts
@@ -1,4 +1,4 @@
-/** What the key-value store takes, for all controllers together. */
+/** Limits of the key-value store, for all controllers together. */
 export interface StateLimits {
   /** Requests a second. */
   rps: number;
@@ -6,15 +6,15 @@
   write_rps: number;
   /** The largest value, in KiB. */
   value_kb: number;
-  /** Puts and deletes of one transaction. */
+  /** Puts and deletes in one transaction. */
   txn_ops: number;
 }
 
 /**
- * The smaller one of each limit. The next limits come without notice: what keeps to both from the
- * beginning is never refused for its size when they do, and no burst of writes is.
+ * Returns the smaller one of each limit. The next limits come into force without notice: a controller that
+ * always respects both is not refused then, neither for the size of a value nor for a burst of writes.
  */
-export function withNext(present: StateLimits, next: Partial<StateLimits>): StateLimits {
+export function stricterLimits(present: StateLimits, next: Partial<StateLimits>): StateLimits {
   return {
     rps: Math.min(present.rps, next.rps ?? Infinity),
     write_rps: Math.min(present.write_rps, next.write_rps ?? Infinity),
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -1,4 +1,4 @@
-/** The composition root: builds the parts of a controller and tells them of each other. */
+/** The composition root: builds the parts of a controller and connects them. */
 
 import { HealthTable } from '../admission/controller-health.js';
 import { LeadershipTransfer } from '../admission/leadership-transfer.js';
@@ -34,38 +34,41 @@
 import { TermRunner } from './term-runner.js';
 
 /**
- * Heartbeats that are forwarded wait for others for this share of a heartbeat interval: a controller that
- * does not lead then writes, and the leader reads, a batch of them at once.
+ * Heartbeats to be forwarded are collected for this share of a heartbeat interval, so that a controller that
+ * does not lead writes, and the leader reads, a batch of them at once.
  */
-const BATCHING_SHARE = 0.1;
-/** Of the sockets, those for users and workers. */
-const SERVER_SOCKETS = 0.6;
-/** Seconds between two reads of the store's changes, for a leader and for others. */
+const BATCHING_DELAY_SHARE = 0.1;
+/** Share of the sockets that is for users and workers. */
+const SERVER_SOCKET_SHARE = 0.6;
+/** Pause between two reads of the store's changes, for the leader and for other controllers. */
 const LEADER_WATCH_PAUSE_S = 0.01;
 const FOLLOWER_WATCH_PAUSE_S = 0.15;
-/** Least time between two synchronising reads: at most so many seconds, or requests of each controller. */
+/**
+ * Limits of the least time between two synchronising reads. The second one is the time that so many requests
+ * of each controller take at the store's rate limit; the smaller one applies.
+ */
 const MAX_READ_GAP_S = 0.1;
 const READ_GAP_REQUESTS = 3;
-/** Seconds for which a connection may take to send a request, or stay idle. */
+/** Time-outs of a connection for receiving a request and for staying idle. */
 const READ_TIMEOUT_S = 5;
 const IDLE_TIMEOUT_S = 120;
 
-/** What a controller is made of. */
+/** Options of a `Composition`. */
 export interface CompositionOptions {
   settings: Settings;
   policy: Policy;
   log: Log;
   clock: Clock;
-  /** Of this process. */
+  /** This process's time of day. */
   timeOfDay: TimeOfDay;
   subsystems: readonly Subsystem[];
-  /** This controller's features file; undefined: it has none. */
+  /** The record of this controller's features file; undefined: it has none. */
   featuresFile: FeaturesFileRecord | undefined;
-  /** What operators are shown. */
+  /** Views for operators. */
   views: Pick<HttpRouterOptions, 'metrics' | 'subsystemView'>;
 }
 
-/** All parts of a controller. None of them has begun to work. */
+/** All parts of a controller, not started yet. */
 export class Composition {
   readonly incarnation: string;
   readonly overload = new Overload();
@@ -85,7 +88,7 @@
   readonly versions: ControllerVersions;
   readonly leadershipTransfer: LeadershipTransfer;
   readonly zoneLeases: ZoneLeaseWatch;
-  /** Null: this controller is not the only one of its zone. */
+  /** Null: this controller is not the only one of its zone, or there is only one zone. */
   readonly zoneLeaseHolder: ZoneLeaseHolder | null;
   readonly cancellations: CancellationBroadcast;
   readonly heartbeats: HeartbeatHandler;
@@ -95,7 +98,7 @@
 
   constructor(private readonly options: CompositionOptions) {
     const { settings, clock } = options;
-    // Never the same twice: names of requests and of stored batches begin with it.
+    // Unique for each process: names of scale-out requests and of stored batches begin with it.
     this.incarnation = `${settings.node}-${uniqueName()}`;
     this.latencies = new LatencyHistograms(() => clock.now());
     this.requests = this.makeRequestQueue();
@@ -124,8 +127,8 @@
     this.listenToReplica();
   }
 
-  /** Cancellations that another controller knows to be stored. */
-  private cancellationsHeard(ids: string[]): void {
+  /** Called with cancellations that are stored, as another controller reports. */
+  private onCancellationsStored(ids: string[]): void {
     for (const id of ids) {
       this.cancellations.noteStored(id);
       this.cancellationTimes.note(id);
@@ -137,7 +140,7 @@
     this.replica.listener = {
       onReady: (storedJob) => this.terms.leader?.onReady(storedJob),
       onCancelled: (storedJob) => {
-        // What no machine's record names has no task that could outlast it.
+        // A job without claims in machine records has no task that could outlast its cancellation.
         if (storedJob.claimCount > 0) this.cancellationTimes.note(storedJob.spec.id);
         this.terms.leader?.onCancelled(storedJob);
       },
@@ -246,7 +249,7 @@
       events: {
         onElected: (token) => this.terms.begin(token),
         onDeposed: () => this.terms.end(),
-        onKnownCancelled: (ids) => this.cancellationsHeard(ids),
+        onKnownCancelled: (ids) => this.onCancellationsStored(ids),
         cancelledSince: (revision) => this.cancellations.storedSince(revision),
       },
       healthierCanCampaign: () => this.overload.late && this.health.healthier() !== null,
@@ -269,7 +272,7 @@
       log,
       maxPending: settings.limits.sockets,
       health: this.health,
-      batchingDelayS: settings.workers.report_s * BATCHING_SHARE,
+      batchingDelayS: settings.workers.report_s * BATCHING_DELAY_SHARE,
     });
   }
 
@@ -363,7 +366,7 @@
       election: this.election,
       acknowledgements: this.acknowledgements,
       cancellations: this.cancellations,
-      cancellationsHeard: (ids) => this.cancellationsHeard(ids),
+      onCancellationsStored: (ids) => this.onCancellationsStored(ids),
     });
   }
 
@@ -379,7 +382,7 @@
       ...views,
     });
     const limits = {
-      sockets: Math.floor(settings.limits.sockets * SERVER_SOCKETS),
+      sockets: Math.floor(settings.limits.sockets * SERVER_SOCKET_SHARE),
       readS: READ_TIMEOUT_S,
       idleS: IDLE_TIMEOUT_S,
     };
--- a/src/controller/controller-versions.ts
+++ b/src/controller/controller-versions.ts
@@ -10,12 +10,12 @@
 import * as records from '../store/records.js';
 import type { Replica } from '../store/replica.js';
 
-/** A controller that nothing was heard of for so many leases is not counted as present. */
-const PRESENT_LEASES = 3;
-/** The record of this controller's version is tried again after so many leases. */
-const PUBLISH_LEASES = 0.1;
+/** A controller that has been silent for so many leases is not counted as present. */
+const PRESENCE_TIMEOUT_LEASES = 3;
+/** Interval, in leases, at which writing this controller's version record is retried. */
+const PUBLISH_RETRY_LEASES = 0.1;
 
-/** What a `ControllerVersions` works with. */
+/** Dependencies of a `ControllerVersions`. */
 export interface ControllerVersionsOptions {
   /** Names of this controller and of all others. */
   node: string;
@@ -28,52 +28,53 @@
   replicaSync: Pick<ReplicaSync, 'ready' | 'sync'>;
   clock: Clock;
   log: Log;
-  /** This controller's features file; missing: it has none. */
+  /** The record of this controller's features file; absent: it has none. */
   file?: FeaturesFileRecord;
 }
 
 /**
- * Which controllers run a version that knows pipelines. Each tells it by a record of its own that
- * outlives it, and with the first frame of each connection. A controller that has never told is taken
- * for an old one; the latest hello counts more than the record, since an old version does not change
- * the record of the newer one that ran before it.
+ * Tracks which controllers run a version that supports a feature, such as pipelines. Each controller announces
+ * its features by a record of its own, which persists after the process ends, and in the first frame (hello)
+ * of each connection. One that has announced nothing counts as an old version. The latest hello takes
+ * precedence over the record, since an old version does not change the record of a newer one that ran before.
  */
 export class ControllerVersions {
   private stopped = false;
-  private announced = false;
-  /** Controllers that were logged last as having other features. */
-  private differing = '';
+  private upgradeLogged = false;
+  /** The controllers that were logged last as having a different features file. */
+  private loggedDifferences = '';
 
   constructor(private readonly options: ControllerVersionsOptions) {}
 
-  /** Whether a controller's version, as far as is known, can do this. */
+  /** Whether a controller's version is known to support a feature. */
   knows(node: string, feature: Feature): boolean {
     const { replica, peers } = this.options;
     if (node === this.options.node) return FEATURES.includes(feature);
-    const heard = peers().announcedFeatures(node);
-    if (heard !== null) return heard.has(feature);
+    const announced = peers().announcedFeatures(node);
+    if (announced !== null) return announced.has(feature);
     return replica.versions.get(node)?.record.features.includes(feature) ?? false;
   }
 
-  /** Whether every controller has told that its version can do this. */
+  /** Whether every controller's version is known to support a feature. */
   everyoneKnows(feature: Feature): boolean {
     return this.options.others.every((node) => this.knows(node, feature));
   }
 
   /**
-   * Whether a controller of a version that cannot do this leads, or has been heard of lately. Its silence
-   * is no proof, and none is needed: what such a version would misread it is never shown.
+   * Whether a controller whose version does not support a feature leads or has recently been in contact.
+   * Silence does not prove that it is absent, and no proof is needed: it never reads records that it would
+   * misinterpret.
    */
   isOldPresent(feature: Feature): boolean {
     const { others, leaseS, replica, health } = this.options;
     const leader = replica.leader?.node;
     return others.some((node) => {
       if (this.knows(node, feature)) return false;
-      return node === leader || health.silentS(node) < leaseS * PRESENT_LEASES;
+      return node === leader || health.silentS(node) < leaseS * PRESENCE_TIMEOUT_LEASES;
     });
   }
 
-  /** Stores what this controller's version can do, until that is done. */
+  /** Stores the features of this controller's version; retries until they are stored. */
   async publish(): Promise<void> {
     const { node, leaseS, replica, store, replicaSync, log } = this.options;
     const { file } = this.options;
@@ -90,14 +91,14 @@
           await store.compareAndSwap(
             [{ key, revision }],
             [{ put: key, value }],
-            leaseS * PUBLISH_LEASES,
+            leaseS * PUBLISH_RETRY_LEASES,
           );
           await replicaSync.sync();
         }
       } catch (error) {
         log.debug({ err: error }, 'version not stored');
       }
-      await sleep(leaseS * PUBLISH_LEASES);
+      await sleep(leaseS * PUBLISH_RETRY_LEASES);
     }
   }
 
@@ -107,7 +108,7 @@
     return isSame && own?.file?.hash === this.options.file?.hash;
   }
 
-  /** Controllers whose features file is another one than the leader's, as far as they have told. */
+  /** Controllers whose published features file differs from the leader's, or that have published none. */
   withDifferentFeatures(): string[] {
     const { replica, node, others, file } = this.options;
     const leader = replica.leader?.node;
@@ -119,18 +120,18 @@
 
   private logFeatureDifferences(): void {
     const differing = this.withDifferentFeatures().join(', ');
-    if (differing === this.differing) return;
-    this.differing = differing;
+    if (differing === this.loggedDifferences) return;
+    this.loggedDifferences = differing;
     const message = "features files: those of these controllers differ from the leader's";
     if (differing !== '') this.options.log.info({ controllers: differing }, message);
     else this.options.log.info({}, 'features files: all are the same');
   }
 
-  /** Called regularly: logs, once, that there is no way back to an older version, and what differs. */
+  /** Called regularly. Logs changed differences of features files and, once, that a downgrade is no longer possible. */
   logChanges(): void {
     this.logFeatureDifferences();
-    if (this.announced || !this.everyoneKnows('pipelines')) return;
-    this.announced = true;
+    if (this.upgradeLogged || !this.everyoneKnows('pipelines')) return;
+    this.upgradeLogged = true;
     const message = 'every controller knows pipelines: do not go back to an older version';
     this.options.log.info({ node: this.options.node }, message);
   }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: starts its parts, gives them their regular turns, and stops them. */
+/** A controller: starts its parts, calls them at regular ticks and stops them. */
 
 import { steadyClock, type Clock } from '../clock.js';
 import type { Settings } from '../config/settings.js';
@@ -16,40 +16,40 @@
 import { LoadLog } from './load-log.js';
 import { controllerMetrics } from './metrics.js';
 
-/** Jobs that are over stay whole in memory for so many leases after their acceptance. */
+/** Finished jobs stay uncompacted in memory for so many leases after their acceptance. */
 const COMPACTION_LEASES = 60;
 /** Ticks in a heartbeat interval. */
 const TICKS_PER_HEARTBEAT = 2;
-/** Latencies are logged, and old jobs compacted, once in so many ticks. */
+/** Number of ticks after which latencies are logged and old jobs compacted. */
 const HOUSEKEEPING_TICKS = 40;
 /** The load is logged once a heartbeat interval. */
-const LOAD_TICKS = TICKS_PER_HEARTBEAT;
+const LOAD_LOG_TICKS = TICKS_PER_HEARTBEAT;
 
-/** What a controller may be given beside its settings. */
+/** Optional parameters of a controller. */
 export interface ControllerOptions {
   clock?: Clock;
   /** Time of day in ms. */
   wallMs?: () => number;
-  /** What the features file switches on; missing: nothing. */
+  /** Features that the features file enables; absent: none. */
   features?: ControllerFeatures;
 }
 
-/** The features file of a controller, and the subsystems that it switches on. */
+/** The features file of a controller and the subsystems that it enables. */
 export interface ControllerFeatures {
   file: FeaturesFileRecord;
   subsystems: readonly Subsystem[];
 }
 
-/** A controller process, as far as it can be one of several in a process of the tests. */
+/** A controller without process-wide state, so that tests can run several in one process. */
 export class Controller {
   private readonly parts: Composition;
   private readonly clock: Clock;
   private readonly timeOfDay: TimeOfDay;
   private readonly subsystems: readonly Subsystem[];
-  /** Only where the log's level is `debug`. */
+  /** Null unless the log level is `debug`. */
   private readonly loadLog: LoadLog | null;
   private tickTimer: NodeJS.Timeout | undefined;
-  private tickedAt: number | null = null;
+  private lastTickAt: number | null = null;
   private ticks = 0;
 
   constructor(
@@ -82,12 +82,12 @@
     this.loadLog = log.isLevelEnabled('debug') ? this.makeLoadLog() : null;
   }
 
-  /** The leader of the present term; null: this controller does not lead. */
+  /** The leader of the present term; null: this controller is not the leader. */
   get leader(): Leader | null {
     return this.parts.terms.leader;
   }
 
-  /** Whether this controller leads, and with which token. */
+  /** This controller's role and fencing token. */
   get election(): Election {
     return this.parts.election;
   }
@@ -109,7 +109,7 @@
     );
   }
 
-  /** Rejects, with everything closed again, when one of its addresses cannot be had. */
+  /** Starts all parts. If an address cannot be bound, stops everything and rejects. */
   async start(): Promise<void> {
     const { server, peers, replicaSync, election, zoneLeaseHolder, versions, machineTypes } =
       this.parts;
@@ -136,36 +136,36 @@
 
   private onTick(): void {
     const { versions, leadershipTransfer, health, peers } = this.parts;
-    this.noteLag(this.clock.now());
-    // A jump counts from when it is first seen, also where nothing else asks for the time of day.
+    this.recordEventLoopLag(this.clock.now());
+    // Reads the time of day regularly: a clock jump is timed from the first reading that shows it.
     this.timeOfDay.nowMs();
     versions.logChanges();
-    if (++this.ticks % LOAD_TICKS === 0) this.loadLog?.write();
-    if (this.ticks % HOUSEKEEPING_TICKS === 0) this.keepHouse();
+    if (++this.ticks % LOAD_LOG_TICKS === 0) this.loadLog?.write();
+    if (this.ticks % HOUSEKEEPING_TICKS === 0) this.doHousekeeping();
     this.leader?.tick();
     leadershipTransfer.consider();
     health.refresh(peers);
   }
 
-  /** By how much the event loop is late. */
-  private noteLag(now: number): void {
+  /** Records by how much the event loop is late. */
+  private recordEventLoopLag(now: number): void {
     const { latencies, overload } = this.parts;
-    if (this.tickedAt !== null) {
-      const lagS = now - this.tickedAt - this.tickS;
+    if (this.lastTickAt !== null) {
+      const lagS = now - this.lastTickAt - this.tickS;
       latencies.record('lag', lagS);
       overload.noteLag(lagS, now);
     }
-    this.tickedAt = now;
+    this.lastTickAt = now;
   }
 
-  private keepHouse(): void {
+  private doHousekeeping(): void {
     const { latencies, replica } = this.parts;
     this.log.debug(latencies.statistics(), 'latencies');
     const keepMs = this.settings.workers.lease_s * COMPACTION_LEASES * 1000;
     replica.compactFinished(this.timeOfDay.nowMs() - keepMs);
   }
 
-  /** Ends everything that the controller does. It is not started again. */
+  /** Stops all parts. The controller cannot be started again. */
   stop(): void {
     const { parts } = this;
     clearInterval(this.tickTimer);
@@ -183,7 +183,7 @@
     parts.cloud.close();
   }
 
-  /** What a subsystem's records say, for operators; the same on every controller. */
+  /** A subsystem's view for operators, made from its records alone, so that it is the same on every controller. */
   private subsystemView(name: string): Reply {
     const { replica, replicaSync } = this.parts;
     const subsystem = this.subsystems.find((each) => each.name === name);
@@ -191,11 +191,11 @@
     if (!replicaSync.ready) return UNAVAILABLE;
     const own = replica.subsystems.of(name);
     const view = subsystem.view(own, this.settings, this.timeOfDay.nowMs());
-    // In many lines: no line of an answer may be longer than 64 KiB.
+    // Indented, because no line of an answer may be longer than 64 KiB.
     return { status: 200, body: JSON.stringify(view, null, 1) };
   }
 
-  /** What `/metrics` shows. */
+  /** The values that `/metrics` returns. */
   metrics(): Record<string, unknown> {
     const { leader, parts, settings } = this;
     return controllerMetrics({
--- a/src/controller/features.ts
+++ b/src/controller/features.ts
@@ -1,4 +1,4 @@
-/** The subsystems that a features file switches on, made. */
+/** Constructs the subsystems that a features file enables. */
 
 import type { Clock } from '../clock.js';
 import type { Subsystem } from '../subsystems/subsystem.js';
@@ -7,7 +7,7 @@
 import { WarmPools } from '../warm-pools/warm-pools.js';
 import { featuresRecord, type Features } from '../features/features-file.js';
 
-/** The subsystems that a features file switches on. */
+/** Returns a controller's features file record and new instances of the subsystems that it enables. */
 export function controllerFeatures(features: Features, clock: Clock): ControllerFeatures {
   const subsystems: Subsystem[] = [];
   if (features.warmPools !== null) subsystems.push(new WarmPools(features.warmPools, clock));
--- a/src/controller/http-router.ts
+++ b/src/controller/http-router.ts
@@ -1,4 +1,4 @@
-/** Where requests over HTTP go: of users, workers, health checks and operators. */
+/** Routes HTTP requests of users, workers, health checks and operators. */
 
 import type { RequestForwarder, UserRequest } from '../api/request-forwarder.js';
 import type { RequestQueue } from '../admission/request-queue.js';
@@ -8,41 +8,40 @@
 import type { Message } from '../http/parser.js';
 import type { Reply } from '../http/server.js';
 import { route } from '../wire/users.js';
-import { CLASS_OF, FORWARD_PATIENCE_S, HEARTBEAT_PATIENCE_S } from './request-classes.js';
+import { CLASS_OF, FORWARD_QUEUE_TIMEOUT_S, HEARTBEAT_QUEUE_TIMEOUT_S } from './request-classes.js';
 
-/** Try again in a second, here or elsewhere. */
+/** Tells the client to retry in a second, here or at another controller. */
 export const UNAVAILABLE: Reply = { status: 503, retryAfter: 1 };
 
-/** What an `HttpRouter` works with. */
+/** Dependencies of an `HttpRouter`. */
 export interface HttpRouterOptions {
   clock: Clock;
   latencies: LatencyHistograms;
   requests: RequestQueue;
   heartbeats: HeartbeatHandler;
   forwarder: RequestForwarder;
-  /** Whether this controller leads: then heartbeats are taken in, not forwarded. */
+  /** Whether this controller leads: the leader processes heartbeats, others forward them. */
   isLeader: () => boolean;
   metrics: () => Record<string, unknown>;
-  /** What operators are shown of a subsystem. */
+  /** A subsystem's view for operators. */
   subsystemView: (name: string) => Reply;
 }
 
-/** Gives each request to the part that answers it, in its turn. */
+/** Passes each request to the part that answers it, heartbeats and users' requests through the request queue. */
 export class HttpRouter {
   constructor(private readonly options: HttpRouterOptions) {}
 
-  /** Answers a request. */
   handle(message: Message): Reply | Promise<Reply> {
     const { forwarder, metrics, subsystemView } = this.options;
     const to = route(message.method, message.target);
     switch (to.to) {
       case 'checkin':
-        return this.report(message.body);
+        return this.handleHeartbeat(message.body);
       case 'submit':
-        return this.user({ to: 'submit', body: message.body });
+        return this.handleUserRequest({ to: 'submit', body: message.body });
       case 'poll':
       case 'cancel':
-        return this.user(to);
+        return this.handleUserRequest(to);
       case 'ready':
         return forwarder.isReady() ? { status: 200, body: '{}' } : { status: 503, retryAfter: 1 };
       case 'metrics':
@@ -56,16 +55,16 @@
     }
   }
 
-  private report(body: Buffer): Reply | Promise<Reply> {
+  private handleHeartbeat(body: Buffer): Reply | Promise<Reply> {
     const { clock, latencies, isLeader, heartbeats, requests } = this.options;
     const arrivedAt = clock.now();
     const work = (): Reply | Promise<Reply> =>
       latencies.time('report', () => heartbeats.handle(body, arrivedAt));
-    const patienceS = isLeader() ? HEARTBEAT_PATIENCE_S : FORWARD_PATIENCE_S;
-    return requests.run('report', work, UNAVAILABLE, patienceS);
+    const timeoutS = isLeader() ? HEARTBEAT_QUEUE_TIMEOUT_S : FORWARD_QUEUE_TIMEOUT_S;
+    return requests.run('report', work, UNAVAILABLE, timeoutS);
   }
 
-  private user(request: UserRequest): Reply | Promise<Reply> {
+  private handleUserRequest(request: UserRequest): Reply | Promise<Reply> {
     const { latencies, forwarder, requests } = this.options;
     const serve = (): Promise<Reply> => forwarder.serve(request);
     const work = request.to === 'submit' ? () => latencies.time('submission', serve) : serve;
--- a/src/controller/load-log.ts
+++ b/src/controller/load-log.ts
@@ -8,27 +8,27 @@
 import type { Log } from '../log.js';
 
 /**
- * A line of the log for each heartbeat interval, level `debug`, message `load`: what this controller did
- * since the line before and how it stands. docs/operators.md lists the fields. At any other level this is
- * not constructed: what is left then are the counters that it reads, an addition each.
+ * Logs one line for each heartbeat interval, level `debug`, message `load`, with this controller's counters
+ * since the previous line and its present gauges. docs/operators.md lists the fields. At other log levels it
+ * is not constructed; the only remaining cost is an addition for each counter that it would read.
  */
 
-/** The counters and states of the controller's parts that a line is made of. */
+/** The sources of a load line's counters and gauges. */
 export interface LoadSources {
   clock: Clock;
   role: () => string;
   overload: Pick<Overload, 'delayS' | 'latenessS'>;
   requests: Pick<RequestQueue, 'size' | 'refused'>;
   heartbeats: HeartbeatCounts;
-  /** Machines whose leases this controller as leader counted as lost, since its start. */
+  /** Machines whose leases this controller, as leader, counted as lost since its start. */
   machinesLost: () => number;
   /** Messages to and from the key-value store. */
   stateTraffic: () => Traffic;
   passes: WorkTotal;
 }
 
-/** Of the state at the moment of the line. */
-interface Levels {
+/** Present values. */
+interface Gauges {
   role: string;
   requests_waiting: number;
   delay_ms: number;
@@ -37,8 +37,8 @@
   heap_mb: number;
 }
 
-/** Sums since the start; a line has what was added since the line before. */
-interface Totals {
+/** Totals since the start; a line contains their increase since the previous line. */
+interface Counters {
   interval_ms: number;
   reports_answered: number;
   reports_answered_for_peers: number;
@@ -61,16 +61,16 @@
 }
 
 /** The fields of a load line; docs/operators.md explains each. */
-export type LoadLine = Levels & Totals;
+export type LoadLine = Gauges & Counters;
 
 const BYTES_PER_MB = 1e6;
 const MS_DIGITS = 1;
 
 const rounded = (value: number): number => Number(value.toFixed(MS_DIGITS));
 
-/** Logs a controller's load. Made only where the log's level is `debug`. */
+/** Logs a controller's load. Constructed only if the log level is `debug`. */
 export class LoadLog {
-  private before: Totals;
+  private previous: Counters;
   private gcMs = 0;
   private readonly gcObserver: PerformanceObserver;
 
@@ -82,23 +82,23 @@
       for (const entry of list.getEntries()) this.gcMs += entry.duration;
     });
     this.gcObserver.observe({ entryTypes: ['gc'] });
-    this.before = this.totals();
+    this.previous = this.counters();
   }
 
-  /** Logs a line of what was done since the call before. */
+  /** Logs a line with the increases since the previous call. */
   write(): void {
-    const now = this.totals();
-    const line: LoadLine = { ...this.levels(), ...difference(now, this.before) };
-    this.before = now;
+    const current = this.counters();
+    const line: LoadLine = { ...this.gauges(), ...difference(current, this.previous) };
+    this.previous = current;
     this.log.debug(line, 'load');
   }
 
-  /** Stops watching garbage collections. */
+  /** Stops observing garbage collections. */
   stop(): void {
     this.gcObserver.disconnect();
   }
 
-  private levels(): Levels {
+  private gauges(): Gauges {
     const { role, requests, overload } = this.sources;
     const memory = process.memoryUsage();
     return {
@@ -111,7 +111,7 @@
     };
   }
 
-  private totals(): Totals {
+  private counters(): Counters {
     const { clock, heartbeats, requests, machinesLost, stateTraffic, passes } = this.sources;
     const { refused } = requests;
     const traffic = stateTraffic();
@@ -140,9 +140,9 @@
   }
 }
 
-function difference(now: Totals, before: Totals): Totals {
-  const names = Object.keys(now) as (keyof Totals)[];
+function difference(current: Counters, previous: Counters): Counters {
+  const names = Object.keys(current) as (keyof Counters)[];
   return Object.fromEntries(
-    names.map((name) => [name, rounded(now[name] - before[name])]),
-  ) as unknown as Totals;
+    names.map((name) => [name, rounded(current[name] - previous[name])]),
+  ) as unknown as Counters;
 }
--- a/src/controller/machine-type-cache.ts
+++ b/src/controller/machine-type-cache.ts
@@ -7,12 +7,12 @@
 import type { ReplicaSync } from '../store/replica-sync.js';
 import type { Replica } from '../store/replica.js';
 
-/** Seconds between two looks whether the store has been read. */
+/** Interval at which to check whether the replica is loaded. */
 const CHECK_INTERVAL_S = 0.05;
-/** Seconds before the cloud is asked again, with as much again at random. */
+/** Least pause before the cloud is asked again; up to a second of jitter is added. */
 const RETRY_S = 1;
 
-/** What a `MachineTypeCache` works with. */
+/** Dependencies of a `MachineTypeCache`. */
 export interface MachineTypeCacheOptions {
   cloud: Pick<CloudClient, 'fetchMachineTypes'>;
   replicaSync: Pick<ReplicaSync, 'ready'>;
@@ -21,15 +21,15 @@
   log: Log;
 }
 
-/** The machine types: from the store as a rule, from the cloud when nobody has stored them yet. */
+/** The machine types: usually from the store, or from the cloud if none are stored yet. */
 export class MachineTypeCache {
-  /** What the cloud said. */
+  /** The types that the cloud returned; null: not fetched. */
   fetched: MachineType[] | null = null;
   private stopped = false;
 
   constructor(private readonly options: MachineTypeCacheOptions) {}
 
-  /** Null: not known yet. */
+  /** The machine types; null: not known yet. */
   get known(): MachineType[] | null {
     const { leader, replica } = this.options;
     const types = leader()?.term.machineTypes;
@@ -37,7 +37,7 @@
     return replica.machineTypes ?? this.fetched;
   }
 
-  /** Asks the cloud until the types are known from anywhere. */
+  /** Asks the cloud for the types until they are known from any source. */
   async fetch(): Promise<void> {
     const { cloud, replicaSync, leader, log } = this.options;
     while (!this.stopped && this.known === null) {
--- a/src/controller/metrics.ts
+++ b/src/controller/metrics.ts
@@ -1,4 +1,4 @@
-/** What `/metrics` shows: the keys are known to operators' scripts and stay as they are. */
+/** Builds the body of `/metrics`. Operators' scripts rely on the keys, so they must not change. */
 
 import type { RequestQueue } from '../admission/request-queue.js';
 import type { CancellationBroadcast } from '../cancellation/cancellation-broadcast.js';
@@ -13,7 +13,7 @@
 
 const BYTES_PER_MB = 1e6;
 
-/** The parts of a controller whose figures are shown. */
+/** The parts of a controller whose values are shown. */
 export interface MetricsSources {
   node: string;
   election: Pick<Election, 'role' | 'token'>;
@@ -23,11 +23,11 @@
   cancellations: Pick<CancellationBroadcast, 'size'>;
   latencies: LatencyHistograms;
   requests: RequestQueue;
-  /** Null: this controller does not lead. */
+  /** Null: this controller is not the leader. */
   leader: Leader | null;
 }
 
-/** The figures of a controller at this moment, by the names that `/metrics` gives them. */
+/** The present values of a controller's metrics, with the keys of `/metrics`. */
 export function controllerMetrics(sources: MetricsSources): Record<string, unknown> {
   const { node, election, replica, versions, server, cancellations, latencies } = sources;
   return {
--- a/src/controller/peer-question-handler.ts
+++ b/src/controller/peer-question-handler.ts
@@ -6,9 +6,9 @@
 import type { Election } from '../leadership/election.js';
 import type { LeaderAcknowledgements } from '../leadership/leader-acknowledgements.js';
 import type { Answer, Question, QuestionOf, ReplyAnswer } from '../peers/messages.js';
-import { CLASS_OF, FORWARDED_PATIENCE_S } from './request-classes.js';
+import { CLASS_OF, FORWARDED_QUEUE_TIMEOUT_S } from './request-classes.js';
 
-/** What a `PeerQuestionHandler` works with. */
+/** Dependencies of a `PeerQuestionHandler`. */
 export interface PeerQuestionHandlerOptions {
   requests: RequestQueue;
   latencies: LatencyHistograms;
@@ -17,38 +17,38 @@
   election: Election;
   acknowledgements: LeaderAcknowledgements;
   cancellations: CancellationBroadcast;
-  /** Cancellations that another controller knows to be stored. */
-  cancellationsHeard: (ids: string[]) => void;
+  /** Called with cancellations that are stored, as another controller reports. */
+  onCancellationsStored: (ids: string[]) => void;
 }
 
-/** Answers what other controllers ask. */
+/** Answers the questions of other controllers. */
 export class PeerQuestionHandler {
   constructor(private readonly options: PeerQuestionHandlerOptions) {}
 
-  /** Answers a question of another controller; the answer is of the question's kind. */
+  /** Answers a question of another controller; the answer's type matches the question. */
   answer(question: Question): Promise<Answer> | Answer {
-    const { acknowledgements, cancellations, election, cancellationsHeard } = this.options;
+    const { acknowledgements, cancellations, election, onCancellationsStored } = this.options;
     switch (question.q) {
       case 'report':
-        return this.report(question);
+        return this.handleHeartbeat(question);
       case 'elected':
         return acknowledgements.answer(question.token);
       case 'there':
         return { there: true };
       case 'user':
-        return this.user(question);
+        return this.handleUserRequest(question);
       case 'cancelling':
         cancellations.noteAnnounced(question.job);
         return { told: true };
       case 'cancelled':
-        cancellationsHeard([question.job]);
+        onCancellationsStored([question.job]);
         return { noted: true };
       case 'refused':
         return election.outage.answer(question.token, question.forMs, question.applied);
     }
   }
 
-  private report({ body, hop }: QuestionOf<'report'>): ReplyAnswer | Promise<ReplyAnswer> {
+  private handleHeartbeat({ body, hop }: QuestionOf<'report'>): ReplyAnswer | Promise<ReplyAnswer> {
     const { latencies, heartbeats, requests } = this.options;
     const work = (): ReplyAnswer | Promise<ReplyAnswer> => {
       const reply = latencies.time('report', () => heartbeats.handleForwarded(body, hop));
@@ -56,13 +56,13 @@
         return reply.then((answer) => ({ ...(answer ?? { status: 504 }) }));
       return { ...reply };
     };
-    return requests.run('report', work, { status: 503 }, FORWARDED_PATIENCE_S);
+    return requests.run('report', work, { status: 503 }, FORWARDED_QUEUE_TIMEOUT_S);
   }
 
-  private user({ to, text }: QuestionOf<'user'>): ReplyAnswer | Promise<ReplyAnswer> {
+  private handleUserRequest({ to, text }: QuestionOf<'user'>): ReplyAnswer | Promise<ReplyAnswer> {
     const { forwarder, requests } = this.options;
     const work = (): Promise<ReplyAnswer> => forwarder.serveForwarded(to, text);
-    // Refused without a status: another controller may have time for it.
+    // Refused without a status, so that the peer asks another controller.
     return requests.run<ReplyAnswer>(CLASS_OF[to], work, {});
   }
 }
--- a/src/controller/pipeline-statistics.ts
+++ b/src/controller/pipeline-statistics.ts
@@ -1,17 +1,17 @@
 import { isWaiting, neverStarted, outcome } from '../store/stored-job.js';
 import type { Replica } from '../store/replica.js';
 
-/** Figures of pipelines, by the names that `/metrics` gives them. */
+/** Statistics of pipelines, with the keys of `/metrics`. */
 export interface PipelineStatistics {
-  /** Open jobs that wait for others. */
+  /** Open jobs that wait for their dependencies. */
   jobs_waiting: number;
-  /** Open jobs that may start, or have. */
+  /** Open jobs that may start or have started. */
   jobs_ready: number;
-  /** Jobs that were cancelled with one that they need. */
+  /** Jobs that were cancelled together with a dependency before they started. */
   jobs_cancelled_with_needed: number;
 }
 
-/** Counts over all jobs that the store holds: asked for now and then, by operators. */
+/** Counts over all stored jobs. The full scan is acceptable because operators ask for it only occasionally. */
 export function pipelineStatistics({ jobs }: Pick<Replica, 'jobs'>): PipelineStatistics {
   const figures = { jobs_waiting: 0, jobs_ready: 0, jobs_cancelled_with_needed: 0 };
   for (const storedJob of jobs.values()) {
--- a/src/controller/profile.ts
+++ b/src/controller/profile.ts
@@ -4,18 +4,17 @@
 import { sleep } from '../clock.js';
 
 /**
- * Where processor time goes: a table by module and by function, from samples of V8's profiler. Loaded
- * only when it is asked for; sampling itself costs some percent.
+ * Reports where processor time is spent, by module and by function, from samples of V8's profiler. Loaded
+ * only on demand; sampling itself costs a few percent of processor time.
  */
 
-/** Microseconds between two samples. */
-const INTERVAL_US = 500;
-/** Functions that are listed, the costliest first. */
-const FUNCTIONS = 40;
-/** What the profiler calls time in which nothing was done. */
-const IDLE = '(idle)';
-/** Frames of the profiler that stand for no script. */
-const PSEUDO: Record<string, string> = {
+const SAMPLING_INTERVAL_US = 500;
+/** Number of functions that are listed, the most expensive first. */
+const MAX_FUNCTIONS = 40;
+/** The profiler's name for idle time. */
+const IDLE_FRAME = '(idle)';
+/** Profiler frames that do not belong to a script, with the names to print. */
+const PSEUDO_FRAMES: Record<string, string> = {
   '(garbage collector)': 'garbage collection',
   '(program)': 'native code and system calls',
   '(root)': 'native code and system calls',
@@ -23,21 +22,21 @@
 /** The bundler writes each module's path in a comment before it. */
 const MODULE_COMMENT = /^\s*\/\/ ((?:src|node_modules)\/\S+)$/;
 
-/** Names the module of a place in a script: the bundle holds many. */
-class Modules {
-  /** Of each bundle: where its modules begin. */
+/** Finds the module of a script's line; a bundle contains many modules. */
+class ModuleResolver {
+  /** For each bundle, the lines at which its modules begin. */
   private readonly bundles = new Map<string, { line: number; module: string }[]>();
 
-  /** The module that a line of a script is of. */
-  of(url: string, line: number): string {
+  /** Returns the module that contains a line of a script. */
+  moduleAt(url: string, line: number): string {
     if (url === '') return 'built-in functions';
     if (url.startsWith('node:')) return url;
-    if (url.endsWith('program.cjs')) return this.inBundle(url, line);
+    if (url.endsWith('program.cjs')) return this.moduleInBundle(url, line);
     const path = /(?:node_modules|target)\/.*$/.exec(url)?.[0] ?? url;
     return packageOf(path.replace(/^target\/(check\/)?/, '').replace(/\.js$/, '.ts'));
   }
 
-  private inBundle(url: string, line: number): string {
+  private moduleInBundle(url: string, line: number): string {
     let starts = this.bundles.get(url);
     if (starts === undefined) {
       const file = url.startsWith('file:') ? fileURLToPath(url) : url;
@@ -52,18 +51,18 @@
   }
 }
 
-/** A library counts as a whole. */
+/** Returns the package of a library's file, and the path itself of any other file. */
 const packageOf = (path: string): string =>
   /^node_modules\/(?:@[^/]+\/)?[^/]+/.exec(path)?.[0] ?? path;
 
-type Costs = Map<string, number>;
+type CostsUs = Map<string, number>;
 
-const add = (costs: Costs, name: string, us: number): void => {
+const add = (costs: CostsUs, name: string, us: number): void => {
   costs.set(name, (costs.get(name) ?? 0) + us);
 };
 
-function table(title: string, costs: Costs, busyUs: number, rows = Infinity): string[] {
-  const sorted = [...costs].sort((a, b) => b[1] - a[1]).slice(0, rows);
+function formatTable(title: string, costs: CostsUs, busyUs: number, maxRows = Infinity): string[] {
+  const sorted = [...costs].sort((a, b) => b[1] - a[1]).slice(0, maxRows);
   const lines = sorted.map(([name, us]) => {
     const share = ((us / busyUs) * 100).toFixed(1);
     return `${(us / 1000).toFixed(0).padStart(8)} ms ${share.padStart(5)}%  ${name}`;
@@ -71,50 +70,50 @@
   return ['', title, ...lines];
 }
 
-/** The tables, as lines of text. */
+/** Returns the report as lines of text. */
 function summarize(profile: Profiler.Profile): string[] {
-  const modules = new Modules();
+  const modules = new ModuleResolver();
   const nodes = new Map(profile.nodes.map((node) => [node.id, node.callFrame]));
-  const byModule: Costs = new Map();
-  const byFunction: Costs = new Map();
+  const byModule: CostsUs = new Map();
+  const byFunction: CostsUs = new Map();
   let idleUs = 0;
   let busyUs = 0;
   (profile.samples ?? []).forEach((id, i) => {
     const us = profile.timeDeltas?.[i] ?? 0;
     const { functionName, url, lineNumber } = nodes.get(id)!;
-    if (functionName === IDLE) {
+    if (functionName === IDLE_FRAME) {
       idleUs += us;
       return;
     }
     busyUs += us;
-    const module = PSEUDO[functionName] ?? modules.of(url, lineNumber);
+    const module = PSEUDO_FRAMES[functionName] ?? modules.moduleAt(url, lineNumber);
     add(byModule, module, us);
     add(byFunction, `${functionName || '(anonymous)'}  ${module}:${lineNumber + 1}`, us);
   });
   const busy = (busyUs / 1e6).toFixed(2);
-  const whole = ((busyUs + idleUs) / 1e6).toFixed(1);
+  const total = ((busyUs + idleUs) / 1e6).toFixed(1);
   return [
-    `busy for ${busy} s of ${whole} s`,
-    ...table('by module', byModule, busyUs),
-    ...table('by function', byFunction, busyUs, FUNCTIONS),
+    `busy for ${busy} s of ${total} s`,
+    ...formatTable('by module', byModule, busyUs),
+    ...formatTable('by function', byFunction, busyUs, MAX_FUNCTIONS),
   ];
 }
 
-/** Waits, samples this process for a time, and tells the tables. */
+/** Waits `waitS`, samples this process for `durationS` and writes the report. */
 export async function profileFor(
   waitS: number,
-  seconds: number,
-  tell: (text: string) => void,
+  durationS: number,
+  write: (text: string) => void,
 ): Promise<void> {
   await sleep(waitS);
   const session = new Session();
   session.connect();
   session.post('Profiler.enable');
-  session.post('Profiler.setSamplingInterval', { interval: INTERVAL_US });
+  session.post('Profiler.setSamplingInterval', { interval: SAMPLING_INTERVAL_US });
   session.post('Profiler.start');
-  await sleep(seconds);
+  await sleep(durationS);
   session.post('Profiler.stop', (error, { profile }) => {
-    tell(error === null ? `${summarize(profile).join('\n')}\n` : `no profile: ${error.message}\n`);
+    write(error === null ? `${summarize(profile).join('\n')}\n` : `no profile: ${error.message}\n`);
     session.disconnect();
   });
 }
--- a/src/controller/request-classes.ts
+++ b/src/controller/request-classes.ts
@@ -1,7 +1,7 @@
 import { LEADER_WAIT_SHARE, RENEWAL_WAIT_SHARE } from '../heartbeat/heartbeat-handler.js';
 import { ANSWER_WAIT_S } from '../wire/workers.js';
 
-/** The class of each kind of users' requests in the request queue. */
+/** The request queue's class of each kind of user request. */
 export const CLASS_OF = {
   submit: 'submission',
   poll: 'poll',
@@ -9,12 +9,12 @@
 } as const;
 
 /**
- * How long a heartbeat may wait here for its turn: served later, its answer would come after whoever asked
- * has given up. To pass a heartbeat on takes a while too, and so does the way back of the answer to one
- * that was forwarded.
+ * Time for which a heartbeat may wait in the request queue: served later, its answer would arrive after the
+ * time-out of the worker or controller that sent it. The limits below also leave time for forwarding a
+ * heartbeat, and for returning the answer to a forwarded one.
  */
-export const HEARTBEAT_PATIENCE_S = ANSWER_WAIT_S * RENEWAL_WAIT_SHARE;
-/** Seconds for which a heartbeat that has to be forwarded may wait for its turn. */
-export const FORWARD_PATIENCE_S = ANSWER_WAIT_S * (RENEWAL_WAIT_SHARE - LEADER_WAIT_SHARE);
-/** Seconds for which a heartbeat that another controller forwarded may wait for its turn. */
-export const FORWARDED_PATIENCE_S = ANSWER_WAIT_S * LEADER_WAIT_SHARE * 0.75;
+export const HEARTBEAT_QUEUE_TIMEOUT_S = ANSWER_WAIT_S * RENEWAL_WAIT_SHARE;
+/** The same for a heartbeat that has to be forwarded. */
+export const FORWARD_QUEUE_TIMEOUT_S = ANSWER_WAIT_S * (RENEWAL_WAIT_SHARE - LEADER_WAIT_SHARE);
+/** The same for a heartbeat that another controller has forwarded here. */
+export const FORWARDED_QUEUE_TIMEOUT_S = ANSWER_WAIT_S * LEADER_WAIT_SHARE * 0.75;
--- a/src/controller/request-path.ts
+++ b/src/controller/request-path.ts
@@ -1,4 +1,4 @@
-/** Builds the path of users' requests: validated, stored, confirmed, or forwarded. */
+/** Builds the parts that validate, store, confirm or forward users' requests. */
 
 import { RequestForwarder } from '../api/request-forwarder.js';
 import { UserApi } from '../api/user-api.js';
@@ -16,14 +16,14 @@
 import type { TimeOfDay } from '../time-of-day.js';
 import type { ControllerVersions } from './controller-versions.js';
 
-/** What is known of the confirmation of cancellations is kept for so many leases. */
-const CONFIRMED_LEASES = 20;
+/** Retention, in leases, of what is known about the confirmation of cancellations. */
+const CONFIRMATION_RETENTION_LEASES = 20;
 
-/** The parts that users' requests go through. */
+/** Dependencies of the request path. */
 export interface RequestPathOptions {
   settings: Settings;
   clock: Clock;
-  /** Of this process. */
+  /** This process's time of day. */
   timeOfDay: TimeOfDay;
   log: Log;
   incarnation: string;
@@ -37,7 +37,7 @@
   knownTypes: () => MachineType[] | null;
 }
 
-/** What answers users' requests here, or has another controller answer them. */
+/** Builds the forwarder, which answers users' requests on this controller or forwards them to another one. */
 export function makeRequestForwarder(options: RequestPathOptions): RequestForwarder {
   const { settings, clock, store, replicaSync, peers, versions } = options;
   return new RequestForwarder({
@@ -82,6 +82,6 @@
     replica,
     clock,
     remainingWaitS: (job, noted) => cancellations.remainingWaitS(job, noted),
-    rememberS: settings.workers.lease_s * CONFIRMED_LEASES,
+    rememberS: settings.workers.lease_s * CONFIRMATION_RETENTION_LEASES,
   });
 }
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -1,7 +1,7 @@
 import { parseEndpoint } from '../config/endpoint.js';
 import { HttpClient } from '../http/client.js';
 
-/** Prints a running controller's figures. Returns what went wrong, or null. */
+/** Prints a running controller's metrics. Returns an error message, or null. */
 export async function showStatus(addr: string): Promise<string | null> {
   if (!/^[^\s:]+:\d{1,5}$/.test(addr)) return 'must be HOST:PORT';
   const client = new HttpClient(parseEndpoint(addr), 1);
--- a/src/controller/term-runner.ts
+++ b/src/controller/term-runner.ts
@@ -21,15 +21,15 @@
 import type { ControllerVersions } from './controller-versions.js';
 import type { MachineTypeCache } from './machine-type-cache.js';
 
-/** What a term works with; see `TermContext`. */
+/** Dependencies of a leadership term; see `TermContext`. */
 export interface TermRunnerOptions {
   settings: Settings;
   policy: Policy;
   clock: Clock;
-  /** Of this process. */
+  /** This process's time of day. */
   timeOfDay: TimeOfDay;
   log: Log;
-  /** Names of requests begin with it; no other process ever has it. */
+  /** Unique for each process; names of scale-out requests begin with it. */
   incarnation: string;
   store: KeyValueStoreClient;
   replica: Replica;
@@ -39,7 +39,7 @@
   overload: Overload;
   subsystems: readonly Subsystem[];
   cancellationTimes: CancellationTimes;
-  /** Parts that know this one; asked for only once a term begins. */
+  /** Parts that depend on this one; resolved only once a term begins. */
   election: () => Election;
   acknowledgements: () => LeaderAcknowledgements;
   zoneLeases: () => ZoneLeaseWatch;
@@ -47,20 +47,20 @@
   machineTypes: () => MachineTypeCache;
 }
 
-/** Holds the leader of the present term, while this controller leads. */
+/** Creates a `Leader` for each term in which this controller leads. */
 export class TermRunner {
-  /** Null: this controller does not lead. */
+  /** Null: this controller is not the leader. */
   leader: Leader | null = null;
-  private lostInEarlierTerms = 0;
+  private machinesLostInEarlierTerms = 0;
 
   constructor(private readonly options: TermRunnerOptions) {}
 
-  /** Machines whose leases this controller as leader counted as expired, since its start. */
+  /** Machines whose leases this controller, as leader, counted as expired since its start. */
   get machinesLost(): number {
-    return this.lostInEarlierTerms + (this.leader?.term.machinesLost ?? 0);
+    return this.machinesLostInEarlierTerms + (this.leader?.term.machinesLost ?? 0);
   }
 
-  /** This controller was elected: its term with this fencing token begins. */
+  /** Begins the term with this fencing token, after this controller was elected. */
   begin(token: number): void {
     this.end();
     const { store, cloud, latencies, overload, subsystems, election } = this.options;
@@ -102,28 +102,28 @@
         const substitutesUntil = store.rejectedAt + election.outage.substituteS;
         return { keptUntil: Math.max(keptUntil, substitutesUntil), provenAt };
       },
-      requestOthersProof: () => this.cycleOnceProven(acknowledgements.requestRenewalProof()),
+      requestOthersProof: () => this.requestCycleAfterProof(acknowledgements.requestRenewalProof()),
       zoneRenewal: (zone) => zoneLeases.zone(zone),
-      requestZoneProof: () => this.cycleOnceProven(replicaSync.sync()),
+      requestZoneProof: () => this.requestCycleAfterProof(replicaSync.sync()),
       cancellationKnownAt: (job) => cancellationTimes.of(job),
       canWrite: () => election.canWrite && election.token === token,
     };
   }
 
-  /** Leases are looked at again as soon as a proof that was asked for is there. */
-  private cycleOnceProven(proof: Promise<boolean>): void {
+  /** Requests a scheduling cycle, which reviews the leases, as soon as a requested proof is available. */
+  private requestCycleAfterProof(proof: Promise<boolean>): void {
     void proof.then((isProven) => isProven && this.leader?.term.requestCycle());
   }
 
-  /** The term is over, if there is one. */
+  /** Ends the present term, if there is one. */
   end(): void {
     if (this.leader === null) return;
     this.leader.stop();
-    this.lostInEarlierTerms += this.leader.term.machinesLost;
+    this.machinesLostInEarlierTerms += this.leader.term.machinesLost;
     this.leader = null;
   }
 
-  /** The process ends: what the term counted is of no use any more. */
+  /** Stops the leader at the end of the process; the term's statistics are dropped. */
   stop(): void {
     this.leader?.stop();
     this.leader = null;
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -1,9 +1,9 @@
 /**
  * An incremental HTTP/1.1 parser for requests and responses with bodies held in memory.
- * It takes one message at a time; what follows a complete message stays unread until `next`.
+ * It parses one message at a time; bytes after a complete message are not parsed until `next` is called.
  */
 
-/** What stands before a message's body. */
+/** A message's start line and headers. */
 export interface Head {
   /** Requests: the method. Responses: empty. */
   method: string;
@@ -12,16 +12,16 @@
   /** Responses: the status. Requests: 0. */
   status: number;
   headers: Map<string, string>;
-  /** Whether the connection goes on after this message. */
+  /** Whether the connection stays open after this message. */
   keepAlive: boolean;
 }
 
-/** A whole message. */
+/** A complete message. */
 export interface Message extends Head {
   body: Buffer;
 }
 
-/** What is wrong with a message, and the status to answer it with. */
+/** A malformed or too large message, with the status to answer it with. */
 export class HttpError extends Error {
   constructor(
     readonly status: number,
@@ -31,20 +31,20 @@
   }
 }
 
-/** The longest head and body that are accepted, in bytes. */
+/** Limits of a message's head and body, in bytes. */
 export interface ParserLimits {
   headBytes: number;
   bodyBytes: number;
 }
 
-/** The longest request (protocol). */
+/** Limits of a request, set by the protocol. */
 export const REQUEST_LIMITS: ParserLimits = { headBytes: 16 * 1024, bodyBytes: 64 * 1024 };
-/** The longest response: changes of the store have no bound of their own. */
+/** Limits of a response: lists of the store's changes have no bound of their own. */
 const RESPONSE_LIMITS: ParserLimits = { headBytes: 16 * 1024, bodyBytes: 16 * 1024 * 1024 };
 
 type State = 'head' | 'sized' | 'chunkSize' | 'chunkData' | 'chunkEnd' | 'trailer' | 'close';
 
-/** A message; null: bytes are missing; or another step can be made at once. */
+/** A message; null: more bytes are needed; 'again': another step can follow at once. */
 type Step = Message | null | 'again';
 
 const EMPTY = Buffer.alloc(0);
@@ -52,7 +52,7 @@
 const LINE_FEED = 10;
 const LINE_END = '\r\n';
 const HEAD_END = '\r\n\r\n';
-/** Bytes of the line with a chunk's size, and of all lines after the last chunk, at most. */
+/** Limits of a chunk-size line and of the whole trailer. */
 const MAX_CHUNK_LINE_BYTES = 1024;
 const MAX_TRAILER_BYTES = 4096;
 const CHUNK_SIZE = /^[0-9a-fA-F]{1,8}$/;
@@ -60,11 +60,11 @@
 const STATUS_LINE = /^(HTTP\/1\.[01]) (\d{3})( .*)?$/;
 const TOKEN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
 
-/** Parses messages of one connection as their bytes come. */
+/** Parses the messages of one connection incrementally. */
 export class HttpParser {
   private state: State = 'head';
   private chunks: Buffer[] = [];
-  private held: Buffer = EMPTY;
+  private unparsed: Buffer = EMPTY;
   private head: Head | null = null;
   private body: Buffer[] = [];
   private bodySize = 0;
@@ -76,43 +76,43 @@
     private readonly limits: ParserLimits = kind === 'request' ? REQUEST_LIMITS : RESPONSE_LIMITS,
   ) {}
 
-  /** Bytes are kept as they come; `next` looks at them. */
+  /** Appends received bytes without parsing them. */
   push(data: Buffer): void {
     this.chunks.push(data);
   }
 
-  /** Whether a message has begun that is not complete. */
+  /** Whether an incomplete message has been received. */
   get isMidMessage(): boolean {
     return this.state !== 'head' || this.pendingBytes > 0;
   }
 
-  /** Bytes that came and belong to no complete message yet. */
+  /** Number of received bytes that are not parsed yet. */
   get pendingBytes(): number {
-    let bytes = this.held.length;
+    let bytes = this.unparsed.length;
     for (const data of this.chunks) bytes += data.length;
     return bytes;
   }
 
-  private receivedBytes(): Buffer {
+  private mergeChunks(): Buffer {
     if (this.chunks.length > 0) {
-      this.held =
-        this.held.length === 0 && this.chunks.length === 1
+      this.unparsed =
+        this.unparsed.length === 0 && this.chunks.length === 1
           ? this.chunks[0]!
-          : Buffer.concat([this.held, ...this.chunks]);
+          : Buffer.concat([this.unparsed, ...this.chunks]);
       this.chunks = [];
     }
-    return this.held;
+    return this.unparsed;
   }
 
   /** The next complete message, or null when more bytes are needed. Throws HttpError. */
   next(ended = false): Message | null {
     for (;;) {
-      const step = this.step(this.receivedBytes(), ended);
+      const step = this.step(this.mergeChunks(), ended);
       if (step !== 'again') return step;
     }
   }
 
-  /** One step in the present state: a message, null where bytes are missing, or another step. */
+  /** Performs one step in the present state. */
   private step(bytes: Buffer, ended: boolean): Step {
     switch (this.state) {
       case 'head':
@@ -141,14 +141,14 @@
     }
     if (end < 0) return null;
     this.readHead(bytes.toString('latin1', from, end));
-    this.held = bytes.subarray(end + HEAD_END.length);
+    this.unparsed = bytes.subarray(end + HEAD_END.length);
     return 'again';
   }
 
   private stepSized(bytes: Buffer): Step {
     if (bytes.length < this.neededBytes) return null;
     this.body = this.neededBytes > 0 ? [bytes.subarray(0, this.neededBytes)] : [];
-    this.held = bytes.subarray(this.neededBytes);
+    this.unparsed = bytes.subarray(this.neededBytes);
     return this.finish();
   }
 
@@ -156,7 +156,7 @@
     if (bytes.length > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
     if (!ended) return null;
     this.body = [bytes];
-    this.held = EMPTY;
+    this.unparsed = EMPTY;
     return this.finish();
   }
 
@@ -166,10 +166,10 @@
       if (bytes.length > MAX_CHUNK_LINE_BYTES) throw new HttpError(400, 'bad chunk');
       return null;
     }
-    const word = bytes.toString('latin1', 0, end).split(';')[0]!.trim();
-    if (!CHUNK_SIZE.test(word)) throw new HttpError(400, 'bad chunk size');
-    this.neededBytes = parseInt(word, 16);
-    this.held = bytes.subarray(end + LINE_END.length);
+    const sizeText = bytes.toString('latin1', 0, end).split(';')[0]!.trim();
+    if (!CHUNK_SIZE.test(sizeText)) throw new HttpError(400, 'bad chunk size');
+    this.neededBytes = parseInt(sizeText, 16);
+    this.unparsed = bytes.subarray(end + LINE_END.length);
     if (this.neededBytes === 0) {
       this.trailerSize = 0;
       this.state = 'trailer';
@@ -184,7 +184,7 @@
   private stepChunkData(bytes: Buffer): Step {
     if (bytes.length < this.neededBytes) return null;
     this.body.push(bytes.subarray(0, this.neededBytes));
-    this.held = bytes.subarray(this.neededBytes);
+    this.unparsed = bytes.subarray(this.neededBytes);
     this.state = 'chunkEnd';
     return 'again';
   }
@@ -192,7 +192,7 @@
   private stepChunkEnd(bytes: Buffer): Step {
     if (bytes.length < LINE_END.length) return null;
     if (!startsWithLineEnd(bytes)) throw new HttpError(400, 'bad chunk end');
-    this.held = bytes.subarray(LINE_END.length);
+    this.unparsed = bytes.subarray(LINE_END.length);
     this.state = 'chunkSize';
     return 'again';
   }
@@ -203,7 +203,7 @@
       if (bytes.length > MAX_TRAILER_BYTES) throw new HttpError(400, 'trailer too large');
       return null;
     }
-    this.held = bytes.subarray(end + LINE_END.length);
+    this.unparsed = bytes.subarray(end + LINE_END.length);
     if (end === 0) return this.finish();
     this.trailerSize += end;
     if (this.trailerSize > MAX_TRAILER_BYTES) throw new HttpError(400, 'trailer too large');
@@ -235,13 +235,15 @@
     this.state = this.bodyState(head);
   }
 
-  /** How the body after a head is delimited. */
+  /** Returns the state for reading the body, by how the head delimits it. */
   private bodyState(head: Head): State {
     const length = head.headers.get('content-length');
-    const coding = head.headers.get('transfer-encoding');
-    if (length !== undefined && coding !== undefined) throw new HttpError(400, 'two body lengths');
-    if (coding !== undefined) {
-      if (coding.toLowerCase() !== 'chunked') throw new HttpError(400, 'unknown transfer coding');
+    const transferCoding = head.headers.get('transfer-encoding');
+    if (length !== undefined && transferCoding !== undefined)
+      throw new HttpError(400, 'two body lengths');
+    if (transferCoding !== undefined) {
+      if (transferCoding.toLowerCase() !== 'chunked')
+        throw new HttpError(400, 'unknown transfer coding');
       return 'chunkSize';
     }
     if (length !== undefined) {
@@ -262,7 +264,7 @@
 const startsWithLineEnd = (bytes: Buffer): boolean =>
   bytes.length >= LINE_END.length && bytes[0] === CARRIAGE_RETURN && bytes[1] === LINE_FEED;
 
-/** Headers by their names in small letters; the first line is the start line. */
+/** Headers by lower-case names; `lines[0]` is the start line. */
 function parseHeaders(lines: string[]): Map<string, string> {
   const headers = new Map<string, string>();
   for (let i = 1; i < lines.length; i++) {
@@ -273,17 +275,17 @@
     if (!TOKEN.test(name)) throw new HttpError(400, 'bad header name');
     const key = name.toLowerCase();
     const value = line.slice(colon + 1).trim();
-    const old = headers.get(key);
-    if (old !== undefined && (key === 'content-length' || key === 'transfer-encoding')) {
-      // Two lengths, even equal ones: a smuggling attempt or a broken client.
+    const previous = headers.get(key);
+    if (previous !== undefined && (key === 'content-length' || key === 'transfer-encoding')) {
+      // Two lengths, even equal ones, indicate request smuggling or a faulty client.
       throw new HttpError(400, `repeated ${key}`);
     }
-    headers.set(key, old === undefined ? value : `${old}, ${value}`);
+    headers.set(key, previous === undefined ? value : `${previous}, ${value}`);
   }
   return headers;
 }
 
-/** What a message begins with; the fields that its kind does not have are empty. */
+/** A parsed start line; fields that the kind of message does not have are empty or 0. */
 interface StartLine {
   method: string;
   target: string;
--- a/src/latency-histograms.ts
+++ b/src/latency-histograms.ts
@@ -1,27 +1,26 @@
 import { createHistogram, type RecordableHistogram } from 'node:perf_hooks';
 
-/** What is measured: a worker's heartbeat, a user's submission, a scheduling cycle. */
+/** What is measured: handling a heartbeat or a submission, a scheduling cycle, event loop lag. */
 export type MeasuredWork = 'report' | 'submission' | 'pass' | 'lag';
 
-/** How often a piece of work was done since the start, and how long it took in all. */
+/** Number and total duration of an operation since the start. */
 export interface WorkTotal {
   count: number;
   seconds: number;
 }
 
-/** Nothing that is measured takes longer, in microseconds: longer counts as this. */
-const LONGEST_US = 600e6;
-/** Significant digits that a histogram keeps. */
-const DIGITS = 2;
+/** Longer durations are recorded as this. */
+const MAX_DURATION_US = 600e6;
+const SIGNIFICANT_DIGITS = 2;
 
-/** How long pieces of work take, in microseconds, in Node's own high-dynamic-range histograms. */
+/** Durations of operations, in microseconds, in Node's high-dynamic-range histograms. */
 export class LatencyHistograms {
   private readonly histograms = new Map<MeasuredWork, RecordableHistogram>();
   readonly cycles: WorkTotal = { count: 0, seconds: 0 };
 
   constructor(private readonly nowS: () => number) {}
 
-  /** A piece of work took so many seconds. */
+  /** Records the duration of an operation. */
   record(kind: MeasuredWork, seconds: number): void {
     if (kind === 'pass') {
       this.cycles.count++;
@@ -29,25 +28,29 @@
     }
     let histogram = this.histograms.get(kind);
     if (histogram === undefined) {
-      histogram = createHistogram({ lowest: 1, highest: LONGEST_US, figures: DIGITS });
+      histogram = createHistogram({
+        lowest: 1,
+        highest: MAX_DURATION_US,
+        figures: SIGNIFICANT_DIGITS,
+      });
       this.histograms.set(kind, histogram);
     }
-    // The least that a histogram takes is 1.
+    // The smallest value that a histogram accepts is 1.
     const microseconds = Math.round(seconds * 1e6);
-    histogram.record(Math.min(LONGEST_US, Math.max(1, microseconds)));
+    histogram.record(Math.min(MAX_DURATION_US, Math.max(1, microseconds)));
   }
 
-  /** Does a piece of work and records how long it took. */
+  /** Performs an operation and records its duration. */
   time<T>(kind: MeasuredWork, work: () => T): T {
-    const began = this.nowS();
+    const startedAt = this.nowS();
     try {
       return work();
     } finally {
-      this.record(kind, this.nowS() - began);
+      this.record(kind, this.nowS() - startedAt);
     }
   }
 
-  /** Microseconds: count, median, 99th percentile and largest of each. */
+  /** Count of each kind and, in microseconds, its median, 99th percentile and maximum. */
   statistics(): Record<string, number> {
     const out: Record<string, number> = {};
     for (const [kind, histogram] of this.histograms) {
--- a/src/launch.cts
+++ b/src/launch.cts
@@ -1,7 +1,6 @@
 /**
- * Starts the program from the one file that the build bundles it into, with the code that V8 compiled
- * at build time. Loading the modules one by one and compiling them took most of a start's processor
- * time (docs/profile.md).
+ * Starts the program from the bundle that the build makes, with V8's code cache from build time. Loading
+ * and compiling the modules one by one took most of the processor time of a start (docs/profile.md).
  */
 import { readFileSync } from 'node:fs';
 import { join } from 'node:path';
--- a/src/log.ts
+++ b/src/log.ts
@@ -3,7 +3,7 @@
 /** A logger of structured lines. */
 export type Log = Logger;
 
-/** Structured lines on standard error, written at once so that none is lost when the process ends. */
+/** Creates a logger that writes to standard error synchronously, so that no line is lost when the process ends. */
 export function makeLog(node: string, level = process.env.LOG_LEVEL ?? 'info'): Log {
   const known = ['error', 'info', 'debug', 'silent'];
   return pino(
--- a/src/main.ts
+++ b/src/main.ts
@@ -15,7 +15,7 @@
 }
 
 /** `--config FILE`, with or without `--features FILE` before it; null: any other call. */
-function parseUsualCall(argv: string[]): Args | null {
+function parseCommonArgs(argv: string[]): Args | null {
   const names = argv.filter((_, i) => i % 2 === 0).join(' ');
   const values = argv.filter((_, i) => i % 2 === 1);
   if (argv.length % 2 !== 0 || values.some((value) => value.startsWith('-'))) return null;
@@ -24,10 +24,10 @@
   return null;
 }
 
-/** The usual call is understood without loading the library for the others. */
+/** Parses the most common arguments without loading the command-line library. */
 async function readArgs(argv: string[]): Promise<Args> {
-  const usual = parseUsualCall(argv);
-  if (usual !== null) return usual;
+  const common = parseCommonArgs(argv);
+  if (common !== null) return common;
   const { Command } = await import('commander');
   const program = new Command('pewtershelf')
     .description('A scheduler for fleets that serve language models')
@@ -70,11 +70,11 @@
   }
 }
 
-/** Prints what a command makes of a controller's answer, or in one line what went wrong. */
-async function printAnswer(command: string, answer: () => Promise<string>): Promise<void> {
+/** Prints a command's output, or its error in one line. */
+async function printCommandOutput(command: string, run: () => Promise<string>): Promise<void> {
   const { CommandError } = await import('./subsystems/view-command.js');
   try {
-    process.stdout.write(await answer());
+    process.stdout.write(await run());
   } catch (error) {
     if (error instanceof CommandError) exitWithError(`${command}: ${error.message}`);
     throw error;
@@ -92,7 +92,7 @@
     .option('--json', 'as JSON', false)
     .allowExcessArguments(false);
   program.parse(argv, { from: 'user' });
-  await printAnswer('loans', () => loansCommand(program.opts()));
+  await printCommandOutput('loans', () => loansCommand(program.opts()));
 }
 
 /** `warm-pools status|bill --at HOST:PORT [--json]` */
@@ -106,7 +106,7 @@
     .option('--json', 'as JSON', false);
   program.parse(argv, { from: 'user' });
   const what = program.args[0] as 'status' | 'bill';
-  await printAnswer('warm-pools', () => warmPoolsCommand(what, program.opts()));
+  await printCommandOutput('warm-pools', () => warmPoolsCommand(what, program.opts()));
 }
 
 async function main(): Promise<void> {
@@ -131,17 +131,17 @@
   const features = await readFeatures(args.features, settings);
   if (args.check === true) {
     const { readPolicy } = await import('./operator/load.js');
-    const { wrong } = await readPolicy(operatorScript);
-    if (wrong !== null) exitWithError(wrong);
+    const { problem } = await readPolicy(operatorScript);
+    if (problem !== null) exitWithError(problem);
     const what = features === null ? 'settings are valid' : 'settings and features are valid';
     process.stdout.write(`${what}\n`);
     return;
   }
   if (args.profile !== undefined) {
-    const times = /^(\d+)\+(\d+)$/.exec(args.profile);
-    if (times === null) exitWithError(`profile ${args.profile}: must be WAIT+SECONDS`);
+    const match = /^(\d+)\+(\d+)$/.exec(args.profile);
+    if (match === null) exitWithError(`profile ${args.profile}: must be WAIT+SECONDS`);
     const { profileFor } = await import('./controller/profile.js');
-    void profileFor(Number(times[1]), Number(times[2]), (text) => process.stderr.write(text));
+    void profileFor(Number(match[1]), Number(match[2]), (text) => process.stderr.write(text));
   }
   const { runController } = await import('./controller/run.js');
   await runController(settings, operatorScript, features, exitWithError);
--- a/src/operator/fengari.d.ts
+++ b/src/operator/fengari.d.ts
@@ -1,4 +1,4 @@
-/** What is used of fengari, which comes without types. */
+/** Types of the used part of fengari, which has none of its own. */
 declare module 'fengari' {
   type LuaString = Uint8Array;
   interface Lua {
--- a/src/operator/load.ts
+++ b/src/operator/load.ts
@@ -1,15 +1,15 @@
 import { DEFAULT_POLICY, type Policy } from './policy.js';
 
-/** The operators' factors, or what is wrong with their script. */
+/** Reads the policy from the operator script; `problem`: why the script is invalid, else null. */
 export async function readPolicy(
   file: string | undefined,
-): Promise<{ policy: Policy; wrong: string | null }> {
-  if (file === undefined) return { policy: DEFAULT_POLICY, wrong: null };
+): Promise<{ policy: Policy; problem: string | null }> {
+  if (file === undefined) return { policy: DEFAULT_POLICY, problem: null };
   const { loadScript, ScriptError } = await import('./script.js');
   try {
-    return { policy: loadScript(file), wrong: null };
+    return { policy: loadScript(file), problem: null };
   } catch (error) {
     if (!(error instanceof ScriptError)) throw error;
-    return { policy: DEFAULT_POLICY, wrong: `operator script ${file}: ${error.message}` };
+    return { policy: DEFAULT_POLICY, problem: `operator script ${file}: ${error.message}` };
   }
 }
--- a/src/operator/policy.ts
+++ b/src/operator/policy.ts
@@ -1,20 +1,20 @@
-/** The factors of the ranking that operators may set. Starting values: the design's. */
+/** The factors of the job ranking that operators may set. */
 export interface Policy {
-  /** Weights of φ: work behind, depth, number of successors. */
+  /** Weights of φ: work of the successors, depth, number of successors. */
   omega: [number, number, number];
-  /** A pipeline is long above mean + eta · standard deviation. */
+  /** A pipeline is long above the mean plus eta standard deviations. */
   eta: number;
-  /** Share of each machine type held for long work while it waits. */
+  /** Share of each machine type that is reserved for long work while such work waits. */
   rho: number;
-  /** Seconds added where a division by zero threatens. */
+  /** Seconds added to avoid a division by zero. */
   epsilonS: number;
   /** The small constant added to each term's mean. */
   scaling: number;
-  /** A long pipeline's job is heavy from this many times its pipeline's mean on. */
+  /** A job of a long pipeline is heavy from this multiple of its pipeline's mean. */
   heavy: number;
 }
 
-/** What holds where no script says otherwise; docs/design.md gives the sources. */
+/** Values that apply unless a script sets others; docs/design.md gives the sources. */
 export const DEFAULT_POLICY: Policy = {
   omega: [1, 1, 1],
   eta: 1,
--- a/src/operator/script.ts
+++ b/src/operator/script.ts
@@ -3,8 +3,8 @@
 import { DEFAULT_POLICY, type Policy } from './policy.js';
 
 /**
- * Operators' own settings: a Lua script that sets global names. It runs once at start, without
- * libraries for files, processes or loading code, and within a bound on its steps.
+ * The operator script is invalid or cannot be read. It is a Lua script that sets global variables. It runs
+ * once at start, without libraries for files, processes or loading code, and with a limit on its steps:
  *
  *   omega = {1, 1, 1}   eta = 1   rho = 0.2   epsilon = 1   scaling = 0.001   heavy = 1
  */
@@ -20,10 +20,10 @@
   ['table', lualib.luaopen_table],
 ];
 const BANNED_GLOBALS = ['dofile', 'loadfile', 'load', 'require', 'print', 'collectgarbage'];
-/** A pattern match or a repeated string can take long within a single step. */
+/** A pattern match or string repetition can take a long time within a single interpreter step. */
 const BANNED_STRING_FUNCTIONS = ['rep', 'find', 'match', 'gmatch', 'gsub', 'dump', 'format'];
-/** Steps of the interpreter that a script may take. */
-const STEPS = 1_000_000;
+/** Interpreter steps that a script may take. */
+const MAX_STEPS = 1_000_000;
 const MAX_BYTES = 64 * 1024;
 
 const RANGES: Record<string, [number, number]> = {
@@ -33,7 +33,7 @@
   scaling: [1e-9, 1000],
   heavy: [0, 100],
 };
-const FIELDS: Record<string, 'eta' | 'rho' | 'epsilonS' | 'scaling' | 'heavy'> = {
+const POLICY_FIELDS: Record<string, 'eta' | 'rho' | 'epsilonS' | 'scaling' | 'heavy'> = {
   eta: 'eta',
   rho: 'rho',
   epsilon: 'epsilonS',
@@ -41,7 +41,7 @@
   heavy: 'heavy',
 };
 
-/** Throws ScriptError: what keeps a script from being read or run. */
+/** Reads and runs a script. Throws ScriptError if it cannot be read or is invalid. */
 export function loadScript(file: string): Policy {
   let text: string;
   try {
@@ -54,20 +54,20 @@
   return runScript(text);
 }
 
-/** The policy that a script sets; what it leaves out has its default. Throws ScriptError. */
+/** Returns the policy that a script sets, with defaults for what it omits. Throws ScriptError. */
 export function runScript(text: string): Policy {
   if (text.length > MAX_BYTES) throw new ScriptError('is over 64 KiB');
   const state = makeSandbox();
-  const before = new Set(globals(state).keys());
+  const builtinNames = new Set(globals(state).keys());
   execute(state, text);
   const policy: Policy = { ...DEFAULT_POLICY };
   for (const [name, value] of globals(state)) {
-    if (!before.has(name)) setFactor(policy, name, value, lineOf(text, name));
+    if (!builtinNames.has(name)) setFactor(policy, name, value, lineOf(text, name));
   }
   return policy;
 }
 
-/** A Lua state with the harmless part of its standard library. */
+/** Creates a Lua state with the permitted part of the standard library. */
 function makeSandbox(): unknown {
   const state = lauxlib.luaL_newstate();
   for (const [name, open] of LIBRARIES) {
@@ -87,10 +87,10 @@
   return state;
 }
 
-/** Runs a script within the bound on its steps. Throws ScriptError. */
+/** Runs a script with the limit on its steps. Throws ScriptError. */
 function execute(state: unknown, text: string): void {
   const stop = (): never => lauxlib.luaL_error(state, to_luastring('takes too many steps'));
-  lua.lua_sethook(state, stop, lua.LUA_MASKCOUNT, STEPS);
+  lua.lua_sethook(state, stop, lua.LUA_MASKCOUNT, MAX_STEPS);
   const status =
     lauxlib.luaL_loadbuffer(state, to_luastring(text), null, to_luastring('=script')) ||
     lua.lua_pcall(state, 0, 0, 0);
@@ -98,34 +98,34 @@
   lua.lua_sethook(state, null, 0, 0);
 }
 
-/** `where`: the line that sets it, for messages. */
-function setFactor(policy: Policy, name: string, value: unknown, where: string): void {
+/** Sets one factor of the policy. `location`: the line of the script, for error messages. */
+function setFactor(policy: Policy, name: string, value: unknown, location: string): void {
   if (name === 'omega') {
     const isTriple = Array.isArray(value) && value.length === 3;
     if (!isTriple || !value.every((factor) => inRange(factor, 0, 1000))) {
-      throw new ScriptError(`${where}omega: must be three numbers from 0 to 1000`);
+      throw new ScriptError(`${location}omega: must be three numbers from 0 to 1000`);
     }
     policy.omega = value as [number, number, number];
     return;
   }
   const range = RANGES[name];
-  if (range === undefined) throw new ScriptError(`${where}${name}: unknown name`);
+  if (range === undefined) throw new ScriptError(`${location}${name}: unknown name`);
   if (!inRange(value, range[0], range[1])) {
-    throw new ScriptError(`${where}${name}: must be a number from ${range[0]} to ${range[1]}`);
+    throw new ScriptError(`${location}${name}: must be a number from ${range[0]} to ${range[1]}`);
   }
-  policy[FIELDS[name]!] = value as number;
+  policy[POLICY_FIELDS[name]!] = value as number;
 }
 
-const inRange = (value: unknown, low: number, high: number): boolean =>
-  typeof value === 'number' && value >= low && value <= high;
+const inRange = (value: unknown, min: number, max: number): boolean =>
+  typeof value === 'number' && value >= min && value <= max;
 
-/** The line on which a global is set, for messages. */
+/** The line on which a global is set, for error messages. */
 function lineOf(text: string, name: string): string {
   const at = text.split('\n').findIndex((line) => new RegExp(`^\\s*${name}\\s*=`).test(line));
   return at < 0 ? '' : `script:${at + 1}: `;
 }
 
-/** Names and values of the global table; tables as arrays of their values. */
+/** Names and values of the global variables; tables as arrays of their values. */
 function globals(state: unknown): Map<string, unknown> {
   const out = new Map<string, unknown>();
   lua.lua_pushglobaltable(state);
